--- a/kelpstage/ctl/client.py
+++ b/kelpstage/cli/client.py
@@ -7,11 +7,11 @@
 import pathlib
 from typing import Any
 
-from kelpstage.base.defects import Defect, EnvRefused, Fault, LineLost, WaitOver
-from kelpstage.base.ports.live import LiveNet
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from kelpstage.base.wire.address import is_address
-from kelpstage.ctl.out import BAD_INPUT, REFUSED, UNREACHED, UNRESOLVED, fail
+from kelpstage.cli.output import BAD_INPUT, REFUSED, UNREACHED, UNRESOLVED, fail
+from kelpstage.common.errors import Defect, EnvRefused, Fault, LineLost, WaitOver
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.common.ports.live import LiveNet
+from kelpstage.common.transport.address import is_address
 
 
 def read_file(*, path: str) -> bytes:
--- a/kelpstage/ctl/commands/drains.py
+++ b/kelpstage/cli/commands/drains.py
@@ -8,9 +8,9 @@
 import time
 from typing import Any
 
-from kelpstage.base.defects import Fault, WaitOver
-from kelpstage.ctl.client import ask, good_or_fail, need_addresses
-from kelpstage.ctl.out import REFUSED, UNRESOLVED, fail, show
+from kelpstage.cli.client import ask, good_or_fail, need_addresses
+from kelpstage.cli.output import REFUSED, UNRESOLVED, fail, show
+from kelpstage.common.errors import Fault, WaitOver
 
 
 def with_drain(*, document: dict[str, Any], name: str, is_drained: bool) -> bool | None:
--- a/kelpstage/ctl/commands/views.py
+++ b/kelpstage/cli/commands/views.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from kelpstage.ctl.out import table
+from kelpstage.cli.output import table
 
 
 def plan_text(*, view: dict[str, Any]) -> str:
--- a/kelpstage/ctl/main.py
+++ b/kelpstage/cli/main.py
@@ -16,27 +16,27 @@
 
 import typer
 
-from kelpstage.base.configuration.check import read_configuration
-from kelpstage.base.configuration.types import Configuration
-from kelpstage.base.defects import (
+from kelpstage.cli.client import ask, good_or_fail, need_addresses, read_file, write_whole
+from kelpstage.cli.commands import drains
+from kelpstage.cli.commands.searches import search_text, searches_text
+from kelpstage.cli.commands.views import plan_text, roster_text, status_text
+from kelpstage.cli.offline.diff import diff_of
+from kelpstage.cli.offline.plan import any_root, changes, offline_plan
+from kelpstage.cli.offline.routes import read_openapi, routes_of
+from kelpstage.cli.offline.warnings import warnings_of
+from kelpstage.cli.output import BAD_INPUT, REFUSED, fail, show
+from kelpstage.common.configuration.types import Configuration
+from kelpstage.common.configuration.validation import read_configuration
+from kelpstage.common.errors import (
     ConfigurationRefused,
     Defect,
     Fault,
     SalvageRefused,
     UnknownCollection,
 )
-from kelpstage.base.ports.live import live_ports
-from kelpstage.core.salvage import Salvaged
-from kelpstage.core.salvage import salvage as salvage_core
-from kelpstage.ctl.client import ask, good_or_fail, need_addresses, read_file, write_whole
-from kelpstage.ctl.commands import drains
-from kelpstage.ctl.commands.searches import search_text, searches_text
-from kelpstage.ctl.commands.views import plan_text, roster_text, status_text
-from kelpstage.ctl.offline.diff import diff_of
-from kelpstage.ctl.offline.plan import any_root, changes, offline_plan
-from kelpstage.ctl.offline.routes import read_openapi, routes_of
-from kelpstage.ctl.offline.warnings import warnings_of
-from kelpstage.ctl.out import BAD_INPUT, REFUSED, fail, show
+from kelpstage.common.ports.live import live_ports
+from kelpstage.core.cluster_recovery import Salvaged
+from kelpstage.core.cluster_recovery import salvage as salvage_core
 
 app = typer.Typer(
     add_completion=False, help=__doc__, pretty_exceptions_enable=False, no_args_is_help=True
--- a/kelpstage/ctl/offline/diff.py
+++ b/kelpstage/cli/offline/diff.py
@@ -5,7 +5,7 @@
 from dataclasses import asdict
 from typing import Any
 
-from kelpstage.base.configuration.types import Configuration
+from kelpstage.common.configuration.types import Configuration
 
 
 def diff_of(*, old: Configuration, new: Configuration) -> list[dict[str, Any]]:
--- a/kelpstage/ctl/offline/plan.py
+++ b/kelpstage/cli/offline/plan.py
@@ -5,11 +5,11 @@
 import random
 from typing import Any
 
-from kelpstage.base.configuration.check import RECORDS
-from kelpstage.base.configuration.types import Configuration
-from kelpstage.edge.backend.book import GONE, Book
-from kelpstage.edge.backend.choose import options
-from kelpstage.edge.gather.pace import Paces
+from kelpstage.common.configuration.types import Configuration
+from kelpstage.common.configuration.validation import RECORDS
+from kelpstage.edge.backend.registry import GONE, Book
+from kelpstage.edge.backend.selection import options
+from kelpstage.edge.gather.latency import Paces
 from kelpstage.edge.gather.tree import Branch, grow, last_fan_out, levels
 
 
@@ -124,7 +124,7 @@
 def any_root(*, configuration: Configuration, rand: random.Random | None = None) -> str:
     """A node to plan from when none is named: the first by name.
 
-    >>> from kelpstage.base.configuration.types import EMPTY
+    >>> from kelpstage.common.configuration.types import EMPTY
     >>> any_root(configuration=EMPTY)
     'root'
     """
--- a/kelpstage/ctl/offline/routes.py
+++ b/kelpstage/cli/offline/routes.py
@@ -16,7 +16,7 @@
 from openapi_pydantic import OpenAPI, Operation, PathItem, parse_obj
 from pydantic import ValidationError
 
-from kelpstage.base.defects import Fault
+from kelpstage.common.errors import Fault
 
 SEARCH = re.compile(r"/v1/collections/([A-Za-z0-9][A-Za-z0-9._-]{0,63})/search")
 RECORD = re.compile(r"/v1/collections/[^/]+/shards/[^/]+/records/[^/]+")
--- a/kelpstage/ctl/offline/warnings.py
+++ b/kelpstage/cli/offline/warnings.py
@@ -4,8 +4,8 @@
 
 from collections import Counter
 
-from kelpstage.base.configuration.types import Collection, Configuration, Route, is_match
-from kelpstage.base.defects import Fault
+from kelpstage.common.configuration.types import Collection, Configuration, Route, is_match
+from kelpstage.common.errors import Fault
 
 
 def warnings_of(*, configuration: Configuration) -> list[Fault]:
--- a/kelpstage/ctl/out.py
+++ b/kelpstage/cli/output.py
@@ -6,7 +6,7 @@
 import sys
 from typing import Any, NoReturn
 
-from kelpstage.base.defects import Defect
+from kelpstage.common.errors import Defect
 
 OK, REFUSED, BAD_INPUT, UNRESOLVED, UNREACHED = 0, 1, 2, 3, 4
 
@@ -23,7 +23,7 @@
 def fail(*, defect: Defect | dict, code: int, is_json: bool = False) -> NoReturn:
     """Say what went wrong on stderr and leave with the code.
 
-    >>> from kelpstage.base.defects import NoLeader
+    >>> from kelpstage.common.errors import NoLeader
     >>> fail(defect=NoLeader(why="x"), code=1)
     Traceback (most recent call last):
     SystemExit: 1
--- a/kelpstage/base/configuration/forward.py
+++ b/kelpstage/common/configuration/forward_routes.py
@@ -9,8 +9,8 @@
 import math
 from typing import Any
 
-from kelpstage.base.configuration.types import ForwardRoute, Service, host_key
-from kelpstage.base.defects import Fault
+from kelpstage.common.configuration.types import ForwardRoute, Service, host_key
+from kelpstage.common.errors import Fault
 
 NAME_LIMIT = 128
 HOST_LIMIT = 255
--- a/kelpstage/base/configuration/check.py
+++ b/kelpstage/common/configuration/validation.py
@@ -11,8 +11,8 @@
 
 import trafaret as t
 
-from kelpstage.base.configuration.forward import read_forward, read_services
-from kelpstage.base.configuration.types import (
+from kelpstage.common.configuration.forward_routes import read_forward, read_services
+from kelpstage.common.configuration.types import (
     Backend,
     CallerLimits,
     Collection,
@@ -25,8 +25,8 @@
     Shard,
     is_match,
 )
-from kelpstage.base.defects import ConfigurationRefused, Fault
-from kelpstage.base.wire.address import is_address
+from kelpstage.common.errors import ConfigurationRefused, Fault
+from kelpstage.common.transport.address import is_address
 
 DOCUMENT_LIMIT = 4 * 1024 * 1024
 VERSION_LIMIT = 2**62
--- a/kelpstage/base/http/client.py
+++ b/kelpstage/common/http/client.py
@@ -15,13 +15,13 @@
 
 import httptools
 
-from kelpstage.base.defects import ConnectRefused, Defect, LineLost, WaitOver
-from kelpstage.base.http.connection import BUFFER, RETRY, Connection
-from kelpstage.base.http.head import OWN_HEADERS, head_bytes, joined, kept_for_s
-from kelpstage.base.http.sockets import family_of, tune
-from kelpstage.base.http.timers import Deadlines
-from kelpstage.base.ports.types import HttpCall, HttpReply, Owner
-from kelpstage.base.wire.address import split_address
+from kelpstage.common.errors import ConnectRefused, Defect, LineLost, WaitOver
+from kelpstage.common.http.connection import BUFFER, RETRY, Connection
+from kelpstage.common.http.deadlines import Deadlines
+from kelpstage.common.http.headers import OWN_HEADERS, head_bytes, joined, kept_for_s
+from kelpstage.common.http.socket_options import family_of, tune
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Owner
+from kelpstage.common.transport.address import split_address
 
 REPLY_BYTES = 16 * 1024 * 1024
 HEAD_BYTES = 256 * 1024
--- a/kelpstage/base/wire/http.py
+++ b/kelpstage/common/http/replies.py
@@ -4,8 +4,8 @@
 
 import json
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.types import HttpReply
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpReply
 
 JSON_TYPE = "application/json"
 
@@ -27,7 +27,7 @@
     """The reply a defect asks for, with `Retry-After` where coming back helps, and
     the id of the search that came to it.
 
-    >>> from kelpstage.base.defects import NotReady
+    >>> from kelpstage.common.errors import NotReady
     >>> reply = defect_reply(defect=NotReady(why="no lease"))
     >>> reply.status, reply.headers["Retry-After"]
     (503, '1')
--- a/kelpstage/base/http/server.py
+++ b/kelpstage/common/http/server.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from kelpstage.base.defects import (
+from kelpstage.common.errors import (
     AddressTaken,
     BadRequest,
     BrokenHandler,
@@ -24,12 +24,12 @@
     OversizedHead,
     SlowRequest,
 )
-from kelpstage.base.http.connection import BUFFER, Connection
-from kelpstage.base.http.head import REASONS, cleaned, head_bytes, joined
-from kelpstage.base.http.sockets import family_of, tune
-from kelpstage.base.ports.types import HttpCall, HttpLimits, HttpReply
-from kelpstage.base.wire.address import split_address
-from kelpstage.base.wire.http import defect_reply
+from kelpstage.common.http.connection import BUFFER, Connection
+from kelpstage.common.http.headers import REASONS, cleaned, head_bytes, joined
+from kelpstage.common.http.replies import defect_reply
+from kelpstage.common.http.socket_options import family_of, tune
+from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply
+from kelpstage.common.transport.address import split_address
 
 BACKLOG = 1024
 ACCEPTS = 64  # at most so many in one turn of the loop
--- a/kelpstage/base/ports/types.py
+++ b/kelpstage/common/ports/interfaces.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Awaitable, Callable, Protocol
 
-from kelpstage.base.defects import Defect
+from kelpstage.common.errors import Defect
 
 
 class Owner(enum.IntEnum):
--- a/kelpstage/base/ports/live.py
+++ b/kelpstage/common/ports/live.py
@@ -14,7 +14,7 @@
 
 from tornado import gen, ioloop, iostream, netutil, tcpclient, tcpserver
 
-from kelpstage.base.defects import (
+from kelpstage.common.errors import (
     AddressTaken,
     ConnectRefused,
     Defect,
@@ -22,11 +22,11 @@
     LineLost,
     WaitOver,
 )
-from kelpstage.base.http.client import HttpClient
-from kelpstage.base.http.server import HttpServer
-from kelpstage.base.http.sockets import notice_loss
-from kelpstage.base.ports.types import HttpCall, HttpLimits, HttpReply, Ports
-from kelpstage.base.wire.address import split_address
+from kelpstage.common.http.client import HttpClient
+from kelpstage.common.http.server import HttpServer
+from kelpstage.common.http.socket_options import notice_loss
+from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply, Ports
+from kelpstage.common.transport.address import split_address
 
 
 class BootClock:
@@ -134,7 +134,7 @@
 
 
 class LiveNet:
-    """TCP and UDP by tornado; HTTP by `base/http`."""
+    """TCP and UDP by tornado; HTTP by `common/http`."""
 
     def __init__(self) -> None:
         self._client = HttpClient()
--- a/kelpstage/base/daemon.py
+++ b/kelpstage/common/process.py
@@ -8,10 +8,10 @@
 import sys
 from typing import Any, Callable
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.log.ring import install_ring, logger
-from kelpstage.base.ports.live import live_ports
-from kelpstage.base.ports.types import Ports
+from kelpstage.common.errors import Defect
+from kelpstage.common.log.ring import install_ring, logger
+from kelpstage.common.ports.interfaces import Ports
+from kelpstage.common.ports.live import live_ports
 
 WATCH_S = 1.0
 log = logger(name="daemon")
--- a/kelpstage/base/day/format.py
+++ b/kelpstage/common/recording/format.py
@@ -10,8 +10,8 @@
 import struct
 from typing import Any
 
-from kelpstage.base.defects import DayForeign, DayTorn
-from kelpstage.base.log.seal import has_sealed, seal, unseal
+from kelpstage.common.errors import DayForeign, DayTorn
+from kelpstage.common.log.checksummed import has_sealed, seal, unseal
 
 FORMAT = 1
 MAGIC = b"KDAY"
--- a/kelpstage/base/day/writer.py
+++ b/kelpstage/common/recording/writer.py
@@ -5,9 +5,9 @@
 
 from collections import Counter
 
-from kelpstage.base.day.format import HEAD, Row, pack_row
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.types import Ports
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import Ports
+from kelpstage.common.recording.format import HEAD, Row, pack_row
 
 FLUSH_US = 500_000
 BYTES_KEPT = 4 * 1024 * 1024
--- a/kelpstage/base/env/bounds.py
+++ b/kelpstage/common/settings/bounds.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field, fields
 from typing import Any
 
-from kelpstage.base.defects import Fault
+from kelpstage.common.errors import Fault
 
 LEAST_VOTERS = 3
 
--- a/kelpstage/base/env/read.py
+++ b/kelpstage/common/settings/loading.py
@@ -7,9 +7,9 @@
 
 import trafaret as t
 
-from kelpstage.base.configuration.check import ADDRESS, NAME, flatten, load_json
-from kelpstage.base.defects import ConfigurationRefused, EnvRefused, Fault
-from kelpstage.base.env.bounds import judge_bounds
+from kelpstage.common.configuration.validation import ADDRESS, NAME, flatten, load_json
+from kelpstage.common.errors import ConfigurationRefused, EnvRefused, Fault
+from kelpstage.common.settings.bounds import judge_bounds
 
 
 def _url(value: Any) -> Any:
--- a/kelpstage/base/wire/chunks.py
+++ b/kelpstage/common/transport/chunks.py
@@ -17,10 +17,10 @@
 from dataclasses import dataclass
 from typing import Any, Callable
 
-from kelpstage.base.ports.types import Clock
-from kelpstage.base.wire import frames
-from kelpstage.base.wire.lines import Lines
-from kelpstage.base.wire.messages import Chunk
+from kelpstage.common.ports.interfaces import Clock
+from kelpstage.common.transport import frames
+from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.messages import Chunk
 
 CHUNK_BYTES = 128 * 1024
 CHUNK_WAIT_US = 2_000_000
--- a/kelpstage/base/wire/lines.py
+++ b/kelpstage/common/transport/connections.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from typing import Any, Awaitable, Callable
 
-from kelpstage.base.defects import (
+from kelpstage.common.errors import (
     BadFrame,
     ConnectRefused,
     Defect,
@@ -19,9 +19,9 @@
     WaitOver,
     WireMismatch,
 )
-from kelpstage.base.ports.types import Ports, Stream
-from kelpstage.base.wire import frames
-from kelpstage.base.wire.frames import ASK, HEAD, ONEWAY, PREFACE, REPLY
+from kelpstage.common.ports.interfaces import Ports, Stream
+from kelpstage.common.transport import frames
+from kelpstage.common.transport.frames import ASK, HEAD, ONEWAY, PREFACE, REPLY
 
 CONNECT_WAIT_US = 1_000_000
 QUIET_LIMIT_US = 2_000_000
--- a/kelpstage/base/wire/frames.py
+++ b/kelpstage/common/transport/frames.py
@@ -5,8 +5,8 @@
 import struct
 from dataclasses import dataclass
 
-from kelpstage.base.defects import BadFrame
-from kelpstage.base.wire.messages import NUMBERS, TYPES
+from kelpstage.common.errors import BadFrame
+from kelpstage.common.transport.messages import NUMBERS, TYPES
 
 WIRE_VERSION = 2
 MAGIC = b"KELP"
@@ -38,7 +38,7 @@
 def pack(*, message: object, flag: int, mark: int) -> bytes:
     """Put a message into a frame.
 
-    >>> from kelpstage.base.wire.messages import Done
+    >>> from kelpstage.common.transport.messages import Done
     >>> frame = pack(message=Done(is_ok=True), flag=ASK, mark=3)
     >>> read_head(data=frame[:HEAD.size], lane=CONTROL, address="a").mark
     3
@@ -66,7 +66,7 @@
 def read_body(*, head: Head, data: bytes, address: str) -> object:
     """Read a frame's message.
 
-    >>> from kelpstage.base.wire.messages import Done
+    >>> from kelpstage.common.transport.messages import Done
     >>> body = bytes(Done(is_ok=True))
     >>> read_body(head=Head(size=2, number=14, flag=0, mark=0), data=body, address="a").is_ok
     True
--- a/kelpstage/base/wire/messages.py
+++ b/kelpstage/common/transport/messages.py
@@ -14,7 +14,7 @@
 
 import betterproto as bp
 
-from kelpstage.base.wire.codec import Message
+from kelpstage.common.transport.codec import Message
 
 # --- shared pieces -------------------------------------------------------------
 
--- a/kelpstage/core/app.py
+++ b/kelpstage/core/app.py
@@ -6,19 +6,26 @@
 from collections import Counter
 from typing import Any, Callable
 
-from kelpstage.base.defects import Defect, LogDamaged
-from kelpstage.base.env.bounds import bounds_of, voters_of
-from kelpstage.base.journal import Journal
-from kelpstage.base.log.ring import logger
-from kelpstage.base.ports.types import Ports
-from kelpstage.base.wire.lines import Lines, LineServer
-from kelpstage.base.wire.messages import (
+from kelpstage.common.errors import Defect, LogDamaged
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.log.ring import logger
+from kelpstage.common.ports.interfaces import Ports
+from kelpstage.common.settings.bounds import bounds_of, voters_of
+from kelpstage.common.transport.connections import Lines, LineServer
+from kelpstage.common.transport.messages import (
     CoreMember,
     EdgeContact,
     JoinCore,
     SeedProbe,
     SeedState,
 )
+from kelpstage.core.bootstrap import (
+    FOUNDING_TERM,
+    Join,
+    Wait,
+    founding_snapshot,
+    judge_seeds,
+)
 from kelpstage.core.events import (
     DiskFailed,
     Founded,
@@ -27,16 +34,9 @@
     SetAside,
     Started,
 )
-from kelpstage.core.founding import (
-    FOUNDING_TERM,
-    Join,
-    Wait,
-    founding_snapshot,
-    judge_seeds,
-)
+from kelpstage.core.graceful_leave import Leaving
 from kelpstage.core.handlers import handle
 from kelpstage.core.leases.lease_service import LeaseService
-from kelpstage.core.leaving import Leaving
 from kelpstage.core.raft import types as raft
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot
--- a/kelpstage/core/founding.py
+++ b/kelpstage/core/bootstrap.py
@@ -16,8 +16,8 @@
 
 from dataclasses import dataclass
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.wire.messages import CoreMember, SeedState
+from kelpstage.common.errors import Defect
+from kelpstage.common.transport.messages import CoreMember, SeedState
 from kelpstage.core.state.machine import CoreState
 from kelpstage.core.store.records import DiskSnapshot
 
--- a/kelpstage/core/salvage.py
+++ b/kelpstage/core/cluster_recovery.py
@@ -10,12 +10,12 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from kelpstage.base.defects import Defect, LogDamaged, SalvageRefused
-from kelpstage.base.ports.types import Clock, Ports
-from kelpstage.base.wire.chunks import fetch_chunks
-from kelpstage.base.wire.delta import apply_delta
-from kelpstage.base.wire.lines import Lines
-from kelpstage.base.wire.messages import (
+from kelpstage.common.errors import Defect, LogDamaged, SalvageRefused
+from kelpstage.common.ports.interfaces import Clock, Ports
+from kelpstage.common.transport.chunks import fetch_chunks
+from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.delta import apply_delta
+from kelpstage.common.transport.messages import (
     CoreMember,
     FetchState,
     SeedProbe,
--- a/kelpstage/core/leaving.py
+++ b/kelpstage/core/graceful_leave.py
@@ -11,10 +11,10 @@
 import asyncio
 from dataclasses import dataclass
 
-from kelpstage.base.log.ring import logger
-from kelpstage.base.ports.types import Clock
-from kelpstage.base.wire.lines import Lines
-from kelpstage.base.wire.messages import LeaveCore, LeaveCoreReply
+from kelpstage.common.log.ring import logger
+from kelpstage.common.ports.interfaces import Clock
+from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.messages import LeaveCore, LeaveCoreReply
 from kelpstage.core.raft.types import LeaveState, TransferLeadership
 from kelpstage.core.replica_task import ReplicaTask
 
--- a/kelpstage/core/handlers.py
+++ b/kelpstage/core/handlers.py
@@ -6,10 +6,10 @@
 from functools import singledispatch
 from typing import Any, TypeVar
 
-from kelpstage.base.defects import Defect, LineLost
-from kelpstage.base.wire import frames
-from kelpstage.base.wire.delta import apply_delta, pack_delta
-from kelpstage.base.wire.messages import (
+from kelpstage.common.errors import Defect, LineLost
+from kelpstage.common.transport import frames
+from kelpstage.common.transport.delta import apply_delta, pack_delta
+from kelpstage.common.transport.messages import (
     AppendEntries,
     AppendEntriesReply,
     Chunk,
--- a/kelpstage/core/leases/puts.py
+++ b/kelpstage/core/leases/configuration_writes.py
@@ -10,7 +10,7 @@
 import asyncio
 from typing import TYPE_CHECKING, Any
 
-from kelpstage.base.defects import (
+from kelpstage.common.errors import (
     ConfigurationRefused,
     Defect,
     Fault,
@@ -22,11 +22,11 @@
     VersionMismatch,
     VersionNotAbove,
 )
-from kelpstage.base.journal import Journal
-from kelpstage.base.ports.types import Ports
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.ports.interfaces import Ports
 from kelpstage.core.events import PutDecided
-from kelpstage.core.leases.judge import Judge
-from kelpstage.core.leases.ledger import LEASE_SPAN_US
+from kelpstage.core.leases.lease_table import LEASE_SPAN_US
+from kelpstage.core.leases.validation import Judge
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.state.machine import (
     Command,
--- a/kelpstage/core/leases/lease_service.py
+++ b/kelpstage/core/leases/lease_service.py
@@ -11,15 +11,15 @@
 
 from tornado.locks import Condition, Lock
 
-from kelpstage.base.defects import Defect, EdgeStillHere, NoLeader, UnknownEdge
-from kelpstage.base.journal import Journal
-from kelpstage.base.ports.types import Ports
-from kelpstage.base.wire.delta import pack_delta
-from kelpstage.base.wire.lines import Lines
-from kelpstage.base.wire.messages import Announce, EdgeContact, LeaseReply, Renew, StateDoc
+from kelpstage.common.errors import Defect, EdgeStillHere, NoLeader, UnknownEdge
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.ports.interfaces import Ports
+from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.delta import pack_delta
+from kelpstage.common.transport.messages import Announce, EdgeContact, LeaseReply, Renew, StateDoc
 from kelpstage.core.events import EpochSettled, RosterChanged
-from kelpstage.core.leases.ledger import LEASE_SPAN_US, Ledger
-from kelpstage.core.leases.puts import Puts
+from kelpstage.core.leases.configuration_writes import Puts
+from kelpstage.core.leases.lease_table import LEASE_SPAN_US, Ledger
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.state.machine import AddEdge, Command, RemoveEdge, RosterSet
 
--- a/kelpstage/core/leases/ledger.py
+++ b/kelpstage/core/leases/lease_table.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from kelpstage.base.wire.messages import EdgeContact
+from kelpstage.common.transport.messages import EdgeContact
 
 LEASE_SPAN_US = 2_000_000
 LEASE_MARGIN_US = 200_000
--- a/kelpstage/core/leases/judge.py
+++ b/kelpstage/core/leases/validation.py
@@ -4,8 +4,8 @@
 
 import hashlib
 
-from kelpstage.base.configuration.check import read_configuration
-from kelpstage.base.defects import ConfigurationRefused
+from kelpstage.common.configuration.validation import read_configuration
+from kelpstage.common.errors import ConfigurationRefused
 
 JUDGED_KEPT = 8
 
--- a/kelpstage/core/main.py
+++ b/kelpstage/core/main.py
@@ -6,8 +6,8 @@
 
 import typer
 
-from kelpstage.base.daemon import run_daemon
-from kelpstage.base.env.read import CORE_FORM, env_or_exit, read_env
+from kelpstage.common.process import run_daemon
+from kelpstage.common.settings.loading import CORE_FORM, env_or_exit, read_env
 from kelpstage.core.app import Core
 
 app = typer.Typer(add_completion=False, help=__doc__, pretty_exceptions_enable=False)
--- a/kelpstage/core/raft/elections.py
+++ b/kelpstage/core/raft/elections.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from kelpstage.base.wire.messages import RequestVote, RequestVoteReply, TimeoutNow
+from kelpstage.common.transport.messages import RequestVote, RequestVoteReply, TimeoutNow
 from kelpstage.core.raft.leadership import become_leader
 from kelpstage.core.raft.roles import become, become_follower, reset_election_timeout
 from kelpstage.core.raft.state import RaftState
--- a/kelpstage/core/raft/leadership.py
+++ b/kelpstage/core/raft/leadership.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from kelpstage.base.wire.messages import AppendEntriesReply
+from kelpstage.common.transport.messages import AppendEntriesReply
 from kelpstage.core.raft.membership import carry_silence, maintain_membership
 from kelpstage.core.raft.reads import begin_early_reads, confirm_reads
 from kelpstage.core.raft.replication import (
--- a/kelpstage/core/raft/log.py
+++ b/kelpstage/core/raft/log.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from kelpstage.base.wire.messages import LogEntry
+from kelpstage.common.transport.messages import LogEntry
 
 
 class MemoryLog:
--- a/kelpstage/core/raft/members.py
+++ b/kelpstage/core/raft/members.py
@@ -7,7 +7,7 @@
 
 import betterproto as bp
 
-from kelpstage.base.wire.messages import CoreMember, LogEntry
+from kelpstage.common.transport.messages import CoreMember, LogEntry
 from kelpstage.core.raft.types import MEMBERSHIP
 
 
--- a/kelpstage/core/raft/membership.py
+++ b/kelpstage/core/raft/membership.py
@@ -15,7 +15,7 @@
 
 from __future__ import annotations
 
-from kelpstage.base.wire.messages import CoreMember
+from kelpstage.common.transport.messages import CoreMember
 from kelpstage.core.raft.members import is_majority_of, quorum_size, write_members
 from kelpstage.core.raft.replication import append_own, replicate_all
 from kelpstage.core.raft.state import RaftState
--- a/kelpstage/core/raft/replica.py
+++ b/kelpstage/core/raft/replica.py
@@ -11,7 +11,7 @@
 import random
 from typing import Any, Callable
 
-from kelpstage.base.wire.messages import (
+from kelpstage.common.transport.messages import (
     AppendEntries,
     AppendEntriesReply,
     CoreMember,
--- a/kelpstage/core/raft/replication.py
+++ b/kelpstage/core/raft/replication.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from kelpstage.base.wire.messages import (
+from kelpstage.common.transport.messages import (
     AppendEntries,
     AppendEntriesReply,
     InstallSnapshot,
--- a/kelpstage/core/raft/snapshots.py
+++ b/kelpstage/core/raft/snapshots.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from kelpstage.base.wire.messages import InstallSnapshot
+from kelpstage.common.transport.messages import InstallSnapshot
 from kelpstage.core.raft.log import MemoryLog
 from kelpstage.core.raft.members import MemberList
 from kelpstage.core.raft.replication import commit_to, reply_append_entries
--- a/kelpstage/core/raft/state.py
+++ b/kelpstage/core/raft/state.py
@@ -12,7 +12,7 @@
 import random
 from dataclasses import dataclass, field
 
-from kelpstage.base.wire.messages import CoreMember, LogEntry
+from kelpstage.common.transport.messages import CoreMember, LogEntry
 from kelpstage.core.raft.log import MemoryLog
 from kelpstage.core.raft.members import MemberList
 from kelpstage.core.raft.pending_writes import PendingWrites
--- a/kelpstage/core/raft/transfer.py
+++ b/kelpstage/core/raft/transfer.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from kelpstage.base.wire.messages import TimeoutNow
+from kelpstage.common.transport.messages import TimeoutNow
 from kelpstage.core.raft.state import RaftState
 from kelpstage.core.raft.types import LEADER, TransferLeadership
 
--- a/kelpstage/core/raft/types.py
+++ b/kelpstage/core/raft/types.py
@@ -5,7 +5,7 @@
 import enum
 from dataclasses import dataclass, field
 
-from kelpstage.base.wire.messages import (
+from kelpstage.common.transport.messages import (
     AppendEntries,
     AppendEntriesReply,
     CoreMember,
--- a/kelpstage/core/replica_task.py
+++ b/kelpstage/core/replica_task.py
@@ -11,15 +11,15 @@
 
 from tornado.queues import Queue
 
-from kelpstage.base.defects import Defect, NoLeader, Unresolved
-from kelpstage.base.journal import Journal
-from kelpstage.base.log.ring import logger
-from kelpstage.base.ports.types import Ports
-from kelpstage.base.wire import frames
-from kelpstage.base.wire.chunks import ChunkSource
-from kelpstage.base.wire.delta import pack_delta
-from kelpstage.base.wire.lines import Lines
-from kelpstage.base.wire.messages import (
+from kelpstage.common.errors import Defect, NoLeader, Unresolved
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.log.ring import logger
+from kelpstage.common.ports.interfaces import Ports
+from kelpstage.common.transport import frames
+from kelpstage.common.transport.chunks import ChunkSource
+from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.delta import pack_delta
+from kelpstage.common.transport.messages import (
     AppendEntries,
     Chunk,
     CoreMember,
--- a/kelpstage/core/snapshots.py
+++ b/kelpstage/core/snapshots.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass
 from typing import Any, Awaitable, Callable
 
-from kelpstage.base.journal import Journal
-from kelpstage.base.ports.types import Clock
-from kelpstage.base.wire.chunks import backoff_us, fetch_chunks
-from kelpstage.base.wire.delta import apply_delta
-from kelpstage.base.wire.lines import Lines
-from kelpstage.base.wire.messages import FetchSnapshot
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.ports.interfaces import Clock
+from kelpstage.common.transport.chunks import backoff_us, fetch_chunks
+from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.delta import apply_delta
+from kelpstage.common.transport.messages import FetchSnapshot
 from kelpstage.core.events import SnapshotFetchFailed
 from kelpstage.core.raft.types import FetchOffered
 from kelpstage.core.store.records import DiskSnapshot
--- a/kelpstage/core/state/machine.py
+++ b/kelpstage/core/state/machine.py
@@ -14,8 +14,8 @@
 
 import betterproto as bp
 
-from kelpstage.base.wire.delta import apply_delta, pack_delta
-from kelpstage.base.wire.messages import StateDoc
+from kelpstage.common.transport.delta import apply_delta, pack_delta
+from kelpstage.common.transport.messages import StateDoc
 
 RECORDS_KEPT = 512  # applied-request records of the newest orders taken, kept whole
 REFUSALS_KEPT = 512  # applied-request records of the newest orders refused
--- a/kelpstage/core/store/records.py
+++ b/kelpstage/core/store/records.py
@@ -18,9 +18,9 @@
 
 import betterproto as bp
 
-from kelpstage.base.defects import FormatMismatch, LogDamaged
-from kelpstage.base.log.seal import has_sealed, seal, unseal
-from kelpstage.base.wire.messages import CoreMember, LogEntry
+from kelpstage.common.errors import FormatMismatch, LogDamaged
+from kelpstage.common.log.checksummed import has_sealed, seal, unseal
+from kelpstage.common.transport.messages import CoreMember, LogEntry
 
 FORMAT = 1
 SEGMENT_MAGIC = b"KLOG"
--- a/kelpstage/core/store/recovery.py
+++ b/kelpstage/core/store/recovery.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass, field
 
-from kelpstage.base.defects import LogDamaged
-from kelpstage.base.wire.messages import LogEntry
+from kelpstage.common.errors import LogDamaged
+from kelpstage.common.transport.messages import LogEntry
 from kelpstage.core.raft.log import MemoryLog
 from kelpstage.core.store.layout import LOG_FOLDER, SNAPSHOT_FOLDER
 from kelpstage.core.store.records import (
--- a/kelpstage/core/store/store.py
+++ b/kelpstage/core/store/store.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Awaitable, Callable
 
-from kelpstage.base.defects import Defect, LogDamaged
-from kelpstage.base.log.seal import seal
-from kelpstage.base.ports.types import Disk, Ports
-from kelpstage.base.wire.messages import LogEntry
+from kelpstage.common.errors import Defect, LogDamaged
+from kelpstage.common.log.checksummed import seal
+from kelpstage.common.ports.interfaces import Disk, Ports
+from kelpstage.common.transport.messages import LogEntry
 from kelpstage.core.store.layout import (
     IDENTITY_PATH,
     LOG_FOLDER,
--- a/kelpstage/core/store/task.py
+++ b/kelpstage/core/store/task.py
@@ -8,8 +8,8 @@
 
 from tornado.queues import Queue
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.wire.messages import LogEntry
+from kelpstage.common.errors import Defect
+from kelpstage.common.transport.messages import LogEntry
 from kelpstage.core.raft.types import Persist
 from kelpstage.core.store.records import DiskSnapshot, DiskStep
 from kelpstage.core.store.store import Store
--- a/kelpstage/core/web/operators.py
+++ b/kelpstage/core/web/operators.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING, Any, Callable
 from urllib.parse import unquote, urlsplit
 
-from kelpstage.base.configuration.check import DOCUMENT_LIMIT, VERSION_LIMIT
-from kelpstage.base.defects import (
+from kelpstage.common.configuration.validation import DOCUMENT_LIMIT, VERSION_LIMIT
+from kelpstage.common.errors import (
     BadRequest,
     Defect,
     MissingIfMatch,
@@ -19,11 +19,11 @@
     VersionNotAbove,
     WrongMethod,
 )
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from kelpstage.base.wire.http import JSON_TYPE, defect_reply, json_reply
-from kelpstage.base.wire.messages import ProxyOperator, ProxyOperatorReply
+from kelpstage.common.http.replies import JSON_TYPE, defect_reply, json_reply
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.common.transport.messages import ProxyOperator, ProxyOperatorReply
 from kelpstage.core.handlers import proxy_to_leader
-from kelpstage.core.leases.judge import judge_document
+from kelpstage.core.leases.validation import judge_document
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.state.machine import PutApplied
 
--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -5,31 +5,31 @@
 from collections import Counter
 from typing import Any, Callable
 
-from kelpstage.base.day.writer import DayWriter
-from kelpstage.base.defects import Defect
-from kelpstage.base.journal import Journal
-from kelpstage.base.ports.types import HttpLimits, Ports
-from kelpstage.base.wire.lines import Lines, LineServer
-from kelpstage.base.wire.messages import EdgeContact, MemberMsg
-from kelpstage.edge.backend.book import STATE_NAMES, Book
-from kelpstage.edge.backend.lists import ListTask
-from kelpstage.edge.backend.places import Places
-from kelpstage.edge.backend.platform import PlatformTask
-from kelpstage.edge.backend.probe import ProbeTask
-from kelpstage.edge.backend.suspects import SuspectTask
+from kelpstage.common.errors import Defect
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.ports.interfaces import HttpLimits, Ports
+from kelpstage.common.recording.writer import DayWriter
+from kelpstage.common.transport.connections import Lines, LineServer
+from kelpstage.common.transport.messages import EdgeContact, MemberMsg
+from kelpstage.edge.backend.address_poll import PlatformTask
+from kelpstage.edge.backend.discovery import ListTask
+from kelpstage.edge.backend.ejected_check import SuspectTask
+from kelpstage.edge.backend.health_check import ProbeTask
+from kelpstage.edge.backend.registry import STATE_NAMES, Book
+from kelpstage.edge.backend.zones import Places
 from kelpstage.edge.events import BackendChanged, Leaving, ServingChanged
-from kelpstage.edge.forward.names import HeaderNames
-from kelpstage.edge.forward.sealed import SealedCodec
+from kelpstage.edge.forward.headers import HeaderNames
+from kelpstage.edge.forward.sealed_answer import SealedCodec
+from kelpstage.edge.gather.context import World
+from kelpstage.edge.gather.latency import Paces
 from kelpstage.edge.gather.messages import ConfigurationMoved, WantState
-from kelpstage.edge.gather.pace import Paces
 from kelpstage.edge.gather.task import GatherTask
-from kelpstage.edge.gather.world import World
 from kelpstage.edge.gossip.swim import LEAVING, Swim
 from kelpstage.edge.gossip.task import GossipTask
 from kelpstage.edge.handlers import handle
-from kelpstage.edge.lease.keeper import Keeper
+from kelpstage.edge.lease.lease_holder import Keeper
 from kelpstage.edge.lease.task import LeaseTask
-from kelpstage.edge.rounds.budget import SERVICE_SLACK, SPAN_US, Budget
+from kelpstage.edge.retries.budget import SERVICE_SLACK, SPAN_US, Budget
 from kelpstage.edge.timelines import Timelines
 from kelpstage.edge.views import Searches
 from kelpstage.edge.web.callers import serve_callers
--- a/kelpstage/edge/backend/platform.py
+++ b/kelpstage/edge/backend/address_poll.py
@@ -11,10 +11,10 @@
 import json
 from typing import Callable
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.types import HttpCall, Ports
-from kelpstage.base.wire.address import is_address
-from kelpstage.edge.backend.book import DRAINING, Book
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpCall, Ports
+from kelpstage.common.transport.address import is_address
+from kelpstage.edge.backend.registry import DRAINING, Book
 
 POLL_US = 1_000_000
 POLL_WAIT_US = 1_500_000
--- a/kelpstage/edge/backend/lists.py
+++ b/kelpstage/edge/backend/discovery.py
@@ -19,14 +19,14 @@
 from collections import Counter
 from typing import Any, Callable, Iterable, Protocol
 
-from kelpstage.base.defects import BadReply, Defect
-from kelpstage.base.ports.types import HttpCall, HttpReply, Ports
-from kelpstage.base.wire import frames
-from kelpstage.base.wire.address import is_address
-from kelpstage.base.wire.messages import AskList, ListNews
-from kelpstage.edge.backend.book import Book
-from kelpstage.edge.backend.life import Life, bounded
-from kelpstage.edge.backend.roll import GAP, TAKEN, Roll
+from kelpstage.common.errors import BadReply, Defect
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
+from kelpstage.common.transport import frames
+from kelpstage.common.transport.address import is_address
+from kelpstage.common.transport.messages import AskList, ListNews
+from kelpstage.edge.backend.endpoint_list import GAP, TAKEN, Roll
+from kelpstage.edge.backend.instance import Life, bounded
+from kelpstage.edge.backend.registry import Book
 from kelpstage.edge.gossip.swim import ALIVE, LEAVING, SUSPECT, Swim
 
 READ_US = 1_000_000
--- a/kelpstage/edge/backend/suspects.py
+++ b/kelpstage/edge/backend/ejected_check.py
@@ -11,9 +11,9 @@
 from collections import Counter
 from typing import Callable
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.types import HttpCall, HttpReply, Ports
-from kelpstage.edge.backend.book import Book, Entry
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
+from kelpstage.edge.backend.registry import Book, Entry
 
 PROBE_US = 1_000_000
 PROBE_WAIT_US = 700_000
--- a/kelpstage/edge/backend/roll.py
+++ b/kelpstage/edge/backend/endpoint_list.py
@@ -16,8 +16,8 @@
 from dataclasses import replace
 from typing import Iterable
 
-from kelpstage.base.wire.messages import ListNews
-from kelpstage.edge.backend.life import Life, digest_of, hash_of, life_of, message_of
+from kelpstage.common.transport.messages import ListNews
+from kelpstage.edge.backend.instance import Life, digest_of, hash_of, life_of, message_of
 
 CHANGES_KEPT_US = 5_000_000
 CHANGES_TOLD = 1_000
--- a/kelpstage/edge/backend/probe.py
+++ b/kelpstage/edge/backend/health_check.py
@@ -11,10 +11,10 @@
 from collections import Counter
 from typing import Callable
 
-from kelpstage.base.defects import ConnectRefused, Defect
-from kelpstage.base.ports.types import HttpCall, HttpReply, Ports
-from kelpstage.edge.backend.book import DRAINING, GONE, KNOCK, LEAVE, UP, Book
-from kelpstage.edge.lease.keeper import Keeper
+from kelpstage.common.errors import ConnectRefused, Defect
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
+from kelpstage.edge.backend.registry import DRAINING, GONE, KNOCK, LEAVE, UP, Book
+from kelpstage.edge.lease.lease_holder import Keeper
 
 PROBE_US = 1_000_000
 PROBE_WAIT_US = 800_000
--- a/kelpstage/edge/backend/life.py
+++ b/kelpstage/edge/backend/instance.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import Iterable
 
-from kelpstage.base.wire.messages import LifeMsg
+from kelpstage.common.transport.messages import LifeMsg
 
 TEXT_BYTES = 1_024
 MOST_SLOTS = 1_000_000
--- a/kelpstage/edge/backend/book.py
+++ b/kelpstage/edge/backend/registry.py
@@ -9,7 +9,7 @@
 Two kinds of backend stand in it. Declared ones come from the configuration, under their
 names. *Lives* come from the list (`lists.py`), under their instance ids: one that
 drains never comes back, one that the list leaves out is gone at once, and all else is
-judged by what requests show (`evidence.py`).
+judged by what requests show (`outlier_detection.py`).
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from dataclasses import dataclass, field, replace  # noqa: F401, for the examples
 from typing import Iterable
 
-from kelpstage.base.configuration.types import Configuration
-from kelpstage.base.wire.messages import RumorMsg
-from kelpstage.edge.backend import evidence
-from kelpstage.edge.backend.evidence import Evidence
-from kelpstage.edge.backend.life import Life
-from kelpstage.edge.backend.places import Places
+from kelpstage.common.configuration.types import Configuration
+from kelpstage.common.transport.messages import RumorMsg
+from kelpstage.edge.backend import outlier_detection
+from kelpstage.edge.backend.instance import Life
+from kelpstage.edge.backend.outlier_detection import Evidence
+from kelpstage.edge.backend.zones import Places
 
 UP, DARK, DRAINING, GONE, LYING = 0, 1, 2, 3, 4
 STATE_NAMES = {
@@ -314,7 +314,7 @@
     def note_failure(
         self, *, name: str, why: str, now_us: int, waited_us: int | None = None
     ) -> bool:
-        """A request failed at a life (`evidence.REFUSED`, `RESET`, `FAILED`, `GARBLED`,
+        """A request failed at a life (`outlier_detection.REFUSED`, `RESET`, `FAILED`, `GARBLED`,
         `SILENT`, the last after `waited_us`); true if it is shunned from now on, which
         is news. A connection refused by a life that answered a moment ago, and a short
         silence, are signs of load first."""
@@ -359,7 +359,7 @@
         """`observe` for a life: it may begin to drain, once; a refused connection is
         evidence; nothing makes it come back but an answer to a request."""
         if state == GONE:
-            return self.note_failure(name=entry.name, why=evidence.REFUSED, now_us=now_us)
+            return self.note_failure(name=entry.name, why=outlier_detection.REFUSED, now_us=now_us)
         if state != DRAINING or entry.state == DRAINING:
             return False
         entry.state, entry.why, entry.seen_by = DRAINING, why, self._me
@@ -460,7 +460,7 @@
         if the platform's list leaves it out as well."""
         entry = self.entry(name=name)
         if entry.is_life:
-            return self.note_failure(name=name, why=evidence.SILENT, now_us=now_us)
+            return self.note_failure(name=name, why=outlier_detection.SILENT, now_us=now_us)
         entry.strikes += 1
         self.note_overdue(name=name, now_us=now_us)
         if entry.strikes < 2:
@@ -497,7 +497,7 @@
         """A reply failed its checks: ask others first for a while, longer each time."""
         entry = self.entry(name=name)
         if entry.is_life:
-            self.note_failure(name=name, why=evidence.GARBLED, now_us=now_us)
+            self.note_failure(name=name, why=outlier_detection.GARBLED, now_us=now_us)
             return
         self._to_tell.add(name)
         entry.lies = min(entry.lies + 1, LIES_COUNTED)
--- a/kelpstage/edge/backend/reply.py
+++ b/kelpstage/edge/backend/reply.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass
 from json.decoder import scanstring
 
-from kelpstage.base.defects import BadReply
-from kelpstage.base.ports.types import HttpReply
+from kelpstage.common.errors import BadReply
+from kelpstage.common.ports.interfaces import HttpReply
 
 SPACE = re.compile(r"[ \t\n\r]*")
 LOW, HIGH = -(2**63) + 1, 2**63 - 1
--- a/kelpstage/edge/backend/choose.py
+++ b/kelpstage/edge/backend/selection.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from math import log
 
-from kelpstage.base.configuration.types import Configuration
-from kelpstage.edge.backend.book import DARK_KEPT_US, DARK_VOICES, Book, Entry
-from kelpstage.edge.gather.pace import Paces
+from kelpstage.common.configuration.types import Configuration
+from kelpstage.edge.backend.registry import DARK_KEPT_US, DARK_VOICES, Book, Entry
+from kelpstage.edge.gather.latency import Paces
 
 LEAST_US = 2_000
 FAR_US = 30_000
--- a/kelpstage/edge/events.py
+++ b/kelpstage/edge/events.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kelpstage.base.journal import Event
+from kelpstage.common.event_journal import Event
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/kelpstage/edge/forward/names.py
+++ b/kelpstage/edge/forward/headers.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, fields
 
-from kelpstage.base.defects import EnvRefused, Fault
+from kelpstage.common.errors import EnvRefused, Fault
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/kelpstage/edge/forward/request.py
+++ b/kelpstage/edge/forward/request.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from kelpstage.base.ports.types import HttpCall
-from kelpstage.edge.forward.names import HeaderNames
+from kelpstage.common.ports.interfaces import HttpCall
+from kelpstage.edge.forward.headers import HeaderNames
 
 # Headers that concern one connection only (RFC 9110, 7.6.1), and those that the
 # sending side sets itself.
--- a/kelpstage/edge/forward/sealed.py
+++ b/kelpstage/edge/forward/sealed_answer.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kelpstage.base.defects import BackendFailed, BadReply, NotRun
-from kelpstage.base.http.head import joined
-from kelpstage.base.ports.types import HttpCall, HttpReply, Owner
+from kelpstage.common.errors import BackendFailed, BadReply, NotRun
+from kelpstage.common.http.headers import joined
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Owner
 from kelpstage.edge.backend.reply import SealedPart
-from kelpstage.edge.forward.names import HeaderNames
+from kelpstage.edge.forward.headers import HeaderNames
 
 RECORD_SIZE = 16
 NOT_RUN_STATUS = 421
--- a/kelpstage/edge/gather/world.py
+++ b/kelpstage/edge/gather/context.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from kelpstage.base.journal import Journal
-from kelpstage.edge.backend.book import Book
-from kelpstage.edge.gather.pace import Paces
+from kelpstage.common.event_journal import Journal
+from kelpstage.edge.backend.registry import Book
+from kelpstage.edge.gather.latency import Paces
 from kelpstage.edge.gossip.swim import ALIVE, Swim
-from kelpstage.edge.lease.keeper import Keeper
-from kelpstage.edge.rounds.budget import Budget
+from kelpstage.edge.lease.lease_holder import Keeper
+from kelpstage.edge.retries.budget import Budget
 
 SHY_US = 1_000_000
 MARGIN_US = 4_000
--- a/kelpstage/edge/gather/messages.py
+++ b/kelpstage/edge/gather/messages.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kelpstage.base.defects import Defect
-from kelpstage.edge.gather.record import Gathering
+from kelpstage.common.errors import Defect
+from kelpstage.edge.gather.request_state import Gathering
 
 # --- events ---------------------------------------------------------------------
 
--- a/kelpstage/edge/gather/record.py
+++ b/kelpstage/edge/gather/request_state.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from kelpstage.base.configuration.types import Configuration, Route
-from kelpstage.base.wire.messages import PartMsg
+from kelpstage.common.configuration.types import Configuration, Route
+from kelpstage.common.transport.messages import PartMsg
 from kelpstage.edge.forward.request import ClientRequest
-from kelpstage.edge.gather.order import ORDERS, ValueOrder
+from kelpstage.edge.gather.record_order import ORDERS, ValueOrder
 from kelpstage.edge.gather.tree import Branch
 
 ROOT, CHILD, SINGLE = "root", "child", "single"
--- a/kelpstage/edge/gather/passes/admit.py
+++ b/kelpstage/edge/gather/stages/admit.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from kelpstage.base.defects import (
+from kelpstage.common.errors import (
     BackendLost,
     NotReady,
     TimeLeftSpent,
@@ -10,11 +10,20 @@
     UnknownRoute,
     UnknownShard,
 )
-from kelpstage.base.wire.messages import Gathered
+from kelpstage.common.transport.messages import Gathered
 from kelpstage.edge.events import BeganAgain, Restarted
+from kelpstage.edge.gather.context import World
 from kelpstage.edge.gather.messages import KidReply, WantState
-from kelpstage.edge.gather.record import AWAITS, CHILD, DONE, GATHERS, NEW, ROOT, SINGLE, Gathering
-from kelpstage.edge.gather.world import World
+from kelpstage.edge.gather.request_state import (
+    AWAITS,
+    CHILD,
+    DONE,
+    GATHERS,
+    NEW,
+    ROOT,
+    SINGLE,
+    Gathering,
+)
 
 RESTART_US = 200_000
 
--- a/kelpstage/edge/gather/passes/merge.py
+++ b/kelpstage/edge/gather/stages/merge.py
@@ -5,15 +5,15 @@
 from functools import singledispatch
 from typing import Any
 
-from kelpstage.base.defects import BadReply, ConnectRefused, Defect, LineLost, NotRun, WaitOver
-from kelpstage.base.wire.messages import Gathered, PartMsg
+from kelpstage.common.errors import BadReply, ConnectRefused, Defect, LineLost, NotRun, WaitOver
+from kelpstage.common.transport.messages import Gathered, PartMsg
 from kelpstage.edge.backend.reply import SealedPart
 from kelpstage.edge.events import BadPart, PartnerEnded, RoundEnded
-from kelpstage.edge.forward.sealed import WholeReply
+from kelpstage.edge.forward.sealed_answer import WholeReply
+from kelpstage.edge.gather.context import World
 from kelpstage.edge.gather.messages import BackendSaid, KidReply, KidSaid, WantState
-from kelpstage.edge.gather.order import lowest_cut
-from kelpstage.edge.gather.passes.admit import end, note_again
-from kelpstage.edge.gather.record import (
+from kelpstage.edge.gather.record_order import lowest_cut
+from kelpstage.edge.gather.request_state import (
     AWAITS,
     CHILD,
     GATHERS,
@@ -26,7 +26,7 @@
     Gathering,
     Kid,
 )
-from kelpstage.edge.gather.world import World
+from kelpstage.edge.gather.stages.admit import end, note_again
 
 
 def merge(*, record: Gathering, world: World) -> None:
--- a/kelpstage/edge/gather/passes/plan.py
+++ b/kelpstage/edge/gather/stages/plan.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from kelpstage.edge.backend.choose import options
+from kelpstage.edge.backend.selection import options
 from kelpstage.edge.events import Planned
-from kelpstage.edge.gather.record import GATHERS, ROOT, SINGLE, Cell, Gathering, Kid
+from kelpstage.edge.gather.context import World
+from kelpstage.edge.gather.request_state import GATHERS, ROOT, SINGLE, Cell, Gathering, Kid
 from kelpstage.edge.gather.tree import Branch, grow, grow_by_zone
-from kelpstage.edge.gather.world import World
 
 
 def plan(*, record: Gathering, world: World) -> None:
--- a/kelpstage/edge/gather/passes/send.py
+++ b/kelpstage/edge/gather/stages/send.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from kelpstage.edge.backend.choose import options
+from kelpstage.edge.backend.selection import options
 from kelpstage.edge.events import (
     OmissionSet,
     PartnerAsked,
@@ -10,9 +10,9 @@
     RoundRefused,
     RoundSent,
 )
+from kelpstage.edge.gather.context import World
 from kelpstage.edge.gather.messages import AskBackend, AskKid
-from kelpstage.edge.gather.passes.merge import regather
-from kelpstage.edge.gather.record import (
+from kelpstage.edge.gather.request_state import (
     GATHERS,
     ROOT,
     SINGLE,
@@ -22,8 +22,8 @@
     Kid,
     Round,
 )
+from kelpstage.edge.gather.stages.merge import regather
 from kelpstage.edge.gather.tree import Branch
-from kelpstage.edge.gather.world import World
 
 LOOK_AGAIN_US = 100_000
 LAST_SEND_US = 3_000
--- a/kelpstage/edge/gather/passes/settle.py
+++ b/kelpstage/edge/gather/stages/settle.py
@@ -4,7 +4,7 @@
 
 import json
 
-from kelpstage.base.defects import (
+from kelpstage.common.errors import (
     BackendLost,
     BadReply,
     NoBackend,
@@ -13,13 +13,13 @@
     QuorumNotMet,
     TimeLeftSpent,
 )
-from kelpstage.base.wire.messages import Gathered, MissingMsg, PartMsg
+from kelpstage.common.transport.messages import Gathered, MissingMsg, PartMsg
 from kelpstage.edge.events import SearchEnded
+from kelpstage.edge.gather.context import World
 from kelpstage.edge.gather.messages import KidReply, PartlySettled, Verdict
-from kelpstage.edge.gather.order import lowest_cut
-from kelpstage.edge.gather.passes.admit import end
-from kelpstage.edge.gather.record import CHILD, GATHERS, IN, SINGLE, WAITING, Gathering
-from kelpstage.edge.gather.world import World
+from kelpstage.edge.gather.record_order import lowest_cut
+from kelpstage.edge.gather.request_state import CHILD, GATHERS, IN, SINGLE, WAITING, Gathering
+from kelpstage.edge.gather.stages.admit import end
 
 FLAG_AT = 0.995
 
--- a/kelpstage/edge/gather/table.py
+++ b/kelpstage/edge/gather/table.py
@@ -4,14 +4,14 @@
 
 from sortedcontainers import SortedSet
 
+from kelpstage.edge.gather.context import World
 from kelpstage.edge.gather.messages import Settled
-from kelpstage.edge.gather.passes.admit import RESTART_US, admit
-from kelpstage.edge.gather.passes.merge import merge
-from kelpstage.edge.gather.passes.plan import plan
-from kelpstage.edge.gather.passes.send import LOOK_AGAIN_US, send
-from kelpstage.edge.gather.passes.settle import settle
-from kelpstage.edge.gather.record import DONE, GATHERS, NEW, SINGLE, WAITING, Gathering
-from kelpstage.edge.gather.world import World
+from kelpstage.edge.gather.request_state import DONE, GATHERS, NEW, SINGLE, WAITING, Gathering
+from kelpstage.edge.gather.stages.admit import RESTART_US, admit
+from kelpstage.edge.gather.stages.merge import merge
+from kelpstage.edge.gather.stages.plan import plan
+from kelpstage.edge.gather.stages.send import LOOK_AGAIN_US, send
+from kelpstage.edge.gather.stages.settle import settle
 
 PASSES = (admit, plan, merge, send, settle)
 
--- a/kelpstage/edge/gather/task.py
+++ b/kelpstage/edge/gather/task.py
@@ -9,17 +9,18 @@
 
 from tornado.queues import Queue
 
-from kelpstage.base.defects import BadReply, ConnectRefused, Defect, LineLost, NotRun, WaitOver
-from kelpstage.base.ports.types import HttpCall, HttpReply, Ports
-from kelpstage.base.wire import frames
-from kelpstage.base.wire.lines import Lines
-from kelpstage.base.wire.messages import BranchMsg, Gather, Gathered
-from kelpstage.edge.backend import evidence
-from kelpstage.edge.backend.book import DRAINING, GONE
+from kelpstage.common.errors import BadReply, ConnectRefused, Defect, LineLost, NotRun, WaitOver
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
+from kelpstage.common.transport import frames
+from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.messages import BranchMsg, Gather, Gathered
+from kelpstage.edge.backend import outlier_detection
+from kelpstage.edge.backend.registry import DRAINING, GONE
 from kelpstage.edge.backend.reply import SealedPart, read_reply
 from kelpstage.edge.events import Began, Ended
 from kelpstage.edge.forward.request import ClientRequest, pack_headers, unpack_headers
-from kelpstage.edge.forward.sealed import SealedCodec, WholeReply
+from kelpstage.edge.forward.sealed_answer import SealedCodec, WholeReply
+from kelpstage.edge.gather.context import World
 from kelpstage.edge.gather.messages import (
     Arrived,
     AskBackend,
@@ -35,10 +36,9 @@
     Verdict,
     WantState,
 )
-from kelpstage.edge.gather.record import CHILD, SINGLE, Gathering
+from kelpstage.edge.gather.request_state import CHILD, SINGLE, Gathering
 from kelpstage.edge.gather.table import Table
 from kelpstage.edge.gather.tree import Branch
-from kelpstage.edge.gather.world import World
 
 STATE_HEADER = "kelp-state"
 ANOTHER_INSTANCE = 421
@@ -398,12 +398,12 @@
     'refused'
     """
     if isinstance(outcome, (ConnectRefused, NotRun)):
-        return evidence.REFUSED
+        return outlier_detection.REFUSED
     if isinstance(outcome, WaitOver):
-        return evidence.SILENT
+        return outlier_detection.SILENT
     if isinstance(outcome, LineLost):
-        return evidence.RESET
-    return evidence.GARBLED if isinstance(outcome, BadReply) else evidence.FAILED
+        return outlier_detection.RESET
+    return outlier_detection.GARBLED if isinstance(outcome, BadReply) else outlier_detection.FAILED
 
 
 def backend_call(*, ask: AskBackend) -> HttpCall:
--- a/kelpstage/edge/gossip/swim.py
+++ b/kelpstage/edge/gossip/swim.py
@@ -19,7 +19,7 @@
 from itertools import islice
 from typing import Callable
 
-from kelpstage.base.wire.messages import GossipMsg, MemberMsg, RumorMsg
+from kelpstage.common.transport.messages import GossipMsg, MemberMsg, RumorMsg
 
 ALIVE, SUSPECT, DEAD, LEAVING = 0, 1, 2, 3
 STATUS_NAMES = {ALIVE: "alive", SUSPECT: "suspect", DEAD: "dead", LEAVING: "leaving"}
--- a/kelpstage/edge/gossip/task.py
+++ b/kelpstage/edge/gossip/task.py
@@ -4,11 +4,11 @@
 
 from typing import Any, Callable
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.journal import Journal
-from kelpstage.base.ports.types import Ports
-from kelpstage.base.wire.messages import GossipMsg, RumorMsg
-from kelpstage.edge.backend.book import STATE_NAMES, Book
+from kelpstage.common.errors import Defect
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.ports.interfaces import Ports
+from kelpstage.common.transport.messages import GossipMsg, RumorMsg
+from kelpstage.edge.backend.registry import STATE_NAMES, Book
 from kelpstage.edge.events import BackendChanged, PartnerChanged
 from kelpstage.edge.gossip.swim import STATUS_NAMES, TICK_US, Sends, Swim
 
--- a/kelpstage/edge/handlers.py
+++ b/kelpstage/edge/handlers.py
@@ -6,8 +6,8 @@
 from functools import singledispatch
 from typing import Any
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.wire.messages import (
+from kelpstage.common.errors import Defect
+from kelpstage.common.transport.messages import (
     Announce,
     AskList,
     AskMembers,
--- a/kelpstage/edge/lease/keeper.py
+++ b/kelpstage/edge/lease/lease_holder.py
@@ -11,8 +11,8 @@
 
 from dataclasses import dataclass, field
 
-from kelpstage.base.configuration.types import EMPTY, Configuration
-from kelpstage.base.wire.messages import LeaseReply, StateDoc, WitnessReply
+from kelpstage.common.configuration.types import EMPTY, Configuration
+from kelpstage.common.transport.messages import LeaseReply, StateDoc, WitnessReply
 
 WITNESS_US = 1_000_000
 MOVED_ON_US = 250_000
--- a/kelpstage/edge/lease/task.py
+++ b/kelpstage/edge/lease/task.py
@@ -5,16 +5,16 @@
 import asyncio
 from typing import Any, Callable
 
-from kelpstage.base.configuration.check import read_configuration
-from kelpstage.base.configuration.types import Configuration
-from kelpstage.base.defects import Defect
-from kelpstage.base.journal import Journal
-from kelpstage.base.log.ring import logger
-from kelpstage.base.ports.types import Ports
-from kelpstage.base.wire.chunks import ChunkSource, fetch_chunks
-from kelpstage.base.wire.delta import apply_delta, pack_delta
-from kelpstage.base.wire.lines import Lines
-from kelpstage.base.wire.messages import (
+from kelpstage.common.configuration.types import Configuration
+from kelpstage.common.configuration.validation import read_configuration
+from kelpstage.common.errors import Defect
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.log.ring import logger
+from kelpstage.common.ports.interfaces import Ports
+from kelpstage.common.transport.chunks import ChunkSource, fetch_chunks
+from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.delta import apply_delta, pack_delta
+from kelpstage.common.transport.messages import (
     Announce,
     AskMembers,
     Chunk,
@@ -32,7 +32,7 @@
 )
 from kelpstage.edge.events import Installed, StateRefused
 from kelpstage.edge.gossip.swim import ALIVE, SUSPECT, Swim
-from kelpstage.edge.lease.keeper import Keeper
+from kelpstage.edge.lease.lease_holder import Keeper
 
 RENEW_US = 500_000
 LARGE_RENEW_US = 900_000
--- a/kelpstage/edge/main.py
+++ b/kelpstage/edge/main.py
@@ -6,8 +6,8 @@
 
 import typer
 
-from kelpstage.base.daemon import run_daemon
-from kelpstage.base.env.read import EDGE_FORM, env_or_exit, read_env
+from kelpstage.common.process import run_daemon
+from kelpstage.common.settings.loading import EDGE_FORM, env_or_exit, read_env
 from kelpstage.edge.app import Edge
 
 app = typer.Typer(add_completion=False, help=__doc__, pretty_exceptions_enable=False)
--- a/kelpstage/edge/timelines.py
+++ b/kelpstage/edge/timelines.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, fields
 from typing import Any
 
-from kelpstage.base.journal import Event
+from kelpstage.common.event_journal import Event
 from kelpstage.edge.events import Began, Ended, SearchEvent
 
 KEPT = 400
--- a/kelpstage/edge/views.py
+++ b/kelpstage/edge/views.py
@@ -5,7 +5,7 @@
 from collections import Counter, deque
 from typing import Any
 
-from kelpstage.base.journal import Event
+from kelpstage.common.event_journal import Event
 from kelpstage.edge.events import SearchEnded
 
 TIMES_KEPT = 500
--- a/kelpstage/edge/web/callers.py
+++ b/kelpstage/edge/web/callers.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 from urllib.parse import parse_qsl, urlsplit
 
-from kelpstage.base.defects import (
+from kelpstage.common.errors import (
     BadLimit,
     BadRequest,
     BadTimeLeft,
@@ -20,10 +20,10 @@
     UnknownSearch,
     WrongMethod,
 )
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from kelpstage.base.wire.http import JSON_TYPE, defect_reply, json_reply
+from kelpstage.common.http.replies import JSON_TYPE, defect_reply, json_reply
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.edge.gather.messages import Verdict
-from kelpstage.edge.gather.record import ROOT, SINGLE, Gathering
+from kelpstage.edge.gather.request_state import ROOT, SINGLE, Gathering
 from kelpstage.edge.web.explain import plan_view, search_view, status_view
 
 if TYPE_CHECKING:
--- a/kelpstage/edge/web/explain.py
+++ b/kelpstage/edge/web/explain.py
@@ -6,10 +6,10 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.wire.messages import AskTrail, Trail
-from kelpstage.edge.backend.book import STATE_NAMES
-from kelpstage.edge.backend.choose import options
+from kelpstage.common.errors import Defect
+from kelpstage.common.transport.messages import AskTrail, Trail
+from kelpstage.edge.backend.registry import STATE_NAMES
+from kelpstage.edge.backend.selection import options
 from kelpstage.edge.gather.tree import Branch, grow, last_fan_out, levels
 from kelpstage.edge.gossip.swim import STATUS_NAMES
 from kelpstage.edge.timelines import as_json
--- a/kelpstage/edge/web/forward.py
+++ b/kelpstage/edge/web/forward.py
@@ -4,21 +4,21 @@
 
 from typing import TYPE_CHECKING
 
-from kelpstage.base.configuration.types import ForwardRoute
-from kelpstage.base.defects import (
+from kelpstage.common.configuration.types import ForwardRoute
+from kelpstage.common.errors import (
     Defect,
     MissingRequestId,
     NotReady,
     Overloaded,
     UnknownRoute,
 )
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from kelpstage.base.wire.http import json_reply
-from kelpstage.edge.forward.names import HeaderNames
+from kelpstage.common.http.replies import json_reply
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.forward.request import read_request
 from kelpstage.edge.gather.messages import Verdict
-from kelpstage.edge.gather.record import ROOT, SINGLE, Gathering
-from kelpstage.edge.rounds.shed import may_enter
+from kelpstage.edge.gather.request_state import ROOT, SINGLE, Gathering
+from kelpstage.edge.retries.load_shedding import may_enter
 
 if TYPE_CHECKING:
     from kelpstage.edge.app import Edge
--- a/kelpstage/rep/diff.py
+++ b/kelpstage/replay/diff.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from kelpstage.base.day.format import Row
-from kelpstage.rep.run import summary_of_results
+from kelpstage.common.recording.format import Row
+from kelpstage.replay.runner import summary_of_results
 
 
 def diff_results(*, a: list[Row], b: list[Row]) -> dict[str, Any]:
--- a/kelpstage/rep/main.py
+++ b/kelpstage/replay/main.py
@@ -14,14 +14,14 @@
 
 import typer
 
-from kelpstage.base.day.format import HEAD, Row, pack_row, read_day
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.live import live_ports
-from kelpstage.base.wire.address import is_address
-from kelpstage.ctl.client import write_whole
-from kelpstage.rep.diff import diff_results
-from kelpstage.rep.run import Replay, read_results, summary_of_results
-from kelpstage.rep.show import summary_of
+from kelpstage.cli.client import write_whole
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.live import live_ports
+from kelpstage.common.recording.format import HEAD, Row, pack_row, read_day
+from kelpstage.common.transport.address import is_address
+from kelpstage.replay.diff import diff_results
+from kelpstage.replay.runner import Replay, read_results, summary_of_results
+from kelpstage.replay.show import summary_of
 
 app = typer.Typer(
     add_completion=False, help=__doc__, pretty_exceptions_enable=False, no_args_is_help=True
@@ -113,10 +113,10 @@
 
 def _run_sim(*, rows: list[Row], name: str, seed: int, speed: float) -> tuple[list[Row], int]:
     try:
-        from proof.fleet.deployment import load as load_deployment
-        from proof.fleet.deployment import names
-        from proof.sim.faults import FAULTS
-        from proof.sim.fleet import SimFleet, run_sim
+        from kelpstage.testbed.fleet.deployment import load as load_deployment
+        from kelpstage.testbed.fleet.deployment import names
+        from kelpstage.testbed.simulation.faults import FAULTS
+        from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
     except ImportError:
         _bad("the simulator comes with the rig, which is not installed here")
     if name not in names():
--- a/kelpstage/rep/run.py
+++ b/kelpstage/replay/runner.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from typing import Any, Awaitable, Callable
 
-from kelpstage.base.day.format import Row
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.types import HttpCall, HttpReply, Ports
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
+from kelpstage.common.recording.format import Row
 
 EXTRA_WAIT_US = 1_000_000
 IN_FLIGHT_AT_MOST = 512
@@ -53,7 +53,7 @@
 def result_of(*, row: Row, number: int, reply: HttpReply | Defect, took_us: int) -> Row:
     """What came of a call, as a row of the result.
 
-    >>> from kelpstage.base.defects import ConnectRefused
+    >>> from kelpstage.common.errors import ConnectRefused
     >>> result_of(row={"at_us": 3, "path": "/p"}, number=0,
     ...     reply=ConnectRefused(address="a"), took_us=9)["end"]
     'connect_refused'
--- a/kelpstage/rep/show.py
+++ b/kelpstage/replay/show.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import Any
 
-from kelpstage.base.day.format import Row
+from kelpstage.common.recording.format import Row
 
 
 def summary_of(*, rows: list[Row]) -> dict[str, Any]:
--- a/proof/bench_days.py
+++ b/kelpstage/testbed/bench_scenarios.py
@@ -1,4 +1,4 @@
-"""Plays the days of `proof/days` on the users' bench and collects its verdicts.
+"""Plays the days of `kelpstage.testbed/days` on the users' bench and collects its verdicts.
 
 The bench is a program outside this repository; its path is an argument. It runs in the
 working directory, builds what is there, and leaves its own journal entries.
--- a/proof/check/base.py
+++ b/kelpstage/testbed/checkers/base.py
@@ -40,7 +40,7 @@
 
 
 def empty(*, line: str, what: str) -> list[Violation]:
-    """A history with nothing to judge is no proof."""
+    """A history with nothing to judge is no kelpstage.testbed."""
     return [Violation(line=line, why=f"nothing to judge: no {what}", at_us=0)]
 
 
--- a/proof/check/configurations.py
+++ b/kelpstage/testbed/checkers/configurations.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from proof.check.base import (
+from kelpstage.testbed.checkers.base import (
     Put,
     Violation,
     acknowledged,
--- a/proof/check/register.py
+++ b/kelpstage/testbed/checkers/register.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from proof.check.answers import (
+from kelpstage.testbed.checkers.answers import (
     below_quorum,
     garbled_part,
     mixed_configurations,
     silent_omission,
     wrong_body,
 )
-from proof.check.base import Checker, Violation
-from proof.check.configurations import lost_or_undead, old_configuration, slide_back
-from proof.check.orders import linearizable
-from proof.check.sends import after_known, extra_tries
-from proof.check.serving import dropped, held_back, own_refusal, slow_return
+from kelpstage.testbed.checkers.base import Checker, Violation
+from kelpstage.testbed.checkers.configurations import lost_or_undead, old_configuration, slide_back
+from kelpstage.testbed.checkers.sends import after_known, extra_tries
+from kelpstage.testbed.checkers.serving import dropped, held_back, own_refusal, slow_return
+from kelpstage.testbed.checkers.writes import linearizable
 
 CHECKERS: dict[str, Checker] = {
     "silent_omission": silent_omission,
--- a/proof/check/sends.py
+++ b/kelpstage/testbed/checkers/sends.py
@@ -4,7 +4,7 @@
 
 from collections import Counter, defaultdict
 
-from proof.check.base import (
+from kelpstage.testbed.checkers.base import (
     NEVER_US,
     Violation,
     acknowledged,
--- a/proof/check/orders.py
+++ b/kelpstage/testbed/checkers/writes.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from proof.check.base import Violation, empty, rows_of
-from proof.check.linearizable import Answer, Read, Try, Write, find_anomalies
+from kelpstage.testbed.checkers.base import Violation, empty, rows_of
+from kelpstage.testbed.checkers.linearizable import Answer, Read, Try, Write, find_anomalies
 
 LINE = "linearizable orders"
 CONFLICTS = frozenset(("version_mismatch", "version_not_above"))
--- a/proof/fleet/demo.py
+++ b/kelpstage/testbed/fleet/demo.py
@@ -8,9 +8,9 @@
 import random
 import signal
 
-from kelpstage.base.ports.live import live_ports
-from proof.standin.backend import StandIn
-from proof.standin.records import Cut
+from kelpstage.common.ports.live import live_ports
+from kelpstage.testbed.stand_ins.backend import StandIn
+from kelpstage.testbed.stand_ins.records import Cut
 
 
 def demo_configuration(*, collection: str, cut: Cut, addresses: dict[str, str]) -> dict:
--- a/proof/fleet/deployment.py
+++ b/kelpstage/testbed/fleet/deployment.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from proof.standin.callers import Kind
-from proof.standin.records import Cut
+from kelpstage.testbed.stand_ins.callers import Kind
+from kelpstage.testbed.stand_ins.records import Cut
 
 DATA = pathlib.Path(__file__).resolve().parent.parent / "data"
 
--- a/proof/fleet/fleet.py
+++ b/kelpstage/testbed/fleet/fleet.py
@@ -13,16 +13,16 @@
 from dataclasses import dataclass, field
 from typing import Any, Awaitable, Callable
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.live import live_ports
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from proof.check.notes import Notes
-from proof.fleet.deployment import Deployment, configuration_of, digest_of, facts_of
-from proof.fleet.machine import NOISY_LAG_US
-from proof.fleet.processes import Process, Processes
-from proof.standin.callers import Callers
-from proof.standin.platform import Platform
-from proof.standin.records import Cut
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.common.ports.live import live_ports
+from kelpstage.testbed.checkers.history import Notes
+from kelpstage.testbed.fleet.deployment import Deployment, configuration_of, digest_of, facts_of
+from kelpstage.testbed.fleet.machine import NOISY_LAG_US
+from kelpstage.testbed.fleet.processes import Process, Processes
+from kelpstage.testbed.stand_ins.callers import Callers
+from kelpstage.testbed.stand_ins.platform import Platform
+from kelpstage.testbed.stand_ins.records import Cut
 
 HOSTS = 4
 LONG_WAIT_US = 90_000_000
@@ -118,7 +118,10 @@
             path = self.folder / f"host-{place}-plan.json"
             path.write_text(json.dumps(plan), encoding="utf-8")
             self.processes.add(
-                name=f"host-{place}", module="proof.standin.host", env=None, arguments=[str(path)]
+                name=f"host-{place}",
+                module="kelpstage.testbed.stand_ins.host",
+                env=None,
+                arguments=[str(path)],
             ).start()
             for backend in mine:
                 self.control[backend.name] = control
--- a/proof/fleet/machine.py
+++ b/kelpstage/testbed/fleet/machine.py
@@ -5,7 +5,7 @@
 import pathlib
 from typing import Any
 
-from proof.check.notes import Notes
+from kelpstage.testbed.checkers.history import Notes
 
 SECOND_US = 1_000_000
 NOISY_SHARE = 0.10
--- a/proof/fleet/record.py
+++ b/kelpstage/testbed/fleet/record.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from kelpstage.base.day.format import HEAD, Row, pack_row
+from kelpstage.common.recording.format import HEAD, Row, pack_row
 
 
 def day_of(*, history: list[dict]) -> list[Row]:
--- a/proof/fleet/day.py
+++ b/kelpstage/testbed/fleet/scenario.py
@@ -7,12 +7,12 @@
 import signal
 from typing import Any
 
-from proof.check.register import judge
-from proof.check.serving import LOOK_US, RETURN_US
-from proof.fleet.deployment import load
-from proof.fleet.fleet import Fleet, start_callers
-from proof.fleet.machine import watch_machine
-from proof.fleet.report import report
+from kelpstage.testbed.checkers.register import judge
+from kelpstage.testbed.checkers.serving import LOOK_US, RETURN_US
+from kelpstage.testbed.fleet.deployment import load
+from kelpstage.testbed.fleet.fleet import Fleet, start_callers
+from kelpstage.testbed.fleet.machine import watch_machine
+from kelpstage.testbed.fleet.report import report
 
 
 async def run_day(
--- a/proof/hollow/fleet.py
+++ b/kelpstage/testbed/hollow/fleet.py
@@ -17,16 +17,25 @@
 from dataclasses import dataclass, field
 from typing import Any, Callable
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.types import HttpCall, HttpReply
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.core.app import Core
 from kelpstage.edge.app import Edge
 from kelpstage.edge.events import Installed, PartnerChanged
-from proof.hollow.load import AIM_US, DEADLINE_US, FRONT_PORT, HOST, LIMIT, PREFIX, QUORUM, Load
-from proof.hollow.options import Options
-from proof.hollow.world import HollowProcess, HollowWorld, metered_loop
-from proof.sim.loop import VirtualLoop
-from proof.sim.world import Machine
+from kelpstage.testbed.hollow.load import (
+    AIM_US,
+    DEADLINE_US,
+    FRONT_PORT,
+    HOST,
+    LIMIT,
+    PREFIX,
+    QUORUM,
+    Load,
+)
+from kelpstage.testbed.hollow.metered_network import HollowProcess, HollowWorld, metered_loop
+from kelpstage.testbed.hollow.options import Options
+from kelpstage.testbed.simulation.loop import VirtualLoop
+from kelpstage.testbed.simulation.world import Machine
 
 SECOND = 1_000_000
 START_SPREAD_US = 100_000
@@ -190,7 +199,7 @@
     def _make_edge(self, *, process: HollowProcess, env: dict) -> Edge:
         if not self.options.backends and not self.options.shards:
             return Edge(ports=process.ports, env=env)
-        from kelpstage.edge.backend.lists import OwnList
+        from kelpstage.edge.backend.discovery import OwnList
 
         return Edge(ports=process.ports, env=env, lists=OwnList(url="http://10.255.0.1:9500/lives"))
 
--- a/proof/hollow/load.py
+++ b/kelpstage/testbed/hollow/load.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.types import HttpCall, HttpReply
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 
 if TYPE_CHECKING:
-    from proof.hollow.fleet import HollowFleet
+    from kelpstage.testbed.hollow.fleet import HollowFleet
 
 SECOND = 1_000_000
 WORK_US = (4_000, 12_000)
--- a/proof/hollow/world.py
+++ b/kelpstage/testbed/hollow/metered_network.py
@@ -17,10 +17,17 @@
 from dataclasses import dataclass, field
 from typing import Any, Awaitable, Callable, Iterator
 
-from kelpstage.base.defects import ConnectRefused, Defect, WaitOver
-from kelpstage.base.wire import frames
-from kelpstage.base.wire.messages import TYPES
-from proof.sim.world import Machine, SimDatagrams, SimNet, SimProcess, SimStream, World
+from kelpstage.common.errors import ConnectRefused, Defect, WaitOver
+from kelpstage.common.transport import frames
+from kelpstage.common.transport.messages import TYPES
+from kelpstage.testbed.simulation.world import (
+    Machine,
+    SimDatagrams,
+    SimNet,
+    SimProcess,
+    SimStream,
+    World,
+)
 
 DATAGRAM_HEAD = 28  # IP and UDP
 SEGMENT_HEAD = 80  # IP and TCP, and the segment that acknowledges
@@ -125,7 +132,7 @@
 def message_sizes(*, data: bytes) -> Iterator[tuple[str, int]]:
     """The message types in what a process writes at once, with their bytes.
 
-    >>> from kelpstage.base.wire.messages import Done
+    >>> from kelpstage.common.transport.messages import Done
     >>> frame = frames.pack(message=Done(), flag=frames.ASK, mark=1)
     >>> list(message_sizes(data=frames.preface(lane=frames.BULK) + frame))
     [('preface', 8), ('Done', 16)]
--- a/proof/main.py
+++ b/kelpstage/testbed/main.py
@@ -12,22 +12,22 @@
 
 import typer
 
-from proof.bench_days import play_days
-from proof.fleet.day import run_day, show
-from proof.fleet.demo import serve_demo
-from proof.fleet.deployment import configuration_of, load, names
-from proof.fleet.record import write_day
-from proof.hollow import report
-from proof.hollow.fleet import run_hollow
-from proof.hollow.options import Options, check, memory_of_machine
-from proof.measure.choices import CHOICES, run_variant, summarize
-from proof.measure.http import measure_http
-from proof.model.main import app as model_app
-from proof.platform.main import app as platform_app
-from proof.sim.faults import FAULTS
-from proof.sim.figures import figures, summary
-from proof.sim.story import Planned, as_text, plan_combination, run_plan
-from proof.sim.story import shrink as shrink_run
+from kelpstage.testbed.bench_scenarios import play_days
+from kelpstage.testbed.fleet.demo import serve_demo
+from kelpstage.testbed.fleet.deployment import configuration_of, load, names
+from kelpstage.testbed.fleet.record import write_day
+from kelpstage.testbed.fleet.scenario import run_day, show
+from kelpstage.testbed.hollow import report
+from kelpstage.testbed.hollow.fleet import run_hollow
+from kelpstage.testbed.hollow.options import Options, check, memory_of_machine
+from kelpstage.testbed.measure.choices import CHOICES, run_variant, summarize
+from kelpstage.testbed.measure.http import measure_http
+from kelpstage.testbed.model.main import app as model_app
+from kelpstage.testbed.platform_model.main import app as platform_app
+from kelpstage.testbed.simulation.faults import FAULTS
+from kelpstage.testbed.simulation.figures import figures, summary
+from kelpstage.testbed.simulation.scenario import Planned, as_text, plan_combination, run_plan
+from kelpstage.testbed.simulation.scenario import shrink as shrink_run
 
 app = typer.Typer(add_completion=False, help=__doc__, pretty_exceptions_enable=False)
 app.add_typer(platform_app, name="platform")
@@ -43,13 +43,13 @@
 def days(
     bench: str = typer.Option(help="The bench's program."),
     site: list[Path] = typer.Option(help="A site file; may be given more than once."),
-    day: list[str] = typer.Option([], help="Only these days of proof/days."),
+    day: list[str] = typer.Option([], help="Only these days of kelpstage.testbed/days."),
     why: str = typer.Option("Days of our own", help="A line for the bench's journal."),
     jobs: int = typer.Option(6, min=1, help="Cores that the bench may use."),
     cpu: bool = typer.Option(True, help="Charge processor time; without, days mostly repeat."),
     seed: Optional[int] = typer.Option(None, help="Another seed than the days' own."),
 ) -> None:
-    """Play the days of proof/days on the users' bench; fails if one is not kept."""
+    """Play the days of kelpstage.testbed/days on the users' bench; fails if one is not kept."""
     options = ["--jobs", str(jobs)]
     options += [] if cpu else ["--no-cpu"]
     options += [] if seed is None else ["--seed", str(seed)]
--- a/proof/measure/changes.py
+++ b/kelpstage/testbed/measure/changes.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from proof.hollow.fleet import HollowFleet
-from proof.hollow.options import Options
-from proof.hollow.world import FAR, HollowWorld
-from proof.sim.loop import VirtualLoop
+from kelpstage.testbed.hollow.fleet import HollowFleet
+from kelpstage.testbed.hollow.metered_network import FAR, HollowWorld
+from kelpstage.testbed.hollow.options import Options
+from kelpstage.testbed.simulation.loop import VirtualLoop
 
 SECOND = 1_000_000
 TOP_TYPES = 8
--- a/proof/measure/choices.py
+++ b/kelpstage/testbed/measure/choices.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 from typing import Any, Awaitable, Callable, Iterator
 
-from proof.fleet.deployment import Deployment, load
-from proof.fleet.report import quantile
-from proof.sim.faults import FAULTS
-from proof.sim.fleet import SimFleet, run_sim
+from kelpstage.testbed.fleet.deployment import Deployment, load
+from kelpstage.testbed.fleet.report import quantile
+from kelpstage.testbed.simulation.faults import FAULTS
+from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 
 Numbers = dict[str, list[int]]
 SECOND = 1_000_000
@@ -234,7 +234,7 @@
     return least_us
 
 
-PACE = "kelpstage.edge.gather.pace:Paces.window_us"
+PACE = "kelpstage.edge.gather.latency:Paces.window_us"
 SWIM = "kelpstage.edge.gossip"
 CHOICES: dict[str, Choice] = {
     "window": Choice(
@@ -255,7 +255,7 @@
         variants=tuple(
             Variant(
                 name=f"one in {n}",
-                constants={"kelpstage.edge.rounds.budget:SERVICE_SHARE": n},
+                constants={"kelpstage.edge.retries.budget:SERVICE_SHARE": n},
             )
             for n in (7, 10, 20)
         ),
@@ -268,7 +268,7 @@
             Variant(
                 name=f"{n} s",
                 constants={
-                    "kelpstage.core.leases.ledger:LEASE_SPAN_US": n * SECOND,
+                    "kelpstage.core.leases.lease_table:LEASE_SPAN_US": n * SECOND,
                     "kelpstage.core.leases.lease_service:LEASE_SPAN_US": n * SECOND,
                 },
             )
@@ -295,7 +295,7 @@
         variants=tuple(
             Variant(
                 name=f"{n} ms",
-                constants={"kelpstage.edge.backend.probe:PROBE_US": n * 1_000},
+                constants={"kelpstage.edge.backend.health_check:PROBE_US": n * 1_000},
             )
             for n in (500, 1_000, 2_000)
         ),
--- a/proof/measure/http.py
+++ b/kelpstage/testbed/measure/http.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kelpstage.base.ports.live import LiveNet
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from proof.measure.tornado_http import TornadoHttp
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.common.ports.live import LiveNet
+from kelpstage.testbed.measure.tornado_http import TornadoHttp
 
 AT_ONCE = 16
 WARM_UP = 200
--- a/proof/measure/tornado_http.py
+++ b/kelpstage/testbed/measure/tornado_http.py
@@ -11,9 +11,9 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPClientError, HTTPRequest
 
-from kelpstage.base.defects import Defect, LineLost
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from kelpstage.base.wire.address import split_address
+from kelpstage.common.errors import Defect, LineLost
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.common.transport.address import split_address
 
 
 class TornadoHttp:
--- a/proof/model/adapter.py
+++ b/kelpstage/testbed/model/adapter.py
@@ -12,9 +12,9 @@
 from typing import Any, Callable
 from unittest import mock
 
-from kelpstage.base.configuration.types import EMPTY
-from kelpstage.base.defects import Defect, Unresolved
-from kelpstage.base.wire.messages import (
+from kelpstage.common.configuration.types import EMPTY
+from kelpstage.common.errors import Defect, Unresolved
+from kelpstage.common.transport.messages import (
     AppendEntries,
     AppendEntriesReply,
     CoreMember,
@@ -26,9 +26,9 @@
     StateDoc,
     TimeoutNow,
 )
-from kelpstage.core.founding import FOUNDING_INDEX, FOUNDING_TERM
-from kelpstage.core.leases.ledger import LEASE_SPAN_US, Ledger
-from kelpstage.core.leases.puts import as_result
+from kelpstage.core.bootstrap import FOUNDING_INDEX, FOUNDING_TERM
+from kelpstage.core.leases.configuration_writes import as_result
+from kelpstage.core.leases.lease_table import LEASE_SPAN_US, Ledger
 from kelpstage.core.raft import leadership, membership
 from kelpstage.core.raft import types as raft
 from kelpstage.core.raft.log import MemoryLog
@@ -49,7 +49,7 @@
     put_digest,
 )
 from kelpstage.core.store.records import DiskSnapshot
-from kelpstage.edge.lease.keeper import Keeper
+from kelpstage.edge.lease.lease_holder import Keeper
 
 CLUSTER = "k"
 
--- a/proof/model/checks.py
+++ b/kelpstage/testbed/model/checks.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from proof.model import adapter as core
+from kelpstage.testbed.model import adapter as core
 
 if TYPE_CHECKING:
-    from proof.model.node import Node
-    from proof.model.sessions import Edge, Order
-    from proof.model.world import World
+    from kelpstage.testbed.model.node import Node
+    from kelpstage.testbed.model.sessions import Edge, Order
+    from kelpstage.testbed.model.system import World
 
 STATE_COMPARED_EVERY = 64
 COMPLETENESS_TAIL = 120
--- a/proof/model/disk.py
+++ b/kelpstage/testbed/model/disk.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from proof.model.adapter import DiskSnapshot, LogEntry, MemoryLog, Persist
+from kelpstage.testbed.model.adapter import DiskSnapshot, LogEntry, MemoryLog, Persist
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/proof/model/main.py
+++ b/kelpstage/testbed/model/main.py
@@ -8,9 +8,9 @@
 
 import typer
 
-from proof.model.search import Limits, SearchReport, search
-from proof.model.walk import PROFILES, Outcome, as_test, random_walk, shrink
-from proof.model.world import Action, Scope
+from kelpstage.testbed.model.search import Limits, SearchReport, search
+from kelpstage.testbed.model.system import Action, Scope
+from kelpstage.testbed.model.walk import PROFILES, Outcome, as_test, random_walk, shrink
 
 SETTLED_ROUNDS = 60
 
--- a/proof/model/node.py
+++ b/kelpstage/testbed/model/node.py
@@ -11,12 +11,12 @@
 from functools import singledispatchmethod
 from typing import TYPE_CHECKING, Any
 
-from proof.model import adapter as core
-from proof.model.checks import OWN_ASSERTIONS
-from proof.model.disk import Disk, SnapshotWrite
+from kelpstage.testbed.model import adapter as core
+from kelpstage.testbed.model.checks import OWN_ASSERTIONS
+from kelpstage.testbed.model.disk import Disk, SnapshotWrite
 
 if TYPE_CHECKING:
-    from proof.model.world import World
+    from kelpstage.testbed.model.system import World
 
 SNAPSHOT_ENTRIES = 40
 JOIN_AGAIN_US = 500_000
--- a/proof/model/search.py
+++ b/kelpstage/testbed/model/search.py
@@ -16,11 +16,11 @@
 
 import betterproto as bp
 
-from proof.model import adapter as core
-from proof.model.checks import InvariantViolated
-from proof.model.node import Hooks
-from proof.model.walk import Outcome, Walk, replay
-from proof.model.world import Action, Scope, World
+from kelpstage.testbed.model import adapter as core
+from kelpstage.testbed.model.checks import InvariantViolated
+from kelpstage.testbed.model.node import Hooks
+from kelpstage.testbed.model.system import Action, Scope, World
+from kelpstage.testbed.model.walk import Outcome, Walk, replay
 
 TIME_FROM_US = 50_000  # numbers above are times; terms, indexes and tokens stay below
 TIME_STEP_US = 100_000
--- a/proof/model/sessions.py
+++ b/kelpstage/testbed/model/sessions.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from proof.model import adapter as core
+from kelpstage.testbed.model import adapter as core
 
 if TYPE_CHECKING:
-    from proof.model.node import Node
-    from proof.model.world import World
+    from kelpstage.testbed.model.node import Node
+    from kelpstage.testbed.model.system import World
 
 ORDER_WAIT_US = 10_000_000
 ACKNOWLEDGED_KEPT = 40
--- a/proof/model/world.py
+++ b/kelpstage/testbed/model/system.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 from typing import Any, Callable, NamedTuple
 
-from proof.model import adapter as core
-from proof.model.checks import Checks
-from proof.model.node import Hooks, Node, seeded
-from proof.model.sessions import OrderCall, ReadCall, Sessions
+from kelpstage.testbed.model import adapter as core
+from kelpstage.testbed.model.checks import Checks
+from kelpstage.testbed.model.node import Hooks, Node, seeded
+from kelpstage.testbed.model.sessions import OrderCall, ReadCall, Sessions
 
 ROUND_US = 20_000
 RENEW_US = 400_000
--- a/proof/model/walk.py
+++ b/kelpstage/testbed/model/walk.py
@@ -5,10 +5,10 @@
 import random
 from dataclasses import dataclass, field
 
-from proof.model import adapter as core
-from proof.model.checks import LIVENESS, InvariantViolated
-from proof.model.node import Hooks
-from proof.model.world import Action, Scope, World
+from kelpstage.testbed.model import adapter as core
+from kelpstage.testbed.model.checks import LIVENESS, InvariantViolated
+from kelpstage.testbed.model.node import Hooks
+from kelpstage.testbed.model.system import Action, Scope, World
 
 SETTLE_ROUNDS = 1_000  # 20 s of virtual time
 ORDER_ROUNDS = 500
--- a/proof/platform/folder.py
+++ b/kelpstage/testbed/platform_model/adapter_folder.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from types import ModuleType
 
-FOLDER = Path(__file__).resolve().parents[2] / "platform"
+FOLDER = Path(__file__).resolve().parents[3] / "platform"
 
 
 def load(*, name: str) -> ModuleType:
--- a/proof/platform/backends.py
+++ b/kelpstage/testbed/platform_model/backends.py
@@ -6,10 +6,18 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from proof.platform.history import Arrival, Day, Leaver, Stamped
-from proof.platform.net import CUT_OFF, GARBAGE, RESET, WHOLE, HttpLine, HttpProcess, PlatformWorld
-from proof.platform.shape import KindShape, ServiceShape
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.testbed.platform_model.history import Arrival, Day, Leaver, Stamped
+from kelpstage.testbed.platform_model.net import (
+    CUT_OFF,
+    GARBAGE,
+    RESET,
+    WHOLE,
+    HttpLine,
+    HttpProcess,
+    PlatformWorld,
+)
+from kelpstage.testbed.platform_model.shape import KindShape, ServiceShape
 
 ATTEMPT, DEADLINE, EXPECT = "x-attempt-id", "x-deadline-ms", "x-expect-instance"
 QUEUE = 6
--- a/proof/platform/clients.py
+++ b/kelpstage/testbed/platform_model/clients.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 from typing import Any, Callable
 
-from kelpstage.base.defects import ConnectRefused, Defect, LineLost, WaitOver
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from proof.platform.history import PROMISES, Day, Request
-from proof.platform.net import GARBAGE, HttpLine, HttpProcess, PlatformWorld
-from proof.platform.shape import KindShape, Shape
-from proof.platform.traffic import RouteDraft
+from kelpstage.common.errors import ConnectRefused, Defect, LineLost, WaitOver
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.testbed.platform_model.history import PROMISES, Day, Request
+from kelpstage.testbed.platform_model.net import GARBAGE, HttpLine, HttpProcess, PlatformWorld
+from kelpstage.testbed.platform_model.shape import KindShape, Shape
+from kelpstage.testbed.platform_model.traffic import RouteDraft
 
 CONNECT_US = 1_000_000
 UNREAD_US = 1_000_000
--- a/proof/platform/cloud.py
+++ b/kelpstage/testbed/platform_model/cloud.py
@@ -6,10 +6,10 @@
 from collections import deque
 from urllib.parse import parse_qs
 
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from proof.platform.backends import Park
-from proof.platform.history import Day, Shown
-from proof.platform.net import WHOLE, HttpLine, PlatformWorld
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.testbed.platform_model.backends import Park
+from kelpstage.testbed.platform_model.history import Day, Shown
+from kelpstage.testbed.platform_model.net import WHOLE, HttpLine, PlatformWorld
 
 PAGE = 50
 SECOND_US = 1_000_000
--- a/proof/platform/touch.py
+++ b/kelpstage/testbed/platform_model/eligibility.py
@@ -5,7 +5,7 @@
 from bisect import bisect_left
 from collections import defaultdict
 
-from proof.platform.history import Day, Trouble
+from kelpstage.testbed.platform_model.history import Day, Trouble
 
 UNSETTLING = frozenset(("kill", "power", "freeze", "stop", "start", "lost", "clock", "reset"))
 DOWN = frozenset(("kill", "power", "freeze", "stop", "lost"))
--- a/proof/platform/troubles.py
+++ b/kelpstage/testbed/platform_model/faults.py
@@ -6,7 +6,7 @@
 import random
 from typing import Any, Awaitable, Callable
 
-from proof.platform.history import Cut
+from kelpstage.testbed.platform_model.history import Cut
 
 Work = Callable[[Any, random.Random], Awaitable[None]]
 TROUBLES: dict[str, Work] = {}
--- a/proof/platform/history.py
+++ b/kelpstage/testbed/platform_model/history.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field
 
-from proof.check.linearizable import Answer, Try
+from kelpstage.testbed.checkers.linearizable import Answer, Try
 
 NEVER_US = 1 << 62
 PROMISES = frozenset((408, 421, 429, 503))
--- a/proof/platform/machines.py
+++ b/kelpstage/testbed/platform_model/machines.py
@@ -7,16 +7,16 @@
 from dataclasses import dataclass, field
 from typing import Any, Callable
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.env.read import CORE_FORM, EDGE_FORM, judge_env
+from kelpstage.common.errors import Defect
+from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, judge_env
 from kelpstage.core.app import Core
 from kelpstage.core.web.operators import serve_operators
 from kelpstage.edge.app import Edge
-from proof.platform.folder import load
-from proof.platform.history import Day, Trouble
-from proof.platform.net import HttpProcess, PlatformWorld
-from proof.platform.shape import Shape
-from proof.sim.world import Machine
+from kelpstage.testbed.platform_model.adapter_folder import load
+from kelpstage.testbed.platform_model.history import Day, Trouble
+from kelpstage.testbed.platform_model.net import HttpProcess, PlatformWorld
+from kelpstage.testbed.platform_model.shape import Shape
+from kelpstage.testbed.simulation.world import Machine
 
 FRONT, READY, CONTROL, FIRST, LAST = 8229, 8223, 8225, 7280, 7295
 START_US = (300_000, 700_000)
--- a/proof/platform/main.py
+++ b/kelpstage/testbed/platform_model/main.py
@@ -9,9 +9,9 @@
 
 import typer
 
-from proof.platform.day import Outcome, Plan, as_text, play_day
-from proof.platform.shape import SHAPES
-from proof.platform.troubles import CLOSINGS, TROUBLES
+from kelpstage.testbed.platform_model.faults import CLOSINGS, TROUBLES
+from kelpstage.testbed.platform_model.scenario import Outcome, Plan, as_text, play_day
+from kelpstage.testbed.platform_model.shape import SHAPES
 
 app = typer.Typer(help=__doc__)
 
@@ -69,7 +69,7 @@
     only_bad: bool = typer.Option(False, help="Print only days that broke a rule."),
 ) -> None:
     """Play seeded days; print what broke, with its seed, and the worth by kind."""
-    from proof.main import read_seeds
+    from kelpstage.testbed.main import read_seeds
 
     try:
         numbers = read_seeds(text=seeds)
--- a/proof/platform/net.py
+++ b/kelpstage/testbed/platform_model/net.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import Any, Callable
 
-from kelpstage.base.defects import ConnectRefused, Defect, LineLost, WaitOver
-from kelpstage.base.ports.types import HttpCall, HttpLimits, HttpReply, Owner
-from proof.sim.world import Listener, Machine, SimNet, SimProcess, World, _Closer
+from kelpstage.common.errors import ConnectRefused, Defect, LineLost, WaitOver
+from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply, Owner
+from kelpstage.testbed.simulation.world import Listener, Machine, SimNet, SimProcess, World, _Closer
 
 SYN_AGAIN_US = 1_000_000
 IDLE_US = 20_000_000
--- a/proof/platform/operator.py
+++ b/kelpstage/testbed/platform_model/operator.py
@@ -7,11 +7,11 @@
 import random
 from typing import Callable
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from proof.check.linearizable import Answer, Try
-from proof.platform.history import Day, Order, ReadBack, RouteSpec
-from proof.platform.net import HttpProcess, PlatformWorld
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.testbed.checkers.linearizable import Answer, Try
+from kelpstage.testbed.platform_model.history import Day, Order, ReadBack, RouteSpec
+from kelpstage.testbed.platform_model.net import HttpProcess, PlatformWorld
 
 CONFLICTS = frozenset((409, 412))
 ENDS_AT_ONCE = frozenset((400, 413, 422)) | CONFLICTS
--- a/proof/platform/rules/answers.py
+++ b/kelpstage/testbed/platform_model/rules/answers.py
@@ -4,8 +4,8 @@
 
 import math
 
-from proof.check.base import Violation
-from proof.platform.history import Day, Order, Request, Stamped
+from kelpstage.testbed.checkers.base import Violation
+from kelpstage.testbed.platform_model.history import Day, Order, Request, Stamped
 
 RECORD = 16
 
--- a/proof/platform/rules/tries.py
+++ b/kelpstage/testbed/platform_model/rules/attempts.py
@@ -5,9 +5,9 @@
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
 
-from proof.check.base import Violation
-from proof.platform.history import Arrival, Day, Request
-from proof.platform.rules.orders import Orders
+from kelpstage.testbed.checkers.base import Violation
+from kelpstage.testbed.platform_model.history import Arrival, Day, Request
+from kelpstage.testbed.platform_model.rules.writes import Orders
 
 MOST_BEYOND_TRIES = 3
 
--- a/proof/platform/rules/configuration.py
+++ b/kelpstage/testbed/platform_model/rules/configuration.py
@@ -4,10 +4,10 @@
 
 from collections import defaultdict
 
-from proof.check.base import Violation
-from proof.platform.history import Arrival, Day, Request
-from proof.platform.rules.orders import Orders, is_own_answer
-from proof.platform.touch import Touch
+from kelpstage.testbed.checkers.base import Violation
+from kelpstage.testbed.platform_model.eligibility import Touch
+from kelpstage.testbed.platform_model.history import Arrival, Day, Request
+from kelpstage.testbed.platform_model.rules.writes import Orders, is_own_answer
 
 LATER_REQUESTS, QUARTER = 20, 4
 SLOWED_TIMES = 8
--- a/proof/platform/rules/leaving.py
+++ b/kelpstage/testbed/platform_model/rules/draining.py
@@ -4,10 +4,10 @@
 
 from collections import Counter
 
-from proof.check.base import Violation
-from proof.platform.history import Arrival, Day, Request
-from proof.platform.rules.orders import Orders
-from proof.platform.touch import Touch
+from kelpstage.testbed.checkers.base import Violation
+from kelpstage.testbed.platform_model.eligibility import Touch
+from kelpstage.testbed.platform_model.history import Arrival, Day, Request
+from kelpstage.testbed.platform_model.rules.writes import Orders
 
 SECOND_US = 1_000_000
 CUT_OFF = frozenset(("cut", "closed", "reset"))
--- a/proof/platform/rules/operators.py
+++ b/kelpstage/testbed/platform_model/rules/operators.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from proof.check.base import Violation
-from proof.check.linearizable import Answer, Read, Write, find_anomalies
-from proof.platform.history import Day
+from kelpstage.testbed.checkers.base import Violation
+from kelpstage.testbed.checkers.linearizable import Answer, Read, Write, find_anomalies
+from kelpstage.testbed.platform_model.history import Day
 
 REFUSALS = (Answer.CONFLICT, Answer.INVALID)
 
--- a/proof/platform/rules/after.py
+++ b/kelpstage/testbed/platform_model/rules/recovery.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from proof.check.base import Violation
-from proof.platform.history import Day
-from proof.platform.touch import Touch
+from kelpstage.testbed.checkers.base import Violation
+from kelpstage.testbed.platform_model.eligibility import Touch
+from kelpstage.testbed.platform_model.history import Day
 
 QUARTER = 4
 ROUTE_US = 3_000
--- a/proof/platform/rules/register.py
+++ b/kelpstage/testbed/platform_model/rules/register.py
@@ -4,9 +4,17 @@
 
 from typing import Callable
 
-from proof.check.base import Violation
-from proof.platform.history import Day
-from proof.platform.rules import after, answers, configuration, leaving, operators, runs, tries
+from kelpstage.testbed.checkers.base import Violation
+from kelpstage.testbed.platform_model.history import Day
+from kelpstage.testbed.platform_model.rules import (
+    answers,
+    attempts,
+    configuration,
+    draining,
+    operators,
+    recovery,
+    runs,
+)
 
 RULES: dict[str, Callable[[Day], list[Violation]]] = {
     "MIXED": answers.mixed,
@@ -15,8 +23,8 @@
     "REFUSED": runs.refused,
     "DENIED": runs.denied,
     "ROUTE": runs.route,
-    "DRAIN": leaving.drain,
-    "LOST": leaving.lost,
+    "DRAIN": draining.drain,
+    "LOST": draining.lost,
     "CONFIG late": configuration.late,
     "CONFIG narrow": configuration.narrow,
     "CONFIG slid back": configuration.slid_back,
@@ -24,10 +32,10 @@
     "CONFIG lost": configuration.lost,
     "CONFIG repeat": operators.repeated,
     "CONFIG order": operators.linearizable,
-    "BUDGET": tries.budget,
-    "RECOVER": after.recover,
-    "ACKS": after.acks,
-    "FAULT": after.fault,
+    "BUDGET": attempts.budget,
+    "RECOVER": recovery.recover,
+    "ACKS": recovery.acks,
+    "FAULT": recovery.fault,
 }
 
 
--- a/proof/platform/rules/runs.py
+++ b/kelpstage/testbed/platform_model/rules/runs.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from proof.check.base import Violation
-from proof.platform.history import PROMISES, Day, Request
-from proof.platform.rules.orders import Orders, is_own_answer
-from proof.platform.touch import Touch
+from kelpstage.testbed.checkers.base import Violation
+from kelpstage.testbed.platform_model.eligibility import Touch
+from kelpstage.testbed.platform_model.history import PROMISES, Day, Request
+from kelpstage.testbed.platform_model.rules.writes import Orders, is_own_answer
 
 DENIED_SLACK, DENIED_SHARE = 5, 500
 
--- a/proof/platform/rules/orders.py
+++ b/kelpstage/testbed/platform_model/rules/writes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from proof.platform.history import Arrival, Day, Order, Request
+from kelpstage.testbed.platform_model.history import Arrival, Day, Order, Request
 
 
 class Orders:
--- a/proof/platform/day.py
+++ b/kelpstage/testbed/platform_model/scenario.py
@@ -8,20 +8,20 @@
 from dataclasses import dataclass, field
 from typing import Any, AsyncIterator, Awaitable
 
-import proof.platform.contests  # noqa: F401  (reading it registers its troubles)
-from proof.check.base import Violation
-from proof.platform.backends import Park
-from proof.platform.clients import Clients, Front, FrontNode, Owed
-from proof.platform.cloud import CloudList
-from proof.platform.history import Day, Order
-from proof.platform.machines import Fleet, Node
-from proof.platform.net import HttpProcess, PlatformWorld
-from proof.platform.operator import Operator
-from proof.platform.rules.register import judge
-from proof.platform.shape import SHAPES, Shape, with_orders
-from proof.platform.traffic import Drafts, RouteDraft
-from proof.platform.troubles import CLOSINGS, TROUBLES
-from proof.sim.loop import VirtualLoop
+import kelpstage.testbed.platform_model.write_races  # noqa: F401  (reading it registers its troubles)
+from kelpstage.testbed.checkers.base import Violation
+from kelpstage.testbed.platform_model.backends import Park
+from kelpstage.testbed.platform_model.clients import Clients, Front, FrontNode, Owed
+from kelpstage.testbed.platform_model.cloud import CloudList
+from kelpstage.testbed.platform_model.faults import CLOSINGS, TROUBLES
+from kelpstage.testbed.platform_model.history import Day, Order
+from kelpstage.testbed.platform_model.machines import Fleet, Node
+from kelpstage.testbed.platform_model.net import HttpProcess, PlatformWorld
+from kelpstage.testbed.platform_model.operator import Operator
+from kelpstage.testbed.platform_model.rules.register import judge
+from kelpstage.testbed.platform_model.shape import SHAPES, Shape, with_orders
+from kelpstage.testbed.platform_model.traffic import Drafts, RouteDraft
+from kelpstage.testbed.simulation.loop import VirtualLoop
 
 CLOUD = "10.200.0.43:8224"
 FIRST_ORDER_US = 2_000_000
--- a/proof/platform/shape.py
+++ b/kelpstage/testbed/platform_model/shape.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from proof.platform.history import Bounds
+from kelpstage.testbed.platform_model.history import Bounds
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/proof/platform/traffic.py
+++ b/kelpstage/testbed/platform_model/traffic.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from proof.platform.history import RouteSpec
-from proof.platform.shape import KindShape, Shape
+from kelpstage.testbed.platform_model.history import RouteSpec
+from kelpstage.testbed.platform_model.shape import KindShape, Shape
 
 LIMITS = {
     "MaxHeaderBytes": 16384,
--- a/proof/platform/contests.py
+++ b/kelpstage/testbed/platform_model/write_races.py
@@ -7,8 +7,8 @@
 import random
 from typing import Any
 
-from proof.platform.history import Cut, Order
-from proof.platform.troubles import config_change, trouble
+from kelpstage.testbed.platform_model.faults import config_change, trouble
+from kelpstage.testbed.platform_model.history import Cut, Order
 
 AT_ONCE = 8
 ROUNDS = 3
--- a/proof/sim/disk.py
+++ b/kelpstage/testbed/simulation/disk.py
@@ -29,7 +29,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from kelpstage.base.defects import Defect, DiskDefect
+from kelpstage.common.errors import Defect, DiskDefect
 
 SECTOR_BYTES = 512
 PENDING_LIMIT = 64
--- a/proof/sim/faults.py
+++ b/kelpstage/testbed/simulation/faults.py
@@ -13,8 +13,8 @@
 import random
 from typing import Awaitable, Callable
 
-from proof.sim.fleet import SimFleet
-from proof.standin.backend import LIES
+from kelpstage.testbed.simulation.fleet import SimFleet
+from kelpstage.testbed.stand_ins.backend import LIES
 
 Fault = Callable[[SimFleet, random.Random], Awaitable[None]]
 FAULTS: dict[str, Fault] = {}
--- a/proof/sim/figures.py
+++ b/kelpstage/testbed/simulation/figures.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from proof.fleet.report import quantile
-from proof.sim.fleet import SimFleet
+from kelpstage.testbed.fleet.report import quantile
+from kelpstage.testbed.simulation.fleet import SimFleet
 
 
 def figures(*, fleet: SimFleet | None) -> dict[str, list[int]]:
--- a/proof/sim/fleet.py
+++ b/kelpstage/testbed/simulation/fleet.py
@@ -7,16 +7,22 @@
 from dataclasses import dataclass, field
 from typing import Any, Awaitable, Callable
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.types import HttpCall
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpCall
 from kelpstage.core.app import Core
 from kelpstage.edge.app import Edge
-from proof.check.notes import Notes
-from proof.fleet.deployment import Deployment, Node, configuration_of, digest_of, facts_of
-from proof.sim.world import Machine, SimProcess, World
-from proof.standin.backend import StandIn
-from proof.standin.callers import Callers, Kind
-from proof.standin.platform import Platform
+from kelpstage.testbed.checkers.history import Notes
+from kelpstage.testbed.fleet.deployment import (
+    Deployment,
+    Node,
+    configuration_of,
+    digest_of,
+    facts_of,
+)
+from kelpstage.testbed.simulation.world import Machine, SimProcess, World
+from kelpstage.testbed.stand_ins.backend import StandIn
+from kelpstage.testbed.stand_ins.callers import Callers, Kind
+from kelpstage.testbed.stand_ins.platform import Platform
 
 
 class SimStuck(Exception):
@@ -459,7 +465,7 @@
 ) -> SimFleet:
     """Run a story in a world of its own; the same seed gives the same history. With
     `far_us`, domains are so far apart, one way, with jitter and lost datagrams."""
-    from proof.sim.loop import VirtualLoop
+    from kelpstage.testbed.simulation.loop import VirtualLoop
 
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
--- a/proof/sim/story.py
+++ b/kelpstage/testbed/simulation/scenario.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from typing import Awaitable, Callable
 
-from proof.check.base import Violation
-from proof.check.register import judge
-from proof.fleet.deployment import Deployment, load
-from proof.sim.faults import FAULTS
-from proof.sim.fleet import SimFleet, SimStuck, run_sim
+from kelpstage.testbed.checkers.base import Violation
+from kelpstage.testbed.checkers.register import judge
+from kelpstage.testbed.fleet.deployment import Deployment, load
+from kelpstage.testbed.simulation.faults import FAULTS
+from kelpstage.testbed.simulation.fleet import SimFleet, SimStuck, run_sim
 
 QUIET_US = 5_000_000
 AFTER_US = 20_000_000
--- a/proof/sim/world.py
+++ b/kelpstage/testbed/simulation/world.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Awaitable, Callable
 
-from kelpstage.base.defects import (
+from kelpstage.common.errors import (
     AddressTaken,
     ConnectRefused,
     Defect,
@@ -15,11 +15,11 @@
     OversizedBody,
     WaitOver,
 )
-from kelpstage.base.ports.types import HttpCall, HttpLimits, HttpReply, Ports
-from kelpstage.base.wire.http import defect_reply
-from proof.sim.disk import Platter, SimDisk
-from proof.sim.loop import VirtualLoop
-from proof.standin.backend import SENDER_HEADER
+from kelpstage.common.http.replies import defect_reply
+from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply, Ports
+from kelpstage.testbed.simulation.disk import Platter, SimDisk
+from kelpstage.testbed.simulation.loop import VirtualLoop
+from kelpstage.testbed.stand_ins.backend import SENDER_HEADER
 
 RETRANSMIT_US = 200_000  # the first one; each later one waits twice as long
 RETRANSMIT_LIMIT_US = 120_000_000
--- a/proof/standin/backend.py
+++ b/kelpstage/testbed/stand_ins/backend.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Any, Callable
 
-from kelpstage.base.ports.types import HttpCall, HttpReply, Ports
-from proof.standin.records import Cut, part, seal, sealed_reply
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
+from kelpstage.testbed.stand_ins.records import Cut, part, seal, sealed_reply
 
 SEARCH = re.compile(r"/v1/shards/([^/]+)/search")
 RECORD = re.compile(r"/v1/shards/([^/]+)/records/([^/]+)")
--- a/proof/standin/callers.py
+++ b/kelpstage/testbed/stand_ins/callers.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 from typing import Any, Callable
 
-from kelpstage.base.defects import ConnectRefused, Defect
-from kelpstage.base.ports.types import HttpCall, HttpReply, Ports
-from proof.standin.platform import Platform
-from proof.standin.records import QUERIES, UNIVERSE, Cut, best, record
+from kelpstage.common.errors import ConnectRefused, Defect
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
+from kelpstage.testbed.stand_ins.platform import Platform
+from kelpstage.testbed.stand_ins.records import QUERIES, UNIVERSE, Cut, best, record
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/proof/standin/host.py
+++ b/kelpstage/testbed/stand_ins/host.py
@@ -1,6 +1,6 @@
 """One process that serves many stand-in backends, and their control address.
 
-Run by the fleet runner as `python -m proof.standin.host FILE`.
+Run by the fleet runner as `python -m kelpstage.testbed.stand_ins.host FILE`.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 import signal
 import sys
 
-from kelpstage.base.ports.live import live_ports
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from proof.standin.backend import StandIn
-from proof.standin.records import Cut
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.common.ports.live import live_ports
+from kelpstage.testbed.stand_ins.backend import StandIn
+from kelpstage.testbed.stand_ins.records import Cut
 
 
 class Host:
--- a/proof/standin/platform.py
+++ b/kelpstage/testbed/stand_ins/platform.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Callable
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.types import HttpCall, HttpReply, Ports
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
 
 READY_US = 500_000
 READY_WAIT_US = 400_000
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -17,15 +17,14 @@
 
 
 def doctest_suite() -> unittest.TestSuite:
-    """The examples in all modules of the packages."""
+    """The examples in all modules of the package."""
     suite = unittest.TestSuite()
-    for package in ("kelpstage", "proof"):
-        for info in pkgutil.walk_packages([str(ROOT / package)], prefix=f"{package}."):
-            module = importlib.import_module(info.name)
-            try:
-                suite.addTest(doctest.DocTestSuite(module))
-            except ValueError:
-                continue  # a module without examples
+    for info in pkgutil.walk_packages([str(ROOT / "kelpstage")], prefix="kelpstage."):
+        module = importlib.import_module(info.name)
+        try:
+            suite.addTest(doctest.DocTestSuite(module))
+        except ValueError:
+            continue  # a module without examples
     return suite
 
 
--- a/tests/model_mutants.py
+++ b/tests/model_mutants.py
@@ -11,10 +11,10 @@
 from typing import Any, Iterator
 from unittest import mock
 
-from proof.model import adapter as core
-from proof.model.node import Hooks, Node
-from proof.model.sessions import RenewCall, Sessions, Work
-from proof.model.world import World
+from kelpstage.testbed.model import adapter as core
+from kelpstage.testbed.model.node import Hooks, Node
+from kelpstage.testbed.model.sessions import RenewCall, Sessions, Work
+from kelpstage.testbed.model.system import World
 
 
 class SuffixDroppedBySnapshot(Hooks):
--- a/tests/power_loss.py
+++ b/tests/power_loss.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Coroutine, Iterator
 from typing import Any
 
-from kelpstage.base.ports.types import Ports
-from proof.sim.disk import Platter, PowerLost, SimDisk, SimFile
+from kelpstage.common.ports.interfaces import Ports
+from kelpstage.testbed.simulation.disk import Platter, PowerLost, SimDisk, SimFile
 
 
 class InstantClock:
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -19,24 +19,24 @@
 from types import SimpleNamespace
 from typing import Any, Awaitable, Callable, Iterator
 
-from kelpstage.base.configuration.check import read_configuration
-from kelpstage.base.defects import ConnectRefused, LineLost, NotRun, WaitOver
-from kelpstage.base.http.client import HttpClient
-from kelpstage.base.http.server import HttpServer
-from kelpstage.base.journal import Journal
-from kelpstage.base.ports.live import BootClock
-from kelpstage.base.ports.types import HttpCall, HttpLimits, HttpReply, Ports
-from kelpstage.base.wire.messages import LeaseReply, MemberMsg, StateDoc
-from kelpstage.edge.backend.book import Book
-from kelpstage.edge.backend.life import Life
-from kelpstage.edge.forward.names import HeaderNames
-from kelpstage.edge.forward.sealed import PROMISES, SealedCodec
-from kelpstage.edge.gather.pace import Paces
+from kelpstage.common.configuration.validation import read_configuration
+from kelpstage.common.errors import ConnectRefused, LineLost, NotRun, WaitOver
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.http.client import HttpClient
+from kelpstage.common.http.server import HttpServer
+from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply, Ports
+from kelpstage.common.ports.live import BootClock
+from kelpstage.common.transport.messages import LeaseReply, MemberMsg, StateDoc
+from kelpstage.edge.backend.instance import Life
+from kelpstage.edge.backend.registry import Book
+from kelpstage.edge.forward.headers import HeaderNames
+from kelpstage.edge.forward.sealed_answer import PROMISES, SealedCodec
+from kelpstage.edge.gather.context import World
+from kelpstage.edge.gather.latency import Paces
 from kelpstage.edge.gather.task import GatherTask
-from kelpstage.edge.gather.world import World
 from kelpstage.edge.gossip.swim import Swim
-from kelpstage.edge.lease.keeper import Keeper
-from kelpstage.edge.rounds.budget import Budget
+from kelpstage.edge.lease.lease_holder import Keeper
+from kelpstage.edge.retries.budget import Budget
 from kelpstage.edge.web.forward import serve_forwarded
 from tests.test_http import Raw, free_address, until
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -15,11 +15,11 @@
 from types import SimpleNamespace
 from typing import Any
 
-from kelpstage.base.configuration.check import read_configuration
-from kelpstage.base.defects import ConnectRefused, LineLost, WaitOver
-from kelpstage.base.journal import Journal
-from kelpstage.base.ports.types import HttpCall, HttpReply, Ports
-from kelpstage.base.wire.messages import (
+from kelpstage.common.configuration.validation import read_configuration
+from kelpstage.common.errors import ConnectRefused, LineLost, WaitOver
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
+from kelpstage.common.transport.messages import (
     BranchMsg,
     Gather,
     Gathered,
@@ -27,21 +27,21 @@
     MemberMsg,
     StateDoc,
 )
-from kelpstage.edge.backend.book import Book
-from kelpstage.edge.backend.life import Life
-from kelpstage.edge.forward.names import HeaderNames
+from kelpstage.edge.backend.instance import Life
+from kelpstage.edge.backend.registry import Book
+from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.forward.request import ClientRequest
-from kelpstage.edge.forward.sealed import SealedCodec
+from kelpstage.edge.forward.sealed_answer import SealedCodec
+from kelpstage.edge.gather.context import World
+from kelpstage.edge.gather.latency import Paces
 from kelpstage.edge.gather.messages import ConfigurationMoved, Verdict
-from kelpstage.edge.gather.pace import Paces
-from kelpstage.edge.gather.record import ROOT, Gathering
+from kelpstage.edge.gather.request_state import ROOT, Gathering
 from kelpstage.edge.gather.task import GatherTask
-from kelpstage.edge.gather.world import World
 from kelpstage.edge.gossip.swim import ALIVE, Member, Swim
 from kelpstage.edge.handlers import handle
-from kelpstage.edge.lease.keeper import Keeper
-from kelpstage.edge.rounds.budget import Budget
-from proof.sim.loop import VirtualLoop
+from kelpstage.edge.lease.lease_holder import Keeper
+from kelpstage.edge.retries.budget import Budget
+from kelpstage.testbed.simulation.loop import VirtualLoop
 from tests.test_wire import made_up
 
 SHARDS = tuple(f"s{n}" for n in range(8))
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -12,27 +12,27 @@
 from types import SimpleNamespace
 from typing import Any, Awaitable, Callable
 
-from kelpstage.base.configuration.types import EMPTY
-from kelpstage.base.journal import Journal
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from kelpstage.base.wire.lines import Lines, LineServer
-from kelpstage.base.wire.messages import AskList, ListNews, MemberMsg, RumorMsg
+from kelpstage.common.configuration.types import EMPTY
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.common.transport.connections import Lines, LineServer
+from kelpstage.common.transport.messages import AskList, ListNews, MemberMsg, RumorMsg
 from kelpstage.edge.app import Edge
-from kelpstage.edge.backend import evidence
-from kelpstage.edge.backend.book import DARK, DRAINING, GONE, UP, Book
-from kelpstage.edge.backend.choose import Option, options
-from kelpstage.edge.backend.life import Life
-from kelpstage.edge.backend.lists import ListTask, OwnList
-from kelpstage.edge.backend.places import Places
-from kelpstage.edge.backend.roll import Roll
-from kelpstage.edge.backend.suspects import SuspectTask
-from kelpstage.edge.gather.pace import Paces
+from kelpstage.edge.backend import outlier_detection
+from kelpstage.edge.backend.discovery import ListTask, OwnList
+from kelpstage.edge.backend.ejected_check import SuspectTask
+from kelpstage.edge.backend.endpoint_list import Roll
+from kelpstage.edge.backend.instance import Life
+from kelpstage.edge.backend.registry import DARK, DRAINING, GONE, UP, Book
+from kelpstage.edge.backend.selection import Option, options
+from kelpstage.edge.backend.zones import Places
+from kelpstage.edge.gather.latency import Paces
 from kelpstage.edge.gossip.swim import LEAVING, Swim
 from kelpstage.edge.gossip.task import GossipTask
-from kelpstage.edge.rounds.budget import Budget
-from proof.sim.loop import VirtualLoop
-from proof.sim.world import SimProcess, World
-from proof.standin.backend import SENDER_HEADER
+from kelpstage.edge.retries.budget import Budget
+from kelpstage.testbed.simulation.loop import VirtualLoop
+from kelpstage.testbed.simulation.world import SimProcess, World
+from kelpstage.testbed.stand_ins.backend import SENDER_HEADER
 
 LIST = "10.9.0.1:80"
 SECOND = 1_000_000
@@ -547,7 +547,7 @@
         self.assertEqual(("i2",), book.lives_of("s"))
         self.assertEqual(("j1",), book.lives_of("t"))
         self.assertEqual("10.8.0.1:80", book.entries["j1"].address)
-        book.note_failure(name="i1", why=evidence.RESET, now_us=6)  # what was in flight
+        book.note_failure(name="i1", why=outlier_detection.RESET, now_us=6)  # what was in flight
         self.assertEqual("", self.choose(book, 7)[0].refusal)
 
     def test_what_is_forgotten_leaves_no_trace(self) -> None:
@@ -557,13 +557,15 @@
         self.assertEqual({"i2", "i3"}, set(book.entries))
         book.note_answer(name="i1", took_us=9, now_us=70 * SECOND)
         book.note_full(name="i1", now_us=70 * SECOND)
-        self.assertFalse(book.note_failure(name="i1", why=evidence.RESET, now_us=70 * SECOND))
+        self.assertFalse(
+            book.note_failure(name="i1", why=outlier_detection.RESET, now_us=70 * SECOND)
+        )
         self.assertEqual({"i2", "i3"}, set(book.entries))
 
     def test_never_all_are_shunned(self) -> None:
         book = self.book(life("i1"), life("i2"))
         for n, name in enumerate(("i1", "i2")):
-            self.assertTrue(book.note_failure(name=name, why=evidence.REFUSED, now_us=n))
+            self.assertTrue(book.note_failure(name=name, why=outlier_detection.REFUSED, now_us=n))
         ranked = self.choose(book, 5)
         self.assertEqual(["", "shunned"], [option.refusal for option in ranked])
         self.assertEqual("i1", ranked[0].backend, "its time is nearest")
@@ -572,7 +574,7 @@
         book = self.book(life("i1"), life("i2"))
         now_us, spans = 0, []
         for _ in range(7):
-            book.note_failure(name="i1", why=evidence.REFUSED, now_us=now_us)
+            book.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=now_us)
             until_us = book.entries["i1"].seen.shunned_until_us
             spans.append(until_us - now_us)
             now_us = until_us
@@ -617,15 +619,19 @@
         seen = book.entries["i1"].seen
         for _n in range(5):  # sent just before the caller's time was over
             self.assertFalse(
-                book.note_failure(name="i1", why=evidence.SILENT, now_us=SECOND, waited_us=90_000)
+                book.note_failure(
+                    name="i1", why=outlier_detection.SILENT, now_us=SECOND, waited_us=90_000
+                )
             )
         self.assertEqual(0, seen.in_a_row)
-        book.note_failure(name="i1", why=evidence.REFUSED, now_us=SECOND + 50_000)
+        book.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=SECOND + 50_000)
         self.assertEqual((1, 0), (seen.in_a_row, seen.shunned_until_us))
         self.assertEqual("i2", self.best(book, SECOND + 60_000))
-        self.assertTrue(book.note_failure(name="i1", why=evidence.REFUSED, now_us=2 * SECOND))
         self.assertTrue(
-            book.note_failure(name="i2", why=evidence.SILENT, now_us=9, waited_us=800_000)
+            book.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=2 * SECOND)
+        )
+        self.assertTrue(
+            book.note_failure(name="i2", why=outlier_detection.SILENT, now_us=9, waited_us=800_000)
         )
 
     def test_full_is_loaded_and_not_ill(self) -> None:
@@ -665,11 +671,11 @@
             for _ in range(9):
                 book.note_answer(name=name, took_us=14_000, now_us=0)
         self.assertEqual("i1", self.best(book, 1))
-        book.note_failure(name="i1", why=evidence.RESET, now_us=2)
+        book.note_failure(name="i1", why=outlier_detection.RESET, now_us=2)
         self.assertEqual("i1", self.best(book, 3), "one failure is little")
         for n in range(3, 9):  # every other one fails
             book.note_answer(name="i1", took_us=14_000, now_us=n)
-            book.note_failure(name="i1", why=evidence.FAILED, now_us=n)
+            book.note_failure(name="i1", why=outlier_detection.FAILED, now_us=n)
         self.assertEqual("i2", self.best(book, 10))
         self.assertEqual("i1", self.best(book, 20 * SECOND))
 
@@ -744,7 +750,7 @@
                 for _ in range(5):  # eight seconds
                     now_us = self.world.now_us()
                     node.book.entries["i1"].seen.shunned_until_us = 0
-                    node.book.note_failure(name="i1", why=evidence.REFUSED, now_us=now_us)
+                    node.book.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=now_us)
             for other in ({"kelp-instance": "i9"}, {}):
                 said = HttpReply(status=200, headers=other)
                 await self.wait(1_100_000)
--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -11,10 +11,10 @@
 import unittest
 from typing import Any, Callable
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.types import HttpCall, HttpReply
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.core.web.operators import serve_operators
-from proof.platform.machines import load
+from kelpstage.testbed.platform_model.machines import load
 from tests.test_cores import Cores, play
 
 REPLACE = "/api/Config.Replace"
--- a/tests/test_bench_days.py
+++ b/tests/test_bench_days.py
@@ -7,7 +7,7 @@
 import unittest
 from typing import Any
 
-from proof.bench_days import day_files, read_verdict
+from kelpstage.testbed.bench_scenarios import day_files, read_verdict
 
 TWICE = {
     "clock_step",
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -8,8 +8,8 @@
 import zlib
 from unittest import mock
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.wire.chunks import (
+from kelpstage.common.errors import Defect
+from kelpstage.common.transport.chunks import (
     CHUNK_BYTES,
     PIN_IDLE_US,
     PIN_LONGEST_US,
@@ -17,8 +17,8 @@
     PINS_LIMIT,
     ChunkSource,
 )
-from kelpstage.base.wire.delta import apply_delta, pack_delta
-from kelpstage.base.wire.messages import Chunk, FetchSnapshot
+from kelpstage.common.transport.delta import apply_delta, pack_delta
+from kelpstage.common.transport.messages import Chunk, FetchSnapshot
 from kelpstage.core import snapshots
 from kelpstage.core.raft import elections
 from kelpstage.core.replica_task import ReplicaTask
@@ -31,9 +31,9 @@
     put_command,
 )
 from kelpstage.edge.events import Installed
-from proof.fleet.deployment import load
-from proof.sim.fleet import SimFleet, run_sim
-from proof.sim.world import SimStream
+from kelpstage.testbed.fleet.deployment import load
+from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
+from kelpstage.testbed.simulation.world import SimStream
 from tests.test_cores import Cores, play
 
 CHANGE_EVERY_US = 100_000
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -6,7 +6,7 @@
 import copy
 import unittest
 
-from proof.check.register import CHECKERS, judge
+from kelpstage.testbed.checkers.register import CHECKERS, judge
 
 S = 1_000_000
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -11,12 +11,15 @@
 
 from typer.testing import CliRunner
 
-from kelpstage.base.configuration.check import read_configuration
-from kelpstage.base.configuration.types import EMPTY, CallerLimits, Configuration, Service
-from kelpstage.base.defects import EnvRefused
-from kelpstage.base.env.read import CORE_FORM, EDGE_FORM, judge_env
-from kelpstage.base.ports.types import HttpCall
-from kelpstage.core.leases.ledger import LEASE_SPAN_US, Ledger
+from kelpstage.cli.main import app
+from kelpstage.cli.offline.diff import diff_of
+from kelpstage.cli.offline.warnings import warnings_of
+from kelpstage.common.configuration.types import EMPTY, CallerLimits, Configuration, Service
+from kelpstage.common.configuration.validation import read_configuration
+from kelpstage.common.errors import EnvRefused
+from kelpstage.common.ports.interfaces import HttpCall
+from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, judge_env
+from kelpstage.core.leases.lease_table import LEASE_SPAN_US, Ledger
 from kelpstage.core.state.machine import (
     REFUSALS_KEPT,
     AddEdge,
@@ -27,11 +30,8 @@
     PutConfiguration,
     PutLost,
 )
-from kelpstage.ctl.main import app
-from kelpstage.ctl.offline.diff import diff_of
-from kelpstage.ctl.offline.warnings import warnings_of
-from proof.fleet.deployment import load
-from proof.sim.fleet import SimFleet, run_sim
+from kelpstage.testbed.fleet.deployment import load
+from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 
 
 def document() -> dict:
--- a/tests/test_connection_walks.py
+++ b/tests/test_connection_walks.py
@@ -17,9 +17,9 @@
 from contextlib import suppress
 from typing import Any, Iterator
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.http import client as client_module
-from kelpstage.base.http.client import (
+from kelpstage.common.errors import Defect
+from kelpstage.common.http import client as client_module
+from kelpstage.common.http.client import (
     CLOSED,
     IDLE,
     LEASED,
@@ -32,8 +32,8 @@
     IllegalTransition,
     State,
 )
-from kelpstage.base.http.server import HttpServer
-from kelpstage.base.ports.types import HttpCall, HttpLimits, HttpReply, Owner
+from kelpstage.common.http.server import HttpServer
+from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply, Owner
 from tests.test_http import Raw, free_address, until
 
 WALKS = 240
--- a/tests/test_core_cuts.py
+++ b/tests/test_core_cuts.py
@@ -15,11 +15,11 @@
 from typing import Any, Awaitable, Callable
 from unittest import mock
 
-from kelpstage.base.defects import Defect, DiskDefect, NoLeader, VersionMismatch
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from kelpstage.base.wire.messages import ProxyOperator
+from kelpstage.common.errors import Defect, DiskDefect, NoLeader, VersionMismatch
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.common.transport.messages import ProxyOperator
 from kelpstage.core.app import Core
-from kelpstage.core.leases.puts import Puts, as_result
+from kelpstage.core.leases.configuration_writes import Puts, as_result
 from kelpstage.core.raft import elections
 from kelpstage.core.raft.state import RaftState
 from kelpstage.core.replica_task import ReplicaTask
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -10,12 +10,12 @@
 import unittest
 from typing import Any, Awaitable, Callable
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.types import HttpCall
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpCall
 from kelpstage.core.app import Core
 from kelpstage.core.web.operators import serve_operators
-from proof.sim.loop import VirtualLoop
-from proof.sim.world import SimProcess, World
+from kelpstage.testbed.simulation.loop import VirtualLoop
+from kelpstage.testbed.simulation.world import SimProcess, World
 
 CATCH_UP_US = 4_000_000
 
--- a/tests/test_cores_power_loss.py
+++ b/tests/test_cores_power_loss.py
@@ -9,7 +9,7 @@
 from typing import Any
 from unittest import mock
 
-from kelpstage.base.defects import Defect
+from kelpstage.common.errors import Defect
 from kelpstage.core.app import Core
 from kelpstage.core.store.store import Store
 from tests.test_cores import Cores, play
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -9,10 +9,10 @@
 
 from typer.testing import CliRunner
 
+from kelpstage.cli.main import app
 from kelpstage.core.main import app as core_app
-from kelpstage.ctl.main import app
 from kelpstage.edge.main import app as edge_app
-from proof.fleet.deployment import configuration_of, load
+from kelpstage.testbed.fleet.deployment import configuration_of, load
 
 OPENAPI = """
 openapi: 3.1.0
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -6,12 +6,12 @@
 import re
 import unittest
 
-from kelpstage.base import defects
-from kelpstage.base.env.read import CORE_FORM, EDGE_FORM
-from proof.check.register import CHECKERS
-from proof.platform.day import CLOSINGS, TROUBLES
-from proof.platform.rules.register import RULES
-from proof.sim.faults import FAULTS
+from kelpstage.common import errors
+from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM
+from kelpstage.testbed.checkers.register import CHECKERS
+from kelpstage.testbed.platform_model.rules.register import RULES
+from kelpstage.testbed.platform_model.scenario import CLOSINGS, TROUBLES
+from kelpstage.testbed.simulation.faults import FAULTS
 
 DOCS = pathlib.Path(__file__).resolve().parent.parent / "docs"
 
@@ -24,9 +24,9 @@
     def test_every_defect_is_explained(self) -> None:
         text = page(name="callers.md") + page(name="operators.md")
         kinds = [
-            defects.tag_of(name=name)
+            errors.tag_of(name=name)
             for name, kind in vars(defects).items()
-            if isinstance(kind, type) and issubclass(kind, defects.Defect) and name != "Defect"
+            if isinstance(kind, type) and issubclass(kind, errors.Defect) and name != "Defect"
         ]
         self.assertGreater(len(kinds), 30)
         self.assertEqual([], [kind for kind in kinds if f"`{kind}`" not in text])
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -7,13 +7,13 @@
 import pathlib
 import unittest
 
-from kelpstage.base.configuration.check import DOCUMENT_LIMIT, read_configuration
-from kelpstage.base.configuration.types import Configuration
-from kelpstage.base.defects import ConfigurationRefused
-from kelpstage.ctl.offline.diff import diff_of
-from kelpstage.ctl.offline.plan import changes, offline_plan
-from kelpstage.ctl.offline.warnings import warnings_of
-from proof.fleet.deployment import configuration_of, load, names
+from kelpstage.cli.offline.diff import diff_of
+from kelpstage.cli.offline.plan import changes, offline_plan
+from kelpstage.cli.offline.warnings import warnings_of
+from kelpstage.common.configuration.types import Configuration
+from kelpstage.common.configuration.validation import DOCUMENT_LIMIT, read_configuration
+from kelpstage.common.errors import ConfigurationRefused
+from kelpstage.testbed.fleet.deployment import configuration_of, load, names
 
 EXAMPLES = pathlib.Path(__file__).resolve().parent.parent / "docs" / "configurations"
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -9,9 +9,9 @@
 
 from kelpstage.edge.events import Began, Ended, RoundEnded
 from kelpstage.edge.timelines import EVENTS_AT_MOST, KEPT, MARKED_KEPT, Timelines
-from proof.fleet.deployment import load
-from proof.sim.faults import FAULTS
-from proof.sim.fleet import SimFleet, run_sim
+from kelpstage.testbed.fleet.deployment import load
+from kelpstage.testbed.simulation.faults import FAULTS
+from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from tests.test_fleet_sim import fetch, kind_of
 
 SEARCH = "/v1/collections/tiny/search"
--- a/tests/test_fleet_sim.py
+++ b/tests/test_fleet_sim.py
@@ -7,11 +7,11 @@
 import random
 import unittest
 
-from kelpstage.base.ports.types import HttpCall
-from proof.fleet.deployment import load
-from proof.sim.faults import FAULTS
-from proof.sim.fleet import SimFleet, run_sim
-from proof.sim.story import Planned, run_plan
+from kelpstage.common.ports.interfaces import HttpCall
+from kelpstage.testbed.fleet.deployment import load
+from kelpstage.testbed.simulation.faults import FAULTS
+from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
+from kelpstage.testbed.simulation.scenario import Planned, run_plan
 
 TIME = {"Kelp-Time-Left-Us": "1000000"}
 
@@ -274,9 +274,9 @@
     that a partner has installed does."""
 
     def test_heard_of_is_not_installed(self) -> None:
-        from kelpstage.base.configuration.types import Configuration
-        from kelpstage.base.wire.messages import LeaseReply, StateDoc, WitnessReply
-        from kelpstage.edge.lease.keeper import Keeper
+        from kelpstage.common.configuration.types import Configuration
+        from kelpstage.common.transport.messages import LeaseReply, StateDoc, WitnessReply
+        from kelpstage.edge.lease.lease_holder import Keeper
 
         keeper = Keeper(me="a")
         roster = ["a", "b", "c"]
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -6,7 +6,7 @@
 import unittest
 from types import SimpleNamespace
 
-from kelpstage.base.defects import (
+from kelpstage.common.errors import (
     BackendFailed,
     BackendLost,
     BadReply,
@@ -19,14 +19,14 @@
     UnknownRoute,
     WaitOver,
 )
-from kelpstage.base.ports.types import HttpCall, HttpReply, Owner
-from kelpstage.edge.forward.names import HeaderNames
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Owner
+from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.forward.request import read_request
-from kelpstage.edge.forward.sealed import SealedCodec
-from kelpstage.edge.gather.order import ByteOrder, lowest_cut
-from kelpstage.edge.gather.passes.merge import surely_not_run
+from kelpstage.edge.forward.sealed_answer import SealedCodec
+from kelpstage.edge.gather.record_order import ByteOrder, lowest_cut
+from kelpstage.edge.gather.stages.merge import surely_not_run
 from kelpstage.edge.gather.tree import Branch, grow_by_zone
-from kelpstage.edge.rounds.shed import IN_FLIGHT_AT_MOST, may_enter
+from kelpstage.edge.retries.load_shedding import IN_FLIGHT_AT_MOST, may_enter
 from kelpstage.edge.web.forward import failure_reply
 
 NAMES = HeaderNames()
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -5,12 +5,12 @@
 import random
 import unittest
 
-from kelpstage.base.ports.types import HttpReply
+from kelpstage.common.ports.interfaces import HttpReply
 from kelpstage.edge.backend.reply import SealedPart, read_reply
-from kelpstage.edge.gather.order import lowest_cut, merge, sort_and_cut
+from kelpstage.edge.gather.record_order import lowest_cut, merge, sort_and_cut
 from kelpstage.edge.gather.tree import Branch, grow, last_fan_out, levels
-from proof.standin.backend import LIES, bent_body
-from proof.standin.records import Cut, best, part, sealed_reply
+from kelpstage.testbed.stand_ins.backend import LIES, bent_body
+from kelpstage.testbed.stand_ins.records import Cut, best, part, sealed_reply
 
 
 def gathered(*, branch: Branch, cut: Cut, query: str, limit: int | None) -> list:
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -12,19 +12,19 @@
 
 from typer.testing import CliRunner
 
-from kelpstage.base.wire.delta import apply_delta, pack_delta
-from kelpstage.base.wire.lines import IDLE_LOOK_US, IDLE_US
-from kelpstage.base.wire.messages import EdgeContact, MemberMsg
-from kelpstage.core.leases.ledger import Ledger
+from kelpstage.common.transport.connections import IDLE_LOOK_US, IDLE_US
+from kelpstage.common.transport.delta import apply_delta, pack_delta
+from kelpstage.common.transport.messages import EdgeContact, MemberMsg
+from kelpstage.core.leases.lease_table import Ledger
 from kelpstage.edge.gossip.swim import ALIVE, DEAD, PING, SUSPECT, TICK_US, Swim
 from kelpstage.edge.lease.task import LARGE_RENEW_WAIT_US, renew_period_us
-from proof.hollow.fleet import SECOND, HollowFleet, HollowStuck, document
-from proof.hollow.options import Options, check
-from proof.hollow.report import write_csv
-from proof.hollow.world import HollowWorld, metered_loop
-from proof.main import app
-from proof.measure.choices import constants_set
-from proof.sim.loop import VirtualLoop
+from kelpstage.testbed.hollow.fleet import SECOND, HollowFleet, HollowStuck, document
+from kelpstage.testbed.hollow.metered_network import HollowWorld, metered_loop
+from kelpstage.testbed.hollow.options import Options, check
+from kelpstage.testbed.hollow.report import write_csv
+from kelpstage.testbed.main import app
+from kelpstage.testbed.measure.choices import constants_set
+from kelpstage.testbed.simulation.loop import VirtualLoop
 
 DATAGRAM_MOST = 1_400
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -11,11 +11,11 @@
 import unittest
 from typing import Any, Awaitable, Callable
 
-from kelpstage.base.defects import ConnectRefused, LineLost, WaitOver
-from kelpstage.base.http import client as client_module
-from kelpstage.base.http.client import HttpClient
-from kelpstage.base.http.server import HttpServer
-from kelpstage.base.ports.types import HttpCall, HttpLimits, HttpReply, Owner
+from kelpstage.common.errors import ConnectRefused, LineLost, WaitOver
+from kelpstage.common.http import client as client_module
+from kelpstage.common.http.client import HttpClient
+from kelpstage.common.http.server import HttpServer
+from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply, Owner
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 PATIENCE_S = 20
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -14,17 +14,17 @@
 from typing import Awaitable, Callable
 from unittest import mock
 
-from kelpstage.base.wire.messages import LeaseReply
+from kelpstage.common.transport.messages import LeaseReply
 from kelpstage.core.leases.lease_service import LeaseService
-from kelpstage.core.leases.ledger import LEASE_SPAN_US, Ledger
+from kelpstage.core.leases.lease_table import LEASE_SPAN_US, Ledger
 from kelpstage.core.raft.state import RaftState
 from kelpstage.core.raft.types import TransferLeadership
-from kelpstage.edge.backend.life import Life
-from kelpstage.edge.backend.roll import Roll
-from kelpstage.edge.lease.keeper import WITNESS_US, Keeper
-from proof.fleet.deployment import load
-from proof.sim.fleet import SimFleet, run_sim
-from proof.sim.world import SimClock
+from kelpstage.edge.backend.endpoint_list import Roll
+from kelpstage.edge.backend.instance import Life
+from kelpstage.edge.lease.lease_holder import WITNESS_US, Keeper
+from kelpstage.testbed.fleet.deployment import load
+from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
+from kelpstage.testbed.simulation.world import SimClock
 from tests.test_core_cuts import CALL_US, CUT_US, History, Operators, Pairs
 
 LOOK_US = 20_000
--- a/tests/test_linearizable.py
+++ b/tests/test_linearizable.py
@@ -8,7 +8,7 @@
 import unittest
 from typing import Callable
 
-from proof.check.linearizable import Answer, Read, Try, Write, find_anomalies
+from kelpstage.testbed.checkers.linearizable import Answer, Read, Try, Write, find_anomalies
 
 ACKNOWLEDGED, CONFLICT, INVALID, UNCLEAR = Answer
 
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -9,11 +9,11 @@
 import sys
 import unittest
 
-from proof.check.register import CHECKERS
-from proof.fleet.day import bring_up
-from proof.fleet.deployment import load
-from proof.fleet.fleet import Fleet
-from proof.fleet.record import write_day
+from kelpstage.testbed.checkers.register import CHECKERS
+from kelpstage.testbed.fleet.deployment import load
+from kelpstage.testbed.fleet.fleet import Fleet
+from kelpstage.testbed.fleet.record import write_day
+from kelpstage.testbed.fleet.scenario import bring_up
 
 CALLS = 120
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from unittest import mock
 
-from kelpstage.base.wire.messages import (
+from kelpstage.common.transport.messages import (
     AppendEntries,
     AppendEntriesReply,
     CoreMember,
@@ -26,7 +26,7 @@
     RequestVote,
     RequestVoteReply,
 )
-from kelpstage.core.leaving import LeaveOutcome, Leaving
+from kelpstage.core.graceful_leave import LeaveOutcome, Leaving
 from kelpstage.core.raft import membership
 from kelpstage.core.raft import types as t
 from kelpstage.core.raft.log import MemoryLog
@@ -156,7 +156,7 @@
         self.schedule(PROPOSE_US, "propose", "")
 
     def do_ask_leave(self, name: str, what: object) -> None:
-        """The leaving member asks the leader, as `core/leaving.py` does."""
+        """The leaving member asks the leader, as `core/graceful_leave.py` does."""
         replica = self.nodes[name].replica
         if replica.role == t.LEADER:
             self.step(name, t.TransferLeadership())
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -8,12 +8,12 @@
 import unittest
 from typing import Any, Callable
 
-from proof.model import adapter as core
-from proof.model import checks
-from proof.model.node import Hooks, Node
-from proof.model.search import Limits, replay_search, search
-from proof.model.walk import Outcome, Walk, as_test, random_walk, replay, shrink
-from proof.model.world import Action, Packet, Scope, World
+from kelpstage.testbed.model import adapter as core
+from kelpstage.testbed.model import checks
+from kelpstage.testbed.model.node import Hooks, Node
+from kelpstage.testbed.model.search import Limits, replay_search, search
+from kelpstage.testbed.model.system import Action, Packet, Scope, World
+from kelpstage.testbed.model.walk import Outcome, Walk, as_test, random_walk, replay, shrink
 from tests import model_mutants as mutants
 
 THREE = Scope(machines=3, voters=3, tolerance=1)
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -6,7 +6,7 @@
 import unittest
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-FOLDERS = ("kelpstage", "platform", "proof", "tests", "docs", "deploy")
+FOLDERS = ("kelpstage", "platform", "tests", "docs", "deploy")
 LISTS_THEM = ROOT / "docs" / "style.md"  # says what each became
 ENDINGS = {".py", ".md", ".json", ".toml", ".sh"}
 STANDARD_LIBRARY = ("cap" + "ture_output",)  # names that are not ours
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -12,9 +12,9 @@
 from typing import Any
 from unittest import mock
 
-from kelpstage.base.ports.types import HttpCall, HttpReply
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.core import snapshots
-from kelpstage.core.leases.puts import Puts
+from kelpstage.core.leases.configuration_writes import Puts
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.state import machine as state_machine
 from kelpstage.core.state.machine import (
@@ -31,10 +31,10 @@
     RefusePut,
     put_digest,
 )
-from proof.check.linearizable import Answer, Read, Try, Write, find_anomalies
-from proof.fleet.deployment import load as fleet_deployment
-from proof.platform.machines import load
-from proof.sim.fleet import SimFleet, run_sim
+from kelpstage.testbed.checkers.linearizable import Answer, Read, Try, Write, find_anomalies
+from kelpstage.testbed.fleet.deployment import load as fleet_deployment
+from kelpstage.testbed.platform_model.machines import load
+from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from tests.test_bad_orders import Site, order
 from tests.test_cores import hurt, play
 from tests.test_salvage import run_salvage
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,13 +15,14 @@
 from pathlib import Path
 from unittest import mock
 
-from kelpstage.base.configuration.check import read_configuration
-from kelpstage.base.configuration.types import Configuration
-from kelpstage.base.defects import Defect
-from kelpstage.base.env.read import CORE_FORM, EDGE_FORM, judge_env
-from kelpstage.base.ports.types import HttpCall, HttpReply
+from kelpstage.common.configuration.types import Configuration
+from kelpstage.common.configuration.validation import read_configuration
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, judge_env
 
 ROOT = Path(__file__).resolve().parent.parent
+TESTBED = ROOT / "kelpstage" / "testbed"  # holds a model of the platform, is not deployed
 FOLDER = ROOT / "platform"
 
 
@@ -304,6 +305,7 @@
         found = [
             f"{path.relative_to(ROOT)}: {match.group()}"
             for path in sorted((ROOT / "kelpstage").rglob("*.py"))
+            if TESTBED not in path.parents
             for match in self.NAMES.finditer(path.read_text())
         ]
         self.assertEqual(found, [])
--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -16,11 +16,11 @@
 from typing import Any
 from unittest import mock
 
-from kelpstage.base.defects import Defect
-from kelpstage.base.ports.types import HttpReply
-from kelpstage.base.wire.messages import LifeMsg
-from kelpstage.edge.backend.life import digest_of, life_of, message_of
-from kelpstage.edge.backend.platform import read_list
+from kelpstage.common.errors import Defect
+from kelpstage.common.ports.interfaces import HttpReply
+from kelpstage.common.transport.messages import LifeMsg
+from kelpstage.edge.backend.address_poll import read_list
+from kelpstage.edge.backend.instance import digest_of, life_of, message_of
 from tests.test_platform import FIELDS, load
 
 ROW = {
--- a/tests/test_platform_sim.py
+++ b/tests/test_platform_sim.py
@@ -6,11 +6,18 @@
 import unittest
 from unittest import mock
 
-from kelpstage.edge.backend.book import Book
-from kelpstage.edge.forward.sealed import SealedCodec
-from kelpstage.edge.rounds.budget import Budget
-from proof.platform.day import CLOSINGS, TROUBLES, Outcome, Plan, as_text, play_day
-from proof.platform.shape import SHAPES
+from kelpstage.edge.backend.registry import Book
+from kelpstage.edge.forward.sealed_answer import SealedCodec
+from kelpstage.edge.retries.budget import Budget
+from kelpstage.testbed.platform_model.scenario import (
+    CLOSINGS,
+    TROUBLES,
+    Outcome,
+    Plan,
+    as_text,
+    play_day,
+)
+from kelpstage.testbed.platform_model.shape import SHAPES
 
 
 def play(
--- a/tests/test_points.py
+++ b/tests/test_points.py
@@ -7,11 +7,11 @@
 import unittest
 
 import kelpstage
-from proof.check.register import judge
-from proof.fleet.deployment import load
-from proof.sim.fleet import SimFleet, run_sim
-from proof.sim.points import POINTS, is_core_point
-from proof.sim.world import SimProcess
+from kelpstage.testbed.checkers.register import judge
+from kelpstage.testbed.fleet.deployment import load
+from kelpstage.testbed.simulation.failpoints import POINTS, is_core_point
+from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
+from kelpstage.testbed.simulation.world import SimProcess
 
 SOURCE = pathlib.Path(kelpstage.__file__).parent
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -7,16 +7,16 @@
 import unittest
 from typing import Any
 
-from kelpstage.base.defects import (
+from kelpstage.common.errors import (
     AddressTaken,
     ConnectRefused,
     LineLost,
     UnknownResource,
     WaitOver,
 )
-from kelpstage.base.ports.live import live_ports
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from kelpstage.base.wire.http import defect_reply
+from kelpstage.common.http.replies import defect_reply
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.common.ports.live import live_ports
 
 
 def free_address() -> str:
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -8,9 +8,9 @@
 import unittest
 from collections import Counter
 
-from kelpstage.base.journal import Journal
-from kelpstage.base.wire.lines import Lines
-from kelpstage.base.wire.messages import (
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.messages import (
     AppendEntries,
     AppendEntriesReply,
     CoreMember,
@@ -28,8 +28,8 @@
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot
 from kelpstage.core.store.store import Recovered, Store
-from proof.sim.loop import VirtualLoop
-from proof.sim.world import SimProcess, World
+from kelpstage.testbed.simulation.loop import VirtualLoop
+from kelpstage.testbed.simulation.world import SimProcess, World
 
 NAMES = ("a", "b", "c")
 MEMBERS = [CoreMember(replica=n, address=n, is_voter=True) for n in NAMES]
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -6,10 +6,10 @@
 import random
 import unittest
 
-from kelpstage.base.configuration.check import read_configuration
-from kelpstage.base.configuration.types import Configuration
-from kelpstage.base.journal import Journal
-from kelpstage.base.wire.messages import (
+from kelpstage.common.configuration.types import Configuration
+from kelpstage.common.configuration.validation import read_configuration
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.transport.messages import (
     Gathered,
     MemberMsg,
     PartMsg,
@@ -17,21 +17,21 @@
     StateDoc,
     WitnessReply,
 )
-from kelpstage.edge.backend.book import DARK, LYING, Book
-from kelpstage.edge.backend.choose import options
+from kelpstage.edge.backend.registry import DARK, LYING, Book
 from kelpstage.edge.backend.reply import SealedPart
+from kelpstage.edge.backend.selection import options
+from kelpstage.edge.gather.context import World
+from kelpstage.edge.gather.latency import Paces
 from kelpstage.edge.gather.messages import BackendSaid, KidSaid
-from kelpstage.edge.gather.order import pack_records
-from kelpstage.edge.gather.pace import Paces
-from kelpstage.edge.gather.passes.merge import take
-from kelpstage.edge.gather.record import GATHERS, ROOT, Cell, Gathering, Kid
+from kelpstage.edge.gather.record_order import pack_records
+from kelpstage.edge.gather.request_state import GATHERS, ROOT, Cell, Gathering, Kid
+from kelpstage.edge.gather.stages.merge import take
 from kelpstage.edge.gather.tree import Branch
-from kelpstage.edge.gather.world import World
 from kelpstage.edge.gossip.swim import Swim
-from kelpstage.edge.lease.keeper import Keeper
-from kelpstage.edge.rounds.budget import Budget
-from proof.fleet.deployment import configuration_of, load
-from proof.sim.fleet import SimFleet, run_sim
+from kelpstage.edge.lease.lease_holder import Keeper
+from kelpstage.edge.retries.budget import Budget
+from kelpstage.testbed.fleet.deployment import configuration_of, load
+from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from tests.test_fleet_sim import fetch
 
 
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -9,12 +9,12 @@
 import tempfile
 import unittest
 
-from kelpstage.base.day.format import HEAD, pack_row, read_day
-from kelpstage.base.defects import DayForeign, DayTorn
-from kelpstage.rep.main import diff, load, run_day, save, show
-from proof.fleet.deployment import load as load_deployment
-from proof.fleet.record import day_of
-from proof.sim.fleet import SimFleet, run_sim
+from kelpstage.common.errors import DayForeign, DayTorn
+from kelpstage.common.recording.format import HEAD, pack_row, read_day
+from kelpstage.replay.main import diff, load, run_day, save, show
+from kelpstage.testbed.fleet.deployment import load as load_deployment
+from kelpstage.testbed.fleet.record import day_of
+from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 
 
 def record_day(*, seed: int) -> list[dict]:
@@ -117,7 +117,7 @@
         async def story(fleet: SimFleet) -> None:
             await fleet.bring_up()
             edge = fleet.daemons["edge/node-04"]
-            from kelpstage.base.day.writer import DayWriter
+            from kelpstage.common.recording.writer import DayWriter
 
             edge.day = DayWriter(ports=edge.ports, path="d.day", counts=edge.counts)
             platter = fleet.world.machines["node-04"].platter
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,8 +8,8 @@
 import unittest
 from typing import Callable
 
-from proof.check.linearizable import Answer, Try
-from proof.platform.history import (
+from kelpstage.testbed.checkers.linearizable import Answer, Try
+from kelpstage.testbed.platform_model.history import (
     Arrival,
     Cut,
     Day,
@@ -22,8 +22,8 @@
     Stamped,
     Trouble,
 )
-from proof.platform.rules.answers import best_records
-from proof.platform.rules.register import RULES, judge
+from kelpstage.testbed.platform_model.rules.answers import best_records
+from kelpstage.testbed.platform_model.rules.register import RULES, judge
 
 S = 1_000_000
 HOST = "h.example"
--- a/tests/test_salvage.py
+++ b/tests/test_salvage.py
@@ -4,12 +4,12 @@
 
 import unittest
 
-from kelpstage.base.defects import SalvageRefused
-from kelpstage.core.salvage import Salvaged, salvage
-from proof.check.configurations import lost_or_undead, old_configuration
-from proof.fleet.deployment import load
-from proof.sim.fleet import SimFleet, run_sim
-from proof.sim.world import SimProcess
+from kelpstage.common.errors import SalvageRefused
+from kelpstage.core.cluster_recovery import Salvaged, salvage
+from kelpstage.testbed.checkers.configurations import lost_or_undead, old_configuration
+from kelpstage.testbed.fleet.deployment import load
+from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
+from kelpstage.testbed.simulation.world import SimProcess
 
 
 async def run_salvage(fleet: SimFleet, *, name: str, edges: list[str]) -> object:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -6,12 +6,12 @@
 import random
 import unittest
 
-from kelpstage.base.defects import DiskDefect, LogDamaged
-from kelpstage.base.wire.messages import LogEntry
+from kelpstage.common.errors import DiskDefect, LogDamaged
+from kelpstage.common.transport.messages import LogEntry
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot, DiskStep
 from kelpstage.core.store.store import Store
-from proof.sim.loop import VirtualLoop
-from proof.sim.world import SimProcess, World
+from kelpstage.testbed.simulation.loop import VirtualLoop
+from kelpstage.testbed.simulation.world import SimProcess, World
 
 IDENTITY = DiskIdentity(replica="r", cluster="c")
 
--- a/tests/test_store_planted_faults.py
+++ b/tests/test_store_planted_faults.py
@@ -8,13 +8,13 @@
 from typing import Any
 from unittest import mock
 
-from kelpstage.base.defects import Defect
+from kelpstage.common.errors import Defect
 from kelpstage.core.store import records, recovery
 from kelpstage.core.store import store as store_module
 from kelpstage.core.store.layout import IDENTITY_PATH, LOG_FOLDER, ROOT, SNAPSHOT_FOLDER
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot, Segment
 from kelpstage.core.store.store import Store
-from proof.sim.disk import SimDisk
+from kelpstage.testbed.simulation.disk import SimDisk
 from tests import test_cores_power_loss, test_store_power_loss
 
 PREFIXES = ("PowerLoss", "test_every_prefix_of_every_operation")
--- a/tests/test_store_power_loss.py
+++ b/tests/test_store_power_loss.py
@@ -17,16 +17,16 @@
 from functools import partial
 from typing import Any
 
-from kelpstage.base.defects import Defect, DiskDefect, FormatMismatch, LogDamaged
-from kelpstage.base.log.seal import MARK
-from kelpstage.base.ports.live import LiveDisk
-from kelpstage.base.wire.messages import LogEntry
+from kelpstage.common.errors import Defect, DiskDefect, FormatMismatch, LogDamaged
+from kelpstage.common.log.checksummed import MARK
+from kelpstage.common.ports.live import LiveDisk
+from kelpstage.common.transport.messages import LogEntry
 from kelpstage.core.raft.types import Persist
 from kelpstage.core.store.layout import mark_path
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot, DiskStep
 from kelpstage.core.store.store import Store
 from kelpstage.core.store.task import DiskTask, KeepThis
-from proof.sim.disk import Platter, SimFile
+from kelpstage.testbed.simulation.disk import Platter, SimFile
 from tests.power_loss import Machine, copy_of, every_way, finish
 
 REPLICA, CLUSTER = "r1", "c1"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,13 +13,13 @@
 
 import betterproto as bp
 
-from kelpstage.base.defects import BadFrame, ConnectRefused, Defect, LineLost, WaitOver
-from kelpstage.base.wire import frames
-from kelpstage.base.wire.codec import Message, table_of
-from kelpstage.base.wire.lines import IN_WORK_LIMIT, Lines, LineServer
-from kelpstage.base.wire.messages import TYPES, Done, FetchState, GossipMsg, Meet, MeetReply
-from proof.sim.loop import VirtualLoop
-from proof.sim.world import SimProcess, World
+from kelpstage.common.errors import BadFrame, ConnectRefused, Defect, LineLost, WaitOver
+from kelpstage.common.transport import frames
+from kelpstage.common.transport.codec import Message, table_of
+from kelpstage.common.transport.connections import IN_WORK_LIMIT, Lines, LineServer
+from kelpstage.common.transport.messages import TYPES, Done, FetchState, GossipMsg, Meet, MeetReply
+from kelpstage.testbed.simulation.loop import VirtualLoop
+from kelpstage.testbed.simulation.world import SimProcess, World
 
 ADDRESS = "10.0.0.1:7000"
 
--- a/tests/test_worst_days.py
+++ b/tests/test_worst_days.py
@@ -7,7 +7,7 @@
 import unittest
 from typing import Any, Awaitable, Callable
 
-from kelpstage.base.wire.messages import AppendEntries, AppendEntriesReply, CoreMember
+from kelpstage.common.transport.messages import AppendEntries, AppendEntriesReply, CoreMember
 from kelpstage.core.raft.replica import Replica
 from kelpstage.core.raft.types import COMMAND, Persist, Propose, Received, Send, Synced, Tick
 from tests.test_cores import CATCH_UP_US, Cores, Register, play
