--- a/kelpstage/cli/client.py
+++ b/kelpstage/cli/client.py
@@ -8,7 +8,9 @@
 from typing import Any
 
 from kelpstage.cli.output import BAD_INPUT, REFUSED, UNREACHED, UNRESOLVED, fail
-from kelpstage.common.errors import Defect, EnvRefused, Fault, LineLost, WaitOver
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.transport import ConnectionLostError, ReplyTimeoutError
+from kelpstage.common.errors.validation import InvalidField, InvalidSettingsError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.common.ports.live import LiveNet
 from kelpstage.common.transport.address import is_address
@@ -19,7 +21,7 @@
     try:
         return pathlib.Path(path).read_bytes()
     except OSError as error:
-        fail(defect=Fault(path=path, why=error.strerror or "unreadable"), code=BAD_INPUT)
+        fail(error=InvalidField(path=path, why=error.strerror or "unreadable"), code=BAD_INPUT)
 
 
 def write_whole(*, path: str, data: bytes) -> None:
@@ -29,7 +31,9 @@
         beside.write_bytes(data)
         beside.replace(path)
     except OSError as error:
-        fail(defect=Fault(path=path, why=error.strerror or "can't be written"), code=BAD_INPUT)
+        fail(
+            error=InvalidField(path=path, why=error.strerror or "can't be written"), code=BAD_INPUT
+        )
 
 
 def need_addresses(*, given: list[str], what: str) -> list[str]:
@@ -39,22 +43,22 @@
     ['127.0.0.1:1']
     """
     faults = [
-        Fault(path=f"--{what}", why=f"{address!r} is not IP:port")
+        InvalidField(path=f"--{what}", why=f"{address!r} is not IP:port")
         for address in given
         if not is_address(address=address)
     ]
     if not given:
-        faults = [Fault(path=f"--{what}", why="give at least one IP:port")]
+        faults = [InvalidField(path=f"--{what}", why="give at least one IP:port")]
     if faults:
-        fail(defect=EnvRefused(faults=faults), code=BAD_INPUT)
+        fail(error=InvalidSettingsError(faults=faults), code=BAD_INPUT)
     return given
 
 
-async def _fetch(*, call: HttpCall) -> HttpReply | Defect:
+async def _fetch(*, call: HttpCall) -> HttpReply | KelpstageError:
     return await LiveNet().fetch(call=call)
 
 
-def ask_once(*, call: HttpCall) -> HttpReply | Defect:
+def ask_once(*, call: HttpCall) -> HttpReply | KelpstageError:
     """One call, no second try."""
     return asyncio.run(_fetch(call=call))
 
@@ -70,7 +74,7 @@
 ) -> HttpReply:
     """Ask the first address that answers; a put that may have arrived is not
     sent elsewhere by itself."""
-    last: Defect | None = None
+    last: KelpstageError | None = None
     for address in addresses:
         call = HttpCall(
             method=method,
@@ -81,26 +85,26 @@
         )
         reply = ask_once(call=call)
         if isinstance(reply, HttpReply):
-            if reply.status == 503 and defect_of(reply=reply).get("kind") == "no_leader":
+            if reply.status == 503 and error_of(reply=reply).get("kind") == "no_leader":
                 last = None
                 kept = reply
                 continue
             return reply
         last = reply
-        if method != "GET" and isinstance(reply, (WaitOver, LineLost)):
+        if method != "GET" and isinstance(reply, (ReplyTimeoutError, ConnectionLostError)):
             fail(
-                defect={"kind": "unresolved", "why": f"{address}: {reply.kind}; ask again"},
+                error={"kind": "unresolved", "why": f"{address}: {reply.kind}; ask again"},
                 code=UNRESOLVED,
             )
     if last is None:
         return kept
-    fail(defect=last, code=UNREACHED)
+    fail(error=last, code=UNREACHED)
 
 
-def defect_of(*, reply: HttpReply) -> dict:
-    """The typed defect in a reply, or what stands for it.
+def error_of(*, reply: HttpReply) -> dict:
+    """The typed error in a reply, or what stands for it.
 
-    >>> defect_of(reply=HttpReply(status=500, body=b"x"))
+    >>> error_of(reply=HttpReply(status=500, body=b"x"))
     {'kind': 'untyped', 'status': 500}
     """
     try:
@@ -113,8 +117,8 @@
     """The reply's JSON, or an end that says why not."""
     if reply.status == 200:
         return json.loads(reply.body)
-    row = defect_of(reply=reply)
+    row = error_of(reply=reply)
     code = UNRESOLVED if row["kind"] == "unresolved" else REFUSED
     if row["kind"] == "no_leader":
         code = UNREACHED
-    fail(defect=row, code=code, is_json=is_json)
+    fail(error=row, code=code, is_json=is_json)
--- a/kelpstage/cli/commands/drains.py
+++ b/kelpstage/cli/commands/drains.py
@@ -10,7 +10,8 @@
 
 from kelpstage.cli.client import ask, good_or_fail, need_addresses
 from kelpstage.cli.output import REFUSED, UNRESOLVED, fail, show
-from kelpstage.common.errors import Fault, WaitOver
+from kelpstage.common.errors.transport import ReplyTimeoutError
+from kelpstage.common.errors.validation import InvalidField
 
 
 def with_drain(*, document: dict[str, Any], name: str, is_drained: bool) -> bool | None:
@@ -74,7 +75,11 @@
         if not any(open_now.values()):
             return
         if time.monotonic() > until:
-            fail(defect=WaitOver(address=name, after_us=wait_us), code=UNRESOLVED, is_json=is_json)
+            fail(
+                error=ReplyTimeoutError(address=name, after_us=wait_us),
+                code=UNRESOLVED,
+                is_json=is_json,
+            )
         time.sleep(0.1)
 
 
@@ -87,7 +92,7 @@
     is_changed = with_drain(document=document, name=name, is_drained=is_drained)
     if is_changed is None:
         fail(
-            defect=Fault(path=name, why="no backend or node of this name"),
+            error=InvalidField(path=name, why="no backend or node of this name"),
             code=REFUSED,
             is_json=is_json,
         )
--- a/kelpstage/cli/commands/searches.py
+++ b/kelpstage/cli/commands/searches.py
@@ -57,42 +57,46 @@
 def event_text(*, row: dict[str, Any]) -> str:
     """One event of a timeline in words.
 
-    >>> event_text(row={"event": "PartnerLate", "node": "n2"})
+    >>> event_text(row={"event": "ChildLate", "node": "n2"})
     'n2 let its window pass'
     """
     said = {
         "Began": lambda: "asked once more",
-        "Planned": lambda: f"planned under configuration {row['version']}: " + _tree(row["branch"]),
+        "Planned": lambda: (
+            f"planned under configuration {row['version']}: " + _tree(row["subtree"])
+        ),
         "OmissionSet": lambda: f"what is not in after {row['after_us']} us may be left out",
-        "RoundSent": lambda: (
+        "AttemptSent": lambda: (
             f"{row['shard']} -> {row['backend']} ({row['why']}; window {row['window_us']} us; "
             + _rivals(ranked=row["ranked"], chosen=row["backend"])
             + ")"
         ),
-        "RoundRefused": lambda: f"{row['shard']} not asked: {row['why']}",
-        "RoundEnded": lambda: f"{row['shard']} <- {row['backend']}: {row['outcome']}",
-        "PartnerAsked": lambda: (
+        "AttemptRefused": lambda: f"{row['shard']} not asked: {row['why']}",
+        "AttemptEnded": lambda: f"{row['shard']} <- {row['backend']}: {row['outcome']}",
+        "ChildQueried": lambda: (
             f"{'the rest of ' if row['is_resumed'] else ''}{', '.join(row['shards'])} -> "
             f"{row['node']} (window {row['window_us']} us)"
         ),
-        "PartnerLate": lambda: f"{row['node']} let its window pass",
-        "PartnerEnded": lambda: (
+        "ChildLate": lambda: f"{row['node']} let its window pass",
+        "ChildEnded": lambda: (
             f"{row['node']}: {row['outcome']}; in: {', '.join(row['shards_in']) or 'none'}"
             + "".join(
                 f"; {shard} missing: {why} {more}".rstrip() for shard, why, more in row["missing"]
             )
         ),
-        "BeganAgain": lambda: f"begun again, was under configuration {row['was']}: {row['why']}",
+        "SearchRestarted": lambda: (
+            f"begun again, was under configuration {row['was']}: {row['why']}"
+        ),
         "Ended": lambda: f"{row['outcome']}, {row['shards_in']} of {row['shards']} shards",
     }
     return said[row["event"]]() if row["event"] in said else row["event"]
 
 
-def _tree(branch: dict[str, Any] | None) -> str:
-    if branch is None:
+def _tree(subtree: dict[str, Any] | None) -> str:
+    if subtree is None:
         return "a single record"
-    inner = "".join(f" [{_tree(child)}]" for child in branch["children"])
-    return f"{branch['node']} {'+'.join(branch['shards']) or '-'}{inner}"
+    inner = "".join(f" [{_tree(child)}]" for child in subtree["children"])
+    return f"{subtree['node']} {'+'.join(subtree['shards']) or '-'}{inner}"
 
 
 def _rivals(*, ranked: list[dict[str, Any]], chosen: str) -> str:
@@ -107,7 +111,7 @@
 
 
 def _cost(*, one: dict[str, Any]) -> str:
-    where = "own domain" if one["is_near"] else "another domain"
+    where = "own zone" if one["is_near"] else "another zone"
     doubt = ", distrusted" if one["is_distrusted"] else ""
     doubt += ", overdue" if one["is_overdue"] else ""
     return f"{where}, {one['in_flight']} in flight, mean {one['mean_us']} us{doubt}"
--- a/kelpstage/cli/commands/views.py
+++ b/kelpstage/cli/commands/views.py
@@ -15,31 +15,31 @@
         f"{view['levels']} levels, last fan-out {view['last_fan_out']}, "
         f"window {view['window_us']} us"
     ]
-    _branch(view=view["tree"], depth=1, lines=lines)
+    _subtree(view=view["tree"], depth=1, lines=lines)
     left_out = [row for row in view["nodes"] if row["why_not"]]
     for row in left_out:
         lines.append(f"  not chosen: {row['node']} ({row['why_not']})")
     return "\n".join(lines)
 
 
-def _branch(*, view: dict[str, Any], depth: int, lines: list[str]) -> None:
+def _subtree(*, view: dict[str, Any], depth: int, lines: list[str]) -> None:
     pad = "  " * depth
     lines.append(f"{pad}{view['node']} ({view['domain'] or 'domain unknown'})")
     for row in view["shards"]:
-        why = "own domain" if row["options"] and row["options"][0]["is_near"] else "another domain"
+        why = "own zone" if row["options"] and row["options"][0]["is_near"] else "another zone"
         refused = [o for o in row["options"] if o["why_not"]]
         note = "".join(f"; not {o['backend']}: {o['why_not']}" for o in refused)
         chosen = f"{row['backend']} ({why})" if row["backend"] else "no backend"
         lines.append(f"{pad}  {row['shard']} <- {chosen}{note}")
     for child in view["children"]:
-        _branch(view=child, depth=depth + 1, lines=lines)
+        _subtree(view=child, depth=depth + 1, lines=lines)
 
 
-def roster_text(*, view: dict[str, Any]) -> str:
-    """The roster as a table.
+def membership_text(*, view: dict[str, Any]) -> str:
+    """The membership as a table.
 
-    >>> roster_text(view={"epoch": 1, "version": 2, "edges": []})
-    'version 2, epoch 1\\nedge  domain  epoch  behind  heard ago (us)'
+    >>> membership_text(view={"epoch": 1, "version": 2, "edges": []})
+    'version 2, epoch 1\\nedge  zone  epoch  behind  heard ago (us)'
     """
     rows = [
         [
@@ -52,16 +52,18 @@
         for row in view["edges"]
     ]
     head = f"version {view['version']}, epoch {view['epoch']}\n"
-    return head + table(rows=rows, heads=["edge", "domain", "epoch", "behind", "heard ago (us)"])
+    return head + table(rows=rows, heads=["edge", "zone", "epoch", "behind", "heard ago (us)"])
 
 
 def status_text(*, view: dict[str, Any]) -> str:
     """A core's or an edge's status."""
-    return _core_text(view=view) if view["program"] == "kelpc" else _edge_text(view=view)
+    return (
+        _core_text(view=view) if view["program"] == "kelpstage-control" else _edge_text(view=view)
+    )
 
 
 def _core_text(*, view: dict[str, Any]) -> str:
-    lines = [f"kelpc {view['address']} ({view['domain']}), replica {view['replica']}"]
+    lines = [f"kelpstage-control {view['address']} ({view['domain']}), replica {view['replica']}"]
     if view["waits_for"]:
         lines.append(f"  waits for: {view['waits_for']}")
     if "role" not in view:
@@ -91,14 +93,14 @@
         )
     if "roster" in view:
         body = {"epoch": view["epoch"], "version": view["version"], "edges": view["roster"]}
-        lines += ["  " + line for line in roster_text(view=body).splitlines()[1:]]
+        lines += ["  " + line for line in membership_text(view=body).splitlines()[1:]]
     return "\n".join(lines)
 
 
 def _edge_text(*, view: dict[str, Any]) -> str:
     lease = view["lease"]
     lines = [
-        f"kelpd {view['name']} {view['address']} ({view['domain']}): "
+        f"kelpstage-edge {view['name']} {view['address']} ({view['domain']}): "
         + ("ready" if view["is_ready"] else f"not ready: {view['why_not']}"),
         f"  configuration {view['version']}, epoch {view['epoch']} (newest known "
         f"{view['newest_epoch']}); lease "
@@ -108,7 +110,7 @@
     ]
     for row in view["partners"]:
         if row["status"] != "alive":
-            lines.append(f"  partner {row['name']}: {row['status']}")
+            lines.append(f"  peer {row['name']}: {row['status']}")
     for row in view["backends"]:
         if row["state"] != "up" or row["is_dark"]:
             state = "dark" if row["is_dark"] else row["state"]
--- a/kelpstage/cli/main.py
+++ b/kelpstage/cli/main.py
@@ -19,7 +19,7 @@
 from kelpstage.cli.client import ask, good_or_fail, need_addresses, read_file, write_whole
 from kelpstage.cli.commands import drains
 from kelpstage.cli.commands.searches import search_text, searches_text
-from kelpstage.cli.commands.views import plan_text, roster_text, status_text
+from kelpstage.cli.commands.views import membership_text, plan_text, status_text
 from kelpstage.cli.offline.diff import diff_of
 from kelpstage.cli.offline.plan import any_root, changes, offline_plan
 from kelpstage.cli.offline.routes import read_openapi, routes_of
@@ -27,16 +27,13 @@
 from kelpstage.cli.output import BAD_INPUT, REFUSED, fail, show
 from kelpstage.common.configuration.types import Configuration
 from kelpstage.common.configuration.validation import read_configuration
-from kelpstage.common.errors import (
-    ConfigurationRefused,
-    Defect,
-    Fault,
-    SalvageRefused,
-    UnknownCollection,
-)
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.control import RecoveryRefusedError
+from kelpstage.common.errors.requests import UnknownCollectionError
+from kelpstage.common.errors.validation import InvalidConfigurationError, InvalidField
 from kelpstage.common.ports.live import live_ports
-from kelpstage.core.cluster_recovery import Salvaged
-from kelpstage.core.cluster_recovery import salvage as salvage_core
+from kelpstage.core.cluster_recovery import RecoveredCluster
+from kelpstage.core.cluster_recovery import recover_cluster as recover_core
 
 app = typer.Typer(
     add_completion=False, help=__doc__, pretty_exceptions_enable=False, no_args_is_help=True
@@ -49,8 +46,8 @@
 def read_or_fail(*, path: str, is_json: bool, code: int = REFUSED) -> Configuration:
     """A configuration from a file, or its faults and an end."""
     outcome = read_configuration(data=read_file(path=path), version=0)
-    if isinstance(outcome, ConfigurationRefused):
-        fail(defect=outcome, code=code, is_json=is_json)
+    if isinstance(outcome, InvalidConfigurationError):
+        fail(error=outcome, code=code, is_json=is_json)
     return outcome
 
 
@@ -58,7 +55,7 @@
 def check(
     file: str = typer.Argument(help="The configuration's file."), is_json: bool = JSON
 ) -> None:
-    """Judge a configuration offline, by the core's own code, with warnings.
+    """Validate a configuration offline, by the core's own code, with warnings.
 
     A fault means exit code 1; warnings alone do not.
     """
@@ -228,12 +225,12 @@
 ) -> None:
     configuration = read_or_fail(path=file, is_json=is_json, code=BAD_INPUT)
     if collection not in configuration.routes:
-        fail(defect=UnknownCollection(collection=collection), code=BAD_INPUT, is_json=is_json)
+        fail(error=UnknownCollectionError(collection=collection), code=BAD_INPUT, is_json=is_json)
     known = {*configuration.nodes, *configuration.backends, *configuration.services}
     unknown = [n for n in gone if n not in known]
     if unknown:
         fail(
-            defect=Fault(path=f"--gone {unknown[0]}", why="no such node, backend or service"),
+            error=InvalidField(path=f"--gone {unknown[0]}", why="no such node, backend or service"),
             code=BAD_INPUT,
             is_json=is_json,
         )
@@ -265,7 +262,7 @@
 def status(
     core: Optional[List[str]] = CORE, edge: Optional[List[str]] = EDGE, is_json: bool = JSON
 ) -> None:
-    """Show cores and edges: leader, log positions, roster, versions, who is behind."""
+    """Show cores and edges: leader, log positions, membership, versions, who is behind."""
     if not core and not edge:
         need_addresses(given=[], what="core")
     views = []
@@ -276,14 +273,15 @@
     show(body=views, is_json=is_json, text="\n\n".join(status_text(view=v) for v in views))
 
 
+@app.command("roster", hidden=True)  # its name until 0.1.0
 @app.command()
-def roster(core: Optional[List[str]] = CORE, is_json: bool = JSON) -> None:
-    """Show the edges on the roster, what each has installed, and who is behind."""
+def membership(core: Optional[List[str]] = CORE, is_json: bool = JSON) -> None:
+    """Show the edges on the membership, what each has installed, and who is behind."""
     reply = ask(
         addresses=need_addresses(given=core or [], what="core"), method="GET", path="/v1/roster"
     )
     body = good_or_fail(reply=reply, is_json=is_json)
-    show(body=body, is_json=is_json, text=roster_text(view=body))
+    show(body=body, is_json=is_json, text=membership_text(view=body))
 
 
 @app.command("remove-edge")
@@ -292,7 +290,7 @@
     core: Optional[List[str]] = CORE,
     is_json: bool = JSON,
 ) -> None:
-    """Take edges that are gone for good off the roster. One that was heard of a
+    """Take edges that are gone for good off the membership. One that was heard of a
     moment ago is refused. Name all that are gone at once if they are most of it."""
     reply = ask(
         addresses=need_addresses(given=core or [], what="core"),
@@ -300,7 +298,7 @@
         path=f"/v1/roster/{','.join(edges)}",
     )
     body = good_or_fail(reply=reply, is_json=is_json)
-    show(body=body, is_json=is_json, text=f"off the roster: {', '.join(edges)}")
+    show(body=body, is_json=is_json, text=f"off the membership: {', '.join(edges)}")
 
 
 @app.command()
@@ -331,8 +329,9 @@
     drains.set_drain(name=name, is_drained=False, cores=core or [], is_json=is_json)
 
 
-@app.command()
-def salvage(
+@app.command("salvage", hidden=True)  # its name until 0.1.0
+@app.command("recover")
+def recover_cluster(
     data: str = typer.Argument(help="The data folder of the one core that is left."),
     own: str = typer.Option(..., help="IP:port of that core's own lines."),
     http: str = typer.Option(..., help="IP:port of that core's operators' HTTP."),
@@ -344,23 +343,23 @@
 ) -> None:
     """After most cores are lost for good: make the one that is left a cluster of its
     own. It must be stopped. Refused while another core answers, or while most edges
-    of the roster do not."""
+    of the membership do not."""
     need_addresses(given=[own], what="own")
     need_addresses(given=[http], what="http")
     need_addresses(given=edge_own, what="edge-own")
     if accept != "the-other-cores-are-gone-for-good":
         fail(
-            defect=SalvageRefused(
+            error=RecoveryRefusedError(
                 why="give --accept the-other-cores-are-gone-for-good if that is so"
             ),
             code=BAD_INPUT,
             is_json=is_json,
         )
     if not os.path.isdir(data):
-        fail(defect=Fault(path=data, why="no such folder"), code=BAD_INPUT, is_json=is_json)
-    outcome = asyncio.run(salvage_folder(data=data, own=own, http=http, edges=edge_own))
-    if isinstance(outcome, Defect):
-        fail(defect=outcome, code=REFUSED, is_json=is_json)
+        fail(error=InvalidField(path=data, why="no such folder"), code=BAD_INPUT, is_json=is_json)
+    outcome = asyncio.run(recovery_folder(data=data, own=own, http=http, edges=edge_own))
+    if isinstance(outcome, KelpstageError):
+        fail(error=outcome, code=REFUSED, is_json=is_json)
     show(
         body=asdict(outcome),
         is_json=is_json,
@@ -373,9 +372,11 @@
     )
 
 
-async def salvage_folder(*, data: str, own: str, http: str, edges: List[str]) -> Salvaged | Defect:
-    """Salvage with this machine's disk and lines."""
-    return await salvage_core(ports=live_ports(data_folder=data), own=own, http=http, edges=edges)
+async def recovery_folder(
+    *, data: str, own: str, http: str, edges: List[str]
+) -> RecoveredCluster | KelpstageError:
+    """Recovery with this machine's disk and lines."""
+    return await recover_core(ports=live_ports(data_folder=data), own=own, http=http, edges=edges)
 
 
 @app.command("import")
@@ -389,7 +390,7 @@
     configuration = read_or_fail(path=into, is_json=is_json, code=BAD_INPUT)
     openapi = read_openapi(data=read_file(path=file))
     if isinstance(openapi, list):
-        fail(defect=ConfigurationRefused(faults=openapi), code=BAD_INPUT, is_json=is_json)
+        fail(error=InvalidConfigurationError(faults=openapi), code=BAD_INPUT, is_json=is_json)
     imported = routes_of(
         openapi=openapi,
         shards={
@@ -402,8 +403,8 @@
     document["routes"] = {**document.get("routes", {}), **imported.routes}
     data = json.dumps(document, indent=1, ensure_ascii=False).encode()
     judged = read_configuration(data=data, version=0)
-    if isinstance(judged, ConfigurationRefused):
-        fail(defect=judged, code=REFUSED, is_json=is_json)
+    if isinstance(judged, InvalidConfigurationError):
+        fail(error=judged, code=REFUSED, is_json=is_json)
     write_whole(path=out, data=data)
     left = [{"path": f.path, "why": f.why} for f in imported.unsupported]
     lines = [f"not taken over: {row['path']}: {row['why']}" for row in left]
--- a/kelpstage/cli/offline/plan.py
+++ b/kelpstage/cli/offline/plan.py
@@ -7,10 +7,10 @@
 
 from kelpstage.common.configuration.types import Configuration
 from kelpstage.common.configuration.validation import RECORDS
-from kelpstage.edge.backend.registry import GONE, Book
+from kelpstage.edge.backend.registry import GONE, BackendRegistry
 from kelpstage.edge.backend.selection import options
-from kelpstage.edge.gather.latency import Paces
-from kelpstage.edge.gather.tree import Branch, grow, last_fan_out, levels
+from kelpstage.edge.gather.latency import LatencyEstimates
+from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
 
 
 def offline_plan(
@@ -22,30 +22,32 @@
     plan names services; where no nodes are declared, it is drawn over nameless ones.
     """
     route = configuration.routes[collection]
-    domain = configuration.nodes.get(root, {}).get("domain", "")
+    zone = configuration.nodes.get(root, {}).get("domain", "")
     helpers = [
         name
         for _, name in sorted(
-            (labels.get("domain", "") != domain, name)
+            (labels.get("domain", "") != zone, name)
             for name, labels in configuration.nodes.items()
             if name != root
             and name not in gone
             and configuration.is_gatherer(
-                collection=collection, name=name, domain=labels.get("domain", "")
+                collection=collection, name=name, zone=labels.get("domain", "")
             )
         )
     ]
     if not configuration.nodes and collection in configuration.forward:
         helpers = [f"edge {place + 2}" for place in range(len(route.fan_out))]
-    book = Book(me=root)
+    registry = BackendRegistry(me=root)
     for name in configuration.backends:
-        entry = book.entry(name=name)
+        entry = registry.entry(name=name)
         entry.address = configuration.backends[name].address or "0.0.0.0:1"
         if name in gone:
             entry.state, entry.why = GONE, "named as gone"
     tree = grow(root=root, shards=route.fan_out, helpers=helpers, fan_out=route.tree_fan_out)
     count = len(route.fan_out)
-    placed = _placed(configuration=configuration, book=book, collection=collection, branch=tree)
+    placed = _placed(
+        configuration=configuration, registry=registry, collection=collection, subtree=tree
+    )
     if configuration.collections[collection].codec == RECORDS:
         for shard, row in placed.items():
             is_up = shard not in gone
@@ -74,32 +76,34 @@
 
 
 def _placed(
-    *, configuration: Configuration, book: Book, collection: str, branch: Branch
+    *, configuration: Configuration, registry: BackendRegistry, collection: str, subtree: Subtree
 ) -> dict[str, dict[str, Any]]:
-    domain = configuration.nodes.get(branch.node, {}).get("domain", "")
+    zone = configuration.nodes.get(subtree.node, {}).get("domain", "")
     out: dict[str, dict[str, Any]] = {}
-    for shard in branch.shards:
+    for shard in subtree.shards:
         ranked = options(
             configuration=configuration,
-            book=book,
-            paces=Paces(),
+            registry=registry,
+            latencies=LatencyEstimates(),
             collection=collection,
             shard=shard,
-            domain=domain,
+            zone=zone,
             now_us=0,
             rand=None,
         )
         best = ranked[0] if ranked and not ranked[0].refusal else None
         out[shard] = {
-            "node": branch.node,
-            "domain": domain,
+            "node": subtree.node,
+            "domain": zone,
             "backend": best.backend if best else None,
             "is_near": best.is_near if best else False,
             "others": [o.backend for o in ranked[1:] if not o.refusal],
             "left_out": {o.backend: o.refusal for o in ranked if o.refusal},
         }
-    for child in branch.children:
-        out |= _placed(configuration=configuration, book=book, collection=collection, branch=child)
+    for child in subtree.children:
+        out |= _placed(
+            configuration=configuration, registry=registry, collection=collection, subtree=child
+        )
     return out
 
 
--- a/kelpstage/cli/offline/routes.py
+++ b/kelpstage/cli/offline/routes.py
@@ -16,7 +16,7 @@
 from openapi_pydantic import OpenAPI, Operation, PathItem, parse_obj
 from pydantic import ValidationError
 
-from kelpstage.common.errors import Fault
+from kelpstage.common.errors.validation import InvalidField
 
 SEARCH = re.compile(r"/v1/collections/([A-Za-z0-9][A-Za-z0-9._-]{0,63})/search")
 RECORD = re.compile(r"/v1/collections/[^/]+/shards/[^/]+/records/[^/]+")
@@ -34,10 +34,10 @@
     """Routes found, and what was found beside them."""
 
     routes: dict[str, dict[str, Any]] = field(default_factory=dict)
-    unsupported: list[Fault] = field(default_factory=list)
+    unsupported: list[InvalidField] = field(default_factory=list)
 
 
-def read_openapi(*, data: bytes) -> OpenAPI | list[Fault]:
+def read_openapi(*, data: bytes) -> OpenAPI | list[InvalidField]:
     """Read an OpenAPI 3 file, JSON or YAML.
 
     >>> read_openapi(data=b"openapi: 3.1.0")[0].path
@@ -48,19 +48,19 @@
     except (UnicodeDecodeError, yaml.YAMLError) as error:
         mark = getattr(error, "problem_mark", None)
         place = f"line {mark.line + 1}, column {mark.column + 1}" if mark else "(whole)"
-        return [Fault(path=place, why="neither JSON nor YAML")]
+        return [InvalidField(path=place, why="neither JSON nor YAML")]
     if not isinstance(raw, dict):
-        return [Fault(path="(whole)", why="not an object")]
+        return [InvalidField(path="(whole)", why="not an object")]
     try:
         return parse_obj(raw)
     except ValidationError as error:
         return [
             # the library puts the file's version before each place
-            Fault(path=".".join(str(s) for s in one["loc"][1:]) or "(whole)", why=one["msg"])
+            InvalidField(path=".".join(str(s) for s in one["loc"][1:]) or "(whole)", why=one["msg"])
             for one in error.errors()
         ]
     except ValueError as error:  # the library's word for a version it does not know
-        return [Fault(path="openapi", why=str(error)[:200])]
+        return [InvalidField(path="openapi", why=str(error)[:200])]
 
 
 def routes_of(*, openapi: OpenAPI, shards: dict[str, list[str]]) -> Imported:
@@ -75,7 +75,7 @@
     out = Imported()
     for name in ("servers", "security", "webhooks", "externalDocs"):
         if name in openapi.model_fields_set:
-            out.unsupported.append(Fault(path=name, why="has no place in a configuration"))
+            out.unsupported.append(InvalidField(path=name, why="has no place in a configuration"))
     for path, item in (openapi.paths or {}).items():
         for method in METHODS:
             operation = getattr(item, method)
@@ -87,7 +87,7 @@
 
 def _note_rest(*, path: str, item: PathItem, out: Imported) -> None:
     for name in sorted(item.model_fields_set - set(METHODS) - {"summary", "description"}):
-        out.unsupported.append(Fault(path=f"paths.{path}.{name}", why="not taken over"))
+        out.unsupported.append(InvalidField(path=f"paths.{path}.{name}", why="not taken over"))
 
 
 def _take(
@@ -101,12 +101,12 @@
             if RECORD.fullmatch(path) and method == "get"
             else "not POST /v1/collections/NAME/search"
         )
-        out.unsupported.append(Fault(path=at, why=why))
+        out.unsupported.append(InvalidField(path=at, why=why))
         return
     collection = found.group(1)
     if collection not in shards:
         out.unsupported.append(
-            Fault(path=at, why=f"the configuration has no collection {collection}")
+            InvalidField(path=at, why=f"the configuration has no collection {collection}")
         )
         return
     route: dict[str, Any] = {"FanOut": shards[collection], "Quorum": len(shards[collection])}
@@ -114,13 +114,13 @@
         if name in EXTENSIONS:
             route[EXTENSIONS[name]] = value
         else:
-            out.unsupported.append(Fault(path=f"{at}.{name}", why="unknown extension"))
+            out.unsupported.append(InvalidField(path=f"{at}.{name}", why="unknown extension"))
     for name in sorted(operation.model_fields_set - PLAIN - set(operation.model_extra or {})):
-        out.unsupported.append(Fault(path=f"{at}.{name}", why="has no place in a route"))
+        out.unsupported.append(InvalidField(path=f"{at}.{name}", why="has no place in a route"))
     for parameter in operation.parameters or []:
         name = getattr(parameter, "name", "(a reference)")
         if name != "limit" and str(name).lower() != "kelp-time-left-us":
             out.unsupported.append(
-                Fault(path=f"{at}.parameters.{name}", why="callers have no such parameter")
+                InvalidField(path=f"{at}.parameters.{name}", why="callers have no such parameter")
             )
     out.routes[collection] = route
--- a/kelpstage/cli/offline/warnings.py
+++ b/kelpstage/cli/offline/warnings.py
@@ -5,40 +5,40 @@
 from collections import Counter
 
 from kelpstage.common.configuration.types import Collection, Configuration, Route, is_match
-from kelpstage.common.errors import Fault
+from kelpstage.common.errors.validation import InvalidField
 
 
-def warnings_of(*, configuration: Configuration) -> list[Fault]:
+def warnings_of(*, configuration: Configuration) -> list[InvalidField]:
     """Every warning with its path."""
-    out: list[Fault] = _forward_warnings(configuration=configuration)
+    out: list[InvalidField] = _forward_warnings(configuration=configuration)
     for name, collection in configuration.collections.items():
         if name in configuration.forward:
             continue
         out += _shard_warnings(configuration=configuration, collection=collection)
         route = configuration.route(collection=name)
         if route is None:
-            out.append(Fault(path=f"collections.{name}", why="no route leads to it"))
+            out.append(InvalidField(path=f"collections.{name}", why="no route leads to it"))
             continue
         out += _route_warnings(configuration=configuration, collection=collection, route=route)
     return out
 
 
-def _forward_warnings(*, configuration: Configuration) -> list[Fault]:
+def _forward_warnings(*, configuration: Configuration) -> list[InvalidField]:
     out = []
     named: set[str] = set()
     for name, route in configuration.forward.items():
         path = f"forward.{name}"
         named |= set(route.services)
         if route.aim_us > route.deadline_us:
-            out.append(Fault(path=f"{path}.aim_us", why="later than the deadline"))
+            out.append(InvalidField(path=f"{path}.aim_us", why="later than the deadline"))
         if route.fan_out and not route.is_repeatable:
             why = "a gathered answer can't be asked for again from another backend"
-            out.append(Fault(path=f"{path}.is_repeatable", why=why))
+            out.append(InvalidField(path=f"{path}.is_repeatable", why=why))
         for service, weight in route.weights:
             if not weight:
-                out.append(Fault(path=f"{path}.weights.{service}", why="gets no request"))
+                out.append(InvalidField(path=f"{path}.weights.{service}", why="gets no request"))
     for name in sorted(set(configuration.services) - named):
-        out.append(Fault(path=f"services.{name}", why="no route leads to it"))
+        out.append(InvalidField(path=f"services.{name}", why="no route leads to it"))
     return out
 
 
@@ -51,43 +51,43 @@
     ]
 
 
-def _shard_warnings(*, configuration: Configuration, collection: Collection) -> list[Fault]:
+def _shard_warnings(*, configuration: Configuration, collection: Collection) -> list[InvalidField]:
     out = []
     for shard in collection.shards:
         path = f"collections.{collection.name}.shards.{shard}"
         names = usable(configuration=configuration, collection=collection.name, shard=shard)
         if not names:
-            out.append(Fault(path=path, why="every backend is labelled drain"))
+            out.append(InvalidField(path=path, why="every backend is labelled drain"))
             continue
         if len(names) == 1:
-            out.append(Fault(path=path, why=f"one backend only: {names[0]}"))
+            out.append(InvalidField(path=path, why=f"one backend only: {names[0]}"))
             continue
-        domains = {configuration.backends[name].labels.get("domain") for name in names}
-        if len(domains) == 1:
-            out.append(Fault(path=path, why=f"all backends in one domain: {domains.pop()}"))
+        zones = {configuration.backends[name].labels.get("domain") for name in names}
+        if len(zones) == 1:
+            out.append(InvalidField(path=path, why=f"all backends in one zone: {zones.pop()}"))
     return out
 
 
 def _route_warnings(
     *, configuration: Configuration, collection: Collection, route: Route
-) -> list[Fault]:
+) -> list[InvalidField]:
     path = f"routes.{route.collection}"
     out = []
     by_backend: Counter = Counter()
-    by_domain: Counter = Counter()
+    by_zone: Counter = Counter()
     for shard in route.fan_out:
         names = usable(configuration=configuration, collection=route.collection, shard=shard)
         if len(names) == 1:
             by_backend[names[0]] += 1
-        domains = {configuration.backends[name].labels.get("domain") for name in names}
-        if len(domains) == 1:
-            by_domain[domains.pop()] += 1
+        zones = {configuration.backends[name].labels.get("domain") for name in names}
+        if len(zones) == 1:
+            by_zone[zones.pop()] += 1
     spare = len(route.fan_out) - route.quorum
-    for what, losses in (("backend", by_backend), ("domain", by_domain)):
+    for what, losses in (("backend", by_backend), ("domain", by_zone)):
         for name, count in sorted(losses.items(), key=str):
             if count > spare:
                 out.append(
-                    Fault(
+                    InvalidField(
                         path=f"{path}.Quorum",
                         why=f"the loss of {what} {name} alone takes {count} shards; "
                         f"{spare} may be missing",
@@ -101,7 +101,7 @@
     ]
     if configuration.nodes and len(gatherers) < route.tree_fan_out:
         out.append(
-            Fault(
+            InvalidField(
                 path=f"collections.{collection.name}.gatherers",
                 why=f"{len(gatherers)} nodes may gather, the fan-out is {route.tree_fan_out}",
             )
--- a/kelpstage/cli/output.py
+++ b/kelpstage/cli/output.py
@@ -6,7 +6,7 @@
 import sys
 from typing import Any, NoReturn
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 
 OK, REFUSED, BAD_INPUT, UNRESOLVED, UNREACHED = 0, 1, 2, 3, 4
 
@@ -20,15 +20,15 @@
     print(json.dumps(body, indent=1, ensure_ascii=False) if is_json or text is None else text)
 
 
-def fail(*, defect: Defect | dict, code: int, is_json: bool = False) -> NoReturn:
+def fail(*, error: KelpstageError | dict, code: int, is_json: bool = False) -> NoReturn:
     """Say what went wrong on stderr and leave with the code.
 
-    >>> from kelpstage.common.errors import NoLeader
-    >>> fail(defect=NoLeader(why="x"), code=1)
+    >>> from kelpstage.common.errors.control import NoLeaderError
+    >>> fail(error=NoLeaderError(why="x"), code=1)
     Traceback (most recent call last):
     SystemExit: 1
     """
-    row = defect.as_json() if isinstance(defect, Defect) else defect
+    row = error.as_json() if isinstance(error, KelpstageError) else error
     if is_json:
         print(json.dumps({"defect": row}, indent=1, ensure_ascii=False))
         raise SystemExit(code)
--- a/kelpstage/common/configuration/forward_routes.py
+++ b/kelpstage/common/configuration/forward_routes.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from kelpstage.common.configuration.types import ForwardRoute, Service, host_key
-from kelpstage.common.errors import Fault
+from kelpstage.common.errors.validation import InvalidField
 
 NAME_LIMIT = 128
 HOST_LIMIT = 255
@@ -57,39 +57,41 @@
     return count
 
 
-def read_services(*, raw: Any) -> tuple[dict[str, Service], list[Fault]]:
-    """Judge the section `services`.
+def read_services(*, raw: Any) -> tuple[dict[str, Service], list[InvalidField]]:
+    """Validate the section `services`.
 
     >>> read_services(raw={"svc": {"health_path": "health"}})[1]
-    [Fault(path='services.svc.health_path', why='does not begin with /')]
+    [InvalidField(path='services.svc.health_path', why='does not begin with /')]
     """
     if not isinstance(raw, dict):
-        return {}, [Fault(path="services", why="is not an object")]
+        return {}, [InvalidField(path="services", why="is not an object")]
     services: dict[str, Service] = {}
-    faults: list[Fault] = []
+    faults: list[InvalidField] = []
     for name, inner in raw.items():
         path = f"services.{name}"
         if not is_service_name(value=name):
-            faults.append(Fault(path=path, why=_name_fault()))
+            faults.append(InvalidField(path=path, why=_name_fault()))
             continue
         if not isinstance(inner, dict):
-            faults.append(Fault(path=path, why="is not an object"))
+            faults.append(InvalidField(path=path, why="is not an object"))
             continue
         found = [
-            Fault(path=f"{path}.{key}", why="is not allowed key")
+            InvalidField(path=f"{path}.{key}", why="is not allowed key")
             for key in inner.keys() - {"health_path", "max_connections"}
         ]
         health_path = inner.get("health_path", "/health")
         if not isinstance(health_path, str) or not health_path.startswith("/"):
-            found.append(Fault(path=f"{path}.health_path", why="does not begin with /"))
+            found.append(InvalidField(path=f"{path}.health_path", why="does not begin with /"))
         elif not _is_target(value=health_path):
             found.append(
-                Fault(path=f"{path}.health_path", why="holds blanks or control characters")
+                InvalidField(path=f"{path}.health_path", why="holds blanks or control characters")
             )
         bound = inner.get("max_connections", 0)
         if not _is_whole(value=bound, low=0):
             found.append(
-                Fault(path=f"{path}.max_connections", why="value is not a whole number from 0")
+                InvalidField(
+                    path=f"{path}.max_connections", why="value is not a whole number from 0"
+                )
             )
         faults += found
         if not found:
@@ -97,38 +99,38 @@
     return services, faults
 
 
-def read_forward(*, raw: Any, services: Any) -> tuple[dict[str, ForwardRoute], list[Fault]]:
-    """Judge the section `forward` against the names of the services.
+def read_forward(*, raw: Any, services: Any) -> tuple[dict[str, ForwardRoute], list[InvalidField]]:
+    """Validate the section `forward` against the names of the services.
 
     >>> route = {"host": "h", "prefix": "/a/", "deadline_us": 1, "weights": {"x": 1.0}}
     >>> read_forward(raw={"r": route}, services={})[1]
-    [Fault(path='forward.r.weights.x', why='unknown service')]
+    [InvalidField(path='forward.r.weights.x', why='unknown service')]
     >>> routes, faults = read_forward(raw={"r": route}, services={"x": 1})
     >>> routes["r"].weights, faults
     ((('x', 1.0),), [])
     """
     if not isinstance(raw, dict):
-        return {}, [Fault(path="forward", why="is not an object")]
+        return {}, [InvalidField(path="forward", why="is not an object")]
     routes: dict[str, ForwardRoute] = {}
-    faults: list[Fault] = []
+    faults: list[InvalidField] = []
     taken: dict[tuple[str, str], str] = {}
     known: dict[tuple, tuple[str, ...]] = {}  # lists of shards that were judged: few differ
     for name, inner in raw.items():
         path = f"forward.{name}"
         if not is_service_name(value=name):
-            faults.append(Fault(path=path, why=_name_fault()))
+            faults.append(InvalidField(path=path, why=_name_fault()))
             continue
         if not isinstance(inner, dict):
-            faults.append(Fault(path=path, why="is not an object"))
+            faults.append(InvalidField(path=path, why="is not an object"))
             continue
-        found: list[Fault] = []
+        found: list[InvalidField] = []
         route = _read_route(
             name=name, raw=inner, path=path, services=services, known=known, faults=found
         )
         if route is not None:
             other = taken.setdefault((route.host, route.prefix), name)
             if other != name:
-                found.append(Fault(path=f"{path}.prefix", why=f"host and prefix of {other}"))
+                found.append(InvalidField(path=f"{path}.prefix", why=f"host and prefix of {other}"))
         faults += found
         if route is not None and not found:
             routes[name] = route
@@ -136,28 +138,28 @@
 
 
 def _read_route(
-    *, name: str, raw: dict, path: str, services: Any, known: dict, faults: list[Fault]
+    *, name: str, raw: dict, path: str, services: Any, known: dict, faults: list[InvalidField]
 ) -> ForwardRoute | None:
     """One route; None where host or prefix can't be read."""
     for key in sorted(raw.keys() - KEYS):
-        faults.append(Fault(path=f"{path}.{key}", why="is not allowed key"))
+        faults.append(InvalidField(path=f"{path}.{key}", why="is not allowed key"))
     host, prefix = raw.get("host"), raw.get("prefix")
     is_placed = _check_place(host=host, prefix=prefix, path=path, faults=faults)
     is_repeatable = raw.get("is_repeatable", False)
     if type(is_repeatable) is not bool:
-        faults.append(Fault(path=f"{path}.is_repeatable", why="value is not true or false"))
+        faults.append(InvalidField(path=f"{path}.is_repeatable", why="value is not true or false"))
     wholes = _read_wholes(raw=raw, path=path, faults=faults)
     weights: tuple[tuple[str, float], ...] = ()
     fan_out: tuple[str, ...] = ()
     limit, quorum = 0, 1
     if ("weights" in raw) == ("fan_out" in raw):
         why = "both weights and fan_out" if "weights" in raw else "neither weights nor fan_out"
-        faults.append(Fault(path=path, why=why))
+        faults.append(InvalidField(path=path, why=why))
     elif "weights" in raw:
         weights = _read_weights(raw=raw["weights"], path=path, services=services, faults=faults)
         for key in ("limit", "quorum"):
             if key in raw:
-                faults.append(Fault(path=f"{path}.{key}", why="stands with fan_out only"))
+                faults.append(InvalidField(path=f"{path}.{key}", why="stands with fan_out only"))
     else:
         fan_out = _read_fan_out(
             raw=raw["fan_out"], path=path, services=services, known=known, faults=faults
@@ -183,18 +185,18 @@
     )
 
 
-def _check_place(*, host: Any, prefix: Any, path: str, faults: list[Fault]) -> bool:
+def _check_place(*, host: Any, prefix: Any, path: str, faults: list[InvalidField]) -> bool:
     """Whether host and path prefix are usable; adds a fault for each that is not."""
     before = len(faults)
     if not is_host(value=host):
-        faults.append(Fault(path=f"{path}.host", why="value is not a host name"))
+        faults.append(InvalidField(path=f"{path}.host", why="value is not a host name"))
     why = _prefix_fault(value=prefix)
     if why:
-        faults.append(Fault(path=f"{path}.prefix", why=why))
+        faults.append(InvalidField(path=f"{path}.prefix", why=why))
     return len(faults) == before
 
 
-def _read_wholes(*, raw: dict, path: str, faults: list[Fault]) -> dict[str, int]:
+def _read_wholes(*, raw: dict, path: str, faults: list[InvalidField]) -> dict[str, int]:
     """The whole-number fields that are in range; adds a fault for each that is not."""
     wholes: dict[str, int] = {}
     for key, (low, default) in WHOLES.items():
@@ -203,27 +205,31 @@
             wholes[key] = value
             continue
         why = "is required" if value is None else f"value is not a whole number from {low}"
-        faults.append(Fault(path=f"{path}.{key}", why=why))
+        faults.append(InvalidField(path=f"{path}.{key}", why=why))
     return wholes
 
 
 def _read_weights(
-    *, raw: Any, path: str, services: Any, faults: list[Fault]
+    *, raw: Any, path: str, services: Any, faults: list[InvalidField]
 ) -> tuple[tuple[str, float], ...]:
     path = f"{path}.weights"
     if not isinstance(raw, dict):
-        faults.append(Fault(path=path, why="is not an object"))
+        faults.append(InvalidField(path=path, why="is not an object"))
         return ()
     total = 0.0
     for service, weight in raw.items():
         if service not in services:
-            faults.append(Fault(path=f"{path}.{service}", why="unknown service"))
+            faults.append(InvalidField(path=f"{path}.{service}", why="unknown service"))
         if not _is_number(value=weight) or weight < 0:
-            faults.append(Fault(path=f"{path}.{service}", why="value is not a number from 0"))
+            faults.append(
+                InvalidField(path=f"{path}.{service}", why="value is not a number from 0")
+            )
             continue
         total += weight
     if not 0 < total < math.inf:
-        faults.append(Fault(path=path, why="the weights sum to 0" if not total else "too large"))
+        faults.append(
+            InvalidField(path=path, why="the weights sum to 0" if not total else "too large")
+        )
         return ()
     return tuple(
         (service, float(weight)) for service, weight in raw.items() if _is_number(value=weight)
@@ -231,14 +237,14 @@
 
 
 def _read_fan_out(
-    *, raw: Any, path: str, services: Any, known: dict, faults: list[Fault]
+    *, raw: Any, path: str, services: Any, known: dict, faults: list[InvalidField]
 ) -> tuple[str, ...]:
     path = f"{path}.fan_out"
     if not isinstance(raw, list) or not raw:
-        faults.append(Fault(path=path, why="is not a list of services, or empty"))
+        faults.append(InvalidField(path=path, why="is not a list of services, or empty"))
         return ()
     if len(raw) > FAN_OUT_LIMIT:
-        faults.append(Fault(path=path, why=f"more than {FAN_OUT_LIMIT} services"))
+        faults.append(InvalidField(path=path, why=f"more than {FAN_OUT_LIMIT} services"))
         return ()
     fan_out = tuple(service for service in raw if isinstance(service, str))
     if len(fan_out) == len(raw) and fan_out in known:
@@ -247,26 +253,32 @@
     before = len(faults)
     for place, service in enumerate(raw):
         if not isinstance(service, str) or service not in services:
-            faults.append(Fault(path=f"{path}.{place}", why="unknown service"))
+            faults.append(InvalidField(path=f"{path}.{place}", why="unknown service"))
             continue
         if service in seen:
-            faults.append(Fault(path=f"{path}.{place}", why=f"service {service} stands twice"))
+            faults.append(
+                InvalidField(path=f"{path}.{place}", why=f"service {service} stands twice")
+            )
         seen.add(service)
     if len(faults) == before:
         known[fan_out] = fan_out
     return fan_out
 
 
-def _read_bounds(*, raw: dict, path: str, shards: int, faults: list[Fault]) -> tuple[int, int]:
+def _read_bounds(
+    *, raw: dict, path: str, shards: int, faults: list[InvalidField]
+) -> tuple[int, int]:
     """The number of records and the quorum of a route with shards."""
     limit = raw.get("limit")
     if not _is_whole(value=limit, low=0):
         why = "is required" if limit is None else "value is not a whole number from 0"
-        faults.append(Fault(path=f"{path}.limit", why=why))
+        faults.append(InvalidField(path=f"{path}.limit", why=why))
         limit = 0
     share = raw.get("quorum", 1.0)
     if not _is_number(value=share) or not 0 < share <= 1:
-        faults.append(Fault(path=f"{path}.quorum", why="value is not a share above 0, up to 1"))
+        faults.append(
+            InvalidField(path=f"{path}.quorum", why="value is not a share above 0, up to 1")
+        )
         return limit, 1
     return limit, quorum_count(share=share, shards=shards) if shards else 1
 
--- a/kelpstage/common/configuration/types.py
+++ b/kelpstage/common/configuration/types.py
@@ -186,12 +186,12 @@
         """Names of the backends that the shard's selector picks, sorted."""
         return self.shard_backends.get((collection, shard), ())
 
-    def node_labels(self, *, name: str, domain: str) -> dict[str, str]:
-        return {"domain": domain, **self.nodes.get(name, {}), "name": name}
+    def node_labels(self, *, name: str, zone: str) -> dict[str, str]:
+        return {"domain": zone, **self.nodes.get(name, {}), "name": name}
 
-    def is_gatherer(self, *, collection: str, name: str, domain: str) -> bool:
+    def is_gatherer(self, *, collection: str, name: str, zone: str) -> bool:
         """May this node merge for this collection?"""
-        labels = self.node_labels(name=name, domain=domain)
+        labels = self.node_labels(name=name, zone=zone)
         if labels.get("drain") == "true":
             return False
         return is_match(selector=self.collections[collection].gatherers, labels=labels)
--- a/kelpstage/common/configuration/validation.py
+++ b/kelpstage/common/configuration/validation.py
@@ -25,7 +25,7 @@
     Shard,
     is_match,
 )
-from kelpstage.common.errors import ConfigurationRefused, Fault
+from kelpstage.common.errors.validation import InvalidConfigurationError, InvalidField
 from kelpstage.common.transport.address import is_address
 
 DOCUMENT_LIMIT = 4 * 1024 * 1024
@@ -129,17 +129,17 @@
 FORWARD_FORM = _form(has_forward=True)
 
 
-def flatten(*, error: Any, path: str = "") -> list[Fault]:
+def flatten(*, error: Any, path: str = "") -> list[InvalidField]:
     """Turn trafaret's nested errors into faults with paths.
 
     >>> flatten(error={"a": {"b": "bad"}})
-    [Fault(path='a.b', why='bad')]
+    [InvalidField(path='a.b', why='bad')]
     """
     if isinstance(error, t.DataError):
         error = error.as_dict()
     if not isinstance(error, dict):
-        return [Fault(path=path or "(whole)", why=str(error))]
-    faults: list[Fault] = []
+        return [InvalidField(path=path or "(whole)", why=str(error))]
+    faults: list[InvalidField] = []
     for name, inner in error.items():
         if name in ("key", "value") and isinstance(inner, (dict, str)) and path:
             faults += flatten(error=inner, path=path)
@@ -161,7 +161,7 @@
     raise ValueError(f"{name} is not JSON")
 
 
-def load_json(*, data: bytes, limit: int = DOCUMENT_LIMIT) -> Any | ConfigurationRefused:
+def load_json(*, data: bytes, limit: int = DOCUMENT_LIMIT) -> Any | InvalidConfigurationError:
     """Read strict JSON: UTF-8, no double keys, no NaN.
 
     >>> load_json(data=b'{"a":1,"a":2}').faults[0].why
@@ -177,25 +177,25 @@
         return _refused(path="(whole)", why=f"not JSON: {error}")
 
 
-def _refused(*, path: str, why: str) -> ConfigurationRefused:
-    return ConfigurationRefused(faults=[Fault(path=path, why=why)])
+def _refused(*, path: str, why: str) -> InvalidConfigurationError:
+    return InvalidConfigurationError(faults=[InvalidField(path=path, why=why)])
 
 
 def _selector(raw: dict) -> Selector:
     return {n: (v,) if isinstance(v, str) else tuple(v) for n, v in raw.items()}
 
 
-def read_configuration(*, data: bytes, version: int) -> Configuration | ConfigurationRefused:
+def read_configuration(*, data: bytes, version: int) -> Configuration | InvalidConfigurationError:
     """Read and judge a whole configuration.
 
     >>> read_configuration(data=b"{}", version=1).faults[0]
-    Fault(path='backends', why='is required')
+    InvalidField(path='backends', why='is required')
     """
     raw = load_json(data=data)
-    if isinstance(raw, ConfigurationRefused):
+    if isinstance(raw, InvalidConfigurationError):
         return raw
     has_forward = isinstance(raw, dict) and "forward" in raw
-    faults: list[Fault] = []
+    faults: list[InvalidField] = []
     form: dict = {}
     try:
         form = (FORWARD_FORM if has_forward else FORM).check(raw)
@@ -212,12 +212,12 @@
         forward, found = read_forward(raw=raw["forward"], services=named)
         faults += found
     if faults:
-        return ConfigurationRefused(faults=faults)
+        return InvalidConfigurationError(faults=faults)
     configuration = _build(
         form=form, data=data, version=version, services=services, forward=forward
     )
     faults = _judge(configuration=configuration, form=form)
-    return ConfigurationRefused(faults=faults) if faults else configuration
+    return InvalidConfigurationError(faults=faults) if faults else configuration
 
 
 def _build(
@@ -314,9 +314,9 @@
     )
 
 
-def _judge(*, configuration: Configuration, form: dict) -> list[Fault]:
+def _judge(*, configuration: Configuration, form: dict) -> list[InvalidField]:
     faults = [
-        Fault(path=f"forward.{name}", why="the name of a collection")
+        InvalidField(path=f"forward.{name}", why="the name of a collection")
         for name in configuration.forward
         if name in form.get("collections", {}) or name in form.get("routes", {})
     ]
@@ -331,31 +331,33 @@
 
 def _judge_collection(
     *, configuration: Configuration, collection: Collection, form: dict
-) -> list[Fault]:
+) -> list[InvalidField]:
     path = f"collections.{collection.name}"
-    faults: list[Fault] = []
+    faults: list[InvalidField] = []
     if not collection.shards:
-        faults.append(Fault(path=f"{path}.shards", why="names no shard"))
+        faults.append(InvalidField(path=f"{path}.shards", why="names no shard"))
     if "gatherers" in form["collections"][collection.name]:
         faults += _judge_gatherers(configuration=configuration, collection=collection, path=path)
     cuts = sorted({shard.cut for shard in collection.shards.values()})
     if len(cuts) > 1:
-        faults.append(Fault(path=f"{path}.shards", why=f"two cuts in one collection: {cuts}"))
+        faults.append(
+            InvalidField(path=f"{path}.shards", why=f"two cuts in one collection: {cuts}")
+        )
     for shard in collection.shards.values():
         at = f"{path}.shards.{shard.name}.selector"
         if not shard.selector:
-            faults.append(Fault(path=at, why="empty selector"))
+            faults.append(InvalidField(path=at, why="empty selector"))
             continue
         if not configuration.backends_of(collection=collection.name, shard=shard.name):
-            faults.append(Fault(path=at, why="picks no backend"))
+            faults.append(InvalidField(path=at, why="picks no backend"))
     return faults
 
 
 def _judge_gatherers(
     *, configuration: Configuration, collection: Collection, path: str
-) -> list[Fault]:
+) -> list[InvalidField]:
     if not collection.gatherers:
-        return [Fault(path=f"{path}.gatherers", why="empty selector")]
+        return [InvalidField(path=f"{path}.gatherers", why="empty selector")]
     if set(collection.gatherers) <= {"name", "domain"}:
         return []
     if any(
@@ -363,27 +365,31 @@
         for name, labels in configuration.nodes.items()
     ):
         return []
-    return [Fault(path=f"{path}.gatherers", why="picks no node")]
+    return [InvalidField(path=f"{path}.gatherers", why="picks no node")]
 
 
-def _judge_route(*, configuration: Configuration, route: Route) -> list[Fault]:
+def _judge_route(*, configuration: Configuration, route: Route) -> list[InvalidField]:
     path = f"routes.{route.collection}"
     collection = configuration.collections.get(route.collection)
     if collection is None:
-        return [Fault(path=path, why="unknown collection")]
-    faults: list[Fault] = []
+        return [InvalidField(path=path, why="unknown collection")]
+    faults: list[InvalidField] = []
     seen: set[str] = set()
     for place, shard in enumerate(route.fan_out):
         if shard not in collection.shards:
-            faults.append(Fault(path=f"{path}.FanOut.{place}", why=f"unknown shard {shard}"))
+            faults.append(InvalidField(path=f"{path}.FanOut.{place}", why=f"unknown shard {shard}"))
         if shard in seen:
-            faults.append(Fault(path=f"{path}.FanOut.{place}", why=f"shard {shard} stands twice"))
+            faults.append(
+                InvalidField(path=f"{path}.FanOut.{place}", why=f"shard {shard} stands twice")
+            )
         seen.add(shard)
     for shard in collection.shards:
         if shard not in seen:
-            faults.append(Fault(path=f"{path}.FanOut", why=f"leaves out shard {shard}"))
+            faults.append(InvalidField(path=f"{path}.FanOut", why=f"leaves out shard {shard}"))
     if route.quorum > len(route.fan_out):
         faults.append(
-            Fault(path=f"{path}.Quorum", why=f"{route.quorum} above {len(route.fan_out)} shards")
+            InvalidField(
+                path=f"{path}.Quorum", why=f"{route.quorum} above {len(route.fan_out)} shards"
+            )
         )
     return faults
--- /dev/null
+++ b/kelpstage/common/errors/__init__.py
@@ -0,0 +1,1 @@
+"""Typed errors, in modules by who raises them."""
--- /dev/null
+++ b/kelpstage/common/errors/serving.py
@@ -0,0 +1,53 @@
+"""Errors of an edge that cannot complete a request."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import Any, ClassVar
+
+from kelpstage.common.errors.base import KelpstageError
+
+
+@dataclass(frozen=True, kw_only=True)
+class NotReadyError(KelpstageError):
+    """This node may not serve yet, or any more (no lease, no configuration)."""
+
+    kind: ClassVar[str] = "not_ready"
+    why: str
+
+
+@dataclass(frozen=True, kw_only=True)
+class OverloadedError(KelpstageError):
+    """This node has too many requests in flight to accept another one."""
+
+    kind: ClassVar[str] = "overloaded"
+    in_flight: int
+
+
+@dataclass(frozen=True, kw_only=True)
+class QuorumNotMetError(KelpstageError):
+    """Fewer shards answered than the route demands."""
+
+    kind: ClassVar[str] = "quorum_not_met"
+    collection: str
+    configuration: int
+    shards_in: int
+    quorum: int
+    missing: list[Any] = field(default_factory=list)
+
+
+@dataclass(frozen=True, kw_only=True)
+class DeadlineExceededError(KelpstageError):
+    """The caller's time was over before an answer was complete."""
+
+    kind: ClassVar[str] = "time_left_spent"
+    where: str
+
+
+@dataclass(frozen=True, kw_only=True)
+class NoBackendError(KelpstageError):
+    """No backend of the shard may be asked at present."""
+
+    kind: ClassVar[str] = "no_backend"
+    shard: str
+    why: str
--- a/kelpstage/common/http/client.py
+++ b/kelpstage/common/http/client.py
@@ -15,7 +15,8 @@
 
 import httptools
 
-from kelpstage.common.errors import ConnectRefused, Defect, LineLost, WaitOver
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.transport import ConnectError, ConnectionLostError, ReplyTimeoutError
 from kelpstage.common.http.connection import BUFFER, RETRY, Connection
 from kelpstage.common.http.deadlines import Deadlines
 from kelpstage.common.http.headers import OWN_HEADERS, head_bytes, joined, kept_for_s
@@ -150,11 +151,13 @@
 
     # --- one exchange ---------------------------------------------------------------
 
-    async def exchange(self, *, call: HttpCall, data: bytes, deadline: float) -> HttpReply | Defect:
+    async def exchange(
+        self, *, call: HttpCall, data: bytes, deadline: float
+    ) -> HttpReply | KelpstageError:
         """Send a request and wait for its reply. Cancelled, it closes the connection."""
         if self._socket is None or not self._socket.is_open():
             self.close()
-            return LineLost(address=self._address, why="closed", was_sent=False)
+            return ConnectionLostError(address=self._address, why="closed", was_sent=False)
         future = self._future = asyncio.get_running_loop().create_future()
         self._call = call
         self._size = 0
@@ -168,7 +171,7 @@
         except OSError as error:  # the kernel took nothing of it
             self._future = self._call = None
             self.close()
-            return LineLost(address=self._address, why=_why(error=error), was_sent=False)
+            return ConnectionLostError(address=self._address, why=_why(error=error), was_sent=False)
         self._total = len(data)
         if sent == self._total:
             self._become(SENT)
@@ -191,11 +194,13 @@
             return
         was_sent = self._socket.unsent() < self._total
         self._finish(
-            outcome=WaitOver(address=self._address, after_us=self._call.wait_us, was_sent=was_sent),
+            outcome=ReplyTimeoutError(
+                address=self._address, after_us=self._call.wait_us, was_sent=was_sent
+            ),
             is_fit=False,
         )
 
-    def _finish(self, *, outcome: HttpReply | Defect, is_fit: bool) -> None:
+    def _finish(self, *, outcome: HttpReply | KelpstageError, is_fit: bool) -> None:
         future, self._future, self._call = self._future, None, None
         self._replies = []
         self._pairs = []
@@ -209,7 +214,7 @@
         self.hand_back()
 
     def _lose(self, *, why: str) -> None:
-        self._finish(outcome=LineLost(address=self._address, why=why), is_fit=False)
+        self._finish(outcome=ConnectionLostError(address=self._address, why=why), is_fit=False)
 
     # --- leases ------------------------------------------------------------------------
 
@@ -421,15 +426,17 @@
         self._pools: dict[str, Pool] = {}
         self._sweep: asyncio.TimerHandle | None = None
 
-    async def fetch(self, *, call: HttpCall) -> HttpReply | Defect:
-        """The reply, or why there is none: `ConnectRefused` (nothing was sent), `LineLost`
-        and `WaitOver` (`was_sent` tells). Cancelled, it closes its connection."""
+    async def fetch(self, *, call: HttpCall) -> HttpReply | KelpstageError:
+        """The reply, or why there is none: `ConnectError` (nothing was sent), `ConnectionLostError`
+        and `ReplyTimeoutError` (`was_sent` tells). Cancelled, it closes its connection."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + call.wait_us / 1_000_000
         address, target = split_url(url=call.url)
         data = request_bytes(call=call, address=address, target=target)
         if data is None:
-            return LineLost(address=address, why="no request in the protocol", was_sent=False)
+            return ConnectionLostError(
+                address=address, why="no request in the protocol", was_sent=False
+            )
         if call.line_limit > 0:
             pool = self._pools.get(address)
             connection = pool.lease_idle() if pool is not None else None
@@ -437,11 +444,11 @@
                 connection = await self._lease_new(call=call, address=address, deadline=deadline)
         else:
             connection = await self._open(call=call, address=address, deadline=deadline)
-        if isinstance(connection, Defect):
+        if isinstance(connection, KelpstageError):
             return connection
         if loop.time() >= deadline:  # the process was frozen or busy while it was opened
             connection.hand_back()
-            return WaitOver(address=address, after_us=call.wait_us, was_sent=False)
+            return ReplyTimeoutError(address=address, after_us=call.wait_us, was_sent=False)
         return await connection.exchange(call=call, data=data, deadline=deadline)
 
     def close(self) -> None:
@@ -464,7 +471,7 @@
 
     async def _lease_new(
         self, *, call: HttpCall, address: str, deadline: float
-    ) -> ClientConnection | Defect:
+    ) -> ClientConnection | KelpstageError:
         """A connection to keep, in a place of the pool that is free or gets free in time."""
         while True:
             pool = self._pools.get(address)
@@ -475,7 +482,7 @@
                 pool.count += 1
                 break
             found = await self._wait(pool=pool, call=call, address=address, deadline=deadline)
-            if isinstance(found, Defect):
+            if isinstance(found, KelpstageError):
                 return found
             if found is None:
                 break
@@ -489,13 +496,13 @@
 
     async def _open_in(
         self, *, pool: Pool, call: HttpCall, address: str, deadline: float
-    ) -> ClientConnection | Defect:
+    ) -> ClientConnection | KelpstageError:
         try:
             connection = await self._open(call=call, address=address, deadline=deadline)
         except BaseException:
             pool.give_up_place()
             raise
-        if isinstance(connection, Defect):
+        if isinstance(connection, KelpstageError):
             pool.give_up_place()
             return connection
         connection.pool = pool
@@ -503,14 +510,16 @@
 
     async def _wait(
         self, *, pool: Pool, call: HttpCall, address: str, deadline: float
-    ) -> ClientConnection | Defect | None:
+    ) -> ClientConnection | KelpstageError | None:
         """Wait in order for a connection, or for a place to open one (None)."""
         future = asyncio.get_running_loop().create_future()
         pool.waiting.append(future)
 
         def time_over() -> None:
             if not future.done():
-                future.set_result(WaitOver(address=address, after_us=call.wait_us, was_sent=False))
+                future.set_result(
+                    ReplyTimeoutError(address=address, after_us=call.wait_us, was_sent=False)
+                )
 
         entry = self.deadlines.at(when=deadline, verb=time_over)
         try:
@@ -528,12 +537,12 @@
 
     async def _open(
         self, *, call: HttpCall, address: str, deadline: float
-    ) -> ClientConnection | Defect:
+    ) -> ClientConnection | KelpstageError:
         try:
             host, port = split_address(address=address)
             sock = socket.socket(family_of(host=host), socket.SOCK_STREAM)
         except (OSError, ValueError) as error:
-            return LineLost(address=address, why=_why(error=error), was_sent=False)
+            return ConnectionLostError(address=address, why=_why(error=error), was_sent=False)
         try:
             sock.setblocking(False)
             tune(sock=sock, is_kept=call.line_limit > 0)
@@ -541,7 +550,7 @@
             if number == errno.EINPROGRESS:
                 if not await self._is_writable(sock=sock, deadline=deadline):
                     sock.close()
-                    return WaitOver(address=address, after_us=call.wait_us, was_sent=False)
+                    return ReplyTimeoutError(address=address, after_us=call.wait_us, was_sent=False)
                 number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if number:
                 sock.close()
@@ -549,7 +558,7 @@
             return ClientConnection(client=self, address=address, sock=sock)
         except (OSError, ValueError, OverflowError) as error:
             sock.close()
-            return LineLost(address=address, why=_why(error=error), was_sent=False)
+            return ConnectionLostError(address=address, why=_why(error=error), was_sent=False)
         except BaseException:
             sock.close()
             raise
@@ -604,7 +613,7 @@
     return getattr(error, "strerror", None) or type(error).__name__
 
 
-def _not_open(*, number: int, address: str, wait_us: int) -> Defect:
+def _not_open(*, number: int, address: str, wait_us: int) -> KelpstageError:
     """What a failed connect comes to: nothing was sent in any case.
 
     >>> _not_open(number=errno.ECONNREFUSED, address="a", wait_us=1).kind
@@ -613,7 +622,9 @@
     False
     """
     if number in HERE:
-        return LineLost(address=address, why=errno.errorcode.get(number, ""), was_sent=False)
+        return ConnectionLostError(
+            address=address, why=errno.errorcode.get(number, ""), was_sent=False
+        )
     if number == errno.ETIMEDOUT:
-        return WaitOver(address=address, after_us=wait_us, was_sent=False)
-    return ConnectRefused(address=address)
+        return ReplyTimeoutError(address=address, after_us=wait_us, was_sent=False)
+    return ConnectError(address=address)
--- a/kelpstage/common/http/replies.py
+++ b/kelpstage/common/http/replies.py
@@ -4,7 +4,8 @@
 
 import json
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.http.error_status import status_of
 from kelpstage.common.ports.interfaces import HttpReply
 
 JSON_TYPE = "application/json"
@@ -23,17 +24,20 @@
     )
 
 
-def defect_reply(*, defect: Defect, headers: dict | None = None, search: str = "") -> HttpReply:
-    """The reply a defect asks for, with `Retry-After` where coming back helps, and
+def error_reply(
+    *, error: KelpstageError, headers: dict | None = None, search: str = ""
+) -> HttpReply:
+    """The reply that an error asks for, with `Retry-After` where coming back helps, and
     the id of the search that came to it.
 
-    >>> from kelpstage.common.errors import NotReady
-    >>> reply = defect_reply(defect=NotReady(why="no lease"))
+    >>> from kelpstage.common.errors.serving import NotReadyError
+    >>> reply = error_reply(error=NotReadyError(why="no lease"))
     >>> reply.status, reply.headers["Retry-After"]
     (503, '1')
     """
     extra = dict(headers or {})
-    if defect.retry_after_s is not None:
-        extra["Retry-After"] = str(defect.retry_after_s)
-    body = {"defect": defect.as_json()} | ({"search": search} if search else {})
-    return json_reply(status=defect.status, body=body, headers=extra)
+    status = status_of(error=error)
+    if status.retry_after_s is not None:
+        extra["Retry-After"] = str(status.retry_after_s)
+    body = {"defect": error.as_json()} | ({"search": search} if search else {})
+    return json_reply(status=status.code, body=body, headers=extra)
--- a/kelpstage/common/http/server.py
+++ b/kelpstage/common/http/server.py
@@ -15,18 +15,18 @@
 
 import httptools
 
-from kelpstage.common.errors import (
-    AddressTaken,
-    BadRequest,
-    BrokenHandler,
-    Defect,
-    OversizedBody,
-    OversizedHead,
-    SlowRequest,
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.requests import (
+    BadRequestError,
+    BodyTooLargeError,
+    HeadersTooLargeError,
+    InternalError,
+    RequestReadTimeoutError,
 )
+from kelpstage.common.errors.transport import AddressInUseError
 from kelpstage.common.http.connection import BUFFER, Connection
 from kelpstage.common.http.headers import REASONS, cleaned, head_bytes, joined
-from kelpstage.common.http.replies import defect_reply
+from kelpstage.common.http.replies import error_reply
 from kelpstage.common.http.socket_options import family_of, tune
 from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply
 from kelpstage.common.transport.address import split_address
@@ -107,7 +107,7 @@
         self._deaf_bytes = 0
         self._stuck = 0
         self._served = 0
-        self._refusal: Defect | None = None
+        self._refusal: KelpstageError | None = None
         # the request being read
         self._url = b""
         self._pairs: list[tuple[str, str]] = []
@@ -164,7 +164,7 @@
         except httptools.HttpParserError as error:
             if self._is_kept or self.stage != IDLE:
                 why = str(error).partition("(")[0].strip()
-                self._refuse(defect=self._refusal or BadRequest(part="request", why=why))
+                self._refuse(error=self._refusal or BadRequestError(part="request", why=why))
             else:  # bytes after the last request of this connection
                 self._end_reading()
         if self.stage == HEAD and not self._is_deaf:
@@ -172,7 +172,7 @@
                 self._head_fed += size  # all of it belongs to this head
             limit = self._server.limits().header_bytes
             if self._head_fed > limit:
-                self._refuse(defect=OversizedHead(limit_bytes=limit))
+                self._refuse(error=HeadersTooLargeError(limit_bytes=limit))
         if len(self._queue) > QUEUE and not self._is_paused and self._connection is not None:
             self._is_paused = True
             self._connection.pause_reading()
@@ -185,11 +185,11 @@
         self._parser = None
         self._is_kept = False
 
-    def _refuse(self, *, defect: Defect) -> None:
+    def _refuse(self, *, error: KelpstageError) -> None:
         """Answer in its turn, and close: where the next request begins is not known."""
         self._end_reading()
         self._body = []
-        self._queue.append(defect_reply(defect=defect))
+        self._queue.append(error_reply(error=error))
         if self._task is None:
             self._next()
 
@@ -216,7 +216,7 @@
         self._trailer_size += len(name) + len(value) + 4
         limit = self._server.limits().header_bytes
         if self._trailer_size > limit:
-            raise self._stopped(defect=OversizedHead(limit_bytes=limit))
+            raise self._stopped(error=HeadersTooLargeError(limit_bytes=limit))
 
     def on_headers_complete(self) -> None:
         self.stage = BODY
@@ -228,7 +228,7 @@
         for name, value in pairs:
             size += len(name) + len(value)
         if size > limits.header_bytes:
-            raise self._stopped(defect=OversizedHead(limit_bytes=limits.header_bytes))
+            raise self._stopped(error=HeadersTooLargeError(limit_bytes=limits.header_bytes))
         headers = self._headers = joined(pairs=pairs)
         self._trailer_size = 0
         version = parser.get_http_version()
@@ -245,7 +245,7 @@
         if coding is not None and (self._is_old or coding.lower() != "chunked"):
             raise self._bad(why="a transfer coding other than chunked")
         if length is not None and int(length) > self._body_limit:
-            raise self._stopped(defect=OversizedBody(limit_bytes=self._body_limit))
+            raise self._stopped(error=BodyTooLargeError(limit_bytes=self._body_limit))
         has_body = coding is not None or length not in (None, "0")
         if has_body and parser.should_upgrade():
             raise self._bad(why="an upgrade with a body")
@@ -258,7 +258,7 @@
     def on_body(self, body: bytes) -> None:
         self._body_size += len(body)
         if self._body_size > self._body_limit:
-            raise self._stopped(defect=OversizedBody(limit_bytes=self._body_limit))
+            raise self._stopped(error=BodyTooLargeError(limit_bytes=self._body_limit))
         self._body.append(body)
 
     def on_message_complete(self) -> None:
@@ -278,10 +278,10 @@
         self._queue.append((call, self._is_kept, self._is_old, read_s))
 
     def _bad(self, *, why: str) -> _Stop:
-        return self._stopped(defect=BadRequest(part="request", why=why))
+        return self._stopped(error=BadRequestError(part="request", why=why))
 
-    def _stopped(self, *, defect: Defect) -> _Stop:
-        self._refusal = defect
+    def _stopped(self, *, error: KelpstageError) -> _Stop:
+        self._refusal = error
         return _Stop()
 
     # --- answers -------------------------------------------------------------------------
@@ -320,7 +320,7 @@
             asyncio.get_running_loop().call_exception_handler(
                 {"message": f"the answer to {call.method} {call.url} broke", "exception": error}
             )
-            reply = defect_reply(defect=BrokenHandler(why=type(error).__name__))
+            reply = error_reply(error=InternalError(why=type(error).__name__))
         self._task = None
         if self._connection is None:  # the caller has left before its answer
             self._server.forget_line(line=self)
@@ -387,9 +387,9 @@
         elif self._is_paused:
             return
         elif self.stage == HEAD and spent > span:
-            self._refuse(defect=SlowRequest(part="head", after_us=limits.header_us))
+            self._refuse(error=RequestReadTimeoutError(part="head", after_us=limits.header_us))
         elif self.stage == BODY and (now - self._moved > span or spent > BODY_SPANS * span):
-            self._refuse(defect=SlowRequest(part="body", after_us=limits.header_us))
+            self._refuse(error=RequestReadTimeoutError(part="body", after_us=limits.header_us))
         elif self.is_quiet():
             idle_s = limits.idle_us / 1_000_000
             if spent > (min(LINGER_S, idle_s) if self._server.is_closing else idle_s):
@@ -407,7 +407,7 @@
         self._sweep: asyncio.TimerHandle | None = None
         self._sock: socket.socket | None = None
 
-    async def open(self, *, address: str) -> Defect | None:
+    async def open(self, *, address: str) -> KelpstageError | None:
         host, port = split_address(address=address)
         sock = socket.socket(family_of(host=host), socket.SOCK_STREAM)
         try:
@@ -418,7 +418,7 @@
             sock.listen(BACKLOG)
         except OSError as error:
             sock.close()
-            return AddressTaken(address=address, why=str(error))
+            return AddressInUseError(address=address, why=str(error))
         self._sock = sock
         self._listen()
         return None
--- a/kelpstage/common/ports/live.py
+++ b/kelpstage/common/ports/live.py
@@ -14,13 +14,13 @@
 
 from tornado import gen, ioloop, iostream, netutil, tcpclient, tcpserver
 
-from kelpstage.common.errors import (
-    AddressTaken,
-    ConnectRefused,
-    Defect,
-    DiskDefect,
-    LineLost,
-    WaitOver,
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.storage import DiskError
+from kelpstage.common.errors.transport import (
+    AddressInUseError,
+    ConnectError,
+    ConnectionLostError,
+    ReplyTimeoutError,
 )
 from kelpstage.common.http.client import HttpClient
 from kelpstage.common.http.server import HttpServer
@@ -65,13 +65,13 @@
         self._pending = 0
         stream.set_nodelay(True)
 
-    async def read(self, *, size: int) -> bytes | Defect:
+    async def read(self, *, size: int) -> bytes | KelpstageError:
         try:
             return await self._stream.read_bytes(size)
         except iostream.StreamClosedError as error:
-            return LineLost(address=self._address, why=str(error.real_error or "closed"))
+            return ConnectionLostError(address=self._address, why=str(error.real_error or "closed"))
         except iostream.UnsatisfiableReadError:
-            return LineLost(address=self._address, why="unsatisfiable read")
+            return ConnectionLostError(address=self._address, why="unsatisfiable read")
 
     def write(self, *, data: bytes) -> None:
         if self._stream.closed():
@@ -142,16 +142,16 @@
 
     async def connect(
         self, *, address: str, wait_us: int, lost_after_us: int = 0
-    ) -> LiveStream | Defect:
+    ) -> LiveStream | KelpstageError:
         try:
             host, port = split_address(address=address)
             stream = await self._tcp.connect(
                 host, port, timeout=wait_us / 1_000_000, max_buffer_size=64 * 1024 * 1024
             )
         except gen.TimeoutError:
-            return WaitOver(address=address, after_us=wait_us)
+            return ReplyTimeoutError(address=address, after_us=wait_us)
         except (OSError, iostream.StreamClosedError, ValueError, OverflowError):
-            return ConnectRefused(address=address)  # nobody there, or no address
+            return ConnectError(address=address)  # nobody there, or no address
         if lost_after_us:
             notice_loss(sock=stream.socket, after_ms=lost_after_us // 1000)
         return LiveStream(stream=stream, address=address)
@@ -162,7 +162,7 @@
         try:
             sockets = netutil.bind_sockets(port, host)
         except OSError as error:
-            return AddressTaken(address=address, why=str(error))
+            return AddressInUseError(address=address, why=str(error))
         if lost_after_us:
             for sock in sockets:
                 notice_loss(sock=sock, after_ms=lost_after_us // 1000)
@@ -176,10 +176,10 @@
             sock.bind(split_address(address=address))
         except OSError as error:
             sock.close()
-            return AddressTaken(address=address, why=str(error))
+            return AddressInUseError(address=address, why=str(error))
         return LiveDatagrams(sock=sock, on_datagram=on_datagram)
 
-    async def fetch(self, *, call: HttpCall) -> HttpReply | Defect:
+    async def fetch(self, *, call: HttpCall) -> HttpReply | KelpstageError:
         return await self._client.fetch(call=call)
 
     async def serve_http(
@@ -189,7 +189,7 @@
         on_call: Callable,
         body_limit: int,
         limits: Callable[[], HttpLimits] | None = None,
-    ) -> HttpServer | Defect:
+    ) -> HttpServer | KelpstageError:
         """Serve until `close()`; `limits` is asked at each request and goes before
         `body_limit`."""
         fixed = HttpLimits(body_bytes=body_limit)
@@ -219,18 +219,18 @@
                 return work(os.path.join(self._root, path))
             except OSError as error:
                 name = errno.errorcode.get(error.errno or 0, "EIO")
-                return DiskDefect(path=path, op=op, why=name)
+                return DiskError(path=path, op=op, why=name)
 
         return await asyncio.get_running_loop().run_in_executor(self._thread, run)
 
-    async def names(self, *, folder: str) -> list[str] | Defect:
+    async def names(self, *, folder: str) -> list[str] | KelpstageError:
         def work(path: str) -> list[str]:
             os.makedirs(path, exist_ok=True)
             return sorted(os.listdir(path))
 
         return await self._off_loop(op="names", path=folder, work=work)
 
-    async def read(self, *, path: str) -> bytes | None | Defect:
+    async def read(self, *, path: str) -> bytes | None | KelpstageError:
         def work(full: str) -> bytes | None:
             if not os.path.exists(full):
                 return None
@@ -239,7 +239,7 @@
 
         return await self._off_loop(op="read", path=path, work=work)
 
-    async def append(self, *, path: str, data: bytes, at: int) -> Defect | None:
+    async def append(self, *, path: str, data: bytes, at: int) -> KelpstageError | None:
         def work(full: str) -> None:
             with open(full, "r+b" if os.path.exists(full) else "w+b") as file:
                 # Written over before the rest is cut off: a torn write of the same bytes
@@ -250,7 +250,7 @@
 
         return await self._off_loop(op="append", path=path, work=work)
 
-    async def sync(self, *, path: str) -> Defect | None:
+    async def sync(self, *, path: str) -> KelpstageError | None:
         def work(full: str) -> None:
             handle = os.open(full, os.O_RDWR)
             try:
@@ -260,7 +260,7 @@
 
         return await self._off_loop(op="sync", path=path, work=work)
 
-    async def sync_folder(self, *, folder: str) -> Defect | None:
+    async def sync_folder(self, *, folder: str) -> KelpstageError | None:
         def work(full: str) -> None:
             handle = os.open(full, os.O_RDONLY)
             try:
@@ -270,20 +270,20 @@
 
         return await self._off_loop(op="sync_folder", path=folder, work=work)
 
-    async def write(self, *, path: str, data: bytes) -> Defect | None:
+    async def write(self, *, path: str, data: bytes) -> KelpstageError | None:
         def work(full: str) -> None:
             with open(full, "wb") as file:
                 file.write(data)
 
         return await self._off_loop(op="write", path=path, work=work)
 
-    async def rename(self, *, path: str, to: str) -> Defect | None:
+    async def rename(self, *, path: str, to: str) -> KelpstageError | None:
         def work(full: str) -> None:
             os.replace(full, os.path.join(self._root, to))
 
         return await self._off_loop(op="rename", path=path, work=work)
 
-    async def delete(self, *, path: str) -> Defect | None:
+    async def delete(self, *, path: str) -> KelpstageError | None:
         return await self._off_loop(op="delete", path=path, work=os.unlink)
 
 
--- a/kelpstage/common/process.py
+++ b/kelpstage/common/process.py
@@ -8,7 +8,7 @@
 import sys
 from typing import Any, Callable
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.log.ring import install_ring, logger
 from kelpstage.common.ports.interfaces import Ports
 from kelpstage.common.ports.live import live_ports
@@ -63,7 +63,7 @@
     def reread(self) -> None:
         self._stamp = self._look()
         try:
-            self._daemon.reread(env=self._read())
+            self._daemon.reread(settings=self._read())
         except SystemExit:
             log.error("the settings can't be read again; those before stay")
 
@@ -96,9 +96,9 @@
 
     ports.on_broken = end_broken
     daemon = build(ports)
-    defect = await daemon.open()
-    if isinstance(defect, Defect):
-        print(f"{program}: {defect.kind}: {defect.as_json()}", file=sys.stderr)
+    error = await daemon.open()
+    if isinstance(error, KelpstageError):
+        print(f"{program}: {error.kind}: {error.as_json()}", file=sys.stderr)
         return 1
     log.info("{} is open", program)
     if read_settings is not None:
--- a/kelpstage/common/recording/format.py
+++ b/kelpstage/common/recording/format.py
@@ -10,7 +10,7 @@
 import struct
 from typing import Any
 
-from kelpstage.common.errors import DayForeign, DayTorn
+from kelpstage.common.errors.storage import InvalidRecordingError, TruncatedRecordingError
 from kelpstage.common.log.checksummed import has_sealed, seal, unseal
 
 FORMAT = 1
@@ -32,8 +32,8 @@
 
 def read_day(
     *, path: str, data: bytes, is_torn_tail_fine: bool = False
-) -> list[Row] | DayTorn | DayForeign:
-    """All rows of a day; a torn tail is a defect unless it was said to be fine.
+) -> list[Row] | TruncatedRecordingError | InvalidRecordingError:
+    """All rows of a day; a torn tail is a error unless it was said to be fine.
 
     >>> whole = HEAD + pack_row(row={"what": "call", "at_us": 1})
     >>> read_day(path="p", data=whole + b"torn").offset == len(whole)
@@ -44,20 +44,22 @@
     'not a day'
     """
     if not data.startswith(MAGIC):
-        return DayForeign(path=path, offset=0, why="not a day")
+        return InvalidRecordingError(path=path, offset=0, why="not a day")
     if not data.startswith(HEAD):
-        return DayForeign(path=path, offset=len(MAGIC), why="another format of days")
+        return InvalidRecordingError(path=path, offset=len(MAGIC), why="another format of days")
     rows: list[Row] = []
     offset = len(HEAD)
     while offset < len(data):
         found = unseal(data=data, offset=offset)
         if found is None:
             if has_sealed(data=data, start=offset + 1):
-                return DayForeign(path=path, offset=offset, why="a record fails its check")
-            return rows if is_torn_tail_fine else DayTorn(path=path, offset=offset)
+                return InvalidRecordingError(
+                    path=path, offset=offset, why="a record fails its check"
+                )
+            return rows if is_torn_tail_fine else TruncatedRecordingError(path=path, offset=offset)
         row = _read_row(body=found[0])
         if row is None:
-            return DayForeign(path=path, offset=offset, why="a row that can't be read")
+            return InvalidRecordingError(path=path, offset=offset, why="a row that can't be read")
         rows.append(row)
         offset = found[1]
     return rows
--- a/kelpstage/common/recording/writer.py
+++ b/kelpstage/common/recording/writer.py
@@ -5,7 +5,7 @@
 
 from collections import Counter
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import Ports
 from kelpstage.common.recording.format import HEAD, Row, pack_row
 
@@ -48,7 +48,7 @@
             return
         data = b"".join(self._kept)
         outcome = await self._ports.disk.append(path=self._path, data=data, at=self._offset)
-        if isinstance(outcome, Defect):
+        if isinstance(outcome, KelpstageError):
             self._counts["day_writes_failed"] += 1
             return
         written = len(data)
--- a/kelpstage/common/settings/bounds.py
+++ b/kelpstage/common/settings/bounds.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field, fields
 from typing import Any
 
-from kelpstage.common.errors import Fault
+from kelpstage.common.errors.validation import InvalidField
 
 LEAST_VOTERS = 3
 
@@ -38,44 +38,46 @@
         return max(LEAST_VOTERS, 2 * self.tolerance + 1)
 
 
-def bounds_of(*, env: dict) -> Bounds:
+def bounds_of(*, settings: dict) -> Bounds:
     """The bounds in judged settings.
 
-    >>> bounds_of(env={"bounds": {"drain_us": 5}}).drain_us
+    >>> bounds_of(settings={"bounds": {"drain_us": 5}}).drain_us
     5
     """
     known = {one.name for one in fields(Bounds)}
-    return Bounds(**{n: v for n, v in env.get("bounds", {}).items() if n in known})
+    return Bounds(**{n: v for n, v in settings.get("bounds", {}).items() if n in known})
 
 
-def voters_of(*, env: dict) -> int:
+def voters_of(*, settings: dict) -> int:
     """How many voters the core is to have, if there are as many cores.
 
-    >>> voters_of(env={}), voters_of(env={"voters": 7}), voters_of(env={"bounds": {"tolerance": 2}})
-    (3, 7, 5)
+    >>> voters_of(settings={}), voters_of(settings={"voters": 7})
+    (3, 7)
+    >>> voters_of(settings={"bounds": {"tolerance": 2}})
+    5
     """
-    return env.get("voters", bounds_of(env=env).voters)
+    return settings.get("voters", bounds_of(settings=settings).voters)
 
 
-def judge_bounds(*, env: dict) -> list[Fault]:
+def validate_bounds(*, settings: dict) -> list[InvalidField]:
     """Values that can't go together, each told plainly.
 
-    >>> judge_bounds(env={"voters": 4, "bounds": {"tolerance": 2}})[0].path
+    >>> validate_bounds(settings={"voters": 4, "bounds": {"tolerance": 2}})[0].path
     'voters'
     """
-    bounds = bounds_of(env=env)
-    faults: list[Fault] = []
-    if voters_of(env=env) < 2 * bounds.tolerance + 1:
-        why = f"{env['voters']} can't bear the loss of {bounds.tolerance}: {bounds.voters} can"
-        faults.append(Fault(path="voters", why=why))
-    zone_region = bounds.zones.get(env.get("domain", ""), "")
+    bounds = bounds_of(settings=settings)
+    faults: list[InvalidField] = []
+    if voters_of(settings=settings) < 2 * bounds.tolerance + 1:
+        why = f"{settings['voters']} can't bear the loss of {bounds.tolerance}: {bounds.voters} can"
+        faults.append(InvalidField(path="voters", why=why))
+    zone_region = bounds.zones.get(settings.get("domain", ""), "")
     if bounds.region and zone_region and zone_region != bounds.region:
-        why = f"{bounds.region}, but the domain {env['domain']} lies in {zone_region}"
-        faults.append(Fault(path="bounds.region", why=why))
+        why = f"{bounds.region}, but the zone {settings['domain']} lies in {zone_region}"
+        faults.append(InvalidField(path="bounds.region", why=why))
     taken: dict[Any, str] = {}
     for name in ("own", "http", "front"):
-        address = env.get(name)
+        address = settings.get(name)
         if address is not None and address in taken:
-            faults.append(Fault(path=name, why=f"the same address as {taken[address]}"))
+            faults.append(InvalidField(path=name, why=f"the same address as {taken[address]}"))
         taken.setdefault(address, name)
     return faults
--- a/kelpstage/common/settings/loading.py
+++ b/kelpstage/common/settings/loading.py
@@ -8,8 +8,12 @@
 import trafaret as t
 
 from kelpstage.common.configuration.validation import ADDRESS, NAME, flatten, load_json
-from kelpstage.common.errors import ConfigurationRefused, EnvRefused, Fault
-from kelpstage.common.settings.bounds import judge_bounds
+from kelpstage.common.errors.validation import (
+    InvalidConfigurationError,
+    InvalidField,
+    InvalidSettingsError,
+)
+from kelpstage.common.settings.bounds import validate_bounds
 
 
 def _url(value: Any) -> Any:
@@ -83,24 +87,26 @@
 )
 
 
-def judge_env(*, raw: Any, form: t.Trafaret) -> dict | EnvRefused:
-    """Judge settings; every fault is named with its path.
+def validate_settings(*, raw: Any, form: t.Trafaret) -> dict | InvalidSettingsError:
+    """Validate settings; every fault is named with its path.
 
-    >>> judge_env(raw={"name": "n"}, form=EDGE_FORM).faults[0].path
+    >>> validate_settings(raw={"name": "n"}, form=EDGE_FORM).faults[0].path
     'domain'
     """
     try:
-        env = form.check(raw)
+        settings = form.check(raw)
     except t.DataError as error:
-        return EnvRefused(faults=flatten(error=error))
-    faults = judge_bounds(env=env)
-    return EnvRefused(faults=faults) if faults else env
+        return InvalidSettingsError(faults=flatten(error=error))
+    faults = validate_bounds(settings=settings)
+    return InvalidSettingsError(faults=faults) if faults else settings
 
 
-def read_env(*, file: str | None, flags: dict, form: t.Trafaret) -> dict | EnvRefused:
+def read_settings_file(
+    *, file: str | None, flags: dict, form: t.Trafaret
+) -> dict | InvalidSettingsError:
     """Settings from a file, with the flags that were given laid over it.
 
-    >>> read_env(file="/nowhere", flags={}, form=CORE_FORM).faults[0].path
+    >>> read_settings_file(file="/nowhere", flags={}, form=CORE_FORM).faults[0].path
     '/nowhere'
     """
     raw: Any = {}
@@ -109,22 +115,24 @@
             with open(file, "rb") as handle:
                 raw = load_json(data=handle.read())
         except OSError as error:
-            return EnvRefused(faults=[Fault(path=file, why=error.strerror or "unreadable")])
-        if isinstance(raw, ConfigurationRefused):
-            return EnvRefused(faults=[Fault(path=file, why=raw.faults[0].why)])
+            return InvalidSettingsError(
+                faults=[InvalidField(path=file, why=error.strerror or "unreadable")]
+            )
+        if isinstance(raw, InvalidConfigurationError):
+            return InvalidSettingsError(faults=[InvalidField(path=file, why=raw.faults[0].why)])
         if not isinstance(raw, dict):
-            return EnvRefused(faults=[Fault(path=file, why="not a JSON object")])
+            return InvalidSettingsError(faults=[InvalidField(path=file, why="not a JSON object")])
     given = {name: value for name, value in flags.items() if value not in (None, [], ())}
-    return judge_env(raw={**raw, **given}, form=form)
+    return validate_settings(raw={**raw, **given}, form=form)
 
 
-def env_or_exit(*, outcome: dict | EnvRefused) -> dict:
+def settings_or_exit(*, outcome: dict | InvalidSettingsError) -> dict:
     """The settings, or every fault on stderr and exit code 2.
 
-    >>> env_or_exit(outcome={"a": 1})
+    >>> settings_or_exit(outcome={"a": 1})
     {'a': 1}
     """
-    if not isinstance(outcome, EnvRefused):
+    if not isinstance(outcome, InvalidSettingsError):
         return outcome
     for fault in outcome.faults:
         print(f"setting {fault.path}: {fault.why}", file=sys.stderr)
--- a/kelpstage/common/transport/codec.py
+++ b/kelpstage/common/transport/codec.py
@@ -156,8 +156,8 @@
 def read(*, message: Message, data: bytes) -> None:
     """Take a message's bytes; fields that are not known are passed over.
 
-    >>> from kelpstage.common.transport.messages import Meet
-    >>> read(message=Meet(), data=b"\\x0a\\x7f")
+    >>> from kelpstage.common.transport.messages import RegisterEdge
+    >>> read(message=RegisterEdge(), data=b"\\x0a\\x7f")
     Traceback (most recent call last):
     ValueError: cut short
     """
--- a/kelpstage/common/transport/connections.py
+++ b/kelpstage/common/transport/connections.py
@@ -1,7 +1,7 @@
 """Own lines: framed messages over streams, many calls at a time on each.
 
 `LineServer` takes calls and one-way messages; `Lines` keeps one connection for
-each partner and lane, so that bulk never stands before control, while it is used.
+each peer and lane, so that bulk never stands before control, while it is used.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from dataclasses import replace
 from typing import Any, Awaitable, Callable
 
-from kelpstage.common.errors import (
-    BadFrame,
-    ConnectRefused,
-    Defect,
-    LineLost,
-    WaitOver,
-    WireMismatch,
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.transport import (
+    ConnectError,
+    ConnectionLostError,
+    InvalidFrameError,
+    ProtocolVersionError,
+    ReplyTimeoutError,
 )
 from kelpstage.common.ports.interfaces import Ports, Stream
 from kelpstage.common.transport import frames
@@ -35,31 +35,31 @@
 Handler = Callable[[Any, str], Awaitable[Any]]
 
 
-async def _read_frame(*, stream: Stream, lane: int, address: str) -> tuple | Defect:
+async def _read_frame(*, stream: Stream, lane: int, address: str) -> tuple | KelpstageError:
     data = await stream.read(size=HEAD.size)
-    if isinstance(data, Defect):
+    if isinstance(data, KelpstageError):
         return data
     head = frames.read_head(data=data, lane=lane, address=address)
-    if isinstance(head, Defect):
+    if isinstance(head, KelpstageError):
         return head
     body = await stream.read(size=head.size) if head.size else b""
-    if isinstance(body, Defect):
+    if isinstance(body, KelpstageError):
         return body
     message = frames.read_body(head=head, data=body, address=address)
-    if isinstance(message, Defect):
+    if isinstance(message, KelpstageError):
         return message
     return head, message
 
 
-async def _read_preface(*, stream: Stream, address: str) -> int | Defect:
+async def _read_preface(*, stream: Stream, address: str) -> int | KelpstageError:
     data = await stream.read(size=PREFACE.size)
-    if isinstance(data, Defect):
+    if isinstance(data, KelpstageError):
         return data
     magic, version, lane = PREFACE.unpack(data)
     if magic != frames.MAGIC or lane not in frames.FRAME_LIMITS:
-        return BadFrame(address=address, why="not an own line")
+        return InvalidFrameError(address=address, why="not an own line")
     if version != frames.WIRE_VERSION:
-        return WireMismatch(address=address, ours=frames.WIRE_VERSION, theirs=version)
+        return ProtocolVersionError(address=address, ours=frames.WIRE_VERSION, theirs=version)
     return lane
 
 
@@ -89,11 +89,11 @@
         self._serial = 0
         self._listener: Any = None
 
-    async def open(self) -> Defect | None:
+    async def open(self) -> KelpstageError | None:
         outcome = await self._ports.net.listen(
             address=self._address, on_stream=self._serve, lost_after_us=LOST_AFTER_US
         )
-        if isinstance(outcome, Defect):
+        if isinstance(outcome, KelpstageError):
             return outcome
         self._listener = outcome
         return None
@@ -113,27 +113,27 @@
         self._counts[f"line_{outcome.kind}"] += 1
         stream.close()
 
-    async def _serve_frames(self, *, stream: Stream, source: str) -> Defect:
+    async def _serve_frames(self, *, stream: Stream, source: str) -> KelpstageError:
         timeout = _PrefaceTimeout(ports=self._ports, stream=stream)
         lane = await _read_preface(stream=stream, address=source)
         if timeout.is_over:
-            return WaitOver(address=source, after_us=PREFACE_WAIT_US)
+            return ReplyTimeoutError(address=source, after_us=PREFACE_WAIT_US)
         timeout.is_done = True
-        if isinstance(lane, WireMismatch):
+        if isinstance(lane, ProtocolVersionError):
             stream.write(data=frames.preface(lane=frames.CONTROL))
             return lane
-        if isinstance(lane, Defect):
+        if isinstance(lane, KelpstageError):
             return lane
         stream.write(data=frames.preface(lane=lane))
         room = asyncio.Semaphore(IN_WORK_LIMIT)
         while True:
             await room.acquire()
             outcome = await _read_frame(stream=stream, lane=lane, address=source)
-            if isinstance(outcome, Defect):
+            if isinstance(outcome, KelpstageError):
                 return outcome
             head, message = outcome
             if head.flag == REPLY:
-                return BadFrame(address=source, why="a reply nobody asked for")
+                return InvalidFrameError(address=source, why="a reply nobody asked for")
             self._ports.spawn(
                 self._answer(
                     stream=stream, source=source, head=head, message=message, lane=lane, room=room
@@ -203,11 +203,11 @@
         outcome = await self.ports.net.connect(
             address=self.address, wait_us=CONNECT_WAIT_US, lost_after_us=LOST_AFTER_US
         )
-        if isinstance(outcome, Defect):
+        if isinstance(outcome, KelpstageError):
             self.end(
-                defect=outcome
-                if isinstance(outcome, WaitOver)
-                else ConnectRefused(address=self.address)
+                error=outcome
+                if isinstance(outcome, ReplyTimeoutError)
+                else ConnectError(address=self.address)
             )
             return
         if self.is_ended:
@@ -217,18 +217,20 @@
         outcome.write(data=frames.preface(lane=self.lane) + b"".join(self.outbox.values()))
         self.outbox.clear()
         lane = await _read_preface(stream=outcome, address=self.address)
-        if isinstance(lane, Defect):
-            self.end(defect=lane)
+        if isinstance(lane, KelpstageError):
+            self.end(error=lane)
             return
         while True:
             got = await _read_frame(stream=outcome, lane=self.lane, address=self.address)
-            if isinstance(got, Defect):
-                self.end(defect=got)
+            if isinstance(got, KelpstageError):
+                self.end(error=got)
                 return
             self.heard_us = self.ports.clock.now_us()
             head, message = got
             if head.flag != REPLY:
-                self.end(defect=BadFrame(address=self.address, why="a message nobody takes here"))
+                self.end(
+                    error=InvalidFrameError(address=self.address, why="a message nobody takes here")
+                )
                 return
             future = self.waiting.pop(head.mark, None)
             if future is not None and not future.done():
@@ -237,32 +239,32 @@
 
     def retire(self) -> None:
         """Nothing was heard for long: later calls take a new line, those that wait
-        here keep their time, since the partner may only be slow."""
+        here keep their time, since the peer may only be slow."""
         self.is_retired = True
         self._on_end(self)
 
     def end_if_idle(self) -> None:
         if self.is_retired and not self.waiting:
-            self.end(defect=LineLost(address=self.address, why="retired"))
+            self.end(error=ConnectionLostError(address=self.address, why="retired"))
 
-    def end(self, *, defect: Defect) -> None:
+    def end(self, *, error: KelpstageError) -> None:
         if self.is_ended:
             return
         self.is_ended = True
         self._on_end(self)
         if self.stream is not None:
             self.stream.close()
-        elif isinstance(defect, (LineLost, WaitOver)):
-            defect = replace(defect, was_sent=False)  # it was never open
+        elif isinstance(error, (ConnectionLostError, ReplyTimeoutError)):
+            error = replace(error, was_sent=False)  # it was never open
         self.outbox.clear()
         for future in self.waiting.values():
             if not future.done():
-                future.set_result(defect)
+                future.set_result(error)
         self.waiting.clear()
 
 
 class Lines:
-    """Lines to partners, opened when first needed and again after a loss."""
+    """Lines to peers, opened when first needed and again after a loss."""
 
     def __init__(self, *, ports: Ports, counts: Counter) -> None:
         self._ports = ports
@@ -288,7 +290,7 @@
             oldest_us = self._ports.clock.now_us() - IDLE_US
             for line in list(self._lines.values()):
                 if not line.waiting and max(line.used_us, line.heard_us) < oldest_us:
-                    line.end(defect=LineLost(address=line.address, why="idle"))
+                    line.end(error=ConnectionLostError(address=line.address, why="idle"))
         self._is_looking = False
 
     def _forget(self, line: _Line) -> None:
@@ -298,7 +300,7 @@
     async def call(
         self, *, address: str, message: Any, wait_us: int, lane: int = frames.CONTROL
     ) -> Any:
-        """Send a message and wait for its reply, or for the defect instead of it."""
+        """Send a message and wait for its reply, or for the error instead of it."""
         line = self._line(address=address, lane=lane)
         sent_us = self._ports.clock.now_us()
         future: asyncio.Future = asyncio.get_running_loop().create_future()
@@ -317,7 +319,7 @@
         ):
             line.retire()
         line.end_if_idle()
-        return WaitOver(address=address, after_us=wait_us, was_sent=was_sent)
+        return ReplyTimeoutError(address=address, after_us=wait_us, was_sent=was_sent)
 
     def send(self, *, address: str, message: Any, lane: int = frames.CONTROL) -> None:
         """Send a message that wants no reply; it may be lost."""
@@ -325,4 +327,4 @@
 
     def close(self) -> None:
         for line in list(self._lines.values()):
-            line.end(defect=LineLost(address=line.address, why="closing"))
+            line.end(error=ConnectionLostError(address=line.address, why="closing"))
--- a/kelpstage/common/transport/frames.py
+++ b/kelpstage/common/transport/frames.py
@@ -5,7 +5,7 @@
 import struct
 from dataclasses import dataclass
 
-from kelpstage.common.errors import BadFrame
+from kelpstage.common.errors.transport import InvalidFrameError
 from kelpstage.common.transport.messages import NUMBERS, TYPES
 
 WIRE_VERSION = 2
@@ -47,7 +47,7 @@
     return HEAD.pack(len(body), NUMBERS[type(message)], flag, mark) + body
 
 
-def read_head(*, data: bytes, lane: int, address: str) -> Head | BadFrame:
+def read_head(*, data: bytes, lane: int, address: str) -> Head | InvalidFrameError:
     """Read and check a frame's head.
 
     >>> read_head(data=HEAD.pack(1, 9999, 0, 0), lane=CONTROL, address="a").why
@@ -55,11 +55,13 @@
     """
     size, number, flag, mark = HEAD.unpack(data)
     if number not in TYPES:
-        return BadFrame(address=address, why=f"unknown type {number}")
+        return InvalidFrameError(address=address, why=f"unknown type {number}")
     if flag not in (ASK, REPLY, ONEWAY):
-        return BadFrame(address=address, why=f"unknown flag {flag}")
+        return InvalidFrameError(address=address, why=f"unknown flag {flag}")
     if size > FRAME_LIMITS[lane]:
-        return BadFrame(address=address, why=f"{size} bytes on a lane of {FRAME_LIMITS[lane]}")
+        return InvalidFrameError(
+            address=address, why=f"{size} bytes on a lane of {FRAME_LIMITS[lane]}"
+        )
     return Head(size=size, number=number, flag=flag, mark=mark)
 
 
@@ -76,4 +78,4 @@
     try:
         return TYPES[head.number]().parse(data)
     except Exception as error:  # betterproto raises many kinds on garbage
-        return BadFrame(address=address, why=f"unreadable message: {type(error).__name__}")
+        return InvalidFrameError(address=address, why=f"unreadable message: {type(error).__name__}")
--- a/kelpstage/common/transport/messages.py
+++ b/kelpstage/common/transport/messages.py
@@ -3,7 +3,7 @@
 Field numbers are part of the wire: never reuse one. `TYPES` gives each message
 that travels in a frame its number.
 
->>> Meet().parse(bytes(Meet(edge="n1", incarnation=7))).incarnation
+>>> RegisterEdge().parse(bytes(RegisterEdge(edge="n1", incarnation=7))).incarnation
 7
 """
 
@@ -31,20 +31,20 @@
 class EdgeContact(Message):
     name: str = bp.string_field(1)
     address: str = bp.string_field(2)
-    domain: str = bp.string_field(3)
+    zone: str = bp.string_field(3)
     http: str = bp.string_field(4)
     incarnation: int = bp.uint64_field(5)
 
 
 @dataclass
 class StateDoc(Message):
-    """What an edge installs: one configuration and one roster under one epoch."""
+    """What an edge installs: one configuration and one membership under one epoch."""
 
     cluster: str = bp.string_field(1)
     epoch: int = bp.uint64_field(2)
     version: int = bp.uint64_field(3)
     document: bytes = bp.bytes_field(4)
-    roster: List[str] = bp.string_field(5)
+    membership: List[str] = bp.string_field(5)
 
 
 # --- raft ------------------------------------------------------------------------
@@ -151,7 +151,7 @@
 class JoinCore(Message):
     cluster: str = bp.string_field(1)
     member: CoreMember = bp.message_field(2)
-    is_proxied: bool = bp.bool_field(3)
+    is_forwarded: bool = bp.bool_field(3)
 
 
 @dataclass
@@ -180,7 +180,7 @@
 
 
 @dataclass
-class ProxyOperator(Message):
+class ForwardOperatorCall(Message):
     method: str = bp.string_field(1)
     url: str = bp.string_field(2)
     if_match: str = bp.string_field(3)
@@ -192,7 +192,7 @@
 
 
 @dataclass
-class ProxyOperatorReply(Message):
+class ForwardOperatorCallReply(Message):
     status: int = bp.uint32_field(1)
     body: bytes = bp.bytes_field(2)
     retry_after: str = bp.string_field(3)
@@ -234,16 +234,16 @@
 
 
 @dataclass
-class Meet(Message):
+class RegisterEdge(Message):
     edge: str = bp.string_field(1)
     incarnation: int = bp.uint64_field(2)
     contact: EdgeContact = bp.message_field(3)
 
 
 @dataclass
-class MeetReply(Message):
+class RegisterEdgeReply(Message):
     cluster: str = bp.string_field(1)
-    partners: List[EdgeContact] = bp.message_field(2)
+    peers: List[EdgeContact] = bp.message_field(2)
     cores: List[str] = bp.string_field(3)
 
 
@@ -269,9 +269,9 @@
     span_us: int = bp.uint64_field(5)
     leader_address: str = bp.string_field(6)
     cores: List[str] = bp.string_field(7)
-    is_on_roster: bool = bp.bool_field(8)
+    is_on_membership: bool = bp.bool_field(8)
     why: str = bp.string_field(9)
-    partners: List[EdgeContact] = bp.message_field(10)  # what changed since `known`
+    peers: List[EdgeContact] = bp.message_field(10)  # what changed since `known`
     known: int = bp.uint64_field(11)
     newest_incarnation: int = bp.uint64_field(12)  # that the asker has to be above
 
@@ -294,14 +294,14 @@
 
 
 @dataclass
-class Witness(Message):
+class ConfirmEpoch(Message):
     edge: str = bp.string_field(1)
     cluster: str = bp.string_field(2)
     epoch: int = bp.uint64_field(3)
 
 
 @dataclass
-class WitnessReply(Message):
+class ConfirmEpochReply(Message):
     edge: str = bp.string_field(1)
     incarnation: int = bp.uint64_field(2)
     vouches: bool = bp.bool_field(3)
@@ -314,11 +314,11 @@
 
 
 @dataclass
-class BranchMsg(Message):
+class SubtreeMsg(Message):
     node: str = bp.string_field(1)
     address: str = bp.string_field(2)
     shards: List[str] = bp.string_field(3)
-    children: List["BranchMsg"] = bp.message_field(4)
+    children: List["SubtreeMsg"] = bp.message_field(4)
 
 
 @dataclass
@@ -331,7 +331,7 @@
     limit: int = bp.uint64_field(6)
     query: bytes = bp.bytes_field(7)
     content_type: str = bp.string_field(8)
-    branch: BranchMsg = bp.message_field(9)
+    subtree: SubtreeMsg = bp.message_field(9)
     wait_us: int = bp.uint64_field(10)
     is_extra: bool = bp.bool_field(11)
     cluster: str = bp.string_field(12)
@@ -385,7 +385,7 @@
     incarnation: int = bp.uint64_field(3)
     beat: int = bp.uint64_field(4)
     status: int = bp.uint32_field(5)
-    domain: str = bp.string_field(6)
+    zone: str = bp.string_field(6)
     load: int = bp.uint32_field(7)
     version: int = bp.uint64_field(8)
     is_ready: bool = bp.bool_field(9)
@@ -393,7 +393,7 @@
 
 
 @dataclass
-class RumorMsg(Message):
+class BackendStateMsg(Message):
     """What somebody saw of a backend; the higher `turn` is the later."""
 
     backend: str = bp.string_field(1)
@@ -412,12 +412,12 @@
     target_address: str = bp.string_field(4)
     sender: MemberMsg = bp.message_field(5)
     members: List[bytes] = bp.bytes_field(6)  # each a MemberMsg, kept as it travels
-    rumors: List[RumorMsg] = bp.message_field(7)
+    backend_states: List[BackendStateMsg] = bp.message_field(7)
     cluster: str = bp.string_field(8)
 
 
 @dataclass
-class AskMembers(Message):
+class FetchMembers(Message):
     """Tell me all edges that you know."""
 
     cluster: str = bp.string_field(1)
@@ -430,23 +430,23 @@
 
 
 @dataclass
-class AskTrail(Message):
+class FetchTrace(Message):
     """What became of a search at this node?"""
 
     search: str = bp.string_field(1)
 
 
 @dataclass
-class Trail(Message):
+class Trace(Message):
     is_found: bool = bp.bool_field(1)
     body: bytes = bp.bytes_field(2)  # JSON
 
 
 @dataclass
-class LifeMsg(Message):
+class InstanceMsg(Message):
     """One start of a backend, as the list has it."""
 
-    instance: str = bp.string_field(1)
+    instance_id: str = bp.string_field(1)
     service: str = bp.string_field(2)
     address: str = bp.string_field(3)
     zone: str = bp.string_field(4)
@@ -457,7 +457,7 @@
 
 
 @dataclass
-class ListNews(Message):
+class EndpointUpdate(Message):
     """What the list of lives came to, `age_us` ago: changes, or the whole of it.
 
     `digest` is that of the whole list once the changes are in; `tell` are the addresses
@@ -469,7 +469,7 @@
     digest: int = bp.uint64_field(3)
     age_us: int = bp.uint64_field(4)
     is_whole: bool = bp.bool_field(5)
-    changed: List[LifeMsg] = bp.message_field(6)
+    changed: List[InstanceMsg] = bp.message_field(6)
     gone: List[str] = bp.string_field(7)
     tell: List[str] = bp.string_field(8)
     is_known: bool = bp.bool_field(9)  # False: the sender has no list either
@@ -478,7 +478,7 @@
 
 
 @dataclass
-class AskList(Message):
+class FetchEndpoints(Message):
     """Tell me the list, unless mine is the same."""
 
     digest: int = bp.uint64_field(1)
@@ -496,28 +496,28 @@
     11: SeedState,
     13: JoinCore,
     14: Done,
-    15: ProxyOperator,
-    16: ProxyOperatorReply,
+    15: ForwardOperatorCall,
+    16: ForwardOperatorCallReply,
     17: FetchSnapshot,
     18: FetchState,
     19: Chunk,
     20: LeaveCore,
     21: LeaveCoreReply,
-    30: Meet,
-    31: MeetReply,
+    30: RegisterEdge,
+    31: RegisterEdgeReply,
     32: Renew,
     33: LeaseReply,
     34: RelayRenew,
     35: Announce,
-    36: Witness,
-    37: WitnessReply,
-    38: AskMembers,
+    36: ConfirmEpoch,
+    37: ConfirmEpochReply,
+    38: FetchMembers,
     39: Members,
     50: Gather,
     51: Gathered,
-    52: AskTrail,
-    53: Trail,
-    70: ListNews,
-    71: AskList,
+    52: FetchTrace,
+    53: Trace,
+    70: EndpointUpdate,
+    71: FetchEndpoints,
 }
 NUMBERS: dict[type, int] = {kind: number for number, kind in TYPES.items()}
--- a/kelpstage/core/app.py
+++ b/kelpstage/core/app.py
@@ -6,7 +6,8 @@
 from collections import Counter
 from typing import Any, Callable
 
-from kelpstage.common.errors import Defect, LogDamaged
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.storage import LogDamagedError
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.log.ring import logger
 from kelpstage.common.ports.interfaces import Ports
@@ -23,8 +24,8 @@
     FOUNDING_TERM,
     Join,
     Wait,
+    decide_bootstrap,
     founding_snapshot,
-    judge_seeds,
 )
 from kelpstage.core.events import (
     DiskFailed,
@@ -56,18 +57,18 @@
 
 
 class Core:
-    """One `kelpc`."""
+    """One `kelpstage-control`."""
 
-    def __init__(self, *, ports: Ports, env: dict, serve: Callable = serve_operators) -> None:
+    def __init__(self, *, ports: Ports, settings: dict, serve: Callable = serve_operators) -> None:
         """`serve` answers at the operators' interface (a deployment may put words of its
         own before it)."""
         self.ports = ports
-        self.env = env
-        self.bounds = bounds_of(env=env)
+        self.settings = settings
+        self.bounds = bounds_of(settings=settings)
         self._serve = serve
-        self.own: str = env["own"]
-        self.http: str = env["http"]
-        self.seeds: list[str] = list(env["seeds"])
+        self.own: str = settings["own"]
+        self.http: str = settings["http"]
+        self.seeds: list[str] = list(settings["seeds"])
         self.counts: Counter = Counter()
         self.journal = Journal(now=ports.clock.now_us)
         self.lines = Lines(ports=ports, counts=self.counts)
@@ -84,17 +85,17 @@
         self._broken: asyncio.Event = asyncio.Event()
         self._http_listener: Any = None
 
-    async def open(self) -> Defect | None:
+    async def open(self) -> KelpstageError | None:
         """Listen on both addresses, then live."""
-        defect = await self.server.open()
-        if defect is not None:
-            return defect
+        error = await self.server.open()
+        if error is not None:
+            return error
         outcome = await self.ports.net.serve_http(
             address=self.http,
             on_call=lambda call: self._serve(core=self, call=call),
             body_limit=OPERATOR_BODY_LIMIT,
         )
-        if isinstance(outcome, Defect):
+        if isinstance(outcome, KelpstageError):
             return outcome
         self._http_listener = outcome
         self.ports.keep(self._live())
@@ -109,8 +110,8 @@
     async def _live(self) -> None:
         while not self.is_stopping:
             recovered = await self._recover()
-            if isinstance(recovered, Defect):
-                self._note_disk(defect=recovered)
+            if isinstance(recovered, KelpstageError):
+                self._note_disk(error=recovered)
                 await self.ports.clock.sleep(us=LOOK_US)
                 continue
             if recovered is None:
@@ -118,26 +119,26 @@
                 continue
             await self._run_replica(recovered=recovered)
 
-    async def _recover(self) -> Recovered | None | Defect:
+    async def _recover(self) -> Recovered | None | KelpstageError:
         identity = await self.store.read_identity()
-        if isinstance(identity, LogDamaged):
+        if isinstance(identity, LogDamagedError):
             return await self._set_aside(damage=identity)
-        if isinstance(identity, Defect):
+        if isinstance(identity, KelpstageError):
             return identity
         if identity is None:
             identity = DiskIdentity(replica=f"{self.ports.rand.getrandbits(64):016x}")
-            defect = await self.store.write_identity(identity=identity)
-            if defect is not None:
-                return defect
+            error = await self.store.write_identity(identity=identity)
+            if error is not None:
+                return error
         self.identity = identity
         if not identity.cluster:
             return await self._found_or_join()
         recovered = await self.store.recover(identity=identity)
-        if isinstance(recovered, LogDamaged):
+        if isinstance(recovered, LogDamagedError):
             return await self._set_aside(damage=recovered)
         return recovered
 
-    async def _set_aside(self, *, damage: LogDamaged) -> Defect | None:
+    async def _set_aside(self, *, damage: LogDamagedError) -> KelpstageError | None:
         """A damaged replica counts as empty: it comes back as a new one."""
         log.error("{} at {}: {}; this replica begins anew", damage.path, damage.offset, damage.why)
         self.journal.add(SetAside(path=damage.path, why=damage.why))
@@ -157,8 +158,8 @@
             own=self.own,
             on_applied=lambda outcome, index: self.lease_service and self.lease_service.applied(),
             on_role=self._on_role,
-            on_defect=self._on_disk_defect,
-            voters=voters_of(env=self.env),
+            on_error=self._on_disk_error,
+            voters=voters_of(settings=self.settings),
         )
         self.lease_service = LeaseService(
             ports=self.ports,
@@ -177,16 +178,16 @@
         if role == raft.LEADER and self.lease_service is not None:
             self.lease_service.took_lead()
 
-    def _on_disk_defect(self, defect: Defect) -> None:
-        self._note_disk(defect=defect)
+    def _on_disk_error(self, error: KelpstageError) -> None:
+        self._note_disk(error=error)
         self._broken.set()
 
-    def _note_disk(self, *, defect: Any) -> None:
-        waits_for = f"the disk ({defect.kind}: {defect.why})"
+    def _note_disk(self, *, error: Any) -> None:
+        waits_for = f"the disk ({error.kind}: {error.why})"
         if self.waits_for != waits_for:
-            log.error("disk: {} {} {}", defect.path, getattr(defect, "op", ""), defect.why)
+            log.error("disk: {} {} {}", error.path, getattr(error, "op", ""), error.why)
         self.waits_for = waits_for
-        self.journal.add(DiskFailed(path=defect.path, op=getattr(defect, "op", ""), why=defect.why))
+        self.journal.add(DiskFailed(path=error.path, op=getattr(error, "op", ""), why=error.why))
 
     # --- founding and joining --------------------------------------------------------------
 
@@ -210,10 +211,10 @@
             only_joins=not self.bounds.is_first_start,
         )
 
-    async def _probe_seeds(self) -> list[SeedState | Defect]:
+    async def _probe_seeds(self) -> list[SeedState | KelpstageError]:
         me = self.identity.replica if self.identity else ""
 
-        async def probe(seed: str) -> SeedState | Defect:
+        async def probe(seed: str) -> SeedState | KelpstageError:
             if seed == self.own:
                 return self.seed_state()
             return await self.lines.call(
@@ -222,14 +223,14 @@
 
         states = await asyncio.gather(*(probe(seed) for seed in self.seeds))
         # A core that has not read its disk yet is neither empty nor a member.
-        return [s for s in states if isinstance(s, Defect) or s.replica]
+        return [s for s in states if isinstance(s, KelpstageError) or s.replica]
 
-    async def _found_or_join(self) -> Recovered | None | Defect:
+    async def _found_or_join(self) -> Recovered | None | KelpstageError:
         states = await self._probe_seeds()
         identity = self.identity
         if identity is None or identity.cluster:
             return None
-        step = judge_seeds(me=identity.replica, own=self.own, seeds=self.seeds, states=states)
+        step = decide_bootstrap(me=identity.replica, own=self.own, seeds=self.seeds, states=states)
         if isinstance(step, Wait):
             self.waits_for = step.why
             return None
@@ -242,26 +243,26 @@
         self.journal.add(Founded(cluster=cluster))
         return await self._begin(cluster=cluster, members=step.members)
 
-    async def _begin(self, *, cluster: str, members: list[CoreMember]) -> Defect | None:
+    async def _begin(self, *, cluster: str, members: list[CoreMember]) -> KelpstageError | None:
         """Become a member from the founding snapshot on."""
         snapshot = founding_snapshot(cluster=cluster, members=members)
         return await self._take_cluster(cluster=cluster, snapshot=snapshot)
 
     async def _take_cluster(
         self, *, cluster: str, snapshot: DiskSnapshot | None = None
-    ) -> Defect | None:
+    ) -> KelpstageError | None:
         """Become a member of a cluster, with a snapshot to begin from or without."""
         identity = DiskIdentity(replica=self.identity.replica, cluster=cluster)
         term = FOUNDING_TERM if snapshot else 0
-        defect = await self.store.begin_member(identity=identity, snapshot=snapshot, term=term)
-        if defect is None:
+        error = await self.store.begin_member(identity=identity, snapshot=snapshot, term=term)
+        if error is None:
             self.identity = identity
-        return defect
+        return error
 
-    def reread(self, *, env: dict) -> None:
+    def reread(self, *, settings: dict) -> None:
         """Take over what may change in the settings of a running core: its seeds."""
-        self.seeds = list(env["seeds"])
-        self.env = self.env | {"seeds": self.seeds}
+        self.seeds = list(settings["seeds"])
+        self.settings = self.settings | {"seeds": self.seeds}
 
     async def _keep_place(self) -> None:
         """Ask for a place while this replica has none, or hears no leader."""
@@ -293,17 +294,17 @@
             return  # told before
         self._contacts[contact.name] = (self.ports.clock.now_us(), contact)
 
-    def partners(self) -> list[EdgeContact]:
+    def peers(self) -> list[EdgeContact]:
         """Edges heard of lately, by whichever way."""
         oldest = self.ports.clock.now_us() - CONTACT_KEPT_US
         return [c for _, (at, c) in sorted(self._contacts.items()) if at > oldest]
 
-    def some_partners(self) -> list[EdgeContact]:
+    def some_peers(self) -> list[EdgeContact]:
         """As many of them as help an edge to find the others, by lot."""
-        partners = self.partners()
-        if len(partners) <= CONTACTS_TOLD:
-            return partners
-        return self.ports.rand.sample(partners, SOME_CONTACTS)
+        peers = self.peers()
+        if len(peers) <= CONTACTS_TOLD:
+            return peers
+        return self.ports.rand.sample(peers, SOME_CONTACTS)
 
     def core_addresses(self) -> list[str]:
         """Addresses of all members; none before this core is one."""
--- a/kelpstage/core/bootstrap.py
+++ b/kelpstage/core/bootstrap.py
@@ -16,7 +16,7 @@
 
 from dataclasses import dataclass
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.transport.messages import CoreMember, SeedState
 from kelpstage.core.state.machine import CoreState
 from kelpstage.core.store.records import DiskSnapshot
@@ -41,27 +41,27 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class FoundNow:
+class BootstrapNow:
     """This core founds the cluster, with these members."""
 
     members: list[CoreMember]
 
 
-def judge_seeds(
-    *, me: str, own: str, seeds: list[str], states: list[SeedState | Defect]
-) -> Wait | Join | FoundNow:
+def decide_bootstrap(
+    *, me: str, own: str, seeds: list[str], states: list[SeedState | KelpstageError]
+) -> Wait | Join | BootstrapNow:
     """What an empty core does next, from what the seeds say.
 
     >>> state = lambda r, a: SeedState(replica=r, address=a, is_empty=True)
     >>> three = [state("x", "1"), state("y", "2"), state("z", "3")]
-    >>> type(judge_seeds(me="x", own="1", seeds=["1", "2", "3"], states=three)).__name__
-    'FoundNow'
-    >>> judge_seeds(me="y", own="2", seeds=["1", "2", "3"], states=three)
+    >>> type(decide_bootstrap(me="x", own="1", seeds=["1", "2", "3"], states=three)).__name__
+    'BootstrapNow'
+    >>> decide_bootstrap(me="y", own="2", seeds=["1", "2", "3"], states=three)
     Wait(why='the seed x founds')
     >>> three[0].only_joins = True
-    >>> judge_seeds(me="x", own="1", seeds=["1", "2", "3"], states=three)
+    >>> decide_bootstrap(me="x", own="1", seeds=["1", "2", "3"], states=three)
     Wait(why='the seed y founds')
-    >>> judge_seeds(me="x", own="1", seeds=["1", "2", "3"],
+    >>> decide_bootstrap(me="x", own="1", seeds=["1", "2", "3"],
     ...     states=[SeedState(replica="y", cluster="c"), *three[1:]])
     Join(cluster='c', members=[])
     """
@@ -83,7 +83,7 @@
         return Wait(why=f"{len(founders)} of {len(seeds)} seeds may found a cluster")
     if founders[0] != me:
         return Wait(why=f"the seed {founders[0]} founds")
-    return FoundNow(
+    return BootstrapNow(
         members=[
             CoreMember(replica=state.replica, address=state.address, http=state.http, is_voter=True)
             for state in heard
--- a/kelpstage/core/cluster_recovery.py
+++ b/kelpstage/core/cluster_recovery.py
@@ -1,7 +1,7 @@
-"""Salvage after the loss of a majority of cores: a new cluster from one survivor.
+"""Recovery after the loss of a majority of cores: a new cluster from one survivor.
 
 Explicit, loud, and refused where it could lose what was acknowledged or leave two
-clusters that both believe in themselves. See docs/notes/salvage.md.
+clusters that both believe in themselves. See docs/notes/recovery.md.
 """
 
 from __future__ import annotations
@@ -10,19 +10,21 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from kelpstage.common.errors import Defect, LogDamaged, SalvageRefused
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.control import RecoveryRefusedError
+from kelpstage.common.errors.storage import LogDamagedError
 from kelpstage.common.ports.interfaces import Clock, Ports
 from kelpstage.common.transport.chunks import fetch_chunks
 from kelpstage.common.transport.connections import Lines
 from kelpstage.common.transport.delta import apply_delta
 from kelpstage.common.transport.messages import (
+    ConfirmEpoch,
+    ConfirmEpochReply,
     CoreMember,
     FetchState,
     SeedProbe,
     SeedState,
     StateDoc,
-    Witness,
-    WitnessReply,
 )
 from kelpstage.core.raft import types as raft
 from kelpstage.core.raft.members import read_members
@@ -34,7 +36,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Salvaged:
+class RecoveredCluster:
     """What the new cluster begins with."""
 
     cluster: str
@@ -42,7 +44,7 @@
     version: int
     epoch: int
     source: str
-    roster: list
+    membership: list
 
 
 def newest_state(*, recovered: Recovered) -> CoreState:
@@ -75,21 +77,23 @@
     return members
 
 
-async def salvage(*, ports: Ports, own: str, http: str, edges: list[str]) -> Salvaged | Defect:
+async def recover_cluster(
+    *, ports: Ports, own: str, http: str, edges: list[str]
+) -> RecoveredCluster | KelpstageError:
     """Make the survivor in this data folder the one voter of a new cluster.
 
-    `edges` are own-line addresses. Most of the roster must answer: an
+    `edges` are own-line addresses. Most of the membership must answer: an
     acknowledged put is installed on a majority of it, so the newest epoch known
     to that many edges is at least the newest that was acknowledged.
     """
     store = Store(ports=ports)
     identity = await store.read_identity()
-    if isinstance(identity, Defect):
+    if isinstance(identity, KelpstageError):
         return identity
     if identity is None or not identity.cluster:
-        return SalvageRefused(why="this folder holds no member of a cluster")
+        return RecoveryRefusedError(why="this folder holds no member of a cluster")
     recovered = await store.recover(identity=identity)
-    if isinstance(recovered, (Defect, LogDamaged)):
+    if isinstance(recovered, (KelpstageError, LogDamagedError)):
         return recovered
     lines = Lines(ports=ports, counts=Counter())
     outcome = await _judge_and_write(
@@ -108,17 +112,18 @@
     own: str,
     http: str,
     edges: list[str],
-) -> Salvaged | Defect:
+) -> RecoveredCluster | KelpstageError:
     members = members_of(recovered=recovered)
     alive = await _alive_cores(lines=lines, members=members, own=own)
     if alive:
-        return SalvageRefused(why=f"cores answer at {', '.join(alive)}: stop or use those")
+        return RecoveryRefusedError(why=f"cores answer at {', '.join(alive)}: stop or use those")
     state = newest_state(recovered=recovered)
     told = await _ask_edges(lines=lines, edges=edges, cluster=recovered.identity.cluster)
-    known = {name for name, _, _ in told} & set(state.roster)
-    if len(known) * 2 <= len(state.roster):
-        return SalvageRefused(
-            why=f"{len(known)} of {len(state.roster)} edges of the roster answer; most are needed, "
+    known = {name for name, _, _ in told} & set(state.membership)
+    if len(known) * 2 <= len(state.membership):
+        return RecoveryRefusedError(
+            why=f"{len(known)} of {len(state.membership)} edges of the membership answer; "
+            "most are needed, "
             "to be sure of the newest configuration that was acknowledged"
         )
     source = "this folder"
@@ -126,16 +131,16 @@
     if epoch > state.epoch:
         doc = await _fetch_state(lines=lines, clock=ports.clock, address=address, epoch=epoch)
         if doc is None:
-            return SalvageRefused(
+            return RecoveryRefusedError(
                 why=f"the edge at {address} has epoch {epoch} but did not give it"
             )
         adopt(state=state, doc=doc)
         source = f"the edge at {address}"
-        known = {name for name, _, _ in told} & set(state.roster)
-        if len(known) * 2 <= len(state.roster):  # several joined at once since
-            return SalvageRefused(
-                why=f"{len(known)} of {len(state.roster)} edges of the newest roster answer; "
-                "most are needed"
+        known = {name for name, _, _ in told} & set(state.membership)
+        if len(known) * 2 <= len(state.membership):  # several joined at once since
+            return RecoveryRefusedError(
+                why=f"{len(known)} of {len(state.membership)} edges of the newest membership "
+                "answer; most are needed"
             )
     return await _write(
         ports=ports,
@@ -158,12 +163,15 @@
 
 async def _ask_edges(*, lines: Lines, edges: list[str], cluster: str) -> list[tuple[str, int, str]]:
     replies = await asyncio.gather(
-        *(lines.call(address=a, message=Witness(cluster=cluster), wait_us=ASK_US) for a in edges)
+        *(
+            lines.call(address=a, message=ConfirmEpoch(cluster=cluster), wait_us=ASK_US)
+            for a in edges
+        )
     )
     return [
         (reply.edge, reply.epoch, address)
         for address, reply in zip(edges, replies, strict=True)
-        if isinstance(reply, WitnessReply) and reply.cluster == cluster and reply.vouches
+        if isinstance(reply, ConfirmEpochReply) and reply.cluster == cluster and reply.vouches
     ]
 
 
@@ -187,13 +195,13 @@
     own: str,
     http: str,
     source: str,
-) -> Salvaged | Defect:
+) -> RecoveredCluster | KelpstageError:
     was = recovered.identity.cluster
     cluster = f"{ports.rand.getrandbits(64):016x}"
     replica = f"{ports.rand.getrandbits(64):016x}"
     state.cluster = cluster
     state.epoch += 1
-    state.old_roster = []
+    state.old_membership = []
     snapshot = DiskSnapshot(
         index=recovered.log.last_index + 1,
         term=recovered.term + 1,
@@ -202,14 +210,14 @@
         cluster=cluster,
     )
     identity = DiskIdentity(replica=replica, cluster=cluster)
-    defect = await store.begin_member(identity=identity, snapshot=snapshot, term=recovered.term + 1)
-    if defect is not None:
-        return defect
-    return Salvaged(
+    error = await store.begin_member(identity=identity, snapshot=snapshot, term=recovered.term + 1)
+    if error is not None:
+        return error
+    return RecoveredCluster(
         cluster=cluster,
         was=was,
         version=state.version,
         epoch=state.epoch,
         source=source,
-        roster=list(state.roster),
+        membership=list(state.membership),
     )
--- a/kelpstage/core/events.py
+++ b/kelpstage/core/events.py
@@ -78,10 +78,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class RosterChanged(Event):
+class MembershipChanged(Event):
     """The membership of edges changed: their names."""
 
-    roster: list
+    membership: list
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/kelpstage/core/handlers.py
+++ b/kelpstage/core/handlers.py
@@ -6,7 +6,8 @@
 from functools import singledispatch
 from typing import Any, TypeVar
 
-from kelpstage.common.errors import Defect, LineLost
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.transport import ConnectionLostError
 from kelpstage.common.transport import frames
 from kelpstage.common.transport.delta import apply_delta, pack_delta
 from kelpstage.common.transport.messages import (
@@ -16,15 +17,15 @@
     Done,
     FetchSnapshot,
     FetchState,
+    ForwardOperatorCall,
+    ForwardOperatorCallReply,
     InstallSnapshot,
     JoinCore,
     LeaseReply,
     LeaveCore,
     LeaveCoreReply,
-    Meet,
-    MeetReply,
-    ProxyOperator,
-    ProxyOperatorReply,
+    RegisterEdge,
+    RegisterEdgeReply,
     Renew,
     RequestVote,
     RequestVoteReply,
@@ -34,9 +35,9 @@
 )
 from kelpstage.core.raft.types import JoinRequested, LeaveRequested, LeaveState
 
-PROXY_WAIT_US = 1_500_000
+FORWARD_WAIT_US = 1_500_000
 PACKED_FROM_BYTES = 4 * 1024
-Forwarded = TypeVar("Forwarded", ProxyOperator, ProxyOperatorReply)
+Forwarded = TypeVar("Forwarded", ForwardOperatorCall, ForwardOperatorCallReply)
 
 
 @singledispatch
@@ -75,9 +76,9 @@
     if task.is_leader:
         task.inbox.put_nowait(JoinRequested(member=message.member))
         return Done(is_ok=True)
-    if message.is_proxied or not task.leader_address:
+    if message.is_forwarded or not task.leader_address:
         return Done(why="no leader")
-    message.is_proxied = True
+    message.is_forwarded = True
     core.lines.send(address=task.leader_address, message=message)
     return Done(is_ok=True)
 
@@ -113,11 +114,11 @@
 
 
 @handle.register
-async def _(message: Meet, core: Any, source: str) -> MeetReply:
+async def _(message: RegisterEdge, core: Any, source: str) -> RegisterEdgeReply:
     core.meet(contact=message.contact)
-    return MeetReply(
+    return RegisterEdgeReply(
         cluster=core.identity.cluster if core.identity else "",
-        partners=core.some_partners(),
+        peers=core.some_peers(),
         cores=core.core_addresses(),
     )
 
@@ -127,7 +128,7 @@
     core.meet(contact=message.contact)
     task, lease_service = core.task, core.lease_service
     if task is None or lease_service is None:
-        return LeaseReply(why="this core is not up", partners=core.some_partners())
+        return LeaseReply(why="this core is not up", peers=core.some_peers())
     if task.is_leader:
         return await lease_service.renew(ask=message)
     hint = LeaseReply(
@@ -135,22 +136,24 @@
         why="no leader known",
         leader_address=task.leader_address,
         cores=core.core_addresses(),
-        partners=core.some_partners(),
+        peers=core.some_peers(),
     )
     if message.hops >= 2 or not task.leader_address:
         return hint
     message.hops += 1
     reply = await core.lines.call(
-        address=task.leader_address, message=message, wait_us=PROXY_WAIT_US
+        address=task.leader_address, message=message, wait_us=FORWARD_WAIT_US
     )
-    if isinstance(reply, Defect):
+    if isinstance(reply, KelpstageError):
         hint.why = f"leader not reached: {reply.kind}"
         return hint
     return reply
 
 
 @handle.register
-async def _(message: ProxyOperator, core: Any, source: str) -> ProxyOperatorReply | None:
+async def _(
+    message: ForwardOperatorCall, core: Any, source: str
+) -> ForwardOperatorCallReply | None:
     from kelpstage.core.web.operators import answer_as_leader
 
     ask = unpack_body(message=message)
@@ -163,7 +166,7 @@
 def pack_body(*, message: Forwarded) -> Forwarded:
     """The same message with a large body compressed, for its way between cores.
 
-    >>> packed = pack_body(message=ProxyOperatorReply(status=200, body=b"route " * 1000))
+    >>> packed = pack_body(message=ForwardOperatorCallReply(status=200, body=b"route " * 1000))
     >>> len(packed.packed) < 100, packed.body, unpack_body(message=packed).body == b"route " * 1000
     (True, b'', True)
     """
@@ -175,7 +178,7 @@
 def unpack_body(*, message: Forwarded) -> Forwarded | None:
     """The reverse of `pack_body`; nothing if the bytes are damaged.
 
-    >>> unpack_body(message=ProxyOperatorReply(packed=b"junk")) is None
+    >>> unpack_body(message=ForwardOperatorCallReply(packed=b"junk")) is None
     True
     """
     if not message.packed:
@@ -184,7 +187,9 @@
     return None if body is None else replace(message, body=body, packed=b"")
 
 
-async def proxy_to_leader(*, core: Any, ask: ProxyOperator) -> ProxyOperatorReply | Defect:
+async def forward_to_leader(
+    *, core: Any, ask: ForwardOperatorCall
+) -> ForwardOperatorCallReply | KelpstageError:
     """Hand an operator's call to the leader, on the line for bulk."""
     address = core.task.leader_address
     reply = await core.lines.call(
@@ -193,6 +198,6 @@
         wait_us=ask.wait_us * 19 // 20,  # so that the caller hears of a silent leader
         lane=frames.BULK,
     )
-    if not isinstance(reply, ProxyOperatorReply):
+    if not isinstance(reply, ForwardOperatorCallReply):
         return reply
-    return unpack_body(message=reply) or LineLost(address=address, why="unreadable body")
+    return unpack_body(message=reply) or ConnectionLostError(address=address, why="unreadable body")
--- a/kelpstage/core/leases/lease_table.py
+++ b/kelpstage/core/leases/lease_table.py
@@ -1,7 +1,7 @@
-"""The leader's ledger of leases: who may still be serving, and under what.
+"""The leader's lease table of leases: who may still be serving, and under what.
 
 Plain and in memory: a new leader knows of no lease, so it takes it that every
-edge of the roster got one the moment before it was elected.
+edge of the membership got one the moment before it was elected.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 @dataclass(kw_only=True)
-class LeaseHolder:
+class LeaseRecord:
     """One edge as the leader knows it."""
 
     incarnation: int = 0
@@ -27,21 +27,21 @@
     changed_at: int = 0  # count of changes when its contact changed last
 
 
-class Ledger:
+class LeaseTable:
     """Leases given by this leader since it was elected.
 
-    >>> ledger = Ledger(since_us=0)
-    >>> ledger.heard(edge="a", incarnation=1, epoch=1, contact=None, now_us=10)
+    >>> lease_table = LeaseTable(since_us=0)
+    >>> lease_table.heard(edge="a", incarnation=1, epoch=1, contact=None, now_us=10)
     True
-    >>> ledger.is_settled(epoch=1, roster=["a"], now_us=20)
+    >>> lease_table.is_settled(epoch=1, membership=["a"], now_us=20)
     True
-    >>> ledger.is_settled(epoch=1, roster=["a", "b", "c"], now_us=20)
+    >>> lease_table.is_settled(epoch=1, membership=["a", "b", "c"], now_us=20)
     False
     """
 
     def __init__(self, *, since_us: int) -> None:
         self.since_us = since_us
-        self._holders: dict[str, LeaseHolder] = {}
+        self._holders: dict[str, LeaseRecord] = {}
         self._changes = 1
         self._cores: list[str] = []
         self._cores_changed_at = 1
@@ -59,12 +59,12 @@
         """An edge says what it has installed. False if a newer incarnation of it was heard:
         what an older one says counts for nothing.
 
-        >>> ledger = Ledger(since_us=0)
-        >>> [ledger.heard(edge="a", incarnation=n, epoch=1, contact=None, now_us=10)
+        >>> lease_table = LeaseTable(since_us=0)
+        >>> [lease_table.heard(edge="a", incarnation=n, epoch=1, contact=None, now_us=10)
         ...     for n in (2, 1, 3)]
         [True, False, True]
         """
-        holder = self._holders.setdefault(edge, LeaseHolder())
+        holder = self._holders.setdefault(edge, LeaseRecord())
         if incarnation < holder.incarnation:
             return False
         if incarnation > holder.incarnation:
@@ -83,7 +83,7 @@
 
     def record_lease(self, *, edge: str, epoch: int, now_us: int) -> None:
         """Note that an edge got a lease for an epoch, now."""
-        holder = self._holders.setdefault(edge, LeaseHolder())
+        holder = self._holders.setdefault(edge, LeaseRecord())
         oldest = now_us - LEASE_SPAN_US - LEASE_MARGIN_US
         holder.leases = [lease for lease in holder.leases if lease[1] > oldest]
         holder.leases.append((epoch, now_us))
@@ -109,41 +109,41 @@
         holder = self._holders.get(edge)
         return holder is not None and holder.epoch >= epoch
 
-    def behind(self, *, epoch: int, roster: list[str], now_us: int) -> list[str]:
+    def behind(self, *, epoch: int, membership: list[str], now_us: int) -> list[str]:
         """Edges that may still serve an older epoch."""
         return [
             edge
-            for edge in roster
+            for edge in membership
             if not self._has_installed(edge=edge, epoch=epoch)
             and not self._is_lapsed(edge=edge, epoch=epoch, now_us=now_us)
         ]
 
     def is_settled(
-        self, *, epoch: int, roster: list[str], now_us: int, gone: frozenset = frozenset()
+        self, *, epoch: int, membership: list[str], now_us: int, gone: frozenset = frozenset()
     ) -> bool:
         """Can no edge serve an older epoch any more? Edges that an operator vouches
         to be gone for good neither serve nor speak for an older epoch."""
-        others = [edge for edge in roster if edge not in gone]
+        others = [edge for edge in membership if edge not in gone]
         older = sum(not self._has_installed(edge=edge, epoch=epoch) for edge in others)
-        if roster and older * 2 >= len(roster):
+        if membership and older * 2 >= len(membership):
             return False
-        return not self.behind(epoch=epoch, roster=others, now_us=now_us)
+        return not self.behind(epoch=epoch, membership=others, now_us=now_us)
 
-    def heard_lately(self, *, roster: list[str], now_us: int) -> list[str]:
+    def heard_lately(self, *, membership: list[str], now_us: int) -> list[str]:
         """The edges of a membership that were heard within the span of a lease."""
         return [
             edge
-            for edge in roster
+            for edge in membership
             if edge in self._holders and now_us - self._holders[edge].heard_us < LEASE_SPAN_US
         ]
 
-    def has_majority(self, *, roster: list[str], now_us: int) -> bool:
+    def has_majority(self, *, membership: list[str], now_us: int) -> bool:
         """Are enough edges there for a put to settle?"""
-        if not roster:
+        if not membership:
             return True
-        return len(self.heard_lately(roster=roster, now_us=now_us)) * 2 > len(roster)
+        return len(self.heard_lately(membership=membership, now_us=now_us)) * 2 > len(membership)
 
-    def holder(self, *, edge: str) -> LeaseHolder | None:
+    def holder(self, *, edge: str) -> LeaseRecord | None:
         """What is known of an edge; None if it was never heard."""
         return self._holders.get(edge)
 
@@ -173,14 +173,14 @@
         return len(self._holders)
 
     def mark(self) -> int:
-        """Stands for the contacts and cores as they are now, in this ledger."""
+        """Stands for the contacts and cores as they are now, in this lease table."""
         return self._era() | self._changes
 
     def _era(self) -> int:
         return (self.since_us & 0x7FFF_FFFF) << 32
 
     def is_of_here(self, *, known: int) -> bool:
-        """Was this mark given by this ledger?"""
+        """Was this mark given by this lease table?"""
         return known >> 32 << 32 == self._era() and known & 0xFFFF_FFFF > 0
 
     def news_for(
@@ -189,14 +189,14 @@
         """Contacts and cores that changed since a mark was given, at most `limit`
         contacts, the newest: gossip carries what is left out.
 
-        >>> ledger = Ledger(since_us=0)
+        >>> lease_table = LeaseTable(since_us=0)
         >>> for name in ("a", "b"):
-        ...     _ = ledger.heard(edge=name, incarnation=1, epoch=1, now_us=10,
+        ...     _ = lease_table.heard(edge=name, incarnation=1, epoch=1, now_us=10,
         ...         contact=EdgeContact(name=name, address=name))
-        >>> contacts, _ = ledger.news_for(known=0, now_us=20, limit=9)
+        >>> contacts, _ = lease_table.news_for(known=0, now_us=20, limit=9)
         >>> [contact.name for contact in contacts]
         ['b', 'a']
-        >>> ledger.news_for(known=ledger.mark(), now_us=20, limit=9)
+        >>> lease_table.news_for(known=lease_table.mark(), now_us=20, limit=9)
         ([], [])
         """
         since = known & 0xFFFF_FFFF if self.is_of_here(known=known) else 0
@@ -214,5 +214,5 @@
         return [holder.contact for holder in newest[:limit]], list(cores)
 
     @staticmethod
-    def _is_here(*, holder: LeaseHolder, now_us: int) -> bool:
+    def _is_here(*, holder: LeaseRecord, now_us: int) -> bool:
         return holder.contact is not None and now_us - holder.heard_us < 15 * LEASE_SPAN_US
--- a/kelpstage/core/raft/snapshots.py
+++ b/kelpstage/core/raft/snapshots.py
@@ -17,7 +17,7 @@
 from kelpstage.core.raft.types import (
     LEADER,
     FetchOffered,
-    KeepSnapshot,
+    SaveSnapshot,
     SnapshotFetched,
     SnapshotTaken,
 )
@@ -81,7 +81,7 @@
     state.commit_index = event.index
     number = state.writes.begin(last_index=state.log.last_index, now_us=state.now_us)
     state.emit(
-        KeepSnapshot(number=number, term=state.term, vote=state.vote, tail=list(state.log.entries))
+        SaveSnapshot(number=number, term=state.term, vote=state.vote, tail=list(state.log.entries))
     )
     state.members_changed()
     if event.leader_term == state.term:
--- a/kelpstage/core/raft/types.py
+++ b/kelpstage/core/raft/types.py
@@ -182,7 +182,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class KeepSnapshot:
+class SaveSnapshot:
     """Keep the fetched snapshot; the log goes on behind it with the entries of `tail`."""
 
     number: int
@@ -265,7 +265,7 @@
 Effect = (
     Send
     | Persist
-    | KeepSnapshot
+    | SaveSnapshot
     | Commit
     | ReadReady
     | ReadLost
--- a/kelpstage/core/replica_task.py
+++ b/kelpstage/core/replica_task.py
@@ -11,7 +11,8 @@
 
 from tornado.queues import Queue
 
-from kelpstage.common.errors import Defect, NoLeader, Unresolved
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.control import NoLeaderError, WriteUnresolvedError
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.log.ring import logger
 from kelpstage.common.ports.interfaces import Ports
@@ -41,7 +42,7 @@
 from kelpstage.core.state.machine import CoreState, Machine
 from kelpstage.core.store.records import DiskSnapshot
 from kelpstage.core.store.store import Recovered, Store
-from kelpstage.core.store.task import DiskTask, KeepThis
+from kelpstage.core.store.task import DiskTask, PersistRequest
 from kelpstage.core.waiters import Waiters
 
 TICK_US = 20_000
@@ -67,7 +68,7 @@
         own: str,
         on_applied: Callable[[Any, int], None],
         on_role: Callable[[str], None],
-        on_defect: Callable[[Defect], None],
+        on_error: Callable[[KelpstageError], None],
         voters: int = 3,
     ) -> None:
         self._ports = ports
@@ -76,7 +77,7 @@
         self._own = own
         self._on_applied = on_applied
         self._on_role = on_role
-        self._on_defect = on_defect
+        self._on_error = on_error
         self.cluster = recovered.identity.cluster
         self.me = recovered.identity.replica
         self.inbox: Queue = Queue()
@@ -121,7 +122,7 @@
             store=store,
             on_synced=lambda number: self.inbox.put_nowait(raft.Synced(number=number)),
             on_kept=lambda index: self.inbox.put_nowait(raft.SnapshotTaken(index=index)),
-            on_defect=on_defect,
+            on_error=on_error,
         )
         self._tasks = [
             ports.keep(self._disk.run()),
@@ -158,9 +159,9 @@
         if outcome is not None:
             return outcome
         self.waiters.drop(token=token)
-        return Unresolved(put_id=put_id, why="not confirmed by a majority in time")
+        return WriteUnresolvedError(put_id=put_id, why="not confirmed by a majority in time")
 
-    async def confirm(self, *, wait_us: int) -> NoLeader | None:
+    async def confirm(self, *, wait_us: int) -> NoLeaderError | None:
         """Is this the leader now, and is all that was acknowledged applied here?"""
         token, future = self.waiters.open()
         self.inbox.put_nowait(raft.ReadIndex(token=token))
@@ -168,7 +169,7 @@
         self.waiters.drop(token=token)
         if outcome is True:
             return None
-        return outcome or NoLeader(why="no majority of cores confirmed the leader in time")
+        return outcome or NoLeaderError(why="no majority of cores confirmed the leader in time")
 
     def heard(self, *, message: Any) -> None:
         """Queue a Raft message for the replica."""
@@ -230,7 +231,7 @@
         for index in [i for i in self._proposals if i >= start]:
             token, _ = self._proposals.pop(index)
             # Another replica may still hold the entry and commit it: no refusal.
-            self.waiters.settle(token=token, outcome=Unresolved(put_id="", why=LOST))
+            self.waiters.settle(token=token, outcome=WriteUnresolvedError(put_id="", why=LOST))
 
     @_perform.register
     def _(self, effect: raft.Commit) -> None:
@@ -248,7 +249,7 @@
                 continue
             token, term = found
             if term != entry.term:
-                outcome = Unresolved(put_id="", why=LOST)
+                outcome = WriteUnresolvedError(put_id="", why=LOST)
             self.waiters.settle(token=token, outcome=outcome)
 
     @_perform.register
@@ -257,7 +258,7 @@
 
     @_perform.register
     def _(self, effect: raft.NotLeader) -> None:
-        self.waiters.settle(token=effect.token, outcome=NoLeader(why="not the leader"))
+        self.waiters.settle(token=effect.token, outcome=NoLeaderError(why="not the leader"))
 
     @_perform.register
     def _(self, effect: raft.ReadReady) -> None:
@@ -265,7 +266,9 @@
 
     @_perform.register
     def _(self, effect: raft.ReadLost) -> None:
-        self.waiters.settle(token=effect.token, outcome=NoLeader(why="not the leader, or not yet"))
+        self.waiters.settle(
+            token=effect.token, outcome=NoLeaderError(why="not the leader, or not yet")
+        )
 
     @_perform.register
     def _(self, effect: raft.RoleChanged) -> None:
@@ -313,7 +316,7 @@
         )
         self._in_writing = snapshot
         self._disk.inbox.put_nowait(
-            KeepThis(
+            PersistRequest(
                 snapshot=snapshot,
                 tail=self.raft.log.slice(start=self.applied + 1, stop=self.raft.log.last_index),
                 term=self.raft.term,
@@ -385,7 +388,7 @@
         self._fetched = None
 
     @_perform.register
-    def _(self, effect: raft.KeepSnapshot) -> None:
+    def _(self, effect: raft.SaveSnapshot) -> None:
         snapshot = self._fetched
         self._lose_proposals(start=0)
         self.machine = Machine(cluster=self.cluster, state=CoreState().parse(snapshot.state))
@@ -395,7 +398,7 @@
         self._journal.add(SnapshotInstalled(index=snapshot.index))
         self._on_applied(None, snapshot.index)
         self._disk.inbox.put_nowait(
-            KeepThis(
+            PersistRequest(
                 snapshot=snapshot,
                 tail=effect.tail,
                 term=effect.term,
--- a/kelpstage/core/state/machine.py
+++ b/kelpstage/core/state/machine.py
@@ -1,4 +1,4 @@
-"""The replicated state: configuration, roster, applied requests; changed by commands alone.
+"""The replicated state: configuration, membership, applied requests; changed by commands alone.
 
 Plain and the same on every replica: the outcome of a command depends on the commands
 before it and on nothing else. What became of an order is decided here and nowhere else,
@@ -122,9 +122,9 @@
     epoch: int = bp.uint64_field(2)
     version: int = bp.uint64_field(3)
     document: bytes = bp.bytes_field(4)
-    roster: List[str] = bp.string_field(5)
+    membership: List[str] = bp.string_field(5)
     puts: List[RequestRecord] = bp.message_field(6)  # taken, oldest first
-    old_roster: List[str] = bp.string_field(7)  # before the newest epoch, if it added several
+    old_membership: List[str] = bp.string_field(7)  # before the newest epoch, if it added several
     refused: List[RequestRecord] = bp.message_field(8)  # oldest first
     superseded: bytes = bp.bytes_field(9)  # rows of those taken before `puts`, oldest first
     forgotten_to: int = bp.uint64_field(10)  # up to this version, others may have been taken
@@ -139,7 +139,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PutLost:
+class PutSuperseded:
     """Another version was in force: the put left no trace."""
 
     expected: int
@@ -155,12 +155,12 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PutClash:
+class PutVersionTaken:
     """The put id was used before, for other bytes."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class PutUnclear:
+class PutOutcomeUnknown:
     """Neither taken now nor refused: this log cannot tell what became of it."""
 
     why: str
@@ -172,7 +172,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class RosterSet:
+class MembershipSet:
     """The membership of edges was changed, under this epoch."""
 
     epoch: int
@@ -238,7 +238,7 @@
     PutApplied(version=1, epoch=1)
     >>> late = Command(put=PutConfiguration(put_id="q", expected=0, document=b"[]"))
     >>> machine.apply(data=bytes(late))
-    PutLost(expected=0, current=1)
+    PutSuperseded(expected=0, current=1)
     >>> machine.apply(data=bytes(put))
     PutApplied(version=1, epoch=1)
     >>> put.put.put_id = "r"  # the same put under another id
@@ -270,8 +270,8 @@
         if kind == "put_delta":
             return self._put_delta(put=body)
         if kind == "add":
-            return self._set_roster(names=set(self.state.roster) | {body.edge, *body.more})
-        return self._set_roster(names=set(self.state.roster) - {body.edge})
+            return self._set_membership(names=set(self.state.membership) | {body.edge, *body.more})
+        return self._set_membership(names=set(self.state.membership) - {body.edge})
 
     def _put(self, *, put: PutConfiguration) -> object:
         digest = put_digest(document=put.document, expected=put.expected, version=put.version)
@@ -318,7 +318,7 @@
         if decided is not None:
             return decided
         if put.expected <= self.state.version:
-            return PutUnclear(why="its base version has come meanwhile; ask again")
+            return PutOutcomeUnknown(why="its base version has come meanwhile; ask again")
         record = self._record_of(put=put, digest=put.digest)
         self._keep_refusal(record=record)
         return outcome_of(record=record)
@@ -337,7 +337,7 @@
         state.version = version
         state.epoch += 1
         state.document = document
-        state.old_roster = []
+        state.old_membership = []
         record.version, record.epoch = state.version, state.epoch
         state.puts.append(record)
         self._index(record=record)
@@ -379,14 +379,14 @@
         if self._taken.get(record.digest) is record:
             del self._taken[record.digest]
 
-    def _set_roster(self, *, names: set[str]) -> RosterSet:
+    def _set_membership(self, *, names: set[str]) -> MembershipSet:
         state = self.state
-        if names != set(state.roster):
-            is_step = len(names ^ set(state.roster)) == 1
+        if names != set(state.membership):
+            is_step = len(names ^ set(state.membership)) == 1
             state.epoch += 1
-            state.old_roster = [] if is_step else state.roster
-            state.roster = sorted(names)
-        return RosterSet(epoch=state.epoch)
+            state.old_membership = [] if is_step else state.membership
+            state.membership = sorted(names)
+        return MembershipSet(epoch=state.epoch)
 
     def record(self, *, put_id: str) -> RequestRecord | None:
         """The applied-request record of an order, if it is still kept whole."""
@@ -395,10 +395,10 @@
     def decided(self, *, put: Put, digest: bytes) -> object | None:
         """What became of an order, if it was decided: of the one under its id, or of one
         with the same content under another id, if that was taken. An order that may have
-        been taken where no record was kept gets `PutUnclear`."""
+        been taken where no record was kept gets `PutOutcomeUnknown`."""
         record = self._records.get(put.put_id)
         if record is not None and record.digest != digest:
-            return PutClash()
+            return PutVersionTaken()
         record = self._taken.get(digest) or record or self._too_early.get((put.put_id, digest))
         if record is not None:
             return outcome_of(record=record)
@@ -415,7 +415,7 @@
         its version or a lower one left no trace here."""
         state = self.state
         if version_of(put=put) != state.version:
-            return PutUnclear(why="too old to tell whether it was taken")
+            return PutOutcomeUnknown(why="too old to tell whether it was taken")
         in_force = put_digest(document=state.document, expected=put.expected, version=state.version)
         if digest == in_force:
             return PutApplied(version=state.version, epoch=state.epoch)
@@ -429,7 +429,7 @@
             epoch=state.epoch,
             version=state.version,
             document=state.document,
-            roster=list(state.roster),
+            membership=list(state.membership),
         )
 
 
@@ -445,8 +445,8 @@
     if doc.version > state.version:
         state.forgotten_to = doc.version
     state.version, state.document = doc.version, doc.document
-    state.roster, state.epoch = list(doc.roster), doc.epoch
-    state.old_roster = []
+    state.membership, state.epoch = list(doc.membership), doc.epoch
+    state.old_membership = []
 
 
 def read_rows(*, rows: bytes) -> Iterator[tuple[bytes, int]]:
@@ -460,14 +460,14 @@
         yield part, int.from_bytes(version, "big")
 
 
-def outcome_of(*, record: RequestRecord) -> PutApplied | PutLost | PutNotAbove:
+def outcome_of(*, record: RequestRecord) -> PutApplied | PutSuperseded | PutNotAbove:
     """What became of an order that was decided.
 
     >>> outcome_of(record=RequestRecord(put_id="p", expected=3, found=4))
-    PutLost(expected=3, current=4)
+    PutSuperseded(expected=3, current=4)
     """
     if record.version:
         return PutApplied(version=record.version, epoch=record.epoch)
     if record.expected == record.found:
         return PutNotAbove(version=record.asked, current=record.found)
-    return PutLost(expected=record.expected, current=record.found)
+    return PutSuperseded(expected=record.expected, current=record.found)
--- a/kelpstage/core/store/records.py
+++ b/kelpstage/core/store/records.py
@@ -18,7 +18,7 @@
 
 import betterproto as bp
 
-from kelpstage.common.errors import FormatMismatch, LogDamaged
+from kelpstage.common.errors.storage import FormatMismatchError, LogDamagedError
 from kelpstage.common.log.checksummed import has_sealed, seal, unseal
 from kelpstage.common.transport.messages import CoreMember, LogEntry
 
@@ -126,7 +126,7 @@
         return self.records[-1].offset if len(self.records) > 1 else 0
 
 
-def other_format(*, path: str, data: bytes, magic: bytes) -> FormatMismatch | None:
+def other_format(*, path: str, data: bytes, magic: bytes) -> FormatMismatchError | None:
     """Is this a file of ours in a format that this version does not read?
 
     >>> other_format(path="p", data=b"KLOG" + struct.pack("!H", 9), magic=b"KLOG").why
@@ -137,12 +137,12 @@
     [theirs] = _FORMAT_NUMBER.unpack_from(data, len(magic))
     if theirs == FORMAT:
         return None
-    return FormatMismatch(path=path, ours=FORMAT, theirs=theirs)
+    return FormatMismatchError(path=path, ours=FORMAT, theirs=theirs)
 
 
 def read_segment(
     *, path: str, number: int, data: bytes, is_last: bool, synced: int = 0
-) -> Segment | LogDamaged | FormatMismatch:
+) -> Segment | LogDamagedError | FormatMismatchError:
     """Read a segment's records.
 
     `synced` bytes of it were synced for certain. Only the last segment may end in a
@@ -161,15 +161,15 @@
     end = 0
     if data.startswith(SEGMENT_HEAD):
         outcome = _read_records(path=path, data=data)
-        if isinstance(outcome, LogDamaged):
+        if isinstance(outcome, LogDamagedError):
             return outcome
         records, end = outcome.records, outcome.end
     is_whole = end == len(data) and end > 0
     if not is_whole and (not is_last or end < synced or has_sealed(data=data, start=end)):
         other = other_format(path=path, data=data, magic=SEGMENT_MAGIC)
-        return other or LogDamaged(path=path, offset=end, why=_why_bad(end=end, synced=synced))
+        return other or LogDamagedError(path=path, offset=end, why=_why_bad(end=end, synced=synced))
     if end < synced:
-        return LogDamaged(path=path, offset=end, why="synced records are missing")
+        return LogDamagedError(path=path, offset=end, why="synced records are missing")
     return Segment(path=path, number=number, data=data, records=records, end=end)
 
 
@@ -187,7 +187,7 @@
     end: int
 
 
-def _read_records(*, path: str, data: bytes) -> _Records | LogDamaged:
+def _read_records(*, path: str, data: bytes) -> _Records | LogDamagedError:
     """The good records from a segment's beginning on."""
     offset = len(SEGMENT_HEAD)
     records: list[PlacedRecord] = []
@@ -195,7 +195,7 @@
         body, behind = found
         record = _parse(body=body, kind=DiskRecord)
         if record is None:
-            return LogDamaged(path=path, offset=offset, why="a record is unreadable")
+            return LogDamagedError(path=path, offset=offset, why="a record is unreadable")
         records.append(PlacedRecord(offset=offset, record=record))
         offset = behind
     return _Records(records=records, end=offset)
@@ -220,7 +220,9 @@
     return SNAPSHOT_HEAD + seal(body=bytes(snapshot))
 
 
-def read_snapshot(*, path: str, data: bytes) -> DiskSnapshot | LogDamaged | FormatMismatch:
+def read_snapshot(
+    *, path: str, data: bytes
+) -> DiskSnapshot | LogDamagedError | FormatMismatchError:
     """The reverse of `write_snapshot`.
 
     >>> read_snapshot(path="p", data=b"junk").kind
@@ -238,7 +240,9 @@
     return IDENTITY_HEAD + seal(body=bytes(identity))
 
 
-def read_identity(*, path: str, data: bytes) -> DiskIdentity | LogDamaged | FormatMismatch:
+def read_identity(
+    *, path: str, data: bytes
+) -> DiskIdentity | LogDamagedError | FormatMismatchError:
     """The reverse of `write_identity`.
 
     >>> read_identity(path="p", data=b"").why
@@ -249,12 +253,12 @@
 
 def _read_one(
     *, path: str, data: bytes, magic: bytes, kind: type[_Message]
-) -> _Message | LogDamaged | FormatMismatch:
+) -> _Message | LogDamagedError | FormatMismatchError:
     """The single record of a file."""
     other = other_format(path=path, data=data, magic=magic)
     if other is not None:
         return other
-    damage = LogDamaged(path=path, offset=0, why="it fails its check")
+    damage = LogDamagedError(path=path, offset=0, why="it fails its check")
     if not data.startswith(magic + _VERSION):
         return damage
     found = unseal(data=data, offset=len(magic + _VERSION))
--- a/kelpstage/core/store/recovery.py
+++ b/kelpstage/core/store/recovery.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from kelpstage.common.errors import LogDamaged
+from kelpstage.common.errors.storage import LogDamagedError
 from kelpstage.common.transport.messages import LogEntry
 from kelpstage.core.raft.log import MemoryLog
 from kelpstage.core.store.layout import LOG_FOLDER, SNAPSHOT_FOLDER
@@ -66,7 +66,7 @@
     segments: list[Segment],
     snapshot: DiskSnapshot | None,
     mark: SyncedMark | None,
-) -> Recovered | LogDamaged:
+) -> Recovered | LogDamagedError:
     """A replica's state from the segments that count, oldest first, and its newest snapshot.
 
     >>> rebuild(identity=DiskIdentity(replica="a"), segments=[], snapshot=None, mark=None).term
@@ -83,7 +83,7 @@
     for segment in segments:
         for placed in segment.records:
             if not all(replay.take(step=step) for step in placed.record.steps):
-                return LogDamaged(
+                return LogDamagedError(
                     path=segment.path, offset=placed.offset, why="entries out of order"
                 )
     return _join(identity=identity, replay=replay, snapshot=snapshot)
@@ -126,7 +126,7 @@
 
 def _missing(
     *, segments: list[Segment], snapshot: DiskSnapshot | None, mark: SyncedMark | None
-) -> LogDamaged | None:
+) -> LogDamagedError | None:
     """Is a segment gone that must be there?"""
     numbers = [segment.number for segment in segments]
     why = ""
@@ -138,24 +138,24 @@
         why = "a segment is missing"
     elif snapshot is not None and not any(segment.records for segment in segments):
         why = "there is no log beside the snapshot"
-    return LogDamaged(path=LOG_FOLDER, offset=0, why=why) if why else None
+    return LogDamagedError(path=LOG_FOLDER, offset=0, why=why) if why else None
 
 
-def _cut_short(*, segments: list[Segment]) -> LogDamaged | None:
+def _cut_short(*, segments: list[Segment]) -> LogDamagedError | None:
     """Are records missing at the end of a segment that another one goes on from?"""
     for before, after in zip(segments, segments[1:], strict=False):
         if after.records and after.records[0].record.previous_size != before.end:
-            return LogDamaged(path=before.path, offset=before.end, why="records are missing")
+            return LogDamagedError(path=before.path, offset=before.end, why="records are missing")
     return None
 
 
 def _join(
     *, identity: DiskIdentity, replay: _Replay, snapshot: DiskSnapshot | None
-) -> Recovered | LogDamaged:
+) -> Recovered | LogDamagedError:
     """Put the log behind the snapshot, which may be newer than the log's base."""
     base = snapshot.index if snapshot else 0
     if replay.base_index > base:
-        return LogDamaged(path=SNAPSHOT_FOLDER, offset=0, why="the log's snapshot is not here")
+        return LogDamagedError(path=SNAPSHOT_FOLDER, offset=0, why="the log's snapshot is not here")
     log = MemoryLog(
         base_index=replay.base_index, base_term=replay.base_term, entries=replay.entries
     )
--- a/kelpstage/core/store/store.py
+++ b/kelpstage/core/store/store.py
@@ -8,7 +8,8 @@
 
 from collections.abc import Awaitable, Callable
 
-from kelpstage.common.errors import Defect, LogDamaged
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.storage import LogDamagedError
 from kelpstage.common.log.checksummed import seal
 from kelpstage.common.ports.interfaces import Disk, Ports
 from kelpstage.common.transport.messages import LogEntry
@@ -65,24 +66,24 @@
 
     # --- identity ------------------------------------------------------------------
 
-    async def read_identity(self) -> DiskIdentity | None | Defect:
+    async def read_identity(self) -> DiskIdentity | None | KelpstageError:
         """Whose folder this is; `None` in an empty one."""
         for folder in OWNED_FOLDERS:  # looking into a folder makes it
             names = await self._disk.names(folder=folder)
-            if isinstance(names, Defect):
+            if isinstance(names, KelpstageError):
                 return names
-        defect = await self._drop_unfinished_identity()
-        if defect is not None:
-            return defect
-        defect = await self._disk.sync_folder(folder=ROOT)
-        if defect is not None:
-            return defect
+        error = await self._drop_unfinished_identity()
+        if error is not None:
+            return error
+        error = await self._disk.sync_folder(folder=ROOT)
+        if error is not None:
+            return error
         data = await self._disk.read(path=IDENTITY_PATH)
-        if data is None or isinstance(data, Defect):
+        if data is None or isinstance(data, KelpstageError):
             return data
         return read_identity(path=IDENTITY_PATH, data=data)
 
-    async def write_identity(self, *, identity: DiskIdentity) -> Defect | None:
+    async def write_identity(self, *, identity: DiskIdentity) -> KelpstageError | None:
         """Make this the folder of a replica, at once and for good."""
         self._replica = identity.replica
         data = write_identity(identity=identity)
@@ -90,7 +91,7 @@
 
     async def begin_member(
         self, *, identity: DiskIdentity, snapshot: DiskSnapshot | None = None, term: int = 0
-    ) -> Defect | None:
+    ) -> KelpstageError | None:
         """Become a member of a cluster, with nothing or with a snapshot to begin from.
 
         The identity, which makes it count, is written after everything else. Cut off
@@ -98,91 +99,93 @@
         """
         self._replica = identity.replica
         self._segment, self._size = 0, 0
-        defect = await self._drop(
+        error = await self._drop(
             is_needless=lambda name: self._is_own(name) or name.endswith(UNFINISHED_SUFFIX)
         )
-        if defect is None and snapshot is not None:
-            defect = await self.keep_snapshot(snapshot=snapshot, tail=[], term=term, vote="")
-        if defect is None:
-            defect = await self.write_identity(identity=identity)
-        if defect is None:
-            defect = await self._drop(is_needless=self._is_foreign)
-        return defect
-
-    async def set_aside(self) -> Defect | None:
+        if error is None and snapshot is not None:
+            error = await self.save_snapshot(snapshot=snapshot, tail=[], term=term, vote="")
+        if error is None:
+            error = await self.write_identity(identity=identity)
+        if error is None:
+            error = await self._drop(is_needless=self._is_foreign)
+        return error
+
+    async def set_aside(self) -> KelpstageError | None:
         """Forget a damaged replica; the next `read_identity` finds an empty folder.
 
         The identity goes first and for good. Cut off before that, the whole replica is
         still there; after it, its files belong to no replica and are never read again.
         """
         names = await self._disk.names(folder=ROOT)
-        if isinstance(names, Defect):
+        if isinstance(names, KelpstageError):
             return names
         if IDENTITY_PATH in names:
-            defect = await self._disk.delete(path=IDENTITY_PATH)
-            if defect is not None:
-                return defect
-        defect = await self._disk.sync_folder(folder=ROOT)
-        if defect is not None:
-            return defect
+            error = await self._disk.delete(path=IDENTITY_PATH)
+            if error is not None:
+                return error
+        error = await self._disk.sync_folder(folder=ROOT)
+        if error is not None:
+            return error
         self._replica = ""
         self._segment, self._size = 0, 0
         return await self._drop(is_needless=self._is_foreign)
 
     # --- recovery ----------------------------------------------------------------------
 
-    async def recover(self, *, identity: DiskIdentity) -> Recovered | Defect:
+    async def recover(self, *, identity: DiskIdentity) -> Recovered | KelpstageError:
         """Read the newest snapshot and the log behind it; cut a torn end; refuse damage."""
         self._replica = identity.replica
         self._segment, self._size = 0, 0
         snapshot = await self._newest_snapshot(cluster=identity.cluster)
-        if isinstance(snapshot, Defect):
+        if isinstance(snapshot, KelpstageError):
             return snapshot
         mark = await self._read_mark()
-        if isinstance(mark, Defect):
+        if isinstance(mark, KelpstageError):
             return mark
         segments = await self._segments_that_count(mark=mark)
-        if isinstance(segments, Defect):
+        if isinstance(segments, KelpstageError):
             return segments
         recovered = rebuild(identity=identity, segments=segments, snapshot=snapshot, mark=mark)
-        if isinstance(recovered, Defect):
+        if isinstance(recovered, KelpstageError):
             return recovered
-        defect = await self._settle(segments=segments, recovered=recovered, mark=mark)
-        return defect or recovered
+        error = await self._settle(segments=segments, recovered=recovered, mark=mark)
+        return error or recovered
 
-    async def _newest_snapshot(self, *, cluster: str) -> DiskSnapshot | None | Defect:
+    async def _newest_snapshot(self, *, cluster: str) -> DiskSnapshot | None | KelpstageError:
         indexes = await self._numbers(folder=SNAPSHOT_FOLDER)
-        if isinstance(indexes, Defect):
+        if isinstance(indexes, KelpstageError):
             return indexes
         if not indexes:
             return None
         path = snapshot_path(replica=self._replica, index=indexes[-1])
         data = await self._disk.read(path=path)
-        if isinstance(data, Defect):
+        if isinstance(data, KelpstageError):
             return data
         snapshot = read_snapshot(path=path, data=data or b"")
-        if isinstance(snapshot, Defect):
+        if isinstance(snapshot, KelpstageError):
             return snapshot
         if snapshot.index != indexes[-1] or snapshot.cluster != cluster:
-            return LogDamaged(path=path, offset=0, why="a snapshot of something else")
+            return LogDamagedError(path=path, offset=0, why="a snapshot of something else")
         return snapshot
 
-    async def _read_mark(self) -> SyncedMark | None | Defect:
+    async def _read_mark(self) -> SyncedMark | None | KelpstageError:
         data = await self._disk.read(path=mark_path(replica=self._replica))
-        if isinstance(data, Defect):
+        if isinstance(data, KelpstageError):
             return data
         return read_mark(data=data or b"")
 
-    async def _segments_that_count(self, *, mark: SyncedMark | None) -> list[Segment] | Defect:
+    async def _segments_that_count(
+        self, *, mark: SyncedMark | None
+    ) -> list[Segment] | KelpstageError:
         """From the newest one that begins with a base on; all if none does."""
         numbers = await self._numbers(folder=LOG_FOLDER)
-        if isinstance(numbers, Defect):
+        if isinstance(numbers, KelpstageError):
             return numbers
         segments: list[Segment] = []
         for number in reversed(numbers):
             path = segment_path(replica=self._replica, number=number)
             data = await self._disk.read(path=path)
-            if isinstance(data, Defect):
+            if isinstance(data, KelpstageError):
                 return data
             segment = read_segment(
                 path=path,
@@ -191,7 +194,7 @@
                 is_last=number == numbers[-1],
                 synced=mark.size if mark and mark.segment == number else 0,
             )
-            if isinstance(segment, Defect):
+            if isinstance(segment, KelpstageError):
                 return segment
             segments.insert(0, segment)
             if segment.begins_with_base:
@@ -200,7 +203,7 @@
 
     async def _settle(
         self, *, segments: list[Segment], recovered: Recovered, mark: SyncedMark | None
-    ) -> Defect | None:
+    ) -> KelpstageError | None:
         """Make what was read last, then drop what it makes needless.
 
         What was read may have been in the cache only: a process that was killed leaves
@@ -209,29 +212,31 @@
         base_index = recovered.log.base_index
         is_anew = is_to_begin_anew(segments=segments, index=base_index)
         if segments and not is_anew:
-            defect = await self._settle_end(segment=segments[-1], mark=mark)
-            if defect is not None:
-                return defect
+            error = await self._settle_end(segment=segments[-1], mark=mark)
+            if error is not None:
+                return error
         for folder in OWNED_FOLDERS:
-            defect = await self._disk.sync_folder(folder=folder)
-            if defect is not None:
-                return defect
+            error = await self._disk.sync_folder(folder=folder)
+            if error is not None:
+                return error
         if is_anew:
             # In place of a last one that holds nothing; else each try would add another.
             last = segments[-1] if segments else None
             self._segment = 0 if last is None else last.number - (not last.records)
-            defect = await self._begin_segment(base=base_of(recovered=recovered))
-            if defect is not None:
-                return defect
+            error = await self._begin_segment(base=base_of(recovered=recovered))
+            if error is not None:
+                return error
         base = self._segment if is_anew or not segments else segments[0].number
-        defect = await self._drop_before(segment=base, index=base_index)
-        if defect is None:
-            defect = await self._drop(is_needless=self._is_foreign)
-        if defect is None:
+        error = await self._drop_before(segment=base, index=base_index)
+        if error is None:
+            error = await self._drop(is_needless=self._is_foreign)
+        if error is None:
             await self.mark_synced()
-        return defect
+        return error
 
-    async def _settle_end(self, *, segment: Segment, mark: SyncedMark | None) -> Defect | None:
+    async def _settle_end(
+        self, *, segment: Segment, mark: SyncedMark | None
+    ) -> KelpstageError | None:
         """Cut off a torn end, and write the last record again unless it is marked as synced.
 
         It is written in place, over the same bytes, and not cut off before: torn by a
@@ -248,7 +253,7 @@
 
     # --- writing -----------------------------------------------------------------------------
 
-    async def append(self, *, steps: list[DiskStep]) -> Defect | None:
+    async def append(self, *, steps: list[DiskStep]) -> KelpstageError | None:
         """Write one record and sync it."""
         record = DiskRecord(steps=steps)
         data = seal(body=bytes(record))
@@ -259,29 +264,29 @@
             self._segment += 1
             self._size = 0
         self._point("log.before_append")
-        defect = await self._write_synced(
+        error = await self._write_synced(
             path=segment_path(replica=self._replica, number=self._segment),
             at=self._size,
             data=data,
             is_new=is_new,
         )
-        if defect is None:
+        if error is None:
             self._point("log.after_sync")
             self._size += len(data)
-        return defect
+        return error
 
     async def _write_synced(
         self, *, path: str, at: int, data: bytes, is_new: bool
-    ) -> Defect | None:
+    ) -> KelpstageError | None:
         """Write at an offset, end the file behind it and sync both, the name too if new."""
-        defect = await self._disk.append(path=path, data=data, at=at)
-        if defect is not None:
-            return defect
+        error = await self._disk.append(path=path, data=data, at=at)
+        if error is not None:
+            return error
         self._point("log.before_sync")
-        defect = await self._disk.sync(path=path)
-        if defect is None and is_new:
-            defect = await self._disk.sync_folder(folder=LOG_FOLDER)
-        return defect
+        error = await self._disk.sync(path=path)
+        if error is None and is_new:
+            error = await self._disk.sync_folder(folder=LOG_FOLDER)
+        return error
 
     async def mark_synced(self) -> None:
         """Note how much of the log is synced, so that damage before it is told from a torn
@@ -292,22 +297,22 @@
         path = mark_path(replica=self._replica)
         await self._disk.append(path=path, data=write_mark(mark=mark), at=0)
 
-    async def keep_snapshot(
+    async def save_snapshot(
         self, *, snapshot: DiskSnapshot, tail: list[LogEntry], term: int, vote: str
-    ) -> Defect | None:
+    ) -> KelpstageError | None:
         """Write a snapshot, begin a segment behind it, drop what came before.
 
         `tail` are the entries behind the snapshot that the log still holds: the new
         segment begins with them, since the older ones go.
         """
         self._point("snapshot.before_write")
-        defect = await self._replace_file(
+        error = await self._replace_file(
             path=snapshot_path(replica=self._replica, index=snapshot.index),
             folder=SNAPSHOT_FOLDER,
             data=write_snapshot(snapshot=snapshot),
         )
-        if defect is not None:
-            return defect
+        if error is not None:
+            return error
         self._point("snapshot.after_write")
         base = DiskStep(
             is_base=True,
@@ -318,26 +323,26 @@
             term=term,
             vote=vote,
         )
-        defect = await self._begin_segment(base=base)
-        if defect is not None:
-            return defect
+        error = await self._begin_segment(base=base)
+        if error is not None:
+            return error
         self._point("snapshot.before_drop")
         return await self._drop_before(segment=self._segment, index=snapshot.index)
 
-    async def _begin_segment(self, *, base: DiskStep) -> Defect | None:
+    async def _begin_segment(self, *, base: DiskStep) -> KelpstageError | None:
         """A new segment whose first record makes all older ones needless."""
         self._segment += 1
         data = SEGMENT_HEAD + seal(body=bytes(DiskRecord(steps=[base])))
         path = segment_path(replica=self._replica, number=self._segment)
-        defect = await self._write_synced(path=path, at=0, data=data, is_new=True)
-        if defect is None:
+        error = await self._write_synced(path=path, at=0, data=data, is_new=True)
+        if error is None:
             self._size = len(data)
-        return defect
+        return error
 
-    async def _replace_file(self, *, path: str, folder: str, data: bytes) -> Defect | None:
+    async def _replace_file(self, *, path: str, folder: str, data: bytes) -> KelpstageError | None:
         """Write beside, sync, rename, sync the folder."""
         beside = path + UNFINISHED_SUFFIX
-        steps: list[Callable[[], Awaitable[Defect | None]]] = [
+        steps: list[Callable[[], Awaitable[KelpstageError | None]]] = [
             lambda: self._disk.write(path=beside, data=data),
             lambda: self._disk.sync(path=beside),
             lambda: self._disk.rename(path=beside, to=path),
@@ -345,15 +350,15 @@
         ]
         for step in steps:
             self._point("file.before_step")
-            defect = await step()
-            if defect is not None:
-                return defect
+            error = await step()
+            if error is not None:
+                return error
         self._point("file.after_rename_sync")
         return None
 
     # --- dropping ------------------------------------------------------------------------
 
-    async def _drop_before(self, *, segment: int, index: int) -> Defect | None:
+    async def _drop_before(self, *, segment: int, index: int) -> KelpstageError | None:
         """Drop segments and snapshots that newer ones, synced, have made needless."""
 
         def is_older(name: str) -> bool:
@@ -364,27 +369,27 @@
 
         return await self._drop(is_needless=is_older)
 
-    async def _drop(self, *, is_needless: Callable[[str], bool]) -> Defect | None:
+    async def _drop(self, *, is_needless: Callable[[str], bool]) -> KelpstageError | None:
         """Delete files of log and snapshots, oldest first, and sync their folders."""
         for folder in OWNED_FOLDERS:
             names = await self._disk.names(folder=folder)
-            if isinstance(names, Defect):
+            if isinstance(names, KelpstageError):
                 return names
             needless = [name for name in names if is_needless(name)]
             for name in needless:
-                defect = await self._disk.delete(path=f"{folder}/{name}")
-                if defect is not None:
-                    return defect
-            defect = await self._disk.sync_folder(folder=folder) if needless else None
-            if defect is not None:
-                return defect
+                error = await self._disk.delete(path=f"{folder}/{name}")
+                if error is not None:
+                    return error
+            error = await self._disk.sync_folder(folder=folder) if needless else None
+            if error is not None:
+                return error
         return None
 
-    async def _drop_unfinished_identity(self) -> Defect | None:
+    async def _drop_unfinished_identity(self) -> KelpstageError | None:
         """Delete what a broken-off write left beside, before its name is used again."""
         beside = IDENTITY_PATH + UNFINISHED_SUFFIX
         names = await self._disk.names(folder=ROOT)
-        if isinstance(names, Defect):
+        if isinstance(names, KelpstageError):
             return names
         return await self._disk.delete(path=beside) if beside in names else None
 
@@ -397,10 +402,10 @@
         owner = owner_of(name=name)
         return name.endswith(UNFINISHED_SUFFIX) or owner not in (None, self._replica)
 
-    async def _numbers(self, *, folder: str) -> list[int] | Defect:
+    async def _numbers(self, *, folder: str) -> list[int] | KelpstageError:
         """The numbers of this replica's files in a folder, ascending."""
         names = await self._disk.names(folder=folder)
-        if isinstance(names, Defect):
+        if isinstance(names, KelpstageError):
             return names
         found = [parse_name(name=name) for name in names]
         return sorted(parts.number for parts in found if parts and parts.replica == self._replica)
--- a/kelpstage/core/store/task.py
+++ b/kelpstage/core/store/task.py
@@ -8,7 +8,7 @@
 
 from tornado.queues import Queue
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.transport.messages import LogEntry
 from kelpstage.core.raft.types import Persist
 from kelpstage.core.store.records import DiskSnapshot, DiskStep
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class KeepThis:
+class PersistRequest:
     """A snapshot to keep, with the log's entries behind it, term and vote.
 
     `number` is reported as synced, like a `Persist`'s; 0 is not.
@@ -42,15 +42,15 @@
         store: Store,
         on_synced: Callable[[int], None],
         on_kept: Callable[[int], None],
-        on_defect: Callable[[Defect], None],
+        on_error: Callable[[KelpstageError], None],
     ) -> None:
         """The store must have been recovered."""
-        self.inbox: Queue[Persist | KeepThis] = Queue()
+        self.inbox: Queue[Persist | PersistRequest] = Queue()
         self._store = store
         self._on_synced = on_synced
         self._on_kept = on_kept
-        self._on_defect = on_defect
-        self._taken: KeepThis | None = None  # out of the inbox, not written yet
+        self._on_error = on_error
+        self._taken: PersistRequest | None = None  # out of the inbox, not written yet
 
     async def run(self) -> None:
         """Write until a write fails."""
@@ -58,17 +58,17 @@
             item = self._taken or await self.inbox.get()
             self._taken = None
             outcome = await self._write(item)
-            if isinstance(outcome, Defect):
-                self._on_defect(outcome)
+            if isinstance(outcome, KelpstageError):
+                self._on_error(outcome)
                 return
             await self._store.mark_synced()
 
     @singledispatchmethod
-    async def _write(self, item: object) -> Defect | None:
+    async def _write(self, item: object) -> KelpstageError | None:
         raise TypeError(type(item))
 
     @_write.register
-    async def _(self, item: Persist) -> Defect | None:
+    async def _(self, item: Persist) -> KelpstageError | None:
         """All writes that stand in the queue go into one record and one sync."""
         batch = [item]
         while not self.inbox.empty():
@@ -83,8 +83,8 @@
         return outcome
 
     @_write.register
-    async def _(self, item: KeepThis) -> Defect | None:
-        outcome = await self._store.keep_snapshot(
+    async def _(self, item: PersistRequest) -> KelpstageError | None:
+        outcome = await self._store.save_snapshot(
             snapshot=item.snapshot, tail=item.tail, term=item.term, vote=item.vote
         )
         if outcome is not None:
