--- a/kelpstage/core/web/operators.py
+++ b/kelpstage/core/web/operators.py
@@ -6,24 +6,26 @@
 from urllib.parse import unquote, urlsplit
 
 from kelpstage.common.configuration.validation import DOCUMENT_LIMIT, VERSION_LIMIT
-from kelpstage.common.errors import (
-    BadRequest,
-    Defect,
-    MissingIfMatch,
-    NoConfiguration,
-    NoLeader,
-    OversizedBody,
-    UnknownPut,
-    UnknownResource,
-    Unresolved,
-    VersionNotAbove,
-    WrongMethod,
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.control import (
+    MissingIfMatchError,
+    NoConfigurationError,
+    NoLeaderError,
+    UnknownPutError,
+    VersionNotAboveError,
+    WriteUnresolvedError,
 )
-from kelpstage.common.http.replies import JSON_TYPE, defect_reply, json_reply
+from kelpstage.common.errors.requests import (
+    BadRequestError,
+    BodyTooLargeError,
+    MethodNotAllowedError,
+    UnknownResourceError,
+)
+from kelpstage.common.http.replies import JSON_TYPE, error_reply, json_reply
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
-from kelpstage.common.transport.messages import ProxyOperator, ProxyOperatorReply
-from kelpstage.core.handlers import proxy_to_leader
-from kelpstage.core.leases.validation import judge_document
+from kelpstage.common.transport.messages import ForwardOperatorCall, ForwardOperatorCallReply
+from kelpstage.core.handlers import forward_to_leader
+from kelpstage.core.leases.validation import validate_document
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.state.machine import PutApplied
 
@@ -43,15 +45,15 @@
     local = LOCAL.get(path)
     if local is not None:
         if call.method != "GET":
-            return defect_reply(defect=WrongMethod(method=call.method, allowed="GET"))
+            return error_reply(error=MethodNotAllowedError(method=call.method, allowed="GET"))
         return local(core)
     wait_us = _wait_us(call=call)
-    if isinstance(wait_us, Defect):
-        return defect_reply(defect=wait_us)
+    if isinstance(wait_us, KelpstageError):
+        return error_reply(error=wait_us)
     version = _version(call=call)
-    if isinstance(version, Defect):
-        return defect_reply(defect=version)
-    ask = ProxyOperator(
+    if isinstance(version, KelpstageError):
+        return error_reply(error=version)
+    ask = ForwardOperatorCall(
         method=call.method,
         url=path,
         if_match=call.headers.get("if-match", ""),
@@ -62,34 +64,34 @@
     )
     refused = _refuse_early(ask=ask)
     if refused is not None:
-        return defect_reply(defect=refused)
+        return error_reply(error=refused)
     ask.wait_us = max(1, wait_us - await _await_leader(core=core, wait_us=wait_us))
     task = core.task
     if task is not None and task.is_leader:
-        return _from_proxy(reply=await answer_as_leader(core=core, ask=ask))
+        return _from_forwarded(reply=await answer_as_leader(core=core, ask=ask))
     if task is None or not task.leader_address:
         why = core.waits_for or "no leader is known to this core"
-        return _refusal_of(core=core, ask=ask) or defect_reply(defect=NoLeader(why=why))
-    reply = await proxy_to_leader(core=core, ask=ask)
-    if isinstance(reply, ProxyOperatorReply):
-        return _from_proxy(reply=reply)
+        return _refusal_of(core=core, ask=ask) or error_reply(error=NoLeaderError(why=why))
+    reply = await forward_to_leader(core=core, ask=ask)
+    if isinstance(reply, ForwardOperatorCallReply):
+        return _from_forwarded(reply=reply)
     refusal = _refusal_of(core=core, ask=ask)
     if refusal is not None:
         return refusal
     if ask.method == "PUT":
         return _unresolved(put_id=ask.put_id, why=f"the leader was lost meanwhile: {reply.kind}")
-    return defect_reply(defect=NoLeader(why=f"leader not reached: {reply.kind}"))
+    return error_reply(error=NoLeaderError(why=f"leader not reached: {reply.kind}"))
 
 
-def _refusal_of(*, core: "Core", ask: ProxyOperator) -> HttpReply | None:
+def _refusal_of(*, core: "Core", ask: ForwardOperatorCall) -> HttpReply | None:
     """The refusal of a document that no leader would take, where none could be asked."""
     if ask.method != "PUT":
         return None
     if core.lease_service is None:
-        judged = judge_document(document=ask.body)
+        judged = validate_document(document=ask.body)
     else:
         judged = core.lease_service.puts.judge(document=ask.body)
-    return defect_reply(defect=judged) if isinstance(judged, Defect) else None
+    return error_reply(error=judged) if isinstance(judged, KelpstageError) else None
 
 
 async def _await_leader(*, core: "Core", wait_us: int) -> int:
@@ -110,12 +112,12 @@
     return min(LEADER_WAIT_US, wait_us // 2)
 
 
-def _wait_us(*, call: HttpCall) -> int | BadRequest:
+def _wait_us(*, call: HttpCall) -> int | BadRequestError:
     given = call.headers.get("kelp-time-left-us")
     if given is None:
         return DEFAULT_WAIT_US
     if not _is_digits(given) or not 0 < int(given) <= LONGEST_WAIT_US:
-        return BadRequest(
+        return BadRequestError(
             part="Kelp-Time-Left-Us", why=f"whole microseconds, 1 to {LONGEST_WAIT_US}"
         )
     return int(given)
@@ -125,49 +127,57 @@
     return given.isascii() and given.isdigit() and len(given) <= 19
 
 
-def _version(*, call: HttpCall) -> int | BadRequest:
+def _version(*, call: HttpCall) -> int | BadRequestError:
     """The version that the operator gives a put; 0 if none is stated."""
     given = call.headers.get("kelp-version", "").strip('"')
     if not given:
         return 0
     if not _is_digits(given) or not 0 < int(given) <= VERSION_LIMIT:
-        return BadRequest(part="Kelp-Version", why=f"a whole number, 1 to {VERSION_LIMIT}")
+        return BadRequestError(part="Kelp-Version", why=f"a whole number, 1 to {VERSION_LIMIT}")
     return int(given)
 
 
-def _refuse_early(*, ask: ProxyOperator) -> Defect | None:
+def _refuse_early(*, ask: ForwardOperatorCall) -> KelpstageError | None:
     """Refuse what no leader is needed for."""
     if ask.url == "/v1/configuration":
         if ask.method == "GET":
             return None
         if ask.method != "PUT":
-            return WrongMethod(method=ask.method, allowed="GET, PUT")
+            return MethodNotAllowedError(method=ask.method, allowed="GET, PUT")
         return _refuse_put(ask=ask)
     if ask.url.startswith("/v1/puts/"):
-        return None if ask.method == "GET" else WrongMethod(method=ask.method, allowed="GET")
+        return (
+            None if ask.method == "GET" else MethodNotAllowedError(method=ask.method, allowed="GET")
+        )
     if ask.url == "/v1/roster":
-        return None if ask.method == "GET" else WrongMethod(method=ask.method, allowed="GET")
+        return (
+            None if ask.method == "GET" else MethodNotAllowedError(method=ask.method, allowed="GET")
+        )
     if ask.url.startswith("/v1/roster/"):
-        return None if ask.method == "DELETE" else WrongMethod(method=ask.method, allowed="DELETE")
-    return UnknownResource(path=ask.url)
+        return (
+            None
+            if ask.method == "DELETE"
+            else MethodNotAllowedError(method=ask.method, allowed="DELETE")
+        )
+    return UnknownResourceError(path=ask.url)
 
 
-def _refuse_put(*, ask: ProxyOperator) -> Defect | None:
+def _refuse_put(*, ask: ForwardOperatorCall) -> KelpstageError | None:
     given = ask.if_match.strip('"')
     if not given:
-        return MissingIfMatch(why="If-Match: the version that this put replaces, 0 for none")
+        return MissingIfMatchError(why="If-Match: the version that this put replaces, 0 for none")
     if not _is_digits(given):
-        return BadRequest(part="If-Match", why="a whole version number")
+        return BadRequestError(part="If-Match", why="a whole version number")
     if ask.version and ask.version <= int(given):  # whatever version is in force
-        return VersionNotAbove(version=ask.version, current=int(given))
+        return VersionNotAboveError(version=ask.version, current=int(given))
     if not 0 < len(ask.put_id) <= 64 or not ask.put_id.isascii() or "/" in ask.put_id:
-        return BadRequest(part="Kelp-Put-Id", why="1 to 64 ASCII characters without a slash")
+        return BadRequestError(part="Kelp-Put-Id", why="1 to 64 ASCII characters without a slash")
     if len(ask.body) > DOCUMENT_LIMIT:
-        return OversizedBody(limit_bytes=DOCUMENT_LIMIT)
+        return BodyTooLargeError(limit_bytes=DOCUMENT_LIMIT)
     return None
 
 
-def _from_proxy(*, reply: ProxyOperatorReply) -> HttpReply:
+def _from_forwarded(*, reply: ForwardOperatorCallReply) -> HttpReply:
     headers = {"Content-Type": JSON_TYPE}
     if reply.retry_after:
         headers["Retry-After"] = reply.retry_after
@@ -179,15 +189,16 @@
 
 
 def _unresolved(*, put_id: str, why: str) -> HttpReply:
-    return defect_reply(
-        defect=Unresolved(put_id=put_id, why=why), headers={"Location": f"/v1/puts/{put_id}"}
+    return error_reply(
+        error=WriteUnresolvedError(put_id=put_id, why=why),
+        headers={"Location": f"/v1/puts/{put_id}"},
     )
 
 
-async def answer_as_leader(*, core: "Core", ask: ProxyOperator) -> ProxyOperatorReply:
+async def answer_as_leader(*, core: "Core", ask: ForwardOperatorCall) -> ForwardOperatorCallReply:
     """Answer as the leader, or say that this is none."""
     reply = await _answer(core=core, ask=ask)
-    return ProxyOperatorReply(
+    return ForwardOperatorCallReply(
         status=reply.status,
         body=reply.body,
         retry_after=reply.headers.get("Retry-After", ""),
@@ -197,10 +208,10 @@
     )
 
 
-async def _answer(*, core: "Core", ask: ProxyOperator) -> HttpReply:
+async def _answer(*, core: "Core", ask: ForwardOperatorCall) -> HttpReply:
     task, lease_service = core.task, core.lease_service
     if task is None or lease_service is None or not task.is_leader:
-        no_leader = defect_reply(defect=NoLeader(why="this core does not lead"))
+        no_leader = error_reply(error=NoLeaderError(why="this core does not lead"))
         return _refusal_of(core=core, ask=ask) or no_leader
     if ask.method == "PUT":
         outcome = await lease_service.puts.put(
@@ -214,16 +225,16 @@
     if ask.method == "DELETE":
         names = unquote(ask.url.removeprefix("/v1/roster/")).split(",")
         outcome = await lease_service.remove_edges(edges=names)
-        if isinstance(outcome, Defect):
-            return defect_reply(defect=outcome)
-        return json_reply(body={"epoch": outcome.epoch, "roster": task.machine.state.roster})
-    defect = await _confirm_read(core=core, task=task, wait_us=ask.wait_us * 9 // 10)
-    if defect is not None:
-        return defect_reply(defect=defect)
+        if isinstance(outcome, KelpstageError):
+            return error_reply(error=outcome)
+        return json_reply(body={"epoch": outcome.epoch, "roster": task.machine.state.membership})
+    error = await _confirm_read(core=core, task=task, wait_us=ask.wait_us * 9 // 10)
+    if error is not None:
+        return error_reply(error=error)
     if ask.url == "/v1/configuration":
         return _get_configuration(task=task)
     if ask.url == "/v1/roster":
-        return json_reply(body=roster_view(core=core))
+        return json_reply(body=membership_view(core=core))
     return _get_put(core=core, put_id=unquote(ask.url.removeprefix("/v1/puts/")))
 
 
@@ -233,12 +244,12 @@
             body={"version": outcome.version, "epoch": outcome.epoch, "put_id": put_id},
             headers={"ETag": f'"{outcome.version}"'},
         )
-    if isinstance(outcome, Unresolved):
+    if isinstance(outcome, WriteUnresolvedError):
         return _unresolved(put_id=put_id, why=outcome.why)
-    return defect_reply(defect=outcome)
+    return error_reply(error=outcome)
 
 
-async def _confirm_read(*, core: "Core", task: ReplicaTask, wait_us: int) -> Defect | None:
+async def _confirm_read(*, core: "Core", task: ReplicaTask, wait_us: int) -> KelpstageError | None:
     """Is what `task` has applied fit to be read, by a majority's word since the call came?
 
     The word is void if the process stood still meanwhile, so that the call's time is over,
@@ -247,20 +258,20 @@
     clock = core.ports.clock
     wait_us = min(wait_us, READ_WAIT_US)
     until_us = clock.now_us() + wait_us
-    defect = await task.confirm(wait_us=wait_us)
-    if defect is not None:
-        return defect
+    error = await task.confirm(wait_us=wait_us)
+    if error is not None:
+        return error
     if core.task is not task:
-        return NoLeader(why="this replica was started anew meanwhile")
+        return NoLeaderError(why="this replica was started anew meanwhile")
     if clock.now_us() > until_us:
-        return NoLeader(why="confirmed too late: this process stood still")
+        return NoLeaderError(why="confirmed too late: this process stood still")
     return None
 
 
 def _get_configuration(*, task: ReplicaTask) -> HttpReply:
     state = task.machine.state
     if not state.version:
-        return defect_reply(defect=NoConfiguration(why="none was put yet"))
+        return error_reply(error=NoConfigurationError(why="none was put yet"))
     return HttpReply(
         status=200,
         headers={"Content-Type": JSON_TYPE, "ETag": f'"{state.version}"'},
@@ -271,8 +282,8 @@
 def _get_put(*, core: "Core", put_id: str) -> HttpReply:
     outcome = core.lease_service.puts.put_state(put_id=put_id)
     if outcome is None:
-        return defect_reply(defect=UnknownPut(put_id=put_id))
-    if isinstance(outcome, Defect):
+        return error_reply(error=UnknownPutError(put_id=put_id))
+    if isinstance(outcome, KelpstageError):
         return json_reply(body={"put_id": put_id, "state": "refused", "defect": outcome.as_json()})
     is_settled = core.lease_service.is_settled(epoch=outcome.epoch)
     return json_reply(
@@ -285,13 +296,13 @@
     )
 
 
-def roster_view(*, core: "Core") -> dict:
-    """The roster with what the leader knows of each edge."""
+def membership_view(*, core: "Core") -> dict:
+    """The membership with what the leader knows of each edge."""
     state = core.task.machine.state
     now_us = core.ports.clock.now_us()
     rows = []
-    for edge in state.roster:
-        holder = core.lease_service.ledger.holder(edge=edge)
+    for edge in state.membership:
+        holder = core.lease_service.lease_table.holder(edge=edge)
         is_known = holder is not None and holder.heard_us > 0
         rows.append(
             {
@@ -300,7 +311,7 @@
                 "is_behind": not holder or holder.epoch < state.epoch,
                 "heard_us_ago": now_us - holder.heard_us if is_known else None,
                 "address": holder.contact.address if is_known and holder.contact else None,
-                "domain": holder.contact.domain if is_known and holder.contact else None,
+                "domain": holder.contact.zone if is_known and holder.contact else None,
             }
         )
     return {"epoch": state.epoch, "version": state.version, "edges": rows}
@@ -310,7 +321,7 @@
     task = core.task
     if task is None or not task.leader_address or core.is_stopping:
         why = "stopping" if core.is_stopping else core.waits_for or "no leader is known"
-        return defect_reply(defect=NoLeader(why=why))
+        return error_reply(error=NoLeaderError(why=why))
     return json_reply(body={"is_ready": True})
 
 
@@ -327,9 +338,9 @@
     task = core.task
     identity = core.identity
     view: dict[str, Any] = {
-        "program": "kelpc",
+        "program": "kelpstage-control",
         "own": core.own,
-        "domain": core.env["domain"],
+        "domain": core.settings["domain"],
         "replica": identity.replica if identity else None,
         "cluster": identity.cluster if identity else None,
         "waits_for": core.waits_for or None,
@@ -361,7 +372,7 @@
     }
     if task.is_leader:
         view["margin"] = task.raft.margin()
-        view["roster"] = roster_view(core=core)["edges"]
+        view["roster"] = membership_view(core=core)["edges"]
     return view
 
 
--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -5,29 +5,29 @@
 from collections import Counter
 from typing import Any, Callable
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import HttpLimits, Ports
 from kelpstage.common.recording.writer import DayWriter
 from kelpstage.common.transport.connections import Lines, LineServer
 from kelpstage.common.transport.messages import EdgeContact, MemberMsg
 from kelpstage.edge.backend.address_poll import PlatformTask
-from kelpstage.edge.backend.discovery import ListTask
+from kelpstage.edge.backend.discovery import DiscoveryTask
 from kelpstage.edge.backend.ejected_check import SuspectTask
 from kelpstage.edge.backend.health_check import ProbeTask
-from kelpstage.edge.backend.registry import STATE_NAMES, Book
-from kelpstage.edge.backend.zones import Places
+from kelpstage.edge.backend.registry import STATE_NAMES, BackendRegistry
+from kelpstage.edge.backend.zones import ZoneDistances
 from kelpstage.edge.events import BackendChanged, Leaving, ServingChanged
 from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.forward.sealed_answer import SealedCodec
 from kelpstage.edge.gather.context import World
-from kelpstage.edge.gather.latency import Paces
+from kelpstage.edge.gather.latency import LatencyEstimates
 from kelpstage.edge.gather.messages import ConfigurationMoved, WantState
 from kelpstage.edge.gather.task import GatherTask
 from kelpstage.edge.gossip.swim import LEAVING, Swim
 from kelpstage.edge.gossip.task import GossipTask
 from kelpstage.edge.handlers import handle
-from kelpstage.edge.lease.lease_holder import Keeper
+from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.lease.task import LeaseTask
 from kelpstage.edge.retries.budget import SERVICE_SLACK, SPAN_US, Budget
 from kelpstage.edge.timelines import Timelines
@@ -42,63 +42,63 @@
 
 
 class Edge:
-    """One `kelpd`."""
+    """One `kelpstage-edge`."""
 
     def __init__(
-        self, *, ports: Ports, env: dict, lists: Any = None, serve: Callable = serve_callers
+        self, *, ports: Ports, settings: dict, lists: Any = None, serve: Callable = serve_callers
     ) -> None:
         """`lists` reads pages of the list of backends, `serve` answers at the own
         interface (a deployment may put words of its own before it)."""
         self.ports = ports
-        self.env = env
+        self.settings = settings
         self.lists = lists
-        self.names = HeaderNames(**env.get("header_names", {}))
+        self.names = HeaderNames(**settings.get("header_names", {}))
         self._serve = serve
         self._front: Any = None
-        self.name: str = env["name"]
-        self.domain: str = env["domain"]
-        self.own: str = env["own"]
-        self.http: str = env["http"]
+        self.name: str = settings["name"]
+        self.zone: str = settings["domain"]
+        self.own: str = settings["own"]
+        self.http: str = settings["http"]
         self.incarnation = ports.clock.wall_us()
         self.counts: Counter = Counter()
         self.journal = Journal(now=ports.clock.now_us)
         self.searches = Searches()
         self.journal.view(fold=self.searches.fold)
         self.timelines = Timelines()
-        self.trail = Journal(now=ports.clock.now_us, limit=1)  # its view is what is kept
-        self.trail.view(fold=self.timelines.fold)
+        self.trace = Journal(now=ports.clock.now_us, limit=1)  # its view is what is kept
+        self.trace.view(fold=self.timelines.fold)
         self.lines = Lines(ports=ports, counts=self.counts)
         self.server = LineServer(
             ports=ports, address=self.own, on_message=self._on_message, counts=self.counts
         )
-        self.keeper = Keeper(me=self.name)
-        bounds = env.get("bounds", {})
-        places = Places(
-            zone=self.domain, region=bounds.get("region", ""), zones=bounds.get("zones", {})
+        self.lease_holder = LeaseHolder(me=self.name)
+        bounds = settings.get("bounds", {})
+        places = ZoneDistances(
+            zone=self.zone, region=bounds.get("region", ""), zones=bounds.get("zones", {})
         )
-        self.book = Book(me=self.name, places=places)
+        self.registry = BackendRegistry(me=self.name, places=places)
         self.swim = Swim(
             me=MemberMsg(
                 name=self.name,
                 address=self.own,
                 incarnation=self.incarnation,
                 beat=1,
-                domain=self.domain,
+                zone=self.zone,
                 http=self.http,
             ),
             rand=ports.rand,
-            rumors=lambda: [],
-            on_rumor=lambda rumor: None,
+            backend_states=lambda: [],
+            on_backend_state=lambda backend_state: None,
         )
         self.world = World(
             me=self.name,
-            domain=self.domain,
+            zone=self.zone,
             own=self.own,
             rand=ports.rand,
-            keeper=self.keeper,
+            lease_holder=self.lease_holder,
             swim=self.swim,
-            book=self.book,
-            paces=Paces(),
+            registry=self.registry,
+            latencies=LatencyEstimates(),
             budget=Budget(
                 ratio=bounds.get("retry_ratio"),
                 window_us=bounds.get("retry_window_us", SPAN_US),
@@ -107,31 +107,31 @@
                 born_us=ports.clock.now_us(),
             ),
             journal=self.journal,
-            trail=self.trail,
+            trace=self.trace,
             next_round=ports.rand.getrandbits(40),
             regions=bounds.get("zones", {}),
         )
-        self.swim.is_near = lambda domain: places.is_same_region(zone=domain)
+        self.swim.is_near = lambda zone: places.is_same_region(zone=zone)
         self.swim.on_silent = self._on_silent
         self.swim.on_ack = self._on_ack
         self.is_leaving = False
         self._was_serving: str | None = "starting"
         self._listener: Any = None
         self.platform: PlatformTask | None = None
-        self.list_task: ListTask | None = None
+        self.discovery: DiscoveryTask | None = None
         self.day: DayWriter | None = None
 
-    async def open(self) -> Defect | None:
-        """Open every line, then look for partners and a lease."""
+    async def open(self) -> KelpstageError | None:
+        """Open every line, then look for peers and a lease."""
         self.gossip = GossipTask(
             ports=self.ports,
             journal=self.journal,
             swim=self.swim,
-            book=self.book,
+            registry=self.registry,
             address=self.own,
             counts=self.counts,
             refresh=self._refresh,
-            has_backends=lambda: bool(self.keeper.configuration.backends),
+            has_backends=lambda: bool(self.lease_holder.configuration.backends),
         )
         self.gather = GatherTask(
             ports=self.ports,
@@ -141,41 +141,41 @@
             on_backend_news=self._on_backend_news,
             sealed=SealedCodec(names=self.names),
         )
-        for defect in (await self.server.open(), await self.gossip.open()):
-            if defect is not None:
-                return defect
+        for error in (await self.server.open(), await self.gossip.open()):
+            if error is not None:
+                return error
         outcome = await self.ports.net.serve_http(
             address=self.http,
             on_call=lambda call: self._serve(edge=self, call=call),
             body_limit=BODY_LIMIT,
         )
-        if isinstance(outcome, Defect):
+        if isinstance(outcome, KelpstageError):
             return outcome
         self._listener = outcome
-        if self.env.get("front"):
+        if self.settings.get("front"):
             outcome = await self.ports.net.serve_http(
-                address=self.env["front"],
+                address=self.settings["front"],
                 on_call=lambda call: serve_forwarded(edge=self, call=call),
                 body_limit=BODY_LIMIT,
                 limits=self._caller_limits,
             )
-            if isinstance(outcome, Defect):
+            if isinstance(outcome, KelpstageError):
                 return outcome
             self._front = outcome
-        if self.env.get("record"):
+        if self.settings.get("record"):
             name = f"{self.name}-{self.incarnation}.day"
             self.day = DayWriter(ports=self.ports, path=name, counts=self.counts)
         self.leases = LeaseTask(
             ports=self.ports,
             lines=self.lines,
-            keeper=self.keeper,
+            lease_holder=self.lease_holder,
             swim=self.swim,
             journal=self.journal,
-            seeds=self.env["seeds"],
+            seeds=self.settings["seeds"],
             contact=EdgeContact(
                 name=self.name,
                 address=self.own,
-                domain=self.domain,
+                zone=self.zone,
                 http=self.http,
                 incarnation=self.incarnation,
             ),
@@ -183,38 +183,38 @@
         )
         self.probes = ProbeTask(
             ports=self.ports,
-            book=self.book,
-            keeper=self.keeper,
+            registry=self.registry,
+            lease_holder=self.lease_holder,
             me=self.name,
             edges=self.swim.live,
             on_news=self._on_backend_news,
             counts=self.counts,
         )
-        if self.env.get("platform"):
+        if self.settings.get("platform"):
             self.platform = PlatformTask(
                 ports=self.ports,
-                url=self.env["platform"],
-                book=self.book,
+                url=self.settings["platform"],
+                registry=self.registry,
                 on_news=self._on_backend_news,
                 on_addresses=self._declare,
                 look_soon=lambda name, is_new: self.probes.look_soon(name=name, is_new=is_new),
             )
-        if self.env.get("list"):
-            self.list_task = ListTask(
+        if self.settings.get("list"):
+            self.discovery = DiscoveryTask(
                 ports=self.ports,
                 lines=self.lines,
                 swim=self.swim,
-                book=self.book,
+                registry=self.registry,
                 adapter=self.lists,
                 own=self.own,
                 counts=self.counts,
                 is_ready=lambda: not self.refusal(),
-                on_changed=self._on_lives_changed,
-                calls_per_s=self.env["list"].get("calls_per_s", 0.0),
+                on_changed=self._on_instances_changed,
+                calls_per_s=self.settings["list"].get("calls_per_s", 0.0),
             )
             self.suspects = SuspectTask(
                 ports=self.ports,
-                book=self.book,
+                registry=self.registry,
                 me=self.name,
                 edges=self._edges_by_zone,
                 health_path=self._health_path,
@@ -228,7 +228,7 @@
 
     def _caller_limits(self) -> HttpLimits:
         """What a client may send just now, and how long it may take over it."""
-        limits = self.keeper.configuration.limits
+        limits = self.lease_holder.configuration.limits
         if limits is None:
             return HttpLimits()
         return HttpLimits(
@@ -238,11 +238,11 @@
             idle_us=limits.idle_us,
         )
 
-    def reread(self, *, env: dict) -> None:
+    def reread(self, *, settings: dict) -> None:
         """Take over what may change in the settings of a running edge: its seeds."""
-        if list(env["seeds"]) != list(self.env["seeds"]):
-            self.leases.use_seeds(seeds=env["seeds"])
-        self.env = env
+        if list(settings["seeds"]) != list(self.settings["seeds"]):
+            self.leases.use_seeds(seeds=settings["seeds"])
+        self.settings = settings
 
     # --- how the tasks hear of each other ------------------------------------------
 
@@ -250,8 +250,8 @@
         """Why this edge is not ready; empty if it is."""
         if self.is_leaving:
             return "leaving"
-        refusal = self.keeper.refusal(now_us=self.ports.clock.now_us())
-        if not refusal and self.list_task is not None and not self.list_task.roll.is_known:
+        refusal = self.lease_holder.refusal(now_us=self.ports.clock.now_us())
+        if not refusal and self.discovery is not None and not self.discovery.roll.is_known:
             return "the list of backends is not known yet"
         return refusal
 
@@ -267,7 +267,7 @@
 
     def _declare(self) -> None:
         listed = self.platform.addresses() if self.platform else {}
-        self.book.declare(configuration=self.keeper.configuration, listed=listed)
+        self.registry.declare(configuration=self.lease_holder.configuration, listed=listed)
 
     def _on_installed(self) -> None:
         self._declare()
@@ -279,7 +279,7 @@
         self.leases.fetch_soon(first=member.info.address if member else want.source)
 
     def _on_silent(self, name: str) -> None:
-        """A partner gave gossip no direct ack: it is not to be a helper for a while."""
+        """A peer gave gossip no direct ack: it is not to be a helper for a while."""
         self.world.now_us = self.ports.clock.now_us()
         self.world.note_silent(name=name)
 
@@ -288,32 +288,32 @@
         self.world.note_reply(name=name)
         self.world.note_distance(name=name, took_us=took_us)
         member = self.swim.members.get(name)
-        if member is not None and member.info.domain:
-            self.book.places.note_round_trip(zone=member.info.domain, took_us=took_us)
+        if member is not None and member.info.zone:
+            self.registry.places.note_round_trip(zone=member.info.zone, took_us=took_us)
 
     def _edges_by_zone(self) -> dict[str, str]:
         members = self.swim.members
         return {
-            name: members[name].info.domain if name in members else self.domain
+            name: members[name].info.zone if name in members else self.zone
             for name in self.swim.live()
         }
 
     def _health_path(self, service: str) -> str:
-        declared = self.keeper.configuration.services.get(service)
+        declared = self.lease_holder.configuration.services.get(service)
         return declared.health_path if declared else ""
 
-    def _on_lives_changed(self, names: list[str]) -> None:
+    def _on_instances_changed(self, names: list[str]) -> None:
         """The list gave lives that came, went or began to drain; all hear it by the
         list's own news, so that gossip need not tell it."""
         for name in names:
-            entry = self.book.entries[name]
+            entry = self.registry.entries[name]
             state = "gone" if entry.gone_us else STATE_NAMES[entry.state]
             self.journal.add(
                 BackendChanged(backend=name, state=state, why=entry.why, seen_by=self.name)
             )
 
     def _on_backend_news(self, name: str) -> None:
-        entry = self.book.entries.get(name)
+        entry = self.registry.entries.get(name)
         if entry is not None:
             self.journal.add(
                 BackendChanged(
@@ -337,8 +337,8 @@
         """Planned stop: not ready at once, still serving until callers are gone."""
         clock = self.ports.clock
         self.is_leaving = True
-        if self.list_task is not None:
-            self.list_task.leave()
+        if self.discovery is not None:
+            self.discovery.leave()
         self.swim.me.status = LEAVING
         self.journal.add(Leaving())
         self.gossip.spread()
--- a/kelpstage/edge/backend/address_poll.py
+++ b/kelpstage/edge/backend/address_poll.py
@@ -11,10 +11,10 @@
 import json
 from typing import Callable
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, Ports
 from kelpstage.common.transport.address import is_address
-from kelpstage.edge.backend.registry import DRAINING, Book
+from kelpstage.edge.backend.registry import DRAINING, BackendRegistry
 
 POLL_US = 1_000_000
 POLL_WAIT_US = 1_500_000
@@ -47,14 +47,14 @@
         *,
         ports: Ports,
         url: str,
-        book: Book,
+        registry: BackendRegistry,
         on_news: Callable[[str], None],
         on_addresses: Callable[[], None],
         look_soon: Callable[[str, bool], None],
     ) -> None:
         self._ports = ports
         self._url = url
-        self._book = book
+        self._registry = registry
         self._on_news = on_news
         self._on_addresses = on_addresses
         self._look_soon = look_soon
@@ -70,7 +70,7 @@
             reply = await self._ports.net.fetch(
                 call=HttpCall(method="GET", url=self._url, wait_us=POLL_WAIT_US)
             )
-            if not isinstance(reply, Defect) and reply.status == 200:
+            if not isinstance(reply, KelpstageError) and reply.status == 200:
                 listed = read_list(body=reply.body)
                 if listed is not None:
                     self._follow(listed=listed)
@@ -79,7 +79,7 @@
     def _follow(self, *, listed: dict[str, tuple[str, str]]) -> None:
         now_us = self._ports.clock.now_us()
         states = {name: state for name, (_, state) in listed.items()}
-        self._book.follow_list(states=states, now_us=now_us)
+        self._registry.follow_list(states=states, now_us=now_us)
         before, self.listed = self.listed, listed
         was_read, self.is_read = self.is_read, True
         if self.addresses() != {name: a for name, (a, _) in before.items()}:
@@ -89,10 +89,10 @@
         for name in sorted(set(before) | set(listed)):
             old = before.get(name, ("", "running"))[1]
             new = listed.get(name, ("", "absent"))[1]
-            if old == new or name not in self._book.entries:
+            if old == new or name not in self._registry.entries:
                 continue
             if new == "stopping":
-                if self._book.observe(
+                if self._registry.observe(
                     name=name,
                     state=DRAINING,
                     why="stopping on the platform's list",
--- a/kelpstage/edge/backend/discovery.py
+++ b/kelpstage/edge/backend/discovery.py
@@ -19,14 +19,15 @@
 from collections import Counter
 from typing import Any, Callable, Iterable, Protocol
 
-from kelpstage.common.errors import BadReply, Defect
+from kelpstage.common.errors.backends import InvalidReplyError
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
 from kelpstage.common.transport import frames
 from kelpstage.common.transport.address import is_address
-from kelpstage.common.transport.messages import AskList, ListNews
-from kelpstage.edge.backend.endpoint_list import GAP, TAKEN, Roll
-from kelpstage.edge.backend.instance import Life, bounded
-from kelpstage.edge.backend.registry import Book
+from kelpstage.common.transport.messages import EndpointUpdate, FetchEndpoints
+from kelpstage.edge.backend.endpoint_list import GAP, TAKEN, EndpointList
+from kelpstage.edge.backend.instance import Instance, bounded
+from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.gossip.swim import ALIVE, LEAVING, SUSPECT, Swim
 
 READ_US = 1_000_000
@@ -47,25 +48,25 @@
 RELAY_FAN_OUT = 5
 
 
-class ListAdapter(Protocol):
+class ListSource(Protocol):
     """Knows the form of a list: what to call for a page, and what a page says.
 
-    An entry that can't be read is passed over; a page that can't is a `Defect`."""
+    An entry that can't be read is passed over; a page that can't is a `KelpstageError`."""
 
     def page_call(self, token: str | None) -> HttpCall: ...
-    def read_page(self, reply: HttpReply) -> tuple[list[Life], str | None] | Defect: ...
+    def read_page(self, reply: HttpReply) -> tuple[list[Instance], str | None] | KelpstageError: ...
 
 
-class OwnList:
-    """The product's own form: `{"lives": [{...}], "next": token or null}`.
+class OwnListSource:
+    """The product's own form: `{"instances": [{...}], "next": token or null}`.
 
-    >>> adapter = OwnList(url="http://127.0.0.1:9/lives")
+    >>> adapter = OwnListSource(url="http://127.0.0.1:9/lives")
     >>> adapter.page_call("p2").url
     'http://127.0.0.1:9/lives?page=p2'
     >>> row = '{"instance": "i", "service": "s", "address": "127.0.0.1:8", "slots": 2}'
-    >>> lives, token = adapter.read_page(
+    >>> instances, token = adapter.read_page(
     ...     HttpReply(status=200, body=f'{{"lives": [{row}, 7], "next": null}}'.encode()))
-    >>> lives[0].slots, len(lives), token
+    >>> instances[0].slots, len(instances), token
     (2, 1, None)
     >>> adapter.read_page(HttpReply(status=429)).part
     'status'
@@ -78,20 +79,20 @@
         query = f"?page={token}" if token else ""
         return HttpCall(method="GET", url=f"{self._url}{query}", wait_us=800_000, line_limit=1)
 
-    def read_page(self, reply: HttpReply) -> tuple[list[Life], str | None] | Defect:
+    def read_page(self, reply: HttpReply) -> tuple[list[Instance], str | None] | KelpstageError:
         if reply.status != 200:
-            return BadReply(backend="list", part="status", why=str(reply.status))
+            return InvalidReplyError(backend="list", part="status", why=str(reply.status))
         try:
             page = json.loads(reply.body)
             rows, token = page["lives"], page.get("next")
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-            return BadReply(backend="list", part="form", why=type(error).__name__)
+            return InvalidReplyError(backend="list", part="form", why=type(error).__name__)
         if not isinstance(rows, list) or not isinstance(token, (str, type(None))):
-            return BadReply(backend="list", part="form", why="no list, or no token")
-        return [life for life in map(_own_life, rows) if life is not None], token
+            return InvalidReplyError(backend="list", part="form", why="no list, or no token")
+        return [instance for instance in map(_own_instance, rows) if instance is not None], token
 
 
-def _own_life(row: Any) -> Life | None:
+def _own_instance(row: Any) -> Instance | None:
     if not isinstance(row, dict):
         return None
     texts = [row.get(name) for name in ("instance", "service")]
@@ -105,8 +106,8 @@
         or not is_address(address=row.get("address"))
     ):
         return None
-    life = Life(
-        instance=texts[0],
+    instance = Instance(
+        instance_id=texts[0],
         service=texts[1],
         address=row["address"],
         zone=texts[2],
@@ -115,7 +116,7 @@
         cold_us=max(0, cold_us),
         revision=texts[3],
     )
-    return bounded(life=life)
+    return bounded(instance=instance)
 
 
 def _ring(*, wake: asyncio.Future) -> None:
@@ -162,7 +163,7 @@
     return plan
 
 
-class ListTask:
+class DiscoveryTask:
     """Keeps the book's lives as fresh as the list gives them.
 
     Needs `Ports` (clock, net, rand), the own lines, the gossip's table, and an adapter;
@@ -176,8 +177,8 @@
         ports: Ports,
         lines: Any,
         swim: Swim,
-        book: Book,
-        adapter: ListAdapter | None,
+        registry: BackendRegistry,
+        adapter: ListSource | None,
         own: str,
         counts: Counter,
         is_ready: Callable[[], bool] = lambda: True,
@@ -187,7 +188,7 @@
         self._ports = ports
         self._lines = lines
         self._swim = swim
-        self._book = book
+        self._registry = registry
         self._adapter = adapter
         self._own = own
         self._counts = counts
@@ -195,7 +196,7 @@
         self._on_changed = on_changed
         self._calls_per_s = calls_per_s
         self._me = swim.me.name
-        self.roll = Roll(me=self._me, own=own)
+        self.roll = EndpointList(me=self._me, own=own)
         self.is_reader = False
         self.is_leaving = False
         now_us = ports.clock.now_us()
@@ -234,10 +235,10 @@
         await wake
 
     def _look_around(self, *, now_us: int) -> None:
-        self._book.set_live_edges(count=len(self._swim.live()), now_us=now_us)
+        self._registry.set_live_edges(count=len(self._swim.live()), now_us=now_us)
         if now_us - self._measured_us >= MEASURE_US:
             self._measured_us = now_us
-            self._book.measure_distances()
+            self._registry.measure_distances()
 
     def _wait_us(self, *, now_us: int) -> int:
         if self.is_reader:
@@ -283,10 +284,10 @@
         started_us = clock.now_us()
         outcome = await self._read_pages(until_us=started_us + READING_US)
         now_us = clock.now_us()
-        if isinstance(outcome, Defect):
+        if isinstance(outcome, KelpstageError):
             self._back_off(now_us=now_us)
             return
-        done = self.roll.take_reading(lives=outcome, read_us=started_us, now_us=now_us)
+        done = self.roll.take_reading(instances=outcome, read_us=started_us, now_us=now_us)
         if done == "stale":
             self._counts["list_empty"] += 1
             self._back_off(now_us=now_us)
@@ -310,35 +311,37 @@
         self._failures += 1
         self._blocked_us = now_us + wait_us // 2 + self._ports.rand.randrange(wait_us)
 
-    async def _read_pages(self, *, until_us: int) -> list[Life] | Defect:
+    async def _read_pages(self, *, until_us: int) -> list[Instance] | KelpstageError:
         """The whole list: all its pages, or why there is none."""
-        found: dict[str, Life] = {}
+        found: dict[str, Instance] = {}
         tokens: set[str] = set()
         token: str | None = None
         most = max(PAGES_AT_MOST, 2 * self._pages) if self._pages else FIRST_PAGES_AT_MOST
         for _ in range(most):
             self._counts["list_calls"] += 1
             reply = await self._ports.net.fetch(call=self._adapter.page_call(token))
-            page = reply if isinstance(reply, Defect) else self._adapter.read_page(reply)
-            if isinstance(page, Defect):
+            page = reply if isinstance(reply, KelpstageError) else self._adapter.read_page(reply)
+            if isinstance(page, KelpstageError):
                 return page
-            lives, token = page
-            for life in lives:
-                known = found.setdefault(life.instance, life)
-                if (known.service, known.address) != (life.service, life.address):
-                    return BadReply(backend="list", part="entry", why="an instance stands twice")
-                if life.is_draining:  # it moved to a later page meanwhile
-                    found[life.instance] = life
+            instances, token = page
+            for instance in instances:
+                known = found.setdefault(instance.instance_id, instance)
+                if (known.service, known.address) != (instance.service, instance.address):
+                    return InvalidReplyError(
+                        backend="list", part="entry", why="an instance stands twice"
+                    )
+                if instance.is_draining:  # it moved to a later page meanwhile
+                    found[instance.instance_id] = instance
             if token is None:
                 self._pages = len(tokens) + 1
                 self._set_gap(pages=self._pages)
                 return list(found.values())
             if token in tokens:
-                return BadReply(backend="list", part="token", why="a page stands twice")
+                return InvalidReplyError(backend="list", part="token", why="a page stands twice")
             if self._ports.clock.now_us() > until_us:
-                return BadReply(backend="list", part="pages", why="took too long")
+                return InvalidReplyError(backend="list", part="pages", why="took too long")
             tokens.add(token)
-        return BadReply(backend="list", part="pages", why=f"more than {most}")
+        return InvalidReplyError(backend="list", part="pages", why=f"more than {most}")
 
     def _set_gap(self, *, pages: int) -> None:
         """A list of many pages is read more seldom, if its rate asks for that."""
@@ -346,7 +349,7 @@
         self._gap_us = max(READ_US, int(pages / room * 1_000_000)) if room else READ_US
 
     def _install(self, *, now_us: int) -> None:
-        names = self._book.set_lives(self.roll.as_of(now_us=now_us), now_us)
+        names = self._registry.set_instances(self.roll.as_of(now_us=now_us), now_us)
         if names:
             self._on_changed(names)
 
@@ -363,12 +366,12 @@
                 and now_us - member.since_us < LEAVING_US
                 or (member.info.status in (ALIVE, SUSPECT))
             ):
-                by_zone.setdefault(member.info.domain, []).append(
+                by_zone.setdefault(member.info.zone, []).append(
                     (member.info.status != ALIVE, rank_key(name=name), member.info.address)
                 )
         plan = plan_telling(
             by_zone={zone: [one[-1] for one in sorted(ones)] for zone, ones in by_zone.items()},
-            own_zone=self._swim.me.domain,
+            own_zone=self._swim.me.zone,
         )
         self._send(plan=plan, now_us=now_us, is_last=is_last)
 
@@ -381,8 +384,8 @@
             news.tell, news.is_last = tell, is_last
             self._lines.send(address=address, message=news)
 
-    def take(self, *, news: ListNews) -> None:
-        """A partner tells."""
+    def take(self, *, news: EndpointUpdate) -> None:
+        """A peer tells."""
         now_us = self._ports.clock.now_us()
         self._take(news=news, now_us=now_us)
         if news.tell:
@@ -392,7 +395,7 @@
                 is_last=news.is_last,
             )
 
-    def _take(self, *, news: ListNews, now_us: int) -> None:
+    def _take(self, *, news: EndpointUpdate, now_us: int) -> None:
         outcome = self.roll.take_news(news=news, now_us=now_us)
         if outcome == GAP:
             self._counts["list_gaps"] += 1
@@ -438,22 +441,22 @@
         return self._ports.rand.choice(others) if others else ""
 
     async def _ask(self, *, address: str) -> None:
-        """Have the list from a partner: the whole of it, or that nothing changed."""
+        """Have the list from a peer: the whole of it, or that nothing changed."""
         self._is_asking = True
         self._asked_us = self._ports.clock.now_us()
         self._counts["list_asks"] += 1
         reply = await self._lines.call(
             address=address,
-            message=AskList(digest=self.roll.digest, has_list=self.roll.is_known),
+            message=FetchEndpoints(digest=self.roll.digest, has_list=self.roll.is_known),
             wait_us=ASK_WAIT_US,
             lane=frames.BULK,
         )
         self._is_asking = False
-        if isinstance(reply, ListNews):
+        if isinstance(reply, EndpointUpdate):
             self._take(news=reply, now_us=self._ports.clock.now_us())
 
-    def answer(self, *, ask: AskList) -> ListNews:
-        """What a partner that asks is told."""
+    def answer(self, *, ask: FetchEndpoints) -> EndpointUpdate:
+        """What a peer that asks is told."""
         is_whole = not ask.has_list or ask.digest != self.roll.digest
         return self.roll.news(now_us=self._ports.clock.now_us(), is_whole=is_whole)
 
--- a/kelpstage/edge/backend/ejected_check.py
+++ b/kelpstage/edge/backend/ejected_check.py
@@ -11,24 +11,24 @@
 from collections import Counter
 from typing import Callable
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
-from kelpstage.edge.backend.registry import Book, Entry
+from kelpstage.edge.backend.registry import BackendRegistry, Entry
 
 PROBE_US = 1_000_000
 PROBE_WAIT_US = 700_000
 
 
-def prober_of(*, instance: str, zone: str, edges: dict[str, str]) -> str:
+def prober_of(*, instance_id: str, zone: str, edges: dict[str, str]) -> str:
     """The one edge that probes a life: in its zone, if there is one.
 
-    >>> prober_of(instance="i", zone="z", edges={"n1": "z", "n2": "y"})
+    >>> prober_of(instance_id="i", zone="z", edges={"n1": "z", "n2": "y"})
     'n1'
-    >>> prober_of(instance="i", zone="x", edges={"n2": "y"})
+    >>> prober_of(instance_id="i", zone="x", edges={"n2": "y"})
     'n2'
     """
     near = [name for name, place in edges.items() if place == zone] or list(edges)
-    return min(near, key=lambda name: (zlib.crc32(f"{instance}|{name}".encode()), name))
+    return min(near, key=lambda name: (zlib.crc32(f"{instance_id}|{name}".encode()), name))
 
 
 class SuspectTask:
@@ -43,7 +43,7 @@
         self,
         *,
         ports: Ports,
-        book: Book,
+        registry: BackendRegistry,
         me: str,
         edges: Callable[[], dict[str, str]],
         health_path: Callable[[str], str],
@@ -51,7 +51,7 @@
         counts: Counter,
     ) -> None:
         self._ports = ports
-        self._book = book
+        self._registry = registry
         self._me = me
         self._edges = edges
         self._health_path = health_path
@@ -62,12 +62,12 @@
     async def _run(self) -> None:
         while True:
             await self._ports.clock.sleep(us=PROBE_US)
-            suspects = self._book.suspects(now_us=self._ports.clock.now_us())
+            suspects = self._registry.suspects(now_us=self._ports.clock.now_us())
             if not suspects:
                 continue
             edges = self._edges()
             for entry in suspects:
-                if self._me == prober_of(instance=entry.name, zone=entry.zone, edges=edges):
+                if self._me == prober_of(instance_id=entry.name, zone=entry.zone, edges=edges):
                     self._ports.spawn(self._probe(entry=entry))
 
     async def _probe(self, *, entry: Entry) -> None:
@@ -83,9 +83,9 @@
                 line_limit=entry.line_limit,
             )
         )
-        if isinstance(reply, Defect) or not self._is_good(reply=reply, entry=entry):
+        if isinstance(reply, KelpstageError) or not self._is_good(reply=reply, entry=entry):
             return
-        self._book.note_probed(name=entry.name, now_us=self._ports.clock.now_us())
+        self._registry.note_probed(name=entry.name, now_us=self._ports.clock.now_us())
 
     def _is_good(self, *, reply: HttpReply, entry: Entry) -> bool:
         """Is it well, and is it the life that was meant?"""
--- a/kelpstage/edge/backend/endpoint_list.py
+++ b/kelpstage/edge/backend/endpoint_list.py
@@ -16,8 +16,8 @@
 from dataclasses import replace
 from typing import Iterable
 
-from kelpstage.common.transport.messages import ListNews
-from kelpstage.edge.backend.instance import Life, digest_of, hash_of, life_of, message_of
+from kelpstage.common.transport.messages import EndpointUpdate
+from kelpstage.edge.backend.instance import Instance, digest_of, hash_of, instance_of, message_of
 
 CHANGES_KEPT_US = 5_000_000
 CHANGES_TOLD = 1_000
@@ -26,25 +26,25 @@
 TAKEN, SAME, STALE, GAP = "taken", "same", "stale", "gap"
 
 
-class Roll:
+class EndpointList:
     """Lives by instance, the digest of them all, and how fresh they are.
 
-    >>> a, b = Roll(me="a", own="a:1"), Roll(me="b", own="b:1")
-    >>> life = Life(instance="i", service="s", address="127.0.0.1:1")
-    >>> a.take_reading(lives=[life], read_us=1_000, now_us=2_000)
+    >>> a, b = EndpointList(me="a", own="a:1"), EndpointList(me="b", own="b:1")
+    >>> instance = Instance(instance_id="i", service="s", address="127.0.0.1:1")
+    >>> a.take_reading(instances=[instance], read_us=1_000, now_us=2_000)
     'taken'
     >>> b.take_news(news=a.news(now_us=2_000), now_us=70_000)
     'taken'
-    >>> b.lives == a.lives, b.fresh_us
+    >>> b.instances == a.instances, b.fresh_us
     (True, 69000)
-    >>> a.take_reading(lives=[], read_us=9_000_000, now_us=9_000_000)
+    >>> a.take_reading(instances=[], read_us=9_000_000, now_us=9_000_000)
     'stale'
     """
 
     def __init__(self, *, me: str, own: str) -> None:
         self._me = me
         self._own = own
-        self.lives: dict[str, Life] = {}
+        self.instances: dict[str, Instance] = {}
         self.digest = 0
         self.is_known = False
         self.fresh_us = 0
@@ -56,15 +56,17 @@
 
     # --- what comes in ------------------------------------------------------------------
 
-    def take_reading(self, *, lives: Iterable[Life], read_us: int, now_us: int) -> str:
+    def take_reading(self, *, instances: Iterable[Instance], read_us: int, now_us: int) -> str:
         """A whole list that this node read itself, begun at `read_us`. An empty one is
         not believed: a list that lost its rows must not empty the fleet."""
-        found = {life.instance: life for life in lives}
-        if not found and self.lives:
+        found = {instance.instance_id: instance for instance in instances}
+        if not found and self.instances:
             return STALE
-        plain = {name: _plain(life=life) for name, life in found.items()}
-        changed = [life for name, life in found.items() if self.lives.get(name) != plain[name]]
-        gone = [name for name in self.lives if name not in found]
+        plain = {name: _plain(instance=instance) for name, instance in found.items()}
+        changed = [
+            instance for name, instance in found.items() if self.instances.get(name) != plain[name]
+        ]
+        gone = [name for name in self.instances if name not in found]
         self.reading += 1
         self._note_fresh(fresh_us=read_us, now_us=now_us, reader=self._me)
         if not changed and not gone and self.is_known:
@@ -72,8 +74,8 @@
         self._change(changed=changed, gone=gone, now_us=now_us)
         return TAKEN
 
-    def take_news(self, *, news: ListNews, now_us: int) -> str:
-        """What a partner tells: taken, the same as known, older than what is known, or
+    def take_news(self, *, news: EndpointUpdate, now_us: int) -> str:
+        """What a peer tells: taken, the same as known, older than what is known, or
         not enough to have the whole."""
         if not news.is_known:
             return STALE
@@ -86,16 +88,20 @@
             return SAME
         if self.is_known and (is_superseded or fresh_us < self.fresh_us - STALE_US):
             return STALE
-        changed = [life_of(message=message) for message in news.changed]
-        gone = [name for name in news.gone if name in self.lives]
+        changed = [instance_of(message=message) for message in news.changed]
+        gone = [name for name in news.gone if name in self.instances]
         if news.is_whole:
-            if digest_of(lives=changed) != news.digest:
+            if digest_of(instances=changed) != news.digest:
                 return GAP
-            told = {life.instance for life in changed}
-            gone = [name for name in self.lives if name not in told]
+            told = {instance.instance_id for instance in changed}
+            gone = [name for name in self.instances if name not in told]
         elif self._digest_after(changed=changed, gone=gone) != news.digest:
             return GAP
-        changed = [life for life in changed if self.lives.get(life.instance) != _plain(life=life)]
+        changed = [
+            instance
+            for instance in changed
+            if self.instances.get(instance.instance_id) != _plain(instance=instance)
+        ]
         self._change(changed=changed, gone=gone, now_us=now_us)
         self._note_fresh(fresh_us=fresh_us, now_us=now_us, reader=news.reader)
         return TAKEN
@@ -103,50 +109,54 @@
     def _note_fresh(self, *, fresh_us: int, now_us: int, reader: str) -> None:
         self.fresh_us, self.heard_us, self.reader = max(fresh_us, self.fresh_us), now_us, reader
 
-    def _digest_after(self, *, changed: list[Life], gone: list[str]) -> int:
+    def _digest_after(self, *, changed: list[Instance], gone: list[str]) -> int:
         digest = self.digest
-        after = {life.instance: life for life in changed}
+        after = {instance.instance_id: instance for instance in changed}
         for name in {*after, *gone}:
-            if name in self.lives:
-                digest ^= hash_of(life=self.lives[name])
+            if name in self.instances:
+                digest ^= hash_of(instance=self.instances[name])
             if name in after:
-                digest ^= hash_of(life=after[name])
+                digest ^= hash_of(instance=after[name])
         return digest
 
-    def _change(self, *, changed: list[Life], gone: list[str], now_us: int) -> None:
+    def _change(self, *, changed: list[Instance], gone: list[str], now_us: int) -> None:
         self.digest = self._digest_after(changed=changed, gone=gone)
         self.is_known = True
-        for life in changed:
-            self.lives[life.instance] = _plain(life=life)
-            if life.cold_us > 0:
-                self._cold[life.instance] = now_us + life.cold_us
-            self._changes.append((now_us, life.instance))
+        for instance in changed:
+            self.instances[instance.instance_id] = _plain(instance=instance)
+            if instance.cold_us > 0:
+                self._cold[instance.instance_id] = now_us + instance.cold_us
+            self._changes.append((now_us, instance.instance_id))
         for name in gone:
-            del self.lives[name]
+            del self.instances[name]
             self._cold.pop(name, None)
             self._changes.append((now_us, name))
 
     # --- what goes out ------------------------------------------------------------------
 
-    def news(self, *, now_us: int, is_whole: bool = False, tell: Iterable[str] = ()) -> ListNews:
+    def news(
+        self, *, now_us: int, is_whole: bool = False, tell: Iterable[str] = ()
+    ) -> EndpointUpdate:
         """The changes of the last seconds, or all lives, under the digest of the whole."""
         while self._changes and now_us - self._changes[0][0] > CHANGES_KEPT_US:
             self._changes.popleft()
-        names = set(self.lives) if is_whole else {name for _, name in self._changes}
+        names = set(self.instances) if is_whole else {name for _, name in self._changes}
         if not is_whole and len(names) > CHANGES_TOLD:
             names = set()  # they will ask for the whole
-        return ListNews(
+        return EndpointUpdate(
             reader=self.reader,
             sender=self._own,
             digest=self.digest,
             age_us=max(0, now_us - self.fresh_us),
             is_whole=is_whole,
             changed=[
-                message_of(life=self.lives[name], cold_us=self.cold_us(name=name, now_us=now_us))
+                message_of(
+                    instance=self.instances[name], cold_us=self.cold_us(name=name, now_us=now_us)
+                )
                 for name in sorted(names)
-                if name in self.lives
+                if name in self.instances
             ],
-            gone=sorted(name for name in names if name not in self.lives),
+            gone=sorted(name for name in names if name not in self.instances),
             tell=list(tell),
             is_known=self.is_known,
             reading=self.reading,
@@ -156,15 +166,15 @@
         """How much longer a life is slow from its start."""
         return max(0, self._cold.get(name, 0) - now_us)
 
-    def as_of(self, *, now_us: int) -> list[Life]:
+    def as_of(self, *, now_us: int) -> list[Instance]:
         """All lives, with what is left of their cold time."""
         return [
-            replace(life, cold_us=self.cold_us(name=name, now_us=now_us))
+            replace(instance, cold_us=self.cold_us(name=name, now_us=now_us))
             if name in self._cold
-            else life
-            for name, life in self.lives.items()
+            else instance
+            for name, instance in self.instances.items()
         ]
 
 
-def _plain(*, life: Life) -> Life:
-    return replace(life, cold_us=0) if life.cold_us else life
+def _plain(*, instance: Instance) -> Instance:
+    return replace(instance, cold_us=0) if instance.cold_us else instance
--- a/kelpstage/edge/backend/health_check.py
+++ b/kelpstage/edge/backend/health_check.py
@@ -11,10 +11,11 @@
 from collections import Counter
 from typing import Callable
 
-from kelpstage.common.errors import ConnectRefused, Defect
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.transport import ConnectError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
-from kelpstage.edge.backend.registry import DRAINING, GONE, KNOCK, LEAVE, UP, Book
-from kelpstage.edge.lease.lease_holder import Keeper
+from kelpstage.edge.backend.registry import DRAINING, GONE, KNOCK, LEAVE, UP, BackendRegistry
+from kelpstage.edge.lease.lease_holder import LeaseHolder
 
 PROBE_US = 1_000_000
 PROBE_WAIT_US = 800_000
@@ -58,16 +59,16 @@
         self,
         *,
         ports: Ports,
-        book: Book,
-        keeper: Keeper,
+        registry: BackendRegistry,
+        lease_holder: LeaseHolder,
         me: str,
         edges: Callable[[], list[str]],
         on_news: Callable[[str], None],
         counts: Counter,
     ) -> None:
         self._ports = ports
-        self._book = book
-        self._keeper = keeper
+        self._registry = registry
+        self._lease_holder = lease_holder
         self._me = me
         self._edges = edges
         self._on_news = on_news
@@ -79,9 +80,9 @@
             edges = self._edges()
             names = [
                 name
-                for name, entry in sorted(self._book.entries.items())
+                for name, entry in sorted(self._registry.entries.items())
                 if entry.address
-                and not entry.is_life
+                and not entry.is_discovered
                 and (self._me in probers(backend=name, edges=edges) or self._me in entry.dark_by)
             ]
             gap_us = PROBE_US // max(1, len(names))
@@ -94,12 +95,12 @@
 
     def look_soon(self, *, name: str, is_new: bool = False) -> None:
         """Look at one backend now; `is_new` if somebody says that it runs anew."""
-        entry = self._book.entries.get(name)
-        if entry is None or not entry.address or entry.is_life:
+        entry = self._registry.entries.get(name)
+        if entry is None or not entry.address or entry.is_discovered:
             return
-        way = self._book.way_to_look(
+        way = self._registry.way_to_look(
             name=name,
-            configuration=self._keeper.configuration,
+            configuration=self._lease_holder.configuration,
             now_us=self._ports.clock.now_us(),
             is_first=self._me == probers(backend=name, edges=self._edges())[0],
         )
@@ -114,12 +115,12 @@
         """A bare connection: is somebody there, or nobody any more?"""
         self._counts["knocks"] += 1
         outcome = await self._ports.net.connect(address=address, wait_us=PROBE_WAIT_US)
-        entry = self._book.entries.get(name)
-        if isinstance(outcome, ConnectRefused):
+        entry = self._registry.entries.get(name)
+        if isinstance(outcome, ConnectError):
             if self._note(name=name, reply=outcome, asked_us=0):
                 self._on_news(name)
             return
-        if isinstance(outcome, Defect):
+        if isinstance(outcome, KelpstageError):
             return
         outcome.close()
         if entry is not None and entry.state == GONE:
@@ -134,18 +135,18 @@
         if self._note(name=name, reply=reply, asked_us=asked_us):
             self._on_news(name)
 
-    def _note(self, *, name: str, reply: HttpReply | Defect, asked_us: int) -> bool:
+    def _note(self, *, name: str, reply: HttpReply | KelpstageError, asked_us: int) -> bool:
         now_us = self._ports.clock.now_us()
-        if isinstance(reply, ConnectRefused):
-            return self._book.observe(
+        if isinstance(reply, ConnectError):
+            return self._registry.observe(
                 name=name, state=GONE, why="connection refused", now_us=now_us
             )
-        if isinstance(reply, Defect):
-            return self._book.strike(name=name, now_us=now_us)
-        self._book.heard_back(name=name, now_us=now_us)
+        if isinstance(reply, KelpstageError):
+            return self._registry.strike(name=name, now_us=now_us)
+        self._registry.heard_back(name=name, now_us=now_us)
         state = state_of(reply=reply)
         if state is None:
             return False
-        return self._book.observe(
+        return self._registry.observe(
             name=name, state=state, why="probe", now_us=now_us, asked_us=asked_us
         )
--- a/kelpstage/edge/backend/instance.py
+++ b/kelpstage/edge/backend/instance.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import Iterable
 
-from kelpstage.common.transport.messages import LifeMsg
+from kelpstage.common.transport.messages import InstanceMsg
 
 TEXT_BYTES = 1_024
 MOST_SLOTS = 1_000_000
@@ -19,14 +19,14 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Life:
+class Instance:
     """One start of a backend.
 
     `slots` is how many requests it works on at a time, `cold_us` how much longer it
     is slow from its start; that one is not part of a life's identity.
     """
 
-    instance: str
+    instance_id: str
     service: str
     address: str
     zone: str = ""
@@ -36,86 +36,92 @@
     revision: str = ""
 
 
-def bounded(*, life: Life) -> Life | None:
+def bounded(*, instance: Instance) -> Instance | None:
     """The life with its numbers inside what a message carries, or `None` if a text of it
     can't be sent on.
 
-    >>> bounded(life=Life(instance="i", service="s", address="a:1", slots=2**70)).slots
+    >>> bounded(instance=Instance(instance_id="i", service="s", address="a:1", slots=2**70)).slots
     1000000
-    >>> bounded(life=Life(instance=chr(0xD800), service="s", address="a:1")) is None
+    >>> bounded(instance=Instance(instance_id=chr(0xD800), service="s", address="a:1")) is None
     True
     """
-    texts = (life.instance, life.service, life.address, life.zone, life.revision)
+    texts = (
+        instance.instance_id,
+        instance.service,
+        instance.address,
+        instance.zone,
+        instance.revision,
+    )
     try:
         if max(len(text.encode()) for text in texts) > TEXT_BYTES:
             return None
     except UnicodeEncodeError:
         return None
-    slots, cold_us = min(life.slots, MOST_SLOTS), min(life.cold_us, MOST_COLD_US)
-    if (slots, cold_us) == (life.slots, life.cold_us):
-        return life
-    return replace(life, slots=slots, cold_us=cold_us)
+    slots, cold_us = min(instance.slots, MOST_SLOTS), min(instance.cold_us, MOST_COLD_US)
+    if (slots, cold_us) == (instance.slots, instance.cold_us):
+        return instance
+    return replace(instance, slots=slots, cold_us=cold_us)
 
 
-def hash_of(*, life: Life) -> int:
+def hash_of(*, instance: Instance) -> int:
     """64 bits of everything but the cold time.
 
-    >>> life = Life(instance="i", service="s", address="127.0.0.1:1")
+    >>> instance = Instance(instance_id="i", service="s", address="127.0.0.1:1")
     >>> from dataclasses import replace
-    >>> hash_of(life=life) == hash_of(life=replace(life, cold_us=9))
+    >>> hash_of(instance=instance) == hash_of(instance=replace(instance, cold_us=9))
     True
-    >>> hash_of(life=life) == hash_of(life=replace(life, is_draining=True))
+    >>> hash_of(instance=instance) == hash_of(instance=replace(instance, is_draining=True))
     False
     """
     text = "\0".join(
         (
-            life.instance,
-            life.service,
-            life.address,
-            life.zone,
-            str(life.slots),
-            str(life.is_draining),
-            life.revision,
+            instance.instance_id,
+            instance.service,
+            instance.address,
+            instance.zone,
+            str(instance.slots),
+            str(instance.is_draining),
+            instance.revision,
         )
     )
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-def digest_of(*, lives: Iterable[Life]) -> int:
+def digest_of(*, instances: Iterable[Instance]) -> int:
     """The digest of a whole list, whatever its order.
 
-    >>> digest_of(lives=[])
+    >>> digest_of(instances=[])
     0
     """
     digest = 0
-    for life in lives:
-        digest ^= hash_of(life=life)
+    for instance in instances:
+        digest ^= hash_of(instance=instance)
     return digest
 
 
-def message_of(*, life: Life, cold_us: int) -> LifeMsg:
+def message_of(*, instance: Instance, cold_us: int) -> InstanceMsg:
     """A life as it travels; its cold time counts from now.
 
-    >>> life = Life(instance="i", service="s", address="127.0.0.1:1", slots=2)
-    >>> life_of(message=message_of(life=life, cold_us=0)) == life
+    >>> instance = Instance(instance_id="i", service="s", address="127.0.0.1:1", slots=2)
+    >>> instance_of(message=message_of(instance=instance, cold_us=0)) == instance
     True
     """
-    return LifeMsg(
-        instance=life.instance,
-        service=life.service,
-        address=life.address,
-        zone=life.zone,
-        slots=life.slots,
-        is_draining=life.is_draining,
+    return InstanceMsg(
+        instance_id=instance.instance_id,
+        service=instance.service,
+        address=instance.address,
+        zone=instance.zone,
+        slots=instance.slots,
+        is_draining=instance.is_draining,
         cold_us=cold_us,
-        revision=life.revision,
+        revision=instance.revision,
     )
 
 
-def life_of(*, message: LifeMsg) -> Life:
+def instance_of(*, message: InstanceMsg) -> Instance:
     """The life that a message tells of."""
-    return Life(
-        instance=message.instance,
+    return Instance(
+        instance_id=message.instance_id,
         service=message.service,
         address=message.address,
         zone=message.zone,
--- a/kelpstage/edge/backend/outlier_detection.py
+++ b/kelpstage/edge/backend/outlier_detection.py
@@ -11,10 +11,10 @@
 
 from dataclasses import dataclass, field
 
-PACE_SHARE = 8  # each answer moves the mean by an eighth
+LATENCY_SHARE = 8  # each answer moves the mean by an eighth
 FIRST_ANSWERS = 4  # the first few move it faster
-PACE_HALF_LIFE_US = 6_000_000
-PACE_FRESH_US = 1_000_000
+LATENCY_HALF_LIFE_US = 6_000_000
+LATENCY_FRESH_US = 1_000_000
 FAIL_SHARE = 0.2
 FAIL_WEIGHT = 5.0
 FAIL_CHARGE_US = 60_000
@@ -70,27 +70,27 @@
             return
         took_us = min(took_us, LONGEST_US)
         self.answers += 1
-        share = min(self.answers, FIRST_ANSWERS) if self.answers < PACE_SHARE else PACE_SHARE
-        if now_us - self.answered_us > PACE_HALF_LIFE_US:
+        share = min(self.answers, FIRST_ANSWERS) if self.answers < LATENCY_SHARE else LATENCY_SHARE
+        if now_us - self.answered_us > LATENCY_HALF_LIFE_US:
             share = min(share, 2)  # what was known is old
         self.mean_us += (took_us - self.mean_us) / share
         self.answered_us = now_us
 
-    def pace_us(self, *, median_us: float, now_us: int) -> float:
+    def latency_us(self, *, median_us: float, now_us: int) -> float:
         """What an answer takes there; what was seen long ago fades into the median of the
         service, so that a life that was slow is tried again.
 
         >>> seen = Evidence()
         >>> seen.note_answer(took_us=40_000, now_us=0)
-        >>> [seen.pace_us(median_us=10_000, now_us=n * PACE_HALF_LIFE_US) for n in (0, 1, 2)]
+        >>> [seen.latency_us(median_us=10_000, now_us=n * LATENCY_HALF_LIFE_US) for n in (0, 1, 2)]
         [40000.0, 25000.0, 17500.0]
         """
         if not self.answers:
             return median_us
         age_us = now_us - self.answered_us
-        if age_us < PACE_FRESH_US:
+        if age_us < LATENCY_FRESH_US:
             return self.mean_us
-        return median_us + (self.mean_us - median_us) * 2 ** (-age_us / PACE_HALF_LIFE_US)
+        return median_us + (self.mean_us - median_us) * 2 ** (-age_us / LATENCY_HALF_LIFE_US)
 
     def note_full(self, *, now_us: int) -> None:
         """It turned a request away, or lets one wait: others first for a moment."""
--- a/kelpstage/edge/backend/registry.py
+++ b/kelpstage/edge/backend/registry.py
@@ -18,11 +18,11 @@
 from typing import Iterable
 
 from kelpstage.common.configuration.types import Configuration
-from kelpstage.common.transport.messages import RumorMsg
+from kelpstage.common.transport.messages import BackendStateMsg
 from kelpstage.edge.backend import outlier_detection
-from kelpstage.edge.backend.instance import Life
+from kelpstage.edge.backend.instance import Instance
 from kelpstage.edge.backend.outlier_detection import Evidence
-from kelpstage.edge.backend.zones import Places
+from kelpstage.edge.backend.zones import ZoneDistances
 
 UP, DARK, DRAINING, GONE, LYING = 0, 1, 2, 3, 4
 STATE_NAMES = {
@@ -35,7 +35,7 @@
 DARK_KEPT_US = 4_000_000
 DARK_VOICES = 2
 FRESH_US = 3_000_000
-RUMOR_COUNT = 16
+STATES_PER_DATAGRAM = 16
 DISTRUST_US = 1_000_000
 LIES_COUNTED = 4
 HEARSAY_US = 4_000_000
@@ -86,7 +86,7 @@
     overdue_until_us: int = 0
     heard_us: int = -(10**12)
     # --- lives alone ---
-    is_life: bool = False
+    is_discovered: bool = False
     service: str = ""
     zone: str = ""
     slots: int = 1
@@ -103,34 +103,34 @@
         return self.state == DRAINING
 
 
-class Book:
+class BackendRegistry:
     """Backends by name.
 
-    >>> book = Book(me="n1")
-    >>> book.observe(name="b", state=DRAINING, why="sign", now_us=10)
+    >>> registry = BackendRegistry(me="n1")
+    >>> registry.observe(name="b", state=DRAINING, why="sign", now_us=10)
     True
-    >>> book.observe(name="b", state=UP, why="probe", now_us=20, asked_us=5)
+    >>> registry.observe(name="b", state=UP, why="probe", now_us=20, asked_us=5)
     False
-    >>> book.observe(name="b", state=UP, why="probe", now_us=20, asked_us=15)
+    >>> registry.observe(name="b", state=UP, why="probe", now_us=20, asked_us=15)
     True
     """
 
-    def __init__(self, *, me: str, places: Places | None = None) -> None:
+    def __init__(self, *, me: str, places: ZoneDistances | None = None) -> None:
         self._me = me
-        self.places = places or Places()
+        self.places = places or ZoneDistances()
         self.entries: dict[str, Entry] = {}
         self._turn_to_tell = 0
         self._listed: dict[str, str] = {}
         self._listed_us = -LIST_KEPT_US
         self._to_tell: set[str] = set()  # names that there may be rumors of
         self._suspects: set[str] = set()  # lives that somebody shuns, or did lately
-        self._lives: dict[str, tuple[str, ...]] = {}
+        self._instances: dict[str, tuple[str, ...]] = {}
         self._medians: dict[str, tuple[int, float]] = {}
         self._zones: dict[str, tuple[int, frozenset[str]]] = {}
         self._max_connections: dict[str, int] = {}
         self._edges: list[tuple[int, int]] = []
         self._live_edges = 1
-        self.is_life_known = False
+        self.are_instances_known = False
 
     def entry(self, *, name: str) -> Entry:
         entry = self.entries.get(name)
@@ -153,59 +153,61 @@
                 entry.strikes = 0
                 entry.dark_by.clear()
         for name in sorted(set(self.entries) - set(configuration.backends)):
-            if not self.entries[name].in_flight and not self.entries[name].is_life:
+            if not self.entries[name].in_flight and not self.entries[name].is_discovered:
                 del self.entries[name]
 
     # --- lives ----------------------------------------------------------------------
 
-    def set_lives(self, lives: Iterable[Life], now_us: int) -> list[str]:
+    def set_instances(self, instances: Iterable[Instance], now_us: int) -> list[str]:
         """Take over a whole list; gives the instances that came, went or began to drain.
 
-        >>> book = Book(me="n1")
-        >>> one = Life(instance="i1", service="s", address="127.0.0.1:1")
-        >>> book.set_lives([one], now_us=1), book.lives_of(service="s")
+        >>> registry = BackendRegistry(me="n1")
+        >>> one = Instance(instance_id="i1", service="s", address="127.0.0.1:1")
+        >>> registry.set_instances([one], now_us=1), registry.instances_of(service="s")
         (['i1'], ('i1',))
-        >>> book.set_lives([replace(one, is_draining=True)], now_us=2)
+        >>> registry.set_instances([replace(one, is_draining=True)], now_us=2)
         ['i1']
-        >>> book.set_lives([one], now_us=3), book.entries["i1"].is_draining
+        >>> registry.set_instances([one], now_us=3), registry.entries["i1"].is_draining
         ([], True)
-        >>> book.set_lives([], now_us=4), book.lives_of(service="s")
+        >>> registry.set_instances([], now_us=4), registry.instances_of(service="s")
         (['i1'], ())
         """
-        self.is_life_known = True
+        self.are_instances_known = True
         news: list[str] = []
         names: dict[str, list[str]] = {}
         listed: set[str] = set()
-        for life in lives:
-            listed.add(life.instance)
-            names.setdefault(life.service, []).append(life.instance)
-            if self._set_life(life=life, now_us=now_us):
-                news.append(life.instance)
+        for instance in instances:
+            listed.add(instance.instance_id)
+            names.setdefault(instance.service, []).append(instance.instance_id)
+            if self._set_instance(instance=instance, now_us=now_us):
+                news.append(instance.instance_id)
         for name, entry in list(self.entries.items()):
-            if not entry.is_life or name in listed:
+            if not entry.is_discovered or name in listed:
                 continue
             if not entry.gone_us:
                 entry.gone_us = now_us
                 news.append(name)
             elif now_us - entry.gone_us > GONE_KEPT_US and not entry.in_flight:
                 del self.entries[name]
-        self._lives = {service: tuple(sorted(found)) for service, found in names.items()}
+        self._instances = {service: tuple(sorted(found)) for service, found in names.items()}
         self._zones.clear()
         self._set_line_limits()
         return news
 
-    def _set_life(self, *, life: Life, now_us: int) -> bool:
-        entry = self.entries.get(life.instance)
-        is_new = entry is None or not entry.is_life or entry.gone_us > 0
+    def _set_instance(self, *, instance: Instance, now_us: int) -> bool:
+        entry = self.entries.get(instance.instance_id)
+        is_new = entry is None or not entry.is_discovered or entry.gone_us > 0
         if entry is None:
-            entry = self.entries[life.instance] = Entry(name=life.instance, why="listed")
-        entry.is_life, entry.gone_us = True, 0
-        entry.service, entry.address, entry.zone = life.service, life.address, life.zone
-        entry.slots, entry.revision = max(1, life.slots), life.revision
-        entry.distance_us = self.places.distance_us(zone=life.zone)
-        entry.charge_us = self.places.charge_us(zone=life.zone)
-        entry.cold_until_us = now_us + life.cold_us if life.cold_us > 0 else 0
-        if not life.is_draining or entry.state == DRAINING:
+            entry = self.entries[instance.instance_id] = Entry(
+                name=instance.instance_id, why="listed"
+            )
+        entry.is_discovered, entry.gone_us = True, 0
+        entry.service, entry.address, entry.zone = instance.service, instance.address, instance.zone
+        entry.slots, entry.revision = max(1, instance.slots), instance.revision
+        entry.distance_us = self.places.distance_us(zone=instance.zone)
+        entry.charge_us = self.places.charge_us(zone=instance.zone)
+        entry.cold_until_us = now_us + instance.cold_us if instance.cold_us > 0 else 0
+        if not instance.is_draining or entry.state == DRAINING:
             return is_new
         # Not a rumor: all hear of it by the list's own news.
         entry.state, entry.since_us = DRAINING, now_us
@@ -214,32 +216,32 @@
 
     def measure_distances(self) -> None:
         """Take over the round trips that were measured since."""
-        for names in self._lives.values():
+        for names in self._instances.values():
             for name in names:
                 entry = self.entries[name]
                 entry.distance_us = self.places.distance_us(zone=entry.zone)
 
-    def lives_of(self, service: str) -> tuple[str, ...]:
+    def instances_of(self, service: str) -> tuple[str, ...]:
         """Instance ids of the lives that the list gives for a service, sorted."""
-        return self._lives.get(service, ())
+        return self._instances.get(service, ())
 
     def zones_of(self, *, service: str, now_us: int) -> frozenset[str]:
         """Zones with a life of this service that may be asked; kept for a moment, since a
         root looks at every shard of every search.
 
-        >>> book = Book(me="n1")
-        >>> one = Life(instance="i1", service="s", address="127.0.0.1:1", zone="z")
-        >>> _ = book.set_lives([one, replace(one, instance="i2", zone="y")], now_us=1)
-        >>> sorted(book.zones_of(service="s", now_us=2))
+        >>> registry = BackendRegistry(me="n1")
+        >>> one = Instance(instance_id="i1", service="s", address="127.0.0.1:1", zone="z")
+        >>> _ = registry.set_instances([one, replace(one, instance_id="i2", zone="y")], now_us=1)
+        >>> sorted(registry.zones_of(service="s", now_us=2))
         ['y', 'z']
-        >>> _ = book.note_failure(name="i2", why="refused", now_us=3)
-        >>> sorted(book.zones_of(service="s", now_us=4))
+        >>> _ = registry.note_failure(name="i2", why="refused", now_us=3)
+        >>> sorted(registry.zones_of(service="s", now_us=4))
         ['z']
         """
         known = self._zones.get(service)
         if known is not None and 0 <= now_us - known[0] < ZONES_KEPT_US:
             return known[1]
-        entries = [self.entries[name] for name in self._lives.get(service, ())]
+        entries = [self.entries[name] for name in self._instances.get(service, ())]
         fit = [entry for entry in entries if entry.state == UP]
         well = [entry for entry in fit if not entry.seen.is_shunned(now_us=now_us)]
         zones = frozenset(entry.zone for entry in well or fit)
@@ -250,10 +252,10 @@
         """How many edges share the backends' connections: the most of the last half
         minute, since what an edge had open may outlast it.
 
-        >>> book = Book(me="n1")
-        >>> book.set_live_edges(count=9, now_us=0)
-        >>> book.set_live_edges(count=8, now_us=1)
-        >>> book.live_edges
+        >>> registry = BackendRegistry(me="n1")
+        >>> registry.set_live_edges(count=9, now_us=0)
+        >>> registry.set_live_edges(count=8, now_us=1)
+        >>> registry.live_edges
         9
         """
         recent = [(at, n) for at, n in self._edges if now_us - at < EDGES_KEPT_US and n > count]
@@ -271,7 +273,7 @@
         return self._live_edges
 
     def _set_line_limits(self) -> None:
-        for service, names in self._lives.items():
+        for service, names in self._instances.items():
             limit = line_limit(
                 max_connections=self._max_connections.get(service, 0),
                 live_edges=self._live_edges,
@@ -286,7 +288,7 @@
             return known[1]
         means = sorted(
             entry.seen.mean_us
-            for entry in map(self.entries.__getitem__, self._lives.get(service, ()))
+            for entry in map(self.entries.__getitem__, self._instances.get(service, ()))
             if entry.seen.answers
         )
         median = means[(len(means) - 1) // 2] if means else known[1] if known else UNKNOWN_US
@@ -355,7 +357,7 @@
         if entry.seen.is_shunned(now_us=now_us):
             entry.seen.shunned_until_us = now_us
 
-    def _note_life(self, *, entry: Entry, state: int, why: str, now_us: int) -> bool:
+    def _note_instance(self, *, entry: Entry, state: int, why: str, now_us: int) -> bool:
         """`observe` for a life: it may begin to drain, once; a refused connection is
         evidence; nothing makes it come back but an answer to a request."""
         if state == GONE:
@@ -368,7 +370,7 @@
         self._zones.pop(entry.service, None)
         return True
 
-    def refusal_of_life(self, *, entry: Entry, now_us: int) -> str:
+    def refusal_of_instance(self, *, entry: Entry, now_us: int) -> str:
         """Why a life may not be asked now; empty if it may."""
         if entry.gone_us:
             return "not on the list"
@@ -410,13 +412,13 @@
         until it refuses. So that a drain that was called off is not for ever, the
         first of its probers asks it once in half a minute.
 
-        >>> book, empty = Book(me="n1"), Configuration(version=1, document=b"")
-        >>> book.way_to_look(name="b", configuration=empty, now_us=0, is_first=True)
+        >>> registry, empty = BackendRegistry(me="n1"), Configuration(version=1, document=b"")
+        >>> registry.way_to_look(name="b", configuration=empty, now_us=0, is_first=True)
         'probe'
-        >>> _ = book.observe(name="b", state=DRAINING, why="sign", now_us=1)
-        >>> book.way_to_look(name="b", configuration=empty, now_us=2, is_first=True)
+        >>> _ = registry.observe(name="b", state=DRAINING, why="sign", now_us=1)
+        >>> registry.way_to_look(name="b", configuration=empty, now_us=2, is_first=True)
         'knock'
-        >>> book.way_to_look(name="b", configuration=empty, now_us=REST_US + 1, is_first=True)
+        >>> registry.way_to_look(name="b", configuration=empty, now_us=REST_US + 1, is_first=True)
         'probe'
         """
         declared = configuration.backends.get(name)
@@ -438,8 +440,8 @@
     ) -> bool:
         """Note what was seen; true if it is news for others."""
         entry = self.entry(name=name)
-        if entry.is_life:
-            return self._note_life(entry=entry, state=state, why=why, now_us=now_us)
+        if entry.is_discovered:
+            return self._note_instance(entry=entry, state=state, why=why, now_us=now_us)
         if state == UP:
             entry.strikes = 0
             entry.dark_by.pop(self._me, None)
@@ -459,7 +461,7 @@
         """No answer came; two in a row make the backend dark to this node, and gone
         if the platform's list leaves it out as well."""
         entry = self.entry(name=name)
-        if entry.is_life:
+        if entry.is_discovered:
             return self.note_failure(name=name, why=outlier_detection.SILENT, now_us=now_us)
         entry.strikes += 1
         self.note_overdue(name=name, now_us=now_us)
@@ -477,7 +479,7 @@
         """It let a window pass and has not answered yet: ask others first, before it
         costs more searches a second round."""
         entry = self.entry(name=name)
-        if entry.is_life:
+        if entry.is_discovered:
             entry.seen.note_full(now_us=now_us)  # lives pause now and then: no illness
             return
         entry.overdue_until_us = now_us + OVERDUE_US
@@ -490,13 +492,13 @@
         entry = self.entry(name=name)
         entry.heard_us = now_us
         entry.strikes = entry.overdue_until_us = 0
-        if not entry.is_life:  # a life is judged by its answers, not by any sound
+        if not entry.is_discovered:  # a life is judged by its answers, not by any sound
             entry.dark_by.pop(self._me, None)
 
     def lied(self, *, name: str, now_us: int) -> None:
         """A reply failed its checks: ask others first for a while, longer each time."""
         entry = self.entry(name=name)
-        if entry.is_life:
+        if entry.is_discovered:
             self.note_failure(name=name, why=outlier_detection.GARBLED, now_us=now_us)
             return
         self._to_tell.add(name)
@@ -506,12 +508,12 @@
 
     def told_truth(self, *, name: str) -> None:
         entry = self.entry(name=name)
-        if entry.is_life:
+        if entry.is_discovered:
             return  # `note_answer` says it, with the time it took
         entry.lies, entry.distrusted_until_us = 0, 0
 
     def is_distrusted(self, *, name: str, now_us: int) -> bool:
-        """Did this backend send bad bytes a moment ago, do partners call it silent, or
+        """Did this backend send bad bytes a moment ago, do peers call it silent, or
         does the platform's list leave it out?"""
         if now_us < self.entry(name=name).distrusted_until_us:
             return True
@@ -519,47 +521,49 @@
             name=name, now_us=now_us
         )
 
-    def take_rumor(self, *, rumor: RumorMsg, now_us: int) -> bool:
+    def on_backend_state_received(self, *, backend_state: BackendStateMsg, now_us: int) -> bool:
         """Take over later knowledge; true if it changed something."""
-        entry = self.entries.get(rumor.backend)
-        if entry is None or rumor.seen_by == self._me and rumor.state == DARK:
+        entry = self.entries.get(backend_state.backend)
+        if entry is None or backend_state.seen_by == self._me and backend_state.state == DARK:
             return False
-        if rumor.state == LYING:
-            return self._hear_of_lie(entry=entry, rumor=rumor, now_us=now_us)
-        if rumor.state == DARK:
-            is_new = rumor.seen_by not in entry.dark_by
-            entry.dark_by[rumor.seen_by] = now_us
-            if entry.is_life:
+        if backend_state.state == LYING:
+            return self._hear_of_lie(entry=entry, backend_state=backend_state, now_us=now_us)
+        if backend_state.state == DARK:
+            is_new = backend_state.seen_by not in entry.dark_by
+            entry.dark_by[backend_state.seen_by] = now_us
+            if entry.is_discovered:
                 self._suspects.add(entry.name)
             return is_new
-        if entry.is_life:
-            return self._hear_of_life(entry=entry, rumor=rumor, now_us=now_us)
-        if (rumor.turn, rumor.state) <= (entry.turn, entry.state):
+        if entry.is_discovered:
+            return self._hear_of_instance(entry=entry, backend_state=backend_state, now_us=now_us)
+        if (backend_state.turn, backend_state.state) <= (entry.turn, entry.state):
             return False
-        entry.turn, entry.state = rumor.turn, rumor.state
-        entry.why, entry.seen_by, entry.since_us = rumor.why, rumor.seen_by, now_us
+        entry.turn, entry.state = backend_state.turn, backend_state.state
+        entry.why, entry.seen_by, entry.since_us = backend_state.why, backend_state.seen_by, now_us
         self._to_tell.add(entry.name)
-        if rumor.state == UP:
+        if backend_state.state == UP:
             entry.strikes = 0
         return True
 
-    def _hear_of_life(self, *, entry: Entry, rumor: RumorMsg, now_us: int) -> bool:
-        if rumor.state != DRAINING or entry.turn:
+    def _hear_of_instance(
+        self, *, entry: Entry, backend_state: BackendStateMsg, now_us: int
+    ) -> bool:
+        if backend_state.state != DRAINING or entry.turn:
             return False
         is_new = entry.state != DRAINING
-        entry.state, entry.turn, entry.since_us = DRAINING, max(1, rumor.turn), now_us
-        entry.why, entry.seen_by = rumor.why, rumor.seen_by
+        entry.state, entry.turn, entry.since_us = DRAINING, max(1, backend_state.turn), now_us
+        entry.why, entry.seen_by = backend_state.why, backend_state.seen_by
         self._to_tell.add(entry.name)
         self._zones.pop(entry.service, None)
         return is_new
 
-    def _hear_of_lie(self, *, entry: Entry, rumor: RumorMsg, now_us: int) -> bool:
-        if rumor.seen_by == self._me or now_us < entry.distrusted_until_us:
+    def _hear_of_lie(self, *, entry: Entry, backend_state: BackendStateMsg, now_us: int) -> bool:
+        if backend_state.seen_by == self._me or now_us < entry.distrusted_until_us:
             return False
         entry.distrusted_until_us = now_us + HEARSAY_US
         return True
 
-    def rumors(self, *, now_us: int) -> list[RumorMsg]:
+    def backend_states(self, *, now_us: int) -> list[BackendStateMsg]:
         """The news, then a share of all that is out of the ordinary, by turns."""
         news, rest = [], []
         for name in sorted(self._to_tell):
@@ -568,20 +572,20 @@
                 self._to_tell.discard(name)
                 continue
             if self._me in entry.dark_by and not self._is_old_shun(entry=entry, now_us=now_us):
-                news.append(self._rumor(entry=entry, state=DARK, turn=0, seen_by=self._me))
+                news.append(self._state_message(entry=entry, state=DARK, turn=0, seen_by=self._me))
             if now_us - entry.lied_us < LIE_TOLD_US:
-                news.append(self._rumor(entry=entry, state=LYING, turn=0, seen_by=self._me))
+                news.append(self._state_message(entry=entry, state=LYING, turn=0, seen_by=self._me))
             if entry.turn:
-                rumor = self._rumor(
+                backend_state = self._state_message(
                     entry=entry, state=entry.state, turn=entry.turn, seen_by=entry.seen_by
                 )
-                (news if now_us - entry.since_us < FRESH_US else rest).append(rumor)
-        room = max(4, RUMOR_COUNT - len(news))
+                (news if now_us - entry.since_us < FRESH_US else rest).append(backend_state)
+        room = max(4, STATES_PER_DATAGRAM - len(news))
         if rest:
             start = self._turn_to_tell % len(rest)
             self._turn_to_tell += room
             rest = (rest[start:] + rest[:start])[:room]
-        return news[: 2 * RUMOR_COUNT] + rest
+        return news[: 2 * STATES_PER_DATAGRAM] + rest
 
     def _is_worth_telling(self, *, entry: Entry, now_us: int) -> bool:
         if entry.turn or self._me in entry.dark_by:
@@ -590,18 +594,20 @@
 
     @staticmethod
     def _is_old_shun(*, entry: Entry, now_us: int) -> bool:
-        return entry.is_life and now_us - entry.seen.shunned_us >= SHUN_TOLD_US
+        return entry.is_discovered and now_us - entry.seen.shunned_us >= SHUN_TOLD_US
 
     @staticmethod
-    def _rumor(*, entry: Entry, state: int, turn: int, seen_by: str) -> RumorMsg:
-        return RumorMsg(backend=entry.name, state=state, turn=turn, seen_by=seen_by, why=entry.why)
+    def _state_message(*, entry: Entry, state: int, turn: int, seen_by: str) -> BackendStateMsg:
+        return BackendStateMsg(
+            backend=entry.name, state=state, turn=turn, seen_by=seen_by, why=entry.why
+        )
 
     def is_dark(self, *, name: str, now_us: int) -> bool:
         """Did it give this node itself no answer?"""
         return self._me in self.entry(name=name).dark_by
 
     def is_doubted(self, *, name: str, now_us: int) -> bool:
-        """Do several partners say that it is silent, and did this node not hear it
+        """Do several peers say that it is silent, and did this node not hear it
         lately? A reason to ask others first, not more: two sides of a cut would else
         condemn each other's backends, and have none left when it heals."""
         entry = self.entry(name=name)
@@ -613,8 +619,8 @@
     def refusal(self, *, name: str, configuration: Configuration, now_us: int) -> str:
         """Why this backend may not be asked now; empty if it may."""
         known = self.entries.get(name)
-        if known is not None and known.is_life:
-            return self.refusal_of_life(entry=known, now_us=now_us)
+        if known is not None and known.is_discovered:
+            return self.refusal_of_instance(entry=known, now_us=now_us)
         backend = configuration.backends.get(name)
         if backend is None:
             return "not declared"
--- a/kelpstage/edge/backend/reply.py
+++ b/kelpstage/edge/backend/reply.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from json.decoder import scanstring
 
-from kelpstage.common.errors import BadReply
+from kelpstage.common.errors.backends import InvalidReplyError
 from kelpstage.common.ports.interfaces import HttpReply
 
 SPACE = re.compile(r"[ \t\n\r]*")
@@ -109,11 +109,11 @@
     return fields
 
 
-def _check_head(*, backend: str, reply: HttpReply) -> BadReply | None:
+def _check_head(*, backend: str, reply: HttpReply) -> InvalidReplyError | None:
     """The first fault of the status line, the headers or the body's length, if any."""
 
-    def bad(part: str, why: str) -> BadReply:
-        return BadReply(backend=backend, part=part, why=why)
+    def bad(part: str, why: str) -> InvalidReplyError:
+        return InvalidReplyError(backend=backend, part=part, why=why)
 
     if reply.status != 200:
         return bad("status", str(reply.status))
@@ -132,7 +132,7 @@
 
 def read_reply(
     *, backend: str, reply: HttpReply, shard: str, cut: str, order_by: str
-) -> SealedPart | BadReply:
+) -> SealedPart | InvalidReplyError:
     """Check a reply whole: status, type, encoding, form, shard, cut, count, stamp.
 
     >>> record = b'{"score":3}'
@@ -147,8 +147,8 @@
     'form'
     """
 
-    def bad(part: str, why: str) -> BadReply:
-        return BadReply(backend=backend, part=part, why=why)
+    def bad(part: str, why: str) -> InvalidReplyError:
+        return InvalidReplyError(backend=backend, part=part, why=why)
 
     head_fault = _check_head(backend=backend, reply=reply)
     if head_fault is not None:
--- a/kelpstage/edge/backend/selection.py
+++ b/kelpstage/edge/backend/selection.py
@@ -1,6 +1,6 @@
 """Choosing the backend for a shard.
 
-Declared backends are chosen by pace and domain, as declared. Lives are chosen by the
+Declared backends are chosen by pace and zone, as declared. Lives are chosen by the
 time an answer is expected to take, with a lot: every edge shares their few slots and
 none sees what the others have sent, so that the best must not draw everybody.
 """
@@ -12,8 +12,8 @@
 from math import log
 
 from kelpstage.common.configuration.types import Configuration
-from kelpstage.edge.backend.registry import DARK_KEPT_US, DARK_VOICES, Book, Entry
-from kelpstage.edge.gather.latency import Paces
+from kelpstage.edge.backend.registry import DARK_KEPT_US, DARK_VOICES, BackendRegistry, Entry
+from kelpstage.edge.gather.latency import LatencyEstimates
 
 LEAST_US = 2_000
 FAR_US = 30_000
@@ -39,11 +39,11 @@
 def options(
     *,
     configuration: Configuration,
-    book: Book,
-    paces: Paces,
+    registry: BackendRegistry,
+    latencies: LatencyEstimates,
     collection: str,
     shard: str,
-    domain: str,
+    zone: str,
     now_us: int,
     rand: random.Random | None,
 ) -> list[Option]:
@@ -55,21 +55,23 @@
     Those that lied a moment ago come after the others, and those that let a window
     pass and are silent still. The least cost is chosen:
     what is in flight, weighed by the backend's pace, and a charge for another
-    domain; ties by lot.
+    zone; ties by lot.
     """
-    lives = book.lives_of(shard)
-    if lives and not configuration.backends_of(collection=collection, shard=shard):
-        return _life_options(book=book, service=shard, lives=lives, now_us=now_us, rand=rand)
+    instances = registry.instances_of(shard)
+    if instances and not configuration.backends_of(collection=collection, shard=shard):
+        return _instance_options(
+            registry=registry, service=shard, instances=instances, now_us=now_us, rand=rand
+        )
     out = []
     for name in configuration.backends_of(collection=collection, shard=shard):
-        entry = book.entry(name=name)
-        refusal = book.refusal(name=name, configuration=configuration, now_us=now_us)
-        is_near = configuration.backends[name].labels.get("domain") == domain
-        mean_us = paces.mean_us(name=name, now_us=now_us)
+        entry = registry.entry(name=name)
+        refusal = registry.refusal(name=name, configuration=configuration, now_us=now_us)
+        is_near = configuration.backends[name].labels.get("domain") == zone
+        mean_us = latencies.mean_us(name=name, now_us=now_us)
         cost = (entry.in_flight + 1) * (max(mean_us, LEAST_US) // LEAST_US * LEAST_US)
         cost += 0 if is_near else FAR_US
-        is_distrusted = book.is_distrusted(name=name, now_us=now_us)
-        is_overdue = book.is_overdue(name=name, now_us=now_us)
+        is_distrusted = registry.is_distrusted(name=name, now_us=now_us)
+        is_overdue = registry.is_overdue(name=name, now_us=now_us)
         lot = rand.random() if rand else 0.0
         out.append(
             Option(
@@ -86,8 +88,13 @@
     return sorted(out, key=lambda option: option.rank)
 
 
-def _life_options(
-    *, book: Book, service: str, lives: tuple[str, ...], now_us: int, rand: random.Random | None
+def _instance_options(
+    *,
+    registry: BackendRegistry,
+    service: str,
+    instances: tuple[str, ...],
+    now_us: int,
+    rand: random.Random | None,
 ) -> list[Option]:
     """Lives by the time an answer is expected to take, drawn by lot.
 
@@ -98,16 +105,18 @@
 
     If every one that the list gives is shunned, the least bad one is offered still.
     """
-    entries, own_zone = book.entries, book.places.zone
-    median_us = book.median_us(service=service, now_us=now_us)
+    entries, own_zone = registry.entries, registry.places.zone
+    median_us = registry.median_us(service=service, now_us=now_us)
     draw = rand.random if rand else None
     out = []
     is_any_free = False
-    for name in lives:
+    for name in instances:
         entry = entries[name]
-        refusal = "" if _is_plain(entry) else book.refusal_of_life(entry=entry, now_us=now_us)
+        refusal = (
+            "" if _is_plain(entry) else registry.refusal_of_instance(entry=entry, now_us=now_us)
+        )
         seen = entry.seen
-        mean_us = seen.pace_us(median_us=median_us, now_us=now_us)
+        mean_us = seen.latency_us(median_us=median_us, now_us=now_us)
         cost = expected_us(entry=entry, mean_us=mean_us, now_us=now_us)
         is_doubted = bool(entry.dark_by) and _is_doubted(entry=entry, now_us=now_us)
         lot = -log(1.0 - draw()) if draw else MIDDLE_LOT
@@ -127,7 +136,7 @@
         )
     out.sort(key=_rank)
     if not is_any_free:
-        _offer_least_bad(options=out, book=book, now_us=now_us)
+        _offer_least_bad(options=out, registry=registry, now_us=now_us)
     return out
 
 
@@ -162,14 +171,14 @@
 
 
 def _is_doubted(*, entry: Entry, now_us: int) -> bool:
-    """Do two partners or more shun it, and did this node have no answer since?"""
+    """Do two peers or more shun it, and did this node have no answer since?"""
     voices = sum(
         now_us - at < DARK_KEPT_US and at > entry.heard_us for at in entry.dark_by.values()
     )
     return voices >= DARK_VOICES
 
 
-def _offer_least_bad(*, options: list[Option], book: Book, now_us: int) -> None:
+def _offer_least_bad(*, options: list[Option], registry: BackendRegistry, now_us: int) -> None:
     """Lives that are only shunned are better than none: the one whose time is nearest."""
     shunned = [option for option in options if option.refusal in ("shunned", "on trial")]
     if not shunned:
@@ -177,8 +186,8 @@
     best = min(
         shunned,
         key=lambda option: (
-            book.entries[option.backend].in_flight,
-            book.entries[option.backend].seen.shunned_until_us,
+            registry.entries[option.backend].in_flight,
+            registry.entries[option.backend].seen.shunned_until_us,
             option.backend,
         ),
     )
--- a/kelpstage/edge/backend/zones.py
+++ b/kelpstage/edge/backend/zones.py
@@ -10,10 +10,10 @@
 
 
 @dataclass(kw_only=True)
-class Places:
+class ZoneDistances:
     """Zones and their regions; a round trip is guessed until one was measured.
 
-    >>> places = Places(zone="a1", region="a", zones={"a1": "a", "a2": "a", "b1": "b"})
+    >>> places = ZoneDistances(zone="a1", region="a", zones={"a1": "a", "a2": "a", "b1": "b"})
     >>> [places.distance_us(zone=zone) for zone in ("a1", "a2", "b1")]
     [1000, 3000, 22000]
     >>> places.note_round_trip(zone="b1", took_us=16_400)
--- a/kelpstage/edge/events.py
+++ b/kelpstage/edge/events.py
@@ -22,8 +22,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PartnerChanged(Event):
-    partner: str
+class PeerChanged(Event):
+    peer: str
     status: str
     why: str
 
@@ -93,7 +93,7 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Planned(SearchEvent):
     version: int
-    branch: Any  # the tree from this node down; none for a single record
+    subtree: Any  # the tree from this node down; none for a single record
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -102,7 +102,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class RoundSent(SearchEvent):
+class AttemptSent(SearchEvent):
     shard: str
     number: int
     backend: str
@@ -112,14 +112,14 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class RoundRefused(SearchEvent):
+class AttemptRefused(SearchEvent):
     shard: str
     why: str
     ranked: tuple
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class RoundEnded(SearchEvent):
+class AttemptEnded(SearchEvent):
     shard: str
     number: int
     backend: str
@@ -127,7 +127,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PartnerAsked(SearchEvent):
+class ChildQueried(SearchEvent):
     node: str
     shards: tuple[str, ...]
     window_us: int
@@ -135,12 +135,12 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PartnerLate(SearchEvent):
+class ChildLate(SearchEvent):
     node: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PartnerEnded(SearchEvent):
+class ChildEnded(SearchEvent):
     node: str
     outcome: str
     shards_in: tuple[str, ...]
@@ -148,7 +148,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class BeganAgain(SearchEvent):
+class SearchRestarted(SearchEvent):
     was: int
     why: str
 
--- a/kelpstage/edge/forward/headers.py
+++ b/kelpstage/edge/forward/headers.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, fields
 
-from kelpstage.common.errors import EnvRefused, Fault
+from kelpstage.common.errors.validation import InvalidField, InvalidSettingsError
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -29,7 +29,7 @@
     not_run: str = "Kelp-Not-Run"
 
 
-def read_names(*, raw: dict[str, str]) -> HeaderNames | EnvRefused:
+def read_names(*, raw: dict[str, str]) -> HeaderNames | InvalidSettingsError:
     """Names from settings; one that is not known is a fault.
 
     >>> read_names(raw={"seal": "Stamp"}).seal
@@ -39,7 +39,7 @@
     """
     known = {one.name for one in fields(HeaderNames)}
     faults = [
-        Fault(path=f"header_names.{name}", why="no such header")
+        InvalidField(path=f"header_names.{name}", why="no such header")
         for name in sorted(set(raw) - known)
     ]
-    return EnvRefused(faults=faults) if faults else HeaderNames(**raw)
+    return InvalidSettingsError(faults=faults) if faults else HeaderNames(**raw)
--- a/kelpstage/edge/forward/sealed_answer.py
+++ b/kelpstage/edge/forward/sealed_answer.py
@@ -10,7 +10,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kelpstage.common.errors import BackendFailed, BadReply, NotRun
+from kelpstage.common.errors.backends import (
+    BackendFailedError,
+    InvalidReplyError,
+    RequestNotRunError,
+)
 from kelpstage.common.http.headers import joined
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Owner
 from kelpstage.edge.backend.reply import SealedPart
@@ -96,29 +100,35 @@
     def _refused(self, *, reply: HttpReply, backend: str, request_id: str) -> Any:
         """Why the answer is none to this request, or says that it did not run."""
         if self._owner_of(reply=reply, request_id=request_id) != Owner.OURS:
-            return BadReply(backend=backend, part="request", why="it does not name this request")
+            return InvalidReplyError(
+                backend=backend, part="request", why="it does not name this request"
+            )
         if reply.status == NOT_RUN_STATUS:
-            return NotRun(backend=backend, answer=reply.status, why="another instance")
+            return RequestNotRunError(backend=backend, answer=reply.status, why="another instance")
         if self._not_run in reply.headers:
             if 200 <= reply.status < 300:  # it says both that it ran and that it did not
-                return BadReply(backend=backend, part="status", why="a success that has not run")
-            return NotRun(backend=backend, answer=reply.status, why="turned away")
+                return InvalidReplyError(
+                    backend=backend, part="status", why="a success that has not run"
+                )
+            return RequestNotRunError(backend=backend, answer=reply.status, why="turned away")
         if reply.headers.get("content-encoding", "identity") != "identity":
-            return BadReply(backend=backend, part="encoding", why=reply.headers["content-encoding"])
+            return InvalidReplyError(
+                backend=backend, part="encoding", why=reply.headers["content-encoding"]
+            )
         return None
 
     def read_part(
         self, *, reply: HttpReply, backend: str, shard: str, request_id: str
-    ) -> SealedPart | NotRun | BadReply | BackendFailed:
+    ) -> SealedPart | RequestNotRunError | InvalidReplyError | BackendFailedError:
         """One part of a search, or why there is none."""
         refused = self._refused(reply=reply, backend=backend, request_id=request_id)
         if refused is not None:
             return refused
         if not 200 <= reply.status < 300:
-            return BackendFailed(backend=backend, answer=reply.status)
+            return BackendFailedError(backend=backend, answer=reply.status)
         seal = reply.headers.get(self._seal, "")
         if not is_seal(text=seal):
-            return BadReply(
+            return InvalidReplyError(
                 backend=backend, part="seal", why="none" if not seal else "not one token"
             )
         body = reply.body
@@ -128,7 +138,7 @@
 
     def read_whole(
         self, *, reply: HttpReply, backend: str, request_id: str
-    ) -> WholeReply | NotRun | BadReply | BackendFailed:
+    ) -> WholeReply | RequestNotRunError | InvalidReplyError | BackendFailedError:
         """The answer to a request to one backend, or why it may not go back as it came.
 
         A status that promises "not run" does not go back without the backend's word for
@@ -138,9 +148,9 @@
         if refused is not None:
             return refused
         if 200 <= reply.status < 300 and not is_seal(text=reply.headers.get(self._seal, "")):
-            return BadReply(backend=backend, part="seal", why="none")
+            return InvalidReplyError(backend=backend, part="seal", why="none")
         if reply.status in PROMISES:
-            return BackendFailed(backend=backend, answer=reply.status)
+            return BackendFailedError(backend=backend, answer=reply.status)
         headers = tuple(pair for pair in reply.headers.items() if pair[0] not in LEFT_OUT)
         return WholeReply(status=reply.status, headers=headers, body=reply.body)
 
--- a/kelpstage/edge/gather/context.py
+++ b/kelpstage/edge/gather/context.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from kelpstage.common.event_journal import Journal
-from kelpstage.edge.backend.registry import Book
-from kelpstage.edge.gather.latency import Paces
+from kelpstage.edge.backend.registry import BackendRegistry
+from kelpstage.edge.gather.latency import LatencyEstimates
 from kelpstage.edge.gossip.swim import ALIVE, Swim
-from kelpstage.edge.lease.lease_holder import Keeper
+from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.retries.budget import Budget
 
 SHY_US = 1_000_000
@@ -21,7 +21,7 @@
 
 @dataclass(kw_only=True)
 class Lateness:
-    """When a partner was last late, and how often since it last answered."""
+    """When a peer was last late, and how often since it last answered."""
 
     since_us: int
     count: int
@@ -30,16 +30,16 @@
 @dataclass(kw_only=True)
 class World:
     me: str
-    domain: str
+    zone: str
     own: str
     rand: random.Random
-    keeper: Keeper
+    lease_holder: LeaseHolder
     swim: Swim
-    book: Book
-    paces: Paces
+    registry: BackendRegistry
+    latencies: LatencyEstimates
     budget: Budget
     journal: Journal
-    trail: Journal = field(default_factory=lambda: Journal(now=lambda: 0, limit=1))
+    trace: Journal = field(default_factory=lambda: Journal(now=lambda: 0, limit=1))
     now_us: int = 0
     effects: list[Any] = field(default_factory=list)
     late: dict[str, Lateness] = field(default_factory=dict)
@@ -55,10 +55,10 @@
         return len(self.swim.live())
 
     def node_window_us(self, *, name: str, least_us: int) -> int:
-        return self.paces.window_us(name=f"node:{name}", least_us=least_us)
+        return self.latencies.window_us(name=f"node:{name}", least_us=least_us)
 
     def note_late(self, *, name: str) -> None:
-        """A partner let a window pass, or its line broke."""
+        """A peer let a window pass, or its line broke."""
         known = self.late.get(name)
         count = 0 if known is None else known.count
         self.late[name] = Lateness(since_us=self.now_us, count=min(count + 1, SHY_COUNT))
@@ -75,12 +75,12 @@
             known.count = 0
 
     def note_distance(self, *, name: str, took_us: int) -> None:
-        """A round trip to a partner, smoothed, the short ones at once."""
+        """A round trip to a peer, smoothed, the short ones at once."""
         known = self.distances.get(name, took_us)
         self.distances[name] = min(took_us, known + (took_us - known) // 4)
 
     def reply_margin_us(self, *, name: str) -> int:
-        """What a partner must leave of our time, for the way there and back.
+        """What a peer must leave of our time, for the way there and back.
 
         >>> from types import SimpleNamespace as Some
         >>> world = Some(distances={"k": 120_000})
@@ -90,7 +90,7 @@
         return MARGIN_US + self.distances.get(name, 0)
 
     def is_shy(self, *, name: str) -> bool:
-        """Did this partner let a window pass a moment ago? The longer it has not
+        """Did this peer let a window pass a moment ago? The longer it has not
         answered at all, the longer it is asked last: gossip may reach it round a
         line that is cut from here."""
         known = self.late.get(name)
@@ -104,35 +104,35 @@
         return known is not None and known.count >= SILENT_COUNT and self.is_shy(name=name)
 
     def is_far(self, *, name: str) -> bool:
-        """Is this partner in another region?"""
+        """Is this peer in another region?"""
         member = self.swim.members.get(name)
-        zone = member.info.domain if member else self.domain
+        zone = member.info.zone if member else self.zone
         regions = self.regions
-        return regions.get(zone, zone) != regions.get(self.domain, self.domain)
+        return regions.get(zone, zone) != regions.get(self.zone, self.zone)
 
     def zones_by_distance(self) -> list[str]:
         """Zones of this deployment: the own one, those of the own region, then the others,
         ties by lot."""
-        home = self.regions.get(self.domain, self.domain)
-        known = {m.info.domain for m in self.swim.members.values()} | set(self.regions)
-        known.discard(self.domain)
+        home = self.regions.get(self.zone, self.zone)
+        known = {m.info.zone for m in self.swim.members.values()} | set(self.regions)
+        known.discard(self.zone)
         others = sorted(
             known, key=lambda zone: (self.regions.get(zone, zone) != home, self.rand.random())
         )
-        return [self.domain, *others]
+        return [self.zone, *others]
 
     def helpers_by_zone(self, *, collection: str) -> dict[str, list[str]]:
-        """The partners that may merge, by their zone, the best first."""
+        """The peers that may merge, by their zone, the best first."""
         out: dict[str, list[str]] = {}
         for name in self.helpers(collection=collection, rand=self.rand, is_near_only=False):
-            out.setdefault(self.swim.members[name].info.domain, []).append(name)
+            out.setdefault(self.swim.members[name].info.zone, []).append(name)
         return out
 
     def helpers(
         self, *, collection: str, rand: random.Random | None, is_near_only: bool = True
     ) -> list[str]:
         """Partners that may merge, the best first: alive and not late a moment
-        ago, own domain, little load, ties by lot. One that is silent towards this
+        ago, own zone, little load, ties by lot. One that is silent towards this
         node is left out, and so is one whose round trip alone is longer than the
         route's window, while there are nearer ones: better that one stands in twice."""
         ranked = []
@@ -140,18 +140,18 @@
             info = member.info
             if info.status != ALIVE or not info.is_ready or self.is_silent(name=name):
                 continue
-            if not self.keeper.configuration.is_gatherer(
-                collection=collection, name=name, domain=info.domain
+            if not self.lease_holder.configuration.is_gatherer(
+                collection=collection, name=name, zone=info.zone
             ):
                 continue
             lot = rand.random() if rand else 0.0
             ranked.append(
-                (self.is_shy(name=name), info.domain != self.domain, info.load // 4, lot, name)
+                (self.is_shy(name=name), info.zone != self.zone, info.load // 4, lot, name)
             )
         names = [rank[-1] for rank in sorted(ranked)]
         if not is_near_only:
             return names
-        route = self.keeper.configuration.route(collection=collection)
+        route = self.lease_holder.configuration.route(collection=collection)
         window_us = route.window_us if route else 0
         near = [name for name in names if self.distances.get(name, 0) <= window_us]
         return near or names
--- a/kelpstage/edge/gather/latency.py
+++ b/kelpstage/edge/gather/latency.py
@@ -9,12 +9,12 @@
 
 
 @dataclass(kw_only=True)
-class Pace:
+class LatencyEstimate:
     """A smoothed time and its spread, as TCP keeps them.
 
-    >>> pace = Pace()
-    >>> for _ in range(50): pace.saw(took_us=4_000)
-    >>> 4_000 <= pace.stretch_us() < 6_000
+    >>> latency = LatencyEstimate()
+    >>> for _ in range(50): latency.saw(took_us=4_000)
+    >>> 4_000 <= latency.stretch_us() < 6_000
     True
     """
 
@@ -38,28 +38,28 @@
         return int(self.mean_us + 4 * self.spread_us)
 
 
-class Paces:
-    """Paces by name; a name never seen has the default window alone.
+class LatencyEstimates:
+    """Latency estimates by name; a name never seen has the default window alone.
 
-    >>> Paces().window_us(name="n", least_us=10_000)
+    >>> LatencyEstimates().window_us(name="n", least_us=10_000)
     10000
     """
 
     def __init__(self) -> None:
-        self._paces: dict[str, Pace] = {}
+        self._latencies: dict[str, LatencyEstimate] = {}
 
     def saw(self, *, name: str, took_us: int, now_us: int = 0) -> None:
-        self._paces.setdefault(name, Pace()).saw(took_us=took_us, now_us=now_us)
+        self._latencies.setdefault(name, LatencyEstimate()).saw(took_us=took_us, now_us=now_us)
 
     def window_us(self, *, name: str, least_us: int) -> int:
         """The window for a child: the default, stretched by what was seen of it."""
-        pace = self._paces.get(name)
-        return least_us if pace is None else max(least_us, pace.stretch_us())
+        latency = self._latencies.get(name)
+        return least_us if latency is None else max(least_us, latency.stretch_us())
 
     def mean_us(self, *, name: str, now_us: int) -> int:
         """The mean, halved for every while in which nothing was seen: a child
         that was slow once is tried again."""
-        pace = self._paces.get(name)
-        if pace is None:
+        latency = self._latencies.get(name)
+        if latency is None:
             return 0
-        return int(pace.mean_us / 2 ** (max(0, now_us - pace.seen_us) / HALF_LIFE_US))
+        return int(latency.mean_us / 2 ** (max(0, now_us - latency.seen_us) / HALF_LIFE_US))
--- a/kelpstage/edge/gather/messages.py
+++ b/kelpstage/edge/gather/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.edge.gather.request_state import Gathering
 
 # --- events ---------------------------------------------------------------------
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class BackendSaid:
+class BackendReplied:
     key: int
     generation: int
     shard: str
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class KidSaid:
+class ChildReplied:
     key: int
     generation: int
     slot: int
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskBackend:
+class QueryBackend:
     record: Gathering
     generation: int
     shard: str
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskKid:
+class QueryChild:
     record: Gathering
     generation: int
     slot: int
@@ -122,10 +122,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class KidReply:
+class ChildReply:
     """What a child passes up."""
 
     message: Any
 
 
-Outcome = Verdict | KidReply | Defect
+Outcome = Verdict | ChildReply | KelpstageError
--- a/kelpstage/edge/gather/request_state.py
+++ b/kelpstage/edge/gather/request_state.py
@@ -10,7 +10,7 @@
 from kelpstage.common.transport.messages import PartMsg
 from kelpstage.edge.forward.request import ClientRequest
 from kelpstage.edge.gather.record_order import ORDERS, ValueOrder
-from kelpstage.edge.gather.tree import Branch
+from kelpstage.edge.gather.tree import Subtree
 
 ROOT, CHILD, SINGLE = "root", "child", "single"
 NEW, AWAITS, GATHERS, DONE = "new", "awaits", "gathers", "done"
@@ -18,7 +18,7 @@
 
 
 @dataclass(kw_only=True)
-class Round:
+class Attempt:
     """One send to one backend."""
 
     number: int
@@ -39,7 +39,7 @@
     wants_round: bool = True
     was_hedged: bool = False
     hedge_us: int = 0  # when a second round that was refused is tried again
-    rounds: list[Round] = field(default_factory=list)
+    rounds: list[Attempt] = field(default_factory=list)
     cause: str = ""
     detail: str = ""
 
@@ -57,11 +57,11 @@
 
 
 @dataclass(kw_only=True)
-class Kid:
+class Child:
     """A child in the tree and what came of it."""
 
     slot: int
-    branch: Branch
+    subtree: Subtree
     state: str = WAITING
     is_sent: bool = False
     sent_us: int = 0
@@ -90,7 +90,7 @@
     limit: int | None = None
     root: str = ""
     version: int = 0
-    branch: Branch | None = None
+    subtree: Subtree | None = None
     addresses: dict[str, str] = field(default_factory=dict)
     is_extra: bool = False
     ask_id: int = 0
@@ -114,9 +114,9 @@
     configuration: Configuration | None = None
     route: Route | None = None
     cells: dict[str, Cell] = field(default_factory=dict)
-    kids: list[Kid] = field(default_factory=list)
+    children: list[Child] = field(default_factory=list)
     parts: dict[str, PartMsg] = field(default_factory=dict)
-    runs: dict[str | int, list] = field(default_factory=dict)  # by shard, or kid's slot
+    runs: dict[str | int, list] = field(default_factory=dict)  # by shard, or child's slot
     whole: Any = None  # a backend's answer that goes back as it came
     has_run: bool = False  # may a backend have run it?
     missing: dict[str, tuple[str, str]] = field(default_factory=dict)
@@ -145,13 +145,13 @@
         self.configuration = self.route = None
         for cell in self.cells.values():
             self._spend(cell=cell)
-        self.cells, self.kids = {}, []
+        self.cells, self.children = {}, []
         self.parts, self.runs, self.missing = {}, {}, {}
         self.whole = None
         self.inbox.clear()
         self.omit_us = 0
         if self.kind == ROOT:
-            self.branch = None
+            self.subtree = None
 
     # --- attempts ---------------------------------------------------------------------
 
@@ -175,21 +175,21 @@
         """
         return len(cell.rounds) < self.left_of(shard=cell.shard)
 
-    def hand_over(self, *, kid: Kid, is_reserved: bool) -> None:
+    def hand_over(self, *, child: Child, is_reserved: bool) -> None:
         """Give a helper the attempts for its shards. What becomes of them is unknown from
         here on, so they count as used until it says otherwise. `is_reserved`: one of
         them, if there are two or more, stays here for the case that nothing is heard."""
-        shards = kid.branch.all_shards()
+        shards = child.subtree.all_shards()
         least = min((self.left_of(shard=shard) for shard in shards), default=0)
-        kid.attempts = least - 1 if is_reserved and least > 1 else least
-        kid.unknown = dict.fromkeys(shards, kid.attempts)
+        child.attempts = least - 1 if is_reserved and least > 1 else least
+        child.unknown = dict.fromkeys(shards, child.attempts)
         for shard in shards:
-            self.attempts_left[shard] = self.left_of(shard=shard) - kid.attempts
+            self.attempts_left[shard] = self.left_of(shard=shard) - child.attempts
 
-    def take_back(self, *, kid: Kid, shard: str, count: int) -> None:
+    def take_back(self, *, child: Child, shard: str, count: int) -> None:
         """A helper says, once for each shard, that so many attempts were never used."""
-        if count and shard in kid.unknown:
-            back = min(count, kid.unknown.pop(shard))
+        if count and shard in child.unknown:
+            back = min(count, child.unknown.pop(shard))
             self.attempts_left[shard] = self.left_of(shard=shard) + back
 
     def surely_left(self, *, shard: str) -> int:
@@ -218,7 +218,7 @@
         >>> g = Gathering(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9)
         >>> g.may_have_run()
         False
-        >>> first = Round(number=1, backend="b", sent_us=0, soft_us=1)
+        >>> first = Attempt(number=1, backend="b", sent_us=0, soft_us=1)
         >>> g.cells["s"] = Cell(shard="s", rounds=[first])
         >>> g.may_have_run()
         True
@@ -228,7 +228,7 @@
             or bool(self.parts)
             or bool(self.sent_before)
             or any(cell.has_open_round() for cell in self.cells.values())
-            or any(kid.is_sent and not kid.has_sent_nothing for kid in self.kids)
+            or any(child.is_sent and not child.has_sent_nothing for child in self.children)
         )
 
     def is_sent_before(self, *, shard: str) -> bool:
@@ -259,9 +259,9 @@
     def waiting_shards(self) -> set[str]:
         """Shards that may still come in."""
         out = {cell.shard for cell in self.cells.values() if cell.state == WAITING}
-        for kid in self.kids:
-            if kid.state == WAITING:
-                out |= set(kid.branch.all_shards())
+        for child in self.children:
+            if child.state == WAITING:
+                out |= set(child.subtree.all_shards())
         return out - set(self.parts)
 
     def is_settled(self) -> bool:
--- a/kelpstage/edge/gather/stages/admit.py
+++ b/kelpstage/edge/gather/stages/admit.py
@@ -2,18 +2,17 @@
 
 from __future__ import annotations
 
-from kelpstage.common.errors import (
-    BackendLost,
-    NotReady,
-    TimeLeftSpent,
-    UnknownCollection,
-    UnknownRoute,
-    UnknownShard,
+from kelpstage.common.errors.backends import BackendConnectionError
+from kelpstage.common.errors.requests import (
+    UnknownCollectionError,
+    UnknownRouteError,
+    UnknownShardError,
 )
+from kelpstage.common.errors.serving import DeadlineExceededError, NotReadyError
 from kelpstage.common.transport.messages import Gathered
-from kelpstage.edge.events import BeganAgain, Restarted
+from kelpstage.edge.events import Restarted, SearchRestarted
 from kelpstage.edge.gather.context import World
-from kelpstage.edge.gather.messages import KidReply, WantState
+from kelpstage.edge.gather.messages import ChildReply, WantState
 from kelpstage.edge.gather.request_state import (
     AWAITS,
     CHILD,
@@ -34,7 +33,7 @@
     if record.stage == GATHERS:
         _look_again(record=record, world=world)
     is_awaiting = record.stage == AWAITS and record.kind == ROOT
-    if is_awaiting and world.keeper.configuration.version >= record.awaits_version:
+    if is_awaiting and world.lease_holder.configuration.version >= record.awaits_version:
         record.begin_again()
     if record.stage not in (NEW, AWAITS):
         return
@@ -57,28 +56,28 @@
 
 def _spent(*, record: Gathering, world: World) -> None:
     if record.kind == CHILD:
-        end(record=record, outcome=KidReply(message=_stale(record=record, world=world)))
+        end(record=record, outcome=ChildReply(message=_stale(record=record, world=world)))
         return
-    end(record=record, outcome=TimeLeftSpent(where=f"while it was {record.stage}"))
+    end(record=record, outcome=DeadlineExceededError(where=f"while it was {record.stage}"))
 
 
 def _stale(*, record: Gathering, world: World) -> Gathered:
     return Gathered(
         is_stale=True,
-        version=world.keeper.configuration.version,
+        version=world.lease_holder.configuration.version,
         has_sent_nothing=not record.sent_shards,
     )
 
 
 def _look_again(*, record: Gathering, world: World) -> None:
     """A search ends under a newer configuration if it outlasts the older one."""
-    keeper = world.keeper
-    if record.version == keeper.configuration.version or record.kind == SINGLE:
+    lease_holder = world.lease_holder
+    if record.version == lease_holder.configuration.version or record.kind == SINGLE:
         return
-    if world.now_us - keeper.installed_us < RESTART_US:
+    if world.now_us - lease_holder.installed_us < RESTART_US:
         return
     if record.kind == CHILD:
-        end(record=record, outcome=KidReply(message=_stale(record=record, world=world)))
+        end(record=record, outcome=ChildReply(message=_stale(record=record, world=world)))
         return
     note_again(record=record, world=world, why="configuration moved on")
     record.begin_again()
@@ -87,15 +86,15 @@
 def note_again(*, record: Gathering, world: World, why: str) -> None:
     """A search begins again under a newer configuration."""
     world.journal.add(Restarted(collection=record.collection, was=record.version, why=why))
-    world.trail.add(BeganAgain(search=record.search, was=record.version, why=why))
+    world.trace.add(SearchRestarted(search=record.search, was=record.version, why=why))
 
 
 def _admit_child(*, record: Gathering, world: World) -> None:
-    keeper = world.keeper
-    if keeper.has_moved_on(version=record.version, now_us=world.now_us):
-        end(record=record, outcome=KidReply(message=_stale(record=record, world=world)))
+    lease_holder = world.lease_holder
+    if lease_holder.has_moved_on(version=record.version, now_us=world.now_us):
+        end(record=record, outcome=ChildReply(message=_stale(record=record, world=world)))
         return
-    configuration = keeper.configuration_for(version=record.version, now_us=world.now_us)
+    configuration = lease_holder.configuration_for(version=record.version, now_us=world.now_us)
     if configuration is None:
         if record.stage == NEW:
             record.stage = AWAITS
@@ -103,7 +102,7 @@
         return
     route = configuration.route(collection=record.collection)
     if route is None:
-        end(record=record, outcome=KidReply(message=_stale(record=record, world=world)))
+        end(record=record, outcome=ChildReply(message=_stale(record=record, world=world)))
         return
     record.configuration, record.route = configuration, route
     record.stage = GATHERS
@@ -114,12 +113,15 @@
     again under one that names other shards for it, or none."""
     path = record.request.target.partition("?")[0]
     host = record.request.host
-    route = world.keeper.configuration.forward_for(host=host, path=path)
+    route = world.lease_holder.configuration.forward_for(host=host, path=path)
     if route is None:
-        end(record=record, outcome=UnknownRoute(host=host[:200], path=path[:200]))
+        end(record=record, outcome=UnknownRouteError(host=host[:200], path=path[:200]))
         return False
     if not route.is_repeatable and record.may_have_run():  # it was, when it was begun
-        end(record=record, outcome=BackendLost(backend="", cause="configuration moved on"))
+        end(
+            record=record,
+            outcome=BackendConnectionError(backend="", cause="configuration moved on"),
+        )
         return False
     record.collection = route.name
     record.kind = ROOT if route.fan_out else SINGLE
@@ -149,22 +151,22 @@
 
 
 def _admit_own(*, record: Gathering, world: World) -> None:
-    keeper = world.keeper
-    refusal = keeper.refusal(now_us=world.now_us)
+    lease_holder = world.lease_holder
+    refusal = lease_holder.refusal(now_us=world.now_us)
     if refusal:
-        end(record=record, outcome=NotReady(why=refusal))
+        end(record=record, outcome=NotReadyError(why=refusal))
         return
-    configuration = keeper.configuration
+    configuration = lease_holder.configuration
     if record.request is not None and not _bind_forward(record=record, world=world):
         return
     route = configuration.route(collection=record.collection)
     if route is None:
-        end(record=record, outcome=UnknownCollection(collection=record.collection))
+        end(record=record, outcome=UnknownCollectionError(collection=record.collection))
         return
     if record.kind == SINGLE and record.shard not in route.fan_out:
         end(
             record=record,
-            outcome=UnknownShard(collection=record.collection, shard=record.shard),
+            outcome=UnknownShardError(collection=record.collection, shard=record.shard),
         )
         return
     record.configuration, record.route = configuration, route
--- a/kelpstage/edge/gather/stages/merge.py
+++ b/kelpstage/edge/gather/stages/merge.py
@@ -5,13 +5,15 @@
 from functools import singledispatch
 from typing import Any
 
-from kelpstage.common.errors import BadReply, ConnectRefused, Defect, LineLost, NotRun, WaitOver
+from kelpstage.common.errors.backends import InvalidReplyError, RequestNotRunError
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.transport import ConnectError, ConnectionLostError, ReplyTimeoutError
 from kelpstage.common.transport.messages import Gathered, PartMsg
 from kelpstage.edge.backend.reply import SealedPart
-from kelpstage.edge.events import BadPart, PartnerEnded, RoundEnded
+from kelpstage.edge.events import AttemptEnded, BadPart, ChildEnded
 from kelpstage.edge.forward.sealed_answer import WholeReply
 from kelpstage.edge.gather.context import World
-from kelpstage.edge.gather.messages import BackendSaid, KidReply, KidSaid, WantState
+from kelpstage.edge.gather.messages import BackendReplied, ChildReplied, ChildReply, WantState
 from kelpstage.edge.gather.record_order import lowest_cut
 from kelpstage.edge.gather.request_state import (
     AWAITS,
@@ -23,8 +25,8 @@
     SINGLE,
     WAITING,
     Cell,
+    Child,
     Gathering,
-    Kid,
 )
 from kelpstage.edge.gather.stages.admit import end, note_again
 
@@ -44,9 +46,9 @@
 
 
 @take.register
-def _(said: BackendSaid, record: Gathering, world: World) -> None:
-    world.trail.add(
-        RoundEnded(
+def _(said: BackendReplied, record: Gathering, world: World) -> None:
+    world.trace.add(
+        AttemptEnded(
             search=record.search,
             shard=said.shard,
             number=said.number,
@@ -104,23 +106,23 @@
 def surely_not_run(*, outcome: Any) -> bool:
     """Is it certain that the backend did not run the request and never will?
 
-    >>> surely_not_run(outcome=ConnectRefused(address="a"))
+    >>> surely_not_run(outcome=ConnectError(address="a"))
     True
-    >>> surely_not_run(outcome=LineLost(address="a"))
+    >>> surely_not_run(outcome=ConnectionLostError(address="a"))
     False
     """
-    if isinstance(outcome, (ConnectRefused, NotRun)):
+    if isinstance(outcome, (ConnectError, RequestNotRunError)):
         return True
-    return isinstance(outcome, (LineLost, WaitOver)) and not outcome.was_sent
+    return isinstance(outcome, (ConnectionLostError, ReplyTimeoutError)) and not outcome.was_sent
 
 
 def _name_of(*, outcome: Any) -> str:
-    if isinstance(outcome, BadReply):
+    if isinstance(outcome, InvalidReplyError):
         return f"bad_reply: {outcome.part}: {outcome.why}"
-    return outcome.kind if isinstance(outcome, Defect) else "in"
+    return outcome.kind if isinstance(outcome, KelpstageError) else "in"
 
 
-def _note_kid(*, kid: Kid, outcome: Any, record: Gathering, world: World) -> None:
+def _note_child(*, child: Child, outcome: Any, record: Gathering, world: World) -> None:
     parts: tuple = ()
     missing: tuple = ()
     name = _name_of(outcome=outcome)
@@ -128,10 +130,10 @@
         name = "stale" if outcome.is_stale else "partly in" if outcome.is_open else "in"
         parts = tuple(part.shard for part in outcome.parts)
         missing = tuple((m.shard, m.cause, m.detail) for m in outcome.missing)
-    world.trail.add(
-        PartnerEnded(
+    world.trace.add(
+        ChildEnded(
             search=record.search,
-            node=kid.branch.node,
+            node=child.subtree.node,
             outcome=name,
             shards_in=parts,
             missing=missing,
@@ -139,10 +141,10 @@
     )
 
 
-def _backend_failed(*, said: BackendSaid, cell: Cell, record: Gathering, world: World) -> None:
-    outcome: Defect = said.outcome
+def _backend_failed(*, said: BackendReplied, cell: Cell, record: Gathering, world: World) -> None:
+    outcome: KelpstageError = said.outcome
     detail = outcome.kind
-    if isinstance(outcome, BadReply):
+    if isinstance(outcome, InvalidReplyError):
         detail = f"{outcome.part}: {outcome.why}"
         world.journal.add(
             BadPart(backend=said.backend, shard=said.shard, part=outcome.part, why=outcome.why)
@@ -151,10 +153,10 @@
         record.reached_backend = record.has_run = True
     if cell.has_open_round():
         return
-    cause = "window" if isinstance(outcome, WaitOver) else outcome.kind
+    cause = "window" if isinstance(outcome, ReplyTimeoutError) else outcome.kind
     is_once = record.request is None or not record.is_repeatable
     is_over = record.kind == SINGLE and record.reached_backend and is_once
-    if is_over or isinstance(outcome, WaitOver) or not record.has_attempt(cell=cell):
+    if is_over or isinstance(outcome, ReplyTimeoutError) or not record.has_attempt(cell=cell):
         cell.miss(cause=cause, detail=detail)
         return
     cell.cause, cell.detail = outcome.kind, detail
@@ -162,110 +164,114 @@
 
 
 @take.register
-def _(said: KidSaid, record: Gathering, world: World) -> None:
-    kid = record.kids[said.slot]
+def _(said: ChildReplied, record: Gathering, world: World) -> None:
+    child = record.children[said.slot]
     outcome = said.outcome
-    _note_kid(kid=kid, outcome=outcome, record=record, world=world)
-    if kid.state != WAITING:
+    _note_child(child=child, outcome=outcome, record=record, world=world)
+    if child.state != WAITING:
         return
     if isinstance(outcome, Gathered) and outcome.is_stale:
-        _kid_is_elsewhere(reply=outcome, kid=kid, record=record, world=world)
+        _child_is_elsewhere(reply=outcome, child=child, record=record, world=world)
         return
     records = record.order.unpack(data=outcome.records) if isinstance(outcome, Gathered) else None
-    if records is None or not _is_proper(reply=outcome, kid=kid, record=record):
-        why = outcome.kind if isinstance(outcome, Defect) else "improper reply"
+    if records is None or not _is_proper(reply=outcome, child=child, record=record):
+        why = outcome.kind if isinstance(outcome, KelpstageError) else "improper reply"
         is_sent = not surely_not_run(outcome=outcome)
-        _kid_lost(kid=kid, why=why, record=record, world=world, is_sent=is_sent)
+        _child_lost(child=child, why=why, record=record, world=world, is_sent=is_sent)
         return
-    kid.state = IN
-    kid.is_open = outcome.is_open
+    child.state = IN
+    child.is_open = outcome.is_open
     for part in outcome.parts:
-        # What was gathered again meanwhile gives way: the kid's records of all its
+        # What was gathered again meanwhile gives way: the child's records of all its
         # parts are merged and can only be taken whole.
         record.runs.pop(part.shard, None)
-        record.take_back(kid=kid, shard=part.shard, count=part.attempts_left)
+        record.take_back(child=child, shard=part.shard, count=part.attempts_left)
         record.drop_cell(shard=part.shard)
         record.missing.pop(part.shard, None)
         record.parts[part.shard] = part
     for missing in outcome.missing:
-        record.take_back(kid=kid, shard=missing.shard, count=missing.attempts_left)
-        is_ours = missing.shard in kid.branch.all_shards()
+        record.take_back(child=child, shard=missing.shard, count=missing.attempts_left)
+        is_ours = missing.shard in child.subtree.all_shards()
         if is_ours and missing.shard not in record.parts:
             record.missing[missing.shard] = (missing.cause, missing.detail)
-    record.runs[kid.slot] = records
+    record.runs[child.slot] = records
 
 
-def _is_proper(*, reply: Gathered, kid: Kid, record: Gathering) -> bool:
-    """Does the reply name each of the kid's shards once, under our version and cut? The
-    second one of a kid may name more than what it was resumed for: all it has left."""
+def _is_proper(*, reply: Gathered, child: Child, record: Gathering) -> bool:
+    """Does the reply name each of the child's shards once, under our version and cut? The
+    second one of a child may name more than what it was resumed for: all it has left."""
     if reply.version != record.version:
         return False
     named = [p.shard for p in reply.parts] + [m.shard for m in reply.missing]
-    wanted = set(kid.branch.all_shards())
+    wanted = set(child.subtree.all_shards())
     may_name = wanted
-    if kid.is_resumed:
-        first = next(k for k in record.kids if k.ask_id == kid.ask_id and not k.is_resumed)
-        may_name = set(first.branch.all_shards())
+    if child.is_resumed:
+        first = next(k for k in record.children if k.ask_id == child.ask_id and not k.is_resumed)
+        may_name = set(first.subtree.all_shards())
     if len(set(named)) != len(named) or not wanted <= set(named) <= may_name:
         return False
     shards = record.configuration.collections[record.collection].shards
     return all(part.cut == shards[part.shard].cut for part in reply.parts)
 
 
-def _kid_is_elsewhere(*, reply: Gathered, kid: Kid, record: Gathering, world: World) -> None:
-    """The kid runs under another configuration: the whole query goes under the newer."""
+def _child_is_elsewhere(*, reply: Gathered, child: Child, record: Gathering, world: World) -> None:
+    """The child runs under another configuration: the whole query goes under the newer."""
     if reply.has_sent_nothing:
-        _note_sent_nothing(kid=kid, record=record)
-        record.sent_shards -= set(kid.branch.all_shards()) - set(record.cells)
+        _note_sent_nothing(child=child, record=record)
+        record.sent_shards -= set(child.subtree.all_shards()) - set(record.cells)
     if reply.version <= record.version:
-        _kid_lost(kid=kid, why="behind", record=record, world=world)
+        _child_lost(child=child, why="behind", record=record, world=world)
         return
     if record.kind == CHILD:
         stale = Gathered(is_stale=True, version=reply.version)
-        end(record=record, outcome=KidReply(message=stale))
+        end(record=record, outcome=ChildReply(message=stale))
         return
-    note_again(record=record, world=world, why="a partner moved on")
-    if world.keeper.configuration.version >= reply.version:
+    note_again(record=record, world=world, why="a peer moved on")
+    if world.lease_holder.configuration.version >= reply.version:
         record.begin_again()
         return
     record.stage = AWAITS
     record.awaits_version = reply.version
-    world.emit(WantState(version=reply.version, source=kid.branch.node))
+    world.emit(WantState(version=reply.version, source=child.subtree.node))
 
 
-def _note_sent_nothing(*, kid: Kid, record: Gathering) -> None:
+def _note_sent_nothing(*, child: Child, record: Gathering) -> None:
     """A helper that was not reached, or says so itself, has used no attempt."""
-    if kid.has_sent_nothing or kid.is_resumed:
+    if child.has_sent_nothing or child.is_resumed:
         return
-    kid.has_sent_nothing = True
-    for shard in kid.branch.all_shards():
-        record.take_back(kid=kid, shard=shard, count=kid.attempts)
+    child.has_sent_nothing = True
+    for shard in child.subtree.all_shards():
+        record.take_back(child=child, shard=shard, count=child.attempts)
 
 
-def _kid_lost(*, kid: Kid, why: str, record: Gathering, world: World, is_sent: bool = True) -> None:
-    """The root gathers a lost kid's shards again; a child passes the loss up."""
-    kid.state = MISSING
-    world.note_late(name=kid.branch.node)
+def _child_lost(
+    *, child: Child, why: str, record: Gathering, world: World, is_sent: bool = True
+) -> None:
+    """The root gathers a lost child's shards again; a child passes the loss up."""
+    child.state = MISSING
+    world.note_late(name=child.subtree.node)
     if not is_sent:
-        _note_sent_nothing(kid=kid, record=record)
+        _note_sent_nothing(child=child, record=record)
     if record.kind == ROOT:
-        regather(kid=kid, record=record, cause="partner_lost", why=why, is_extra=is_sent)
+        regather(child=child, record=record, cause="partner_lost", why=why, is_extra=is_sent)
         return
-    for shard in kid.branch.all_shards():
+    for shard in child.subtree.all_shards():
         record.missing[shard] = ("partner_lost", why)
 
 
-def regather(*, kid: Kid, record: Gathering, cause: str, why: str, is_extra: bool = True) -> None:
-    """Ask for a kid's shards from here, each as an extra round; as a first one if the
-    kid was never reached, and so sent nothing."""
-    if kid.is_regathered:
+def regather(
+    *, child: Child, record: Gathering, cause: str, why: str, is_extra: bool = True
+) -> None:
+    """Ask for a child's shards from here, each as an extra round; as a first one if the
+    child was never reached, and so sent nothing."""
+    if child.is_regathered:
         return
-    kid.is_regathered = True
-    for shard in kid.branch.all_shards():
+    child.is_regathered = True
+    for shard in child.subtree.all_shards():
         if shard in record.parts or shard in record.cells:
             continue
         if record.left_of(shard=shard) <= 0:  # it may have been sent as often as it may be
-            if kid.state == MISSING:
+            if child.state == MISSING:
                 record.missing[shard] = (cause, why)
             continue
         record.cells[shard] = Cell(
--- a/kelpstage/edge/gather/stages/send.py
+++ b/kelpstage/edge/gather/stages/send.py
@@ -1,34 +1,34 @@
-"""Pass four: rounds to backends, queries to kids."""
+"""Pass four: rounds to backends, queries to children."""
 
 from __future__ import annotations
 
 from kelpstage.edge.backend.selection import options
 from kelpstage.edge.events import (
+    AttemptRefused,
+    AttemptSent,
+    ChildLate,
+    ChildQueried,
     OmissionSet,
-    PartnerAsked,
-    PartnerLate,
-    RoundRefused,
-    RoundSent,
 )
 from kelpstage.edge.gather.context import World
-from kelpstage.edge.gather.messages import AskBackend, AskKid
+from kelpstage.edge.gather.messages import QueryBackend, QueryChild
 from kelpstage.edge.gather.request_state import (
     GATHERS,
     ROOT,
     SINGLE,
     WAITING,
+    Attempt,
     Cell,
+    Child,
     Gathering,
-    Kid,
-    Round,
 )
 from kelpstage.edge.gather.stages.merge import regather
-from kelpstage.edge.gather.tree import Branch
+from kelpstage.edge.gather.tree import Subtree
 
 LOOK_AGAIN_US = 100_000
 LAST_SEND_US = 3_000
 WINDOW_SHARE = 40  # per cent of the time left
-KID_SHARE = 45  # per cent of the aim, until a kid counts as late
+CHILD_SHARE = 45  # per cent of the aim, until a child counts as late
 OMIT_SHARE = 85  # per cent of the aim, when a search that need not be whole is answered
 CLIENT_US = 4_000  # of the aim, for the client's own way to this node and back
 
@@ -37,12 +37,12 @@
     """Send what is wanted and not yet on its way."""
     if record.stage != GATHERS:
         return
-    unsent = [kid for kid in record.kids if not kid.is_sent]
+    unsent = [child for child in record.children if not child.is_sent]
     _send_wanted(record=record, world=world)
     if record.kind == ROOT and not record.omit_us:
         _set_omission(record=record, world=world)
-    for kid in unsent:
-        _send_kid(kid=kid, record=record, world=world)
+    for child in unsent:
+        _send_child(child=child, record=record, world=world)
     _hedge(record=record, world=world)
     if record.kind == ROOT:
         _regather_late(record=record, world=world)
@@ -52,12 +52,12 @@
 # --- windows ----------------------------------------------------------------------
 
 
-def _kid_window_us(*, kid: Kid, record: Gathering, world: World) -> int:
-    """A kid's least window leaves room for its own children's."""
-    least_us = record.route.window_us * (kid.branch.height() + 1)
+def _child_window_us(*, child: Child, record: Gathering, world: World) -> int:
+    """A child's least window leaves room for its own children's."""
+    least_us = record.route.window_us * (child.subtree.height() + 1)
     if record.aim_us:
-        least_us = max(least_us, record.aim_us * KID_SHARE // 100)
-    return world.node_window_us(name=kid.branch.node, least_us=least_us)
+        least_us = max(least_us, record.aim_us * CHILD_SHARE // 100)
+    return world.node_window_us(name=child.subtree.node, least_us=least_us)
 
 
 def _latest_us(*, record: Gathering, world: World) -> int:
@@ -77,14 +77,14 @@
     if record.aim_us:
         after_us = record.aim_us * OMIT_SHARE // 100 - CLIENT_US
         record.omit_us = min(record.due_us, max(record.arrived_us + after_us, world.now_us))
-        world.trail.add(OmissionSet(search=record.search, after_us=record.omit_us - world.now_us))
+        world.trace.add(OmissionSet(search=record.search, after_us=record.omit_us - world.now_us))
         return
     windows = [
         one.soft_us - one.sent_us for cell in record.cells.values() for one in cell.rounds
-    ] + [_kid_window_us(kid=kid, record=record, world=world) for kid in record.kids]
+    ] + [_child_window_us(child=child, record=record, world=world) for child in record.children]
     longest = max(windows, default=record.route.window_us)
     record.omit_us = min(record.due_us, world.now_us + 2 * longest)
-    world.trail.add(OmissionSet(search=record.search, after_us=record.omit_us - world.now_us))
+    world.trace.add(OmissionSet(search=record.search, after_us=record.omit_us - world.now_us))
 
 
 # --- sends --------------------------------------------------------------------------
@@ -96,11 +96,11 @@
     ranked = tuple(
         options(
             configuration=record.configuration,
-            book=world.book,
-            paces=world.paces,
+            registry=world.registry,
+            latencies=world.latencies,
             collection=record.collection,
             shard=cell.shard,
-            domain=world.domain,
+            zone=world.zone,
             now_us=world.now_us,
             rand=world.rand,
         )
@@ -114,8 +114,8 @@
         choices = []
 
     def refuse(why: str) -> None:
-        world.trail.add(
-            RoundRefused(search=record.search, shard=cell.shard, why=why, ranked=ranked)
+        world.trace.add(
+            AttemptRefused(search=record.search, shard=cell.shard, why=why, ranked=ranked)
         )
 
     if not choices:
@@ -132,17 +132,17 @@
         return True
     backend = choices[0].backend
     world.next_round += 1
-    window_us = world.paces.window_us(name=backend, least_us=record.route.window_us)
+    window_us = world.latencies.window_us(name=backend, least_us=record.route.window_us)
     cell.rounds.append(
-        Round(
+        Attempt(
             number=world.next_round,
             backend=backend,
             sent_us=world.now_us,
             soft_us=min(world.now_us + window_us, _latest_us(record=record, world=world)),
         )
     )
-    world.trail.add(
-        RoundSent(
+    world.trace.add(
+        AttemptSent(
             search=record.search,
             shard=cell.shard,
             number=world.next_round,
@@ -153,10 +153,10 @@
         )
     )
     record.sent_shards.add(cell.shard)
-    entry = world.book.entry(name=backend)
+    entry = world.registry.entry(name=backend)
     entry.in_flight += 1
     world.emit(
-        AskBackend(
+        QueryBackend(
             record=record,
             generation=record.generation,
             shard=cell.shard,
@@ -178,7 +178,7 @@
         return f"again after {cell.cause}"
     if cell.is_forced:
         return "begun again"
-    return f"instead of a partner ({cell.detail})" if cell.cause else "first"
+    return f"instead of a peer ({cell.detail})" if cell.cause else "first"
 
 
 def _spent(*, detail: str) -> str:
@@ -196,41 +196,41 @@
     return True
 
 
-def _send_kid(*, kid: Kid, record: Gathering, world: World) -> None:
-    kid.is_sent = True
-    kid.sent_us = world.now_us
-    kid.soft_us = world.now_us + _kid_window_us(kid=kid, record=record, world=world)
-    kid.soft_us = min(kid.soft_us, _latest_us(record=record, world=world))
+def _send_child(*, child: Child, record: Gathering, world: World) -> None:
+    child.is_sent = True
+    child.sent_us = world.now_us
+    child.soft_us = world.now_us + _child_window_us(child=child, record=record, world=world)
+    child.soft_us = min(child.soft_us, _latest_us(record=record, world=world))
     until_us = record.omit_us
-    if kid.is_resumed:
-        kid.soft_us = until_us = record.due_us
+    if child.is_resumed:
+        child.soft_us = until_us = record.due_us
     else:
         world.next_round += 1
-        kid.ask_id = world.next_round
-        record.hand_over(kid=kid, is_reserved=world.is_shy(name=kid.branch.node))
-    record.sent_shards |= set(kid.branch.all_shards())
-    world.trail.add(
-        PartnerAsked(
+        child.ask_id = world.next_round
+        record.hand_over(child=child, is_reserved=world.is_shy(name=child.subtree.node))
+    record.sent_shards |= set(child.subtree.all_shards())
+    world.trace.add(
+        ChildQueried(
             search=record.search,
-            node=kid.branch.node,
-            shards=tuple(kid.branch.all_shards()),
-            window_us=kid.soft_us - world.now_us,
-            is_resumed=kid.is_resumed,
+            node=child.subtree.node,
+            shards=tuple(child.subtree.all_shards()),
+            window_us=child.soft_us - world.now_us,
+            is_resumed=child.is_resumed,
         )
     )
     left_us = until_us - world.now_us
-    margin_us = world.reply_margin_us(name=kid.branch.node)
+    margin_us = world.reply_margin_us(name=child.subtree.node)
     wait_us = max(1_000, left_us - max(margin_us, left_us // 10))
     world.emit(
-        AskKid(
+        QueryChild(
             record=record,
             generation=record.generation,
-            slot=kid.slot,
-            node=kid.branch.node,
-            address=record.addresses.get(kid.branch.node, ""),
+            slot=child.slot,
+            node=child.subtree.node,
+            address=record.addresses.get(child.subtree.node, ""),
             wait_us=wait_us,
-            ask_id=kid.ask_id,
-            is_resumed=kid.is_resumed,
+            ask_id=child.ask_id,
+            is_resumed=child.is_resumed,
         )
     )
 
@@ -250,25 +250,29 @@
         cell.was_hedged = True
         for one in cell.rounds:
             if one.is_open:
-                world.book.note_overdue(name=one.backend, now_us=world.now_us)
+                world.registry.note_overdue(name=one.backend, now_us=world.now_us)
         if _send_round(cell=cell, record=record, world=world, is_hedge=True):
             cell.was_hedged, cell.hedge_us = False, world.now_us + LOOK_AGAIN_US
 
 
 def _regather_late(*, record: Gathering, world: World) -> None:
-    """Below the quorum without a late kid's shards, the root asks for them itself."""
-    late = [kid for kid in record.kids if kid.state == WAITING and world.now_us >= kid.soft_us]
+    """Below the quorum without a late child's shards, the root asks for them itself."""
+    late = [
+        child
+        for child in record.children
+        if child.state == WAITING and world.now_us >= child.soft_us
+    ]
     if not late:
         return
-    for kid in late:
-        if not kid.was_late:
-            kid.was_late = True
-            world.trail.add(PartnerLate(search=record.search, node=kid.branch.node))
-            world.note_late(name=kid.branch.node)
-    in_time = record.waiting_shards() - {s for kid in late for s in kid.branch.all_shards()}
+    for child in late:
+        if not child.was_late:
+            child.was_late = True
+            world.trace.add(ChildLate(search=record.search, node=child.subtree.node))
+            world.note_late(name=child.subtree.node)
+    in_time = record.waiting_shards() - {s for child in late for s in child.subtree.all_shards()}
     if len(record.parts) + len(in_time) >= record.route.quorum:
         return
-    late = [kid for kid in late if _may_ask_for(kid=kid, record=record)]
+    late = [child for child in late if _may_ask_for(child=child, record=record)]
     if not late:
         return  # all attempts are with them: what they get is what there is
     wanted = record.route.quorum - len(record.parts) - len(in_time)
@@ -276,27 +280,27 @@
         service=record.collection,
         now_us=world.now_us,
         edges=world.edges(),
-        shards=[shard for kid in late for shard in kid.branch.all_shards()],
+        shards=[shard for child in late for shard in child.subtree.all_shards()],
     ):
         return  # it would not be enough: better to wait, and leave it to others
-    for kid in late:
-        regather(kid=kid, record=record, cause="window", why=f"{kid.branch.node} is late")
+    for child in late:
+        regather(child=child, record=record, cause="window", why=f"{child.subtree.node} is late")
     _send_wanted(record=record, world=world)
 
 
-def _may_ask_for(*, kid: Kid, record: Gathering) -> bool:
+def _may_ask_for(*, child: Child, record: Gathering) -> bool:
     """Are attempts left here for any of a helper's shards?"""
-    return any(record.left_of(shard=shard) > 0 for shard in kid.branch.all_shards())
+    return any(record.left_of(shard=shard) > 0 for shard in child.subtree.all_shards())
 
 
 def _regather_missing(*, record: Gathering, world: World) -> None:
-    """Below the quorum, what a kid left out is waited for, and what it could not
+    """Below the quorum, what a child left out is waited for, and what it could not
     get is asked for again, once."""
     if not record.missing:
         return
     if len(record.parts) + len(record.waiting_shards()) >= record.route.quorum:
         return
-    _resume_kids(record=record, world=world)
+    _resume_children(record=record, world=world)
     for shard, (cause, detail) in sorted(record.missing.items()):
         is_open = shard not in record.cells and shard not in record.parts
         if is_open and record.left_of(shard=shard) > 0:
@@ -304,34 +308,34 @@
     _send_wanted(record=record, world=world)
 
 
-def _resume_kids(*, record: Gathering, world: World) -> None:
-    """A kid whose window ended still listens to its backends: have the rest of it."""
-    for kid in [kid for kid in record.kids if kid.is_open]:
-        kid.is_open = False
+def _resume_children(*, record: Gathering, world: World) -> None:
+    """A child whose window ended still listens to its backends: have the rest of it."""
+    for child in [child for child in record.children if child.is_open]:
+        child.is_open = False
         shards = tuple(
             shard
-            for shard in kid.branch.all_shards()
+            for shard in child.subtree.all_shards()
             if record.missing.get(shard, ("",))[0] == "window" and shard not in record.cells
         )
         if not shards:
             continue
         for shard in shards:
             del record.missing[shard]
-        rest = Kid(
-            slot=len(record.kids),
-            branch=Branch(node=kid.branch.node, shards=shards),
-            ask_id=kid.ask_id,
+        rest = Child(
+            slot=len(record.children),
+            subtree=Subtree(node=child.subtree.node, shards=shards),
+            ask_id=child.ask_id,
             is_resumed=True,
-            attempts=kid.attempts,
-            unknown=kid.unknown,
+            attempts=child.attempts,
+            unknown=child.unknown,
         )
-        record.kids.append(rest)
-        _send_kid(kid=rest, record=record, world=world)
+        record.children.append(rest)
+        _send_child(child=rest, record=record, world=world)
 
 
 def _send_wanted(*, record: Gathering, world: World) -> None:
-    """Rounds that are wanted. A shard of a kid's that the budget has no round
-    for stays the kid's: it may still come."""
+    """Rounds that are wanted. A shard of a child's that the budget has no round
+    for stays the child's: it may still come."""
     for cell in list(record.cells.values()):
         if cell.state != WAITING or not cell.wants_round:
             continue
@@ -339,5 +343,5 @@
         if cell.is_extra and not cell.is_forced and not cell.rounds:
             del record.cells[cell.shard]
             record.missing[cell.shard] = (cell.cause, cell.detail)
-            for kid in record.kids:  # to be tried again when the budget has room
-                kid.is_regathered &= cell.shard not in kid.branch.all_shards()
+            for child in record.children:  # to be tried again when the budget has room
+                child.is_regathered &= cell.shard not in child.subtree.all_shards()
--- a/kelpstage/edge/gather/stages/settle.py
+++ b/kelpstage/edge/gather/stages/settle.py
@@ -4,19 +4,18 @@
 
 import json
 
-from kelpstage.common.errors import (
-    BackendLost,
-    BadReply,
-    NoBackend,
-    NoSuchRecord,
-    NotReady,
-    QuorumNotMet,
-    TimeLeftSpent,
+from kelpstage.common.errors.backends import BackendConnectionError, InvalidReplyError
+from kelpstage.common.errors.requests import RecordNotFoundError
+from kelpstage.common.errors.serving import (
+    DeadlineExceededError,
+    NoBackendError,
+    NotReadyError,
+    QuorumNotMetError,
 )
 from kelpstage.common.transport.messages import Gathered, MissingMsg, PartMsg
 from kelpstage.edge.events import SearchEnded
 from kelpstage.edge.gather.context import World
-from kelpstage.edge.gather.messages import KidReply, PartlySettled, Verdict
+from kelpstage.edge.gather.messages import ChildReply, PartlySettled, Verdict
 from kelpstage.edge.gather.record_order import lowest_cut
 from kelpstage.edge.gather.request_state import CHILD, GATHERS, IN, SINGLE, WAITING, Gathering
 from kelpstage.edge.gather.stages.admit import end
@@ -43,10 +42,10 @@
     is_whole = record.is_settled() or world.now_us >= record.due_us
     if record.is_partly_settled:
         if is_whole and (record.is_resumed or world.now_us >= record.due_us):
-            end(record=record, outcome=KidReply(message=_child_reply(record=record)))
+            end(record=record, outcome=ChildReply(message=_child_reply(record=record)))
         return
     if is_whole:
-        end(record=record, outcome=KidReply(message=_child_reply(record=record)))
+        end(record=record, outcome=ChildReply(message=_child_reply(record=record)))
         return
     if world.now_us < record.omit_us:
         return
@@ -55,7 +54,7 @@
     record.is_partly_settled = True
     record.handed = frozenset(record.parts)
     record.runs = {}
-    world.emit(PartlySettled(record=record, outcome=KidReply(message=reply)))
+    world.emit(PartlySettled(record=record, outcome=ChildReply(message=reply)))
 
 
 def _child_reply(*, record: Gathering) -> Gathered:
@@ -95,7 +94,7 @@
 def missing_of(*, record: Gathering, still_waiting: str = "window") -> list[tuple[str, str, str]]:
     """Every shard of the branch that is not in, with its cause."""
     out = []
-    for shard in sorted(record.branch.all_shards()):
+    for shard in sorted(record.subtree.all_shards()):
         if shard in record.parts:
             continue
         cell = record.cells.get(shard)
@@ -132,7 +131,7 @@
     _note(record=record, world=world, outcome="quorum_not_met")
     end(
         record=record,
-        outcome=QuorumNotMet(
+        outcome=QuorumNotMetError(
             collection=record.collection,
             configuration=record.version,
             shards_in=len(record.parts),
@@ -167,9 +166,9 @@
 
 def _may_still_serve(*, record: Gathering, world: World) -> bool:
     """A process that slept past its lease must not speak as if it had it."""
-    refusal = world.keeper.refusal(now_us=world.now_us)
+    refusal = world.lease_holder.refusal(now_us=world.now_us)
     if refusal:
-        end(record=record, outcome=NotReady(why=refusal))
+        end(record=record, outcome=NotReadyError(why=refusal))
         return False
     return True
 
@@ -217,7 +216,7 @@
             }
             for part in (record.parts[s] for s in record.route.fan_out if s in record.parts)
         ],
-        "missing": _missing_json(record=record) if record.branch else [],
+        "missing": _missing_json(record=record) if record.subtree else [],
     }
     text = json.dumps(head, separators=(",", ":"), ensure_ascii=False).encode()
     return text[:-1] + b',"records":[' + b",".join(records) + b"]}"
@@ -241,23 +240,26 @@
     cell = record.cells[record.shard]
     if cell.state == WAITING:
         if world.now_us >= record.due_us:
-            end(record=record, outcome=TimeLeftSpent(where="at the backend"))
+            end(record=record, outcome=DeadlineExceededError(where="at the backend"))
         return
     if cell.state == IN or cell.state != WAITING and record.whole is not None:
         _give_single(record=record, world=world)
         return
     if not cell.rounds:
-        end(record=record, outcome=NoBackend(shard=cell.shard, why=cell.detail))
+        end(record=record, outcome=NoBackendError(shard=cell.shard, why=cell.detail))
         return
     backend = cell.rounds[-1].backend
     if cell.cause == "bad_reply":
         part, _, why = cell.detail.partition(": ")
-        end(record=record, outcome=BadReply(backend=backend, part=part, why=why))
+        end(record=record, outcome=InvalidReplyError(backend=backend, part=part, why=why))
         return
     if cell.cause == "window":
-        end(record=record, outcome=TimeLeftSpent(where="at the backend"))
+        end(record=record, outcome=DeadlineExceededError(where="at the backend"))
         return
-    end(record=record, outcome=BackendLost(backend=backend, cause=cell.detail or cell.cause))
+    end(
+        record=record,
+        outcome=BackendConnectionError(backend=backend, cause=cell.detail or cell.cause),
+    )
 
 
 def _give_single(*, record: Gathering, world: World) -> None:
@@ -275,7 +277,7 @@
     if not records:
         end(
             record=record,
-            outcome=NoSuchRecord(
+            outcome=RecordNotFoundError(
                 collection=record.collection, shard=record.shard, record=record.record_name
             ),
         )
--- a/kelpstage/edge/gather/table.py
+++ b/kelpstage/edge/gather/table.py
@@ -93,16 +93,17 @@
     if record.omit_us > now_us:
         times.append(record.omit_us)
     if record.kind != SINGLE:
-        if record.version != world.keeper.configuration.version:
-            times.append(max(now_us + 1_000, world.keeper.installed_us + RESTART_US))
+        if record.version != world.lease_holder.configuration.version:
+            times.append(max(now_us + 1_000, world.lease_holder.installed_us + RESTART_US))
         for cell in record.cells.values():
             if not cell.was_hedged:
                 times += [one.soft_us for one in cell.rounds if one.soft_us > now_us]
                 if cell.hedge_us > now_us:
                     times.append(cell.hedge_us)
         if any(
-            kid.was_late and kid.state == WAITING and not kid.is_regathered for kid in record.kids
+            child.was_late and child.state == WAITING and not child.is_regathered
+            for child in record.children
         ):
             times.append(now_us + LOOK_AGAIN_US)  # the budget may have room by then
-        times += [kid.soft_us for kid in record.kids if kid.soft_us > now_us]
+        times += [child.soft_us for child in record.children if child.soft_us > now_us]
     return min(times)
--- a/kelpstage/edge/gather/task.py
+++ b/kelpstage/edge/gather/task.py
@@ -9,11 +9,13 @@
 
 from tornado.queues import Queue
 
-from kelpstage.common.errors import BadReply, ConnectRefused, Defect, LineLost, NotRun, WaitOver
+from kelpstage.common.errors.backends import InvalidReplyError, RequestNotRunError
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.transport import ConnectError, ConnectionLostError, ReplyTimeoutError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
 from kelpstage.common.transport import frames
 from kelpstage.common.transport.connections import Lines
-from kelpstage.common.transport.messages import BranchMsg, Gather, Gathered
+from kelpstage.common.transport.messages import Gather, Gathered, SubtreeMsg
 from kelpstage.edge.backend import outlier_detection
 from kelpstage.edge.backend.registry import DRAINING, GONE
 from kelpstage.edge.backend.reply import SealedPart, read_reply
@@ -23,14 +25,14 @@
 from kelpstage.edge.gather.context import World
 from kelpstage.edge.gather.messages import (
     Arrived,
-    AskBackend,
-    AskKid,
-    BackendSaid,
+    BackendReplied,
+    ChildReplied,
+    ChildReply,
     ClockEvent,
     ConfigurationMoved,
-    KidReply,
-    KidSaid,
     PartlySettled,
+    QueryBackend,
+    QueryChild,
     Resumed,
     Settled,
     Verdict,
@@ -38,7 +40,7 @@
 )
 from kelpstage.edge.gather.request_state import CHILD, SINGLE, Gathering
 from kelpstage.edge.gather.table import Table
-from kelpstage.edge.gather.tree import Branch
+from kelpstage.edge.gather.tree import Subtree
 
 STATE_HEADER = "kelp-state"
 ANOTHER_INSTANCE = 421
@@ -135,7 +137,7 @@
     def _(self, event: Arrived) -> None:
         record = event.record
         self.table.put(record=record)
-        self.world.trail.add(
+        self.world.trace.add(
             Began(
                 search=record.search,
                 part=record.kind,
@@ -161,13 +163,13 @@
         self.table.touch_all()
 
     @_take.register
-    def _(self, event: BackendSaid) -> None:
+    def _(self, event: BackendReplied) -> None:
         self._learn_of_backend(said=event)
         self._to_record(key=event.key, said=event)
 
     @_take.register
-    def _(self, event: KidSaid) -> None:
-        self._learn_of_kid(said=event)
+    def _(self, event: ChildReplied) -> None:
+        self._learn_of_child(said=event)
         self._to_record(key=event.key, said=event)
 
     def _to_record(self, *, key: int, said: Any) -> None:
@@ -178,68 +180,70 @@
 
     # --- what replies tell beside their content ---------------------------------------------
 
-    def _learn_of_backend(self, *, said: BackendSaid) -> None:
+    def _learn_of_backend(self, *, said: BackendReplied) -> None:
         world = self.world
         now_us = self._ports.clock.now_us()
-        entry = world.book.entries.get(said.backend)
+        entry = world.registry.entries.get(said.backend)
         if entry is not None:
             entry.in_flight = max(0, entry.in_flight - 1)
-            if entry.is_life:
-                self._learn_of_life(said=said, now_us=now_us)
+            if entry.is_discovered:
+                self._learn_of_instance(said=said, now_us=now_us)
                 return
         outcome = said.outcome
-        if isinstance(outcome, ConnectRefused):
-            if world.book.observe(
+        if isinstance(outcome, ConnectError):
+            if world.registry.observe(
                 name=said.backend, state=GONE, why="connection refused", now_us=now_us
             ):
                 self._on_backend_news(said.backend)
             return
-        if isinstance(outcome, (WaitOver, LineLost)):
-            if world.book.strike(name=said.backend, now_us=now_us):
+        if isinstance(outcome, (ReplyTimeoutError, ConnectionLostError)):
+            if world.registry.strike(name=said.backend, now_us=now_us):
                 self._on_backend_news(said.backend)
-            if isinstance(outcome, WaitOver):
-                world.paces.saw(name=said.backend, took_us=now_us - said.sent_us, now_us=now_us)
+            if isinstance(outcome, ReplyTimeoutError):
+                world.latencies.saw(name=said.backend, took_us=now_us - said.sent_us, now_us=now_us)
             return
-        world.book.heard_back(name=said.backend, now_us=now_us)
-        if isinstance(outcome, BadReply):
-            world.book.lied(name=said.backend, now_us=now_us)
+        world.registry.heard_back(name=said.backend, now_us=now_us)
+        if isinstance(outcome, InvalidReplyError):
+            world.registry.lied(name=said.backend, now_us=now_us)
             self._on_backend_news(said.backend)
         else:
-            world.book.told_truth(name=said.backend)
-        world.paces.saw(name=said.backend, took_us=now_us - said.sent_us, now_us=now_us)
+            world.registry.told_truth(name=said.backend)
+        world.latencies.saw(name=said.backend, took_us=now_us - said.sent_us, now_us=now_us)
 
-    def _learn_of_life(self, *, said: BackendSaid, now_us: int) -> None:
+    def _learn_of_instance(self, *, said: BackendReplied, now_us: int) -> None:
         """What the outcome of a request shows of the life that it was sent to."""
-        book, name, outcome = self.world.book, said.backend, said.outcome
+        registry, name, outcome = self.world.registry, said.backend, said.outcome
         took_us = now_us - said.sent_us
         if (
             isinstance(outcome, SealedPart)
             or isinstance(outcome, WholeReply)
             and outcome.status < 500
         ):
-            book.note_answer(name=name, took_us=took_us, now_us=now_us)
-            self.world.paces.saw(name=name, took_us=took_us, now_us=now_us)
+            registry.note_answer(name=name, took_us=took_us, now_us=now_us)
+            self.world.latencies.saw(name=name, took_us=took_us, now_us=now_us)
             return
-        if isinstance(outcome, NotRun) and outcome.answer != ANOTHER_INSTANCE:
-            book.note_full(name=name, now_us=now_us)
+        if isinstance(outcome, RequestNotRunError) and outcome.answer != ANOTHER_INSTANCE:
+            registry.note_full(name=name, now_us=now_us)
             return
-        if isinstance(outcome, WaitOver) and not outcome.was_sent:
+        if isinstance(outcome, ReplyTimeoutError) and not outcome.was_sent:
             return  # it waited here for a line
         why = failure_of(outcome=outcome)
-        if isinstance(outcome, WaitOver):
-            self.world.paces.saw(name=name, took_us=took_us, now_us=now_us)
-        if book.note_failure(name=name, why=why, now_us=now_us, waited_us=took_us):
+        if isinstance(outcome, ReplyTimeoutError):
+            self.world.latencies.saw(name=name, took_us=took_us, now_us=now_us)
+        if registry.note_failure(name=name, why=why, now_us=now_us, waited_us=took_us):
             self._on_backend_news(name)
 
-    def _learn_of_kid(self, *, said: KidSaid) -> None:
+    def _learn_of_child(self, *, said: ChildReplied) -> None:
         world = self.world
         now_us = self._ports.clock.now_us()
         if isinstance(said.outcome, Gathered):
             world.note_reply(name=said.node)
         if isinstance(said.outcome, Gathered) and not said.outcome.is_stale:
-            world.paces.saw(name=f"node:{said.node}", took_us=now_us - said.sent_us, now_us=now_us)
+            world.latencies.saw(
+                name=f"node:{said.node}", took_us=now_us - said.sent_us, now_us=now_us
+            )
             return
-        if isinstance(said.outcome, (ConnectRefused, LineLost)):
+        if isinstance(said.outcome, (ConnectError, ConnectionLostError)):
             world.swim.suspect(name=said.node, now_us=now_us, why=said.outcome.kind)
 
     # --- effects ------------------------------------------------------------------------------
@@ -250,7 +254,7 @@
 
     @_perform.register
     def _(self, effect: Settled) -> None:
-        self.world.trail.add(ended_event(record=effect.record))
+        self.world.trace.add(ended_event(record=effect.record))
         self._tell(key=effect.record.key, outcome=effect.record.outcome)
         self._children.pop((effect.record.root, effect.record.ask_id), None)
 
@@ -268,14 +272,14 @@
         self._on_want_state(effect)
 
     @_perform.register
-    def _(self, effect: AskBackend) -> None:
+    def _(self, effect: QueryBackend) -> None:
         self._ports.spawn(self._ask_backend(ask=effect))
 
     @_perform.register
-    def _(self, effect: AskKid) -> None:
-        self._ports.spawn(self._ask_kid(ask=effect))
+    def _(self, effect: QueryChild) -> None:
+        self._ports.spawn(self._ask_child(ask=effect))
 
-    async def _ask_backend(self, *, ask: AskBackend) -> None:
+    async def _ask_backend(self, *, ask: QueryBackend) -> None:
         record = ask.record
         sent_us = self._ports.clock.now_us()
         self._ports.point("edge.before_backend_send")
@@ -286,7 +290,7 @@
             outcome = self._read(reply=reply, ask=ask)
         self._ports.point("edge.after_backend_reply")
         self.inbox.put_nowait(
-            BackendSaid(
+            BackendReplied(
                 key=record.key,
                 generation=ask.generation,
                 shard=ask.shard,
@@ -297,17 +301,17 @@
             )
         )
 
-    async def _fetch(self, *, ask: AskBackend, left_us: int) -> Any:
+    async def _fetch(self, *, ask: QueryBackend, left_us: int) -> Any:
         """Send a request, if it still has time: between the decision and the send the
         process may have been frozen, and what is sent then runs for nobody."""
         if left_us <= 0:
-            return WaitOver(address=ask.address, after_us=ask.wait_us, was_sent=False)
+            return ReplyTimeoutError(address=ask.address, after_us=ask.wait_us, was_sent=False)
         if left_us < ask.wait_us - LATE_US:
             ask = replace(ask, wait_us=left_us)
         call = backend_call(ask=ask) if ask.record.request is None else self._sealed.call(ask=ask)
         return await self._ports.net.fetch(call=call)
 
-    def _read(self, *, reply: HttpReply, ask: AskBackend) -> Any:
+    def _read(self, *, reply: HttpReply, ask: QueryBackend) -> Any:
         record = ask.record
         if record.request is not None:
             names = {"backend": ask.backend, "request_id": record.request.request_id}
@@ -328,16 +332,16 @@
         if reply.headers.get(STATE_HEADER) != "draining":
             return
         now_us = self._ports.clock.now_us()
-        if self.world.book.observe(
+        if self.world.registry.observe(
             name=backend, state=DRAINING, why="sign in a reply", now_us=now_us
         ):
             self._on_backend_news(backend)
 
-    async def _ask_kid(self, *, ask: AskKid) -> None:
+    async def _ask_child(self, *, ask: QueryChild) -> None:
         record = ask.record
         sent_us = self._ports.clock.now_us()
-        kid = next(k for k in record.kids if k.slot == ask.slot)
-        branch = kid.branch
+        child = next(k for k in record.children if k.slot == ask.slot)
+        subtree = child.subtree
         request = record.request
         forwarded: dict[str, Any] = {}
         if request is not None:
@@ -346,7 +350,7 @@
                 "target": request.target,
                 "request_id": request.request_id,
                 "headers": pack_headers(headers=request.headers),
-                "attempts": kid.attempts,
+                "attempts": child.attempts,
                 "is_far": self.world.is_far(name=ask.node),
                 "aim_us": max(0, record.arrived_us + record.aim_us - sent_us),
             }
@@ -359,17 +363,17 @@
             limit=record.limit or 0,
             query=record.query if request is None else request.body,
             content_type=record.content_type,
-            branch=branch_message(branch=branch, addresses=record.addresses),
+            subtree=subtree_message(subtree=subtree, addresses=record.addresses),
             wait_us=ask.wait_us,
             due_us=max(1_000, record.due_us - sent_us - self.world.reply_margin_us(name=ask.node)),
             is_resumed=ask.is_resumed,
-            is_extra=any(record.is_sent_before(shard=s) for s in branch.all_shards()),
-            cluster=self.world.keeper.cluster,
+            is_extra=any(record.is_sent_before(shard=s) for s in subtree.all_shards()),
+            cluster=self.world.lease_holder.cluster,
             search=record.search,
             **forwarded,
         )
         self._ports.point("edge.before_kid_send")
-        outcome: Any = ConnectRefused(address="unknown")
+        outcome: Any = ConnectError(address="unknown")
         if ask.address:
             outcome = await self._lines.call(
                 address=ask.address,
@@ -377,10 +381,10 @@
                 wait_us=max(1_000, record.due_us - sent_us),
                 lane=frames.GATHER,
             )
-        if not isinstance(outcome, (Gathered, Defect)):
-            outcome = LineLost(address=ask.address, why="another message came")
+        if not isinstance(outcome, (Gathered, KelpstageError)):
+            outcome = ConnectionLostError(address=ask.address, why="another message came")
         self.inbox.put_nowait(
-            KidSaid(
+            ChildReplied(
                 key=record.key,
                 generation=ask.generation,
                 slot=ask.slot,
@@ -394,19 +398,23 @@
 def failure_of(*, outcome: Any) -> str:
     """How a failure counts as evidence.
 
-    >>> failure_of(outcome=ConnectRefused(address="a"))
+    >>> failure_of(outcome=ConnectError(address="a"))
     'refused'
     """
-    if isinstance(outcome, (ConnectRefused, NotRun)):
+    if isinstance(outcome, (ConnectError, RequestNotRunError)):
         return outlier_detection.REFUSED
-    if isinstance(outcome, WaitOver):
+    if isinstance(outcome, ReplyTimeoutError):
         return outlier_detection.SILENT
-    if isinstance(outcome, LineLost):
+    if isinstance(outcome, ConnectionLostError):
         return outlier_detection.RESET
-    return outlier_detection.GARBLED if isinstance(outcome, BadReply) else outlier_detection.FAILED
+    return (
+        outlier_detection.GARBLED
+        if isinstance(outcome, InvalidReplyError)
+        else outlier_detection.FAILED
+    )
 
 
-def backend_call(*, ask: AskBackend) -> HttpCall:
+def backend_call(*, ask: QueryBackend) -> HttpCall:
     """The call to a backend; the query's bytes go as the caller gave them."""
     record = ask.record
     headers = {"Kelp-Cut": ask.cut, "Accept": "application/json"}
@@ -429,41 +437,41 @@
     )
 
 
-def branch_message(*, branch: Branch, addresses: dict[str, str]) -> BranchMsg:
+def subtree_message(*, subtree: Subtree, addresses: dict[str, str]) -> SubtreeMsg:
     """A branch as it travels.
 
-    >>> branch_message(branch=Branch(node="a", shards=("s",)), addresses={"a": "x"}).address
+    >>> subtree_message(subtree=Subtree(node="a", shards=("s",)), addresses={"a": "x"}).address
     'x'
     """
-    return BranchMsg(
-        node=branch.node,
-        address=addresses.get(branch.node, ""),
-        shards=list(branch.shards),
-        children=[branch_message(branch=c, addresses=addresses) for c in branch.children],
+    return SubtreeMsg(
+        node=subtree.node,
+        address=addresses.get(subtree.node, ""),
+        shards=list(subtree.shards),
+        children=[subtree_message(subtree=c, addresses=addresses) for c in subtree.children],
     )
 
 
-def read_branch(*, message: BranchMsg) -> tuple[Branch, dict[str, str]]:
-    """The reverse of `branch_message`.
+def read_subtree(*, message: SubtreeMsg) -> tuple[Subtree, dict[str, str]]:
+    """The reverse of `subtree_message`.
 
-    >>> read_branch(message=BranchMsg(node="a", address="x", shards=["s"]))[1]
+    >>> read_subtree(message=SubtreeMsg(node="a", address="x", shards=["s"]))[1]
     {'a': 'x'}
     """
     addresses = {message.node: message.address}
     children = []
     for child in message.children:
-        branch, inner = read_branch(message=child)
-        children.append(branch)
+        subtree, inner = read_subtree(message=child)
+        children.append(subtree)
         addresses |= inner
     return (
-        Branch(node=message.node, shards=tuple(message.shards), children=tuple(children)),
+        Subtree(node=message.node, shards=tuple(message.shards), children=tuple(children)),
         addresses,
     )
 
 
 def child_record(*, key: int, ask: Gather, now_us: int) -> Gathering:
     """The record of a query that a root, or a node above, asks this node for."""
-    branch, addresses = read_branch(message=ask.branch)
+    subtree, addresses = read_subtree(message=ask.subtree)
     forwarded: dict[str, Any] = {}
     if ask.target:
         forwarded = {
@@ -492,7 +500,7 @@
         root=ask.root,
         ask_id=ask.query_id,
         version=ask.version,
-        branch=branch,
+        subtree=subtree,
         addresses=addresses,
         is_extra=ask.is_extra,
         search=ask.search,
@@ -503,15 +511,15 @@
     """How a search, or this node's part of one, came to its end.
 
     >>> record = Gathering(key=1, kind=SINGLE, collection="c", arrived_us=0, due_us=9, search="n-1")
-    >>> record.outcome = ConnectRefused(address="a")
+    >>> record.outcome = ConnectError(address="a")
     >>> ended_event(record=record).outcome
     'connect_refused'
     """
     outcome, detail = record.outcome, ""
-    shards = 1 if record.branch is None else len(record.branch.all_shards())
+    shards = 1 if record.subtree is None else len(record.subtree.all_shards())
     if isinstance(outcome, Verdict):
         name = "complete" if outcome.coverage == 1 else "partial"
-    elif isinstance(outcome, KidReply):
+    elif isinstance(outcome, ChildReply):
         name = "stale" if outcome.message.is_stale else "partial"
         if len(record.parts) == shards:
             name = "complete"
@@ -528,6 +536,6 @@
 
 def reply_of(*, outcome: Any) -> Gathered:
     """What goes back to the node above."""
-    if isinstance(outcome, KidReply):
+    if isinstance(outcome, ChildReply):
         return outcome.message
     return Gathered(is_stale=True)
--- a/kelpstage/edge/gather/tree.py
+++ b/kelpstage/edge/gather/tree.py
@@ -11,18 +11,18 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Branch:
+class Subtree:
     """A node, the shards it asks backends for itself, and its children."""
 
     node: str
     shards: tuple[str, ...]
-    children: tuple["Branch", ...] = field(default_factory=tuple)
+    children: tuple["Subtree", ...] = field(default_factory=tuple)
 
     def all_shards(self) -> tuple[str, ...]:
         """Every shard under this node.
 
-        >>> child = Branch(node="b", shards=("t",))
-        >>> Branch(node="a", shards=("s",), children=(child,)).all_shards()
+        >>> child = Subtree(node="b", shards=("t",))
+        >>> Subtree(node="a", shards=("s",), children=(child,)).all_shards()
         ('s', 't')
         """
         return self.shards + tuple(s for child in self.children for s in child.all_shards())
@@ -30,7 +30,7 @@
     def nodes(self) -> set[str]:
         """This node and all below it.
 
-        >>> Branch(node="a", shards=("s",)).nodes()
+        >>> Subtree(node="a", shards=("s",)).nodes()
         {'a'}
         """
         return {self.node}.union(*(child.nodes() for child in self.children))
@@ -38,7 +38,7 @@
     def height(self) -> int:
         """Levels under and with this node.
 
-        >>> Branch(node="a", shards=("s",)).height()
+        >>> Subtree(node="a", shards=("s",)).height()
         1
         """
         return 1 + max((child.height() for child in self.children), default=0)
@@ -81,7 +81,7 @@
     return out
 
 
-def grow(*, root: str, shards: tuple[str, ...], helpers: list[str], fan_out: int) -> Branch:
+def grow(*, root: str, shards: tuple[str, ...], helpers: list[str], fan_out: int) -> Subtree:
     """Grow the tree of a query; with too few helpers a node stands in twice.
 
     >>> tree = grow(root="r", shards=tuple("abcdefgh"), helpers=["n1", "n2", "n3", "n4"], fan_out=5)
@@ -107,7 +107,7 @@
     groups: list[tuple[str, tuple[str, ...]]],
     helpers: dict[str, list[str]],
     fan_out: int,
-) -> Branch:
+) -> Subtree:
     """A tree whose levels lie inside zones: `groups` gives each zone the shards to be
     asked for in it. The root keeps those of its own zone, split over helpers there; each
     other zone has one node that gathers for it, so that what crosses a line between zones
@@ -138,19 +138,21 @@
         )
     )
     if not own:
-        return Branch(node=root, shards=(), children=far)
+        return Subtree(node=root, shards=(), children=far)
     near = _grow_within(
         node=root, shards=own, helpers=helpers.get(zone, []), fan_out=fan_out - len(far)
     )
-    return Branch(node=root, shards=near.shards, children=near.children + far)
+    return Subtree(node=root, shards=near.shards, children=near.children + far)
 
 
-def _grow_within(*, node: str, shards: tuple[str, ...], helpers: list[str], fan_out: int) -> Branch:
+def _grow_within(
+    *, node: str, shards: tuple[str, ...], helpers: list[str], fan_out: int
+) -> Subtree:
     """A subtree of nodes near each other; with few of them its fan-out is less, rather
     than that one is asked twice."""
     fan_out = min(fan_out, len(helpers) + 1)
     if fan_out < 2 or len(shards) <= 1:
-        return Branch(node=node, shards=shards)
+        return Subtree(node=node, shards=shards)
     return grow(root=node, shards=shards, helpers=helpers, fan_out=fan_out)
 
 
@@ -166,9 +168,9 @@
     level: int,
     fan_out: int,
     next_helper: Callable[[], str],
-) -> Branch:
+) -> Subtree:
     if level <= 1:
-        return Branch(node=node, shards=shards)
+        return Subtree(node=node, shards=shards)
     groups = split(shards=shards, groups=fan_out)
     own, *others = groups
     children = [
@@ -182,4 +184,4 @@
         for group in others
     ]
     mine = _grow(node=node, shards=own, level=level - 1, fan_out=fan_out, next_helper=next_helper)
-    return Branch(node=node, shards=mine.shards, children=mine.children + tuple(children))
+    return Subtree(node=node, shards=mine.shards, children=mine.children + tuple(children))
