--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -16,30 +16,30 @@
 from typing import Any
 
 from kelpstage.common.configuration.validation import read_configuration
-from kelpstage.common.errors import ConnectRefused, LineLost, WaitOver
+from kelpstage.common.errors.transport import ConnectError, ConnectionLostError, ReplyTimeoutError
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
 from kelpstage.common.transport.messages import (
-    BranchMsg,
     Gather,
     Gathered,
     LeaseReply,
     MemberMsg,
     StateDoc,
+    SubtreeMsg,
 )
-from kelpstage.edge.backend.instance import Life
-from kelpstage.edge.backend.registry import Book
+from kelpstage.edge.backend.instance import Instance
+from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.forward.request import ClientRequest
 from kelpstage.edge.forward.sealed_answer import SealedCodec
 from kelpstage.edge.gather.context import World
-from kelpstage.edge.gather.latency import Paces
+from kelpstage.edge.gather.latency import LatencyEstimates
 from kelpstage.edge.gather.messages import ConfigurationMoved, Verdict
 from kelpstage.edge.gather.request_state import ROOT, Gathering
 from kelpstage.edge.gather.task import GatherTask
 from kelpstage.edge.gossip.swim import ALIVE, Member, Swim
 from kelpstage.edge.handlers import handle
-from kelpstage.edge.lease.lease_holder import Keeper
+from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.retries.budget import Budget
 from kelpstage.testbed.simulation.loop import VirtualLoop
 from tests.test_wire import made_up
@@ -86,21 +86,21 @@
             rand=random.Random(f"{fleet.seed}/{name}"),
             spawn=fleet.spawn,
         )
-        self.keeper = Keeper(me=name)
+        self.lease_holder = LeaseHolder(me=name)
         self.world = World(
             me=name,
-            domain="z",
+            zone="z",
             own="",
             rand=self.ports.rand,
-            keeper=self.keeper,
+            lease_holder=self.lease_holder,
             swim=Swim(
-                me=MemberMsg(name=name, domain="z"),
+                me=MemberMsg(name=name, zone="z"),
                 rand=random.Random(1),
-                rumors=list,
-                on_rumor=lambda rumor: None,
+                backend_states=list,
+                on_backend_state=lambda backend_state: None,
             ),
-            book=Book(me=name),
-            paces=Paces(),
+            registry=BackendRegistry(me=name),
+            latencies=LatencyEstimates(),
             budget=Budget(slack=1_000_000),
             journal=Journal(now=lambda: 0),
         )
@@ -117,23 +117,23 @@
         """A configuration comes into force here."""
         now_us = self.fleet.loop.now_us()
         configuration = read_configuration(data=data, version=version)
-        self.keeper.install(
-            doc=StateDoc(cluster="c", epoch=version, version=version, roster=[self.name]),
+        self.lease_holder.install(
+            doc=StateDoc(cluster="c", epoch=version, version=version, membership=[self.name]),
             configuration=configuration,
             now_us=now_us,
         )
         granted = LeaseReply(is_granted=True, cluster="c", epoch=version, span_us=SPAN_US)
-        self.keeper.take_lease(reply=granted, sent_us=now_us)
-        self.world.book.declare(configuration=configuration, listed={})
-        self.world.book.set_lives(self.fleet.lives, now_us)
-        self.world.book.set_live_edges(count=1, now_us=now_us)
+        self.lease_holder.take_lease(reply=granted, sent_us=now_us)
+        self.world.registry.declare(configuration=configuration, listed={})
+        self.world.registry.set_instances(self.fleet.instances, now_us)
+        self.world.registry.set_live_edges(count=1, now_us=now_us)
         self.gather.inbox.put_nowait(ConfigurationMoved())
 
     def meet(self, *, others: list["Node"]) -> None:
         """Know the other nodes as members that may help."""
         for other in others:
             info = MemberMsg(
-                name=other.name, address=other.name, domain="z", status=ALIVE, is_ready=True
+                name=other.name, address=other.name, zone="z", status=ALIVE, is_ready=True
             )
             self.world.swim.members[other.name] = Member(info=info, since_us=0)
 
@@ -148,28 +148,28 @@
         fleet, rand = self.fleet, self.fleet.rand
         other = fleet.nodes.get(address)
         if other is None:
-            return ConnectRefused(address=address)
+            return ConnectError(address=address)
         lost = rand.random()
         if other.is_cut:
             fleet.spawn(handle(Gather().parse(bytes(message)), other, ""))
             await asyncio.sleep(wait_us / 1e6)
-            return WaitOver(address=address, after_us=wait_us)
+            return ReplyTimeoutError(address=address, after_us=wait_us)
         if other.is_dead or lost < fleet.loss * 0.2:
-            return ConnectRefused(address=address)
+            return ConnectError(address=address)
         await asyncio.sleep(rand.uniform(0.0002, 0.002))
         if lost < fleet.loss * 0.4:
             await asyncio.sleep(wait_us / 1e6)
-            return WaitOver(address=address, after_us=wait_us)
+            return ReplyTimeoutError(address=address, after_us=wait_us)
         work = asyncio.ensure_future(handle(Gather().parse(bytes(message)), other, ""))
         fleet.tasks.append(work)
         if lost < fleet.loss * 0.6:  # it works on, unheard
             await asyncio.sleep(rand.uniform(0, wait_us / 1e6))
-            return LineLost(address=address)
+            return ConnectionLostError(address=address)
         late_s = rand.uniform(0, 0.3) if lost < fleet.loss else 0.0
         done, _ = await asyncio.wait((work,), timeout=max(0, wait_us / 1e6 - late_s))
         await asyncio.sleep(late_s)
         if not done:
-            return WaitOver(address=address, after_us=wait_us)
+            return ReplyTimeoutError(address=address, after_us=wait_us)
         return type(work.result())().parse(bytes(work.result()))
 
     # what `handle` asks of an edge
@@ -189,8 +189,14 @@
         self.rand = random.Random(seed)
         self.sends: Counter = Counter()
         self.tasks: list[asyncio.Future] = []
-        self.lives = [
-            Life(instance=f"{shard}-{n}", service=shard, address=f"{shard}:{n}", zone="z", slots=99)
+        self.instances = [
+            Instance(
+                instance_id=f"{shard}-{n}",
+                service=shard,
+                address=f"{shard}:{n}",
+                zone="z",
+                slots=99,
+            )
             for shard in SHARDS
             for n in range(BACKENDS_OF_SHARD)
         ]
@@ -212,14 +218,14 @@
             outcome = self.rand.choice(OUTCOMES)
         wait_s = call.wait_us / 1e6
         if outcome == "refused":
-            return ConnectRefused(address="b")
+            return ConnectError(address="b")
         slow_s = self.rand.uniform(0.05, 0.4) if outcome == "slow" else 0.0
         await asyncio.sleep(min(wait_s, self.rand.uniform(0.001, 0.01) + slow_s))
         if outcome == "silent" or slow_s > wait_s:
             await asyncio.sleep(max(0, wait_s - slow_s))
-            return WaitOver(address="b", after_us=call.wait_us)
+            return ReplyTimeoutError(address="b", after_us=call.wait_us)
         if outcome == "reset":
-            return LineLost(address="b")
+            return ConnectionLostError(address="b")
         headers = {"kelp-request-id": name, "kelp-seal": f"s.{self.rand.getrandbits(32):x}"}
         if outcome == "turned away":
             return HttpReply(status=503, headers={**headers, "kelp-not-run": "1"})
@@ -412,7 +418,7 @@
                 setattr(message, name, value)
         if rand.random() < 0.5:
             shards = [rand.choice(("s0", "s1", "zz", "")) for _ in range(rand.randrange(3))]
-            message.branch = BranchMsg(node="n1", shards=shards)
+            message.subtree = SubtreeMsg(node="n1", shards=shards)
         return Gather().parse(bytes(message))
 
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -16,17 +16,22 @@
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.common.transport.connections import Lines, LineServer
-from kelpstage.common.transport.messages import AskList, ListNews, MemberMsg, RumorMsg
+from kelpstage.common.transport.messages import (
+    BackendStateMsg,
+    EndpointUpdate,
+    FetchEndpoints,
+    MemberMsg,
+)
 from kelpstage.edge.app import Edge
 from kelpstage.edge.backend import outlier_detection
-from kelpstage.edge.backend.discovery import ListTask, OwnList
+from kelpstage.edge.backend.discovery import DiscoveryTask, OwnListSource
 from kelpstage.edge.backend.ejected_check import SuspectTask
-from kelpstage.edge.backend.endpoint_list import Roll
-from kelpstage.edge.backend.instance import Life
-from kelpstage.edge.backend.registry import DARK, DRAINING, GONE, UP, Book
+from kelpstage.edge.backend.endpoint_list import EndpointList
+from kelpstage.edge.backend.instance import Instance
+from kelpstage.edge.backend.registry import DARK, DRAINING, GONE, UP, BackendRegistry
 from kelpstage.edge.backend.selection import Option, options
-from kelpstage.edge.backend.zones import Places
-from kelpstage.edge.gather.latency import Paces
+from kelpstage.edge.backend.zones import ZoneDistances
+from kelpstage.edge.gather.latency import LatencyEstimates
 from kelpstage.edge.gossip.swim import LEAVING, Swim
 from kelpstage.edge.gossip.task import GossipTask
 from kelpstage.edge.retries.budget import Budget
@@ -38,9 +43,9 @@
 SECOND = 1_000_000
 
 
-def life(name: str, service: str = "s", **fields: Any) -> Life:
+def instance(name: str, service: str = "s", **fields: Any) -> Instance:
     fields.setdefault("address", f"10.8.0.1:{1000 + sum(name.encode())}")
-    return Life(instance=name, service=service, **{"slots": 2, "zone": "a1", **fields})
+    return Instance(instance_id=name, service=service, **{"slots": 2, "zone": "a1", **fields})
 
 
 class ListServer:
@@ -54,10 +59,10 @@
         self.calls: list[tuple[int, str]] = []
         self.readings: list[tuple[int, str]] = []
 
-    def add(self, *, one: Life) -> None:
+    def add(self, *, one: Instance) -> None:
         self.rows.append(
             {
-                "instance": one.instance,
+                "instance": one.instance_id,
                 "service": one.service,
                 "address": one.address,
                 "zone": one.zone,
@@ -108,42 +113,42 @@
 
 
 class Node:
-    """The parts of an edge that know of the list and of partners."""
+    """The parts of an edge that know of the list and of peers."""
 
     def __init__(self, *, world: World, name: str, zone: str, turn: int) -> None:
         self.world, self.name, self.zone = world, name, zone
         self.own = f"10.{turn // 200}.{turn % 200}.1:7000"
-        self.machine = world.add_machine(name=name, domain=zone)
+        self.machine = world.add_machine(name=name, zone=zone)
         world.homes[self.own] = self.machine
         self.serial = 0
 
     async def start(self, *, seeds: list["Node"], adapter: Any) -> None:
         self.serial += 1
         self.process = SimProcess(
-            world=self.world, name=f"{self.name}", machine=self.machine, life=self.serial
+            world=self.world, name=f"{self.name}", machine=self.machine, instance=self.serial
         )
         ports, counts = self.process.ports, Counter()
         self.counts = counts
         self.lines = Lines(ports=ports, counts=counts)
-        self.book = Book(me=self.name, places=Places(zone=self.zone))
+        self.registry = BackendRegistry(me=self.name, places=ZoneDistances(zone=self.zone))
         self.swim = Swim(
             me=MemberMsg(
                 name=self.name,
                 address=self.own,
                 incarnation=self.serial,
                 beat=1,
-                domain=self.zone,
+                zone=self.zone,
                 is_ready=True,
             ),
             rand=ports.rand,
-            rumors=lambda: [],
-            on_rumor=lambda rumor: None,
+            backend_states=lambda: [],
+            on_backend_state=lambda backend_state: None,
         )
         self.gossip = GossipTask(
             ports=ports,
             journal=Journal(now=ports.clock.now_us),
             swim=self.swim,
-            book=self.book,
+            registry=self.registry,
             address=self.own,
             counts=counts,
             refresh=lambda: None,
@@ -152,11 +157,11 @@
         for seed in seeds:
             self.swim.meet(name=seed.name, address=seed.own, incarnation=1, now_us=0)
         self.heard: list[int] = []
-        self.list_task = ListTask(
+        self.discovery = DiscoveryTask(
             ports=ports,
             lines=self.lines,
             swim=self.swim,
-            book=self.book,
+            registry=self.registry,
             adapter=adapter,
             own=self.own,
             counts=counts,
@@ -167,11 +172,11 @@
         ).open()
 
     async def _on_message(self, message: Any, source: str) -> Any:
-        if isinstance(message, ListNews):
+        if isinstance(message, EndpointUpdate):
             self.heard.append(self.world.now_us())
-            self.list_task.take(news=message)
-        if isinstance(message, AskList):
-            return self.list_task.answer(ask=message)
+            self.discovery.take(news=message)
+        if isinstance(message, FetchEndpoints):
+            return self.discovery.answer(ask=message)
         return None
 
 
@@ -192,12 +197,12 @@
 
     async def _with_fleet(self, *, loop: Any, story: Callable, seed: int) -> None:
         self.world = World(seed=seed, loop=loop, far_us=(8_000, 9_000))
-        outside = self.world.add_machine(name="outside", domain="out")
+        outside = self.world.add_machine(name="outside", zone="out")
         self.world.homes[LIST] = outside
         self.list = ListServer(world=self.world)
         for n in range(10):
-            self.list.add(one=life(f"i{n}", service=f"s{n // 2}", zone=self.zones[n % 3]))
-        process = SimProcess(world=self.world, name="list", machine=outside, life=1)
+            self.list.add(one=instance(f"i{n}", service=f"s{n // 2}", zone=self.zones[n % 3]))
+        process = SimProcess(world=self.world, name="list", machine=outside, instance=1)
         await process.ports.net.serve_http(
             address=LIST, on_call=self.list.serve, body_limit=1_000_000
         )
@@ -217,7 +222,7 @@
 
     async def start(self, node: Node) -> None:
         seeds = [one for one in self.nodes[:4] if one is not node]
-        await node.start(seeds=seeds, adapter=OwnList(url=f"http://{LIST}/lives"))
+        await node.start(seeds=seeds, adapter=OwnListSource(url=f"http://{LIST}/lives"))
 
     async def wait(self, us: int) -> None:
         await asyncio.sleep(us / SECOND)
@@ -226,7 +231,7 @@
         return [node for node in self.nodes if node.process.is_alive]
 
     def readers(self) -> list[Node]:
-        return [node for node in self.alive() if node.list_task.is_reader]
+        return [node for node in self.alive() if node.discovery.is_reader]
 
     async def wait_for(self, is_there: Callable[[], bool], within_us: int) -> int:
         """How long it took; fails after `within_us`."""
@@ -238,7 +243,7 @@
         return self.world.now_us() - started_us
 
     def all_know(self, names: set[str]) -> bool:
-        return all(set(node.list_task.roll.lives) == names for node in self.alive())
+        return all(set(node.discovery.roll.instances) == names for node in self.alive())
 
 
 class ReaderTest(ListStory):
@@ -252,8 +257,8 @@
             self.assertIn(len(self.list.calls), range(27, 34))  # ten readings of three pages
             self.assertTrue(self.all_know({f"i{n}" for n in range(10)}))
             for node in self.nodes:
-                self.assertEqual(("i2", "i3"), node.book.lives_of("s1"))
-                self.assertLess(self.world.now_us() - node.list_task.roll.fresh_us, 1_300_000)
+                self.assertEqual(("i2", "i3"), node.registry.instances_of("s1"))
+                self.assertLess(self.world.now_us() - node.discovery.roll.fresh_us, 1_300_000)
 
         self.run_story(story)
 
@@ -273,7 +278,7 @@
             reader.process.kill()
             self.list.row("i4")["state"] = "draining"
             took_us = await self.wait_for(
-                lambda: all(n.book.entries["i4"].is_draining for n in self.alive()), 3 * SECOND
+                lambda: all(n.registry.entries["i4"].is_draining for n in self.alive()), 3 * SECOND
             )
             self.assertLess(took_us, 2_600_000)
             await self.wait(3 * SECOND)
@@ -300,7 +305,9 @@
                 self.list.row(name)["state"] = "draining"
                 victim.process.kill()
                 await self.wait_for(
-                    lambda name=name: all(n.book.entries[name].is_draining for n in self.alive()),
+                    lambda name=name: all(
+                        n.registry.entries[name].is_draining for n in self.alive()
+                    ),
                     3 * SECOND,
                 )
                 await self.start(victim)
@@ -312,7 +319,7 @@
         async def story() -> None:
             await self.wait(8 * SECOND)
             reader = self.readers()[0]
-            reader.list_task.leave()
+            reader.discovery.leave()
             self.list.readings.clear()
             await self.wait_for(lambda: bool(self.list.readings), 700_000)
             self.assertNotEqual(reader.name, self.list.readings[0][1])
@@ -320,7 +327,7 @@
             reader.gossip.spread()
             await self.wait(1_500_000)
             self.list.row("i6")["state"] = "draining"
-            await self.wait_for(lambda: reader.book.entries["i6"].is_draining, 1_500_000)
+            await self.wait_for(lambda: reader.registry.entries["i6"].is_draining, 1_500_000)
             self.assertNotIn(reader.name, {name for _, name in self.list.readings})
 
         self.run_story(story)
@@ -349,8 +356,8 @@
             await self.wait(8 * SECOND)
             self.list.drop("i9")
             await self.wait_for(lambda: self.all_know({f"i{n}" for n in range(9)}), 3 * SECOND)
-            self.assertEqual(1, sum(node.list_task.is_reader for node in here))
-            self.assertEqual(1, sum(node.list_task.is_reader for node in there))
+            self.assertEqual(1, sum(node.discovery.is_reader for node in here))
+            self.assertEqual(1, sum(node.discovery.is_reader for node in there))
             self.world.heal()
             await self.wait(8 * SECOND)
             self.assertEqual(1, len(self.readers()))
@@ -362,8 +369,8 @@
             await self.wait(8 * SECOND)
             now_us = self.world.now_us()
             for node in self.nodes:
-                node.list_task.is_reader, node.list_task._read_us = True, now_us + 200_000
-                node.list_task._wake.set_result(None)
+                node.discovery.is_reader, node.discovery._read_us = True, now_us + 200_000
+                node.discovery._wake.set_result(None)
             await self.wait(3 * SECOND)
             self.assertEqual(1, len(self.readers()))
 
@@ -374,23 +381,23 @@
     def test_lost_news_are_asked_for(self) -> None:
         async def story() -> None:
             await self.wait(8 * SECOND)
-            node = next(node for node in self.nodes if not node.list_task.is_reader)
-            roll = node.list_task.roll
-            roll._change(changed=[life("ghost")], gone=["i1"], now_us=self.world.now_us())
+            node = next(node for node in self.nodes if not node.discovery.is_reader)
+            roll = node.discovery.roll
+            roll._change(changed=[instance("ghost")], gone=["i1"], now_us=self.world.now_us())
             await self.wait_for(lambda: self.all_know({f"i{n}" for n in range(10)}), 2 * SECOND)
             self.assertEqual(1, node.counts["list_gaps"])
 
         self.run_story(story)
 
-    def test_a_restarted_node_asks_a_partner_and_not_the_list(self) -> None:
+    def test_a_restarted_node_asks_a_peer_and_not_the_list(self) -> None:
         async def story() -> None:
             await self.wait(8 * SECOND)
-            node = next(node for node in self.nodes if not node.list_task.is_reader)
+            node = next(node for node in self.nodes if not node.discovery.is_reader)
             node.process.kill()
             await self.wait(500_000)
             self.list.calls.clear()
             await self.start(node)
-            await self.wait_for(lambda: len(node.list_task.roll.lives) == 10, 500_000)
+            await self.wait_for(lambda: len(node.discovery.roll.instances) == 10, 500_000)
             await self.wait(5 * SECOND)
             self.assertNotIn(node.name, {name for _, name in self.list.calls})
 
@@ -411,13 +418,15 @@
                     for _ in range(60):
                         await self.wait(100_000)
                         self.assertTrue(self.all_know(known))
-                        self.assertEqual(2, len(self.nodes[0].book.lives_of("s0")), "still offered")
+                        self.assertEqual(
+                            2, len(self.nodes[0].registry.instances_of("s0")), "still offered"
+                        )
                     busiest = len(self.list.calls) / 6
                     self.assertLess(busiest, 30 if trouble == "endless" else 12)
                     self.list.trouble = ""
                     await self.wait_for(
                         lambda: all(
-                            self.world.now_us() - node.list_task.roll.fresh_us < SECOND
+                            self.world.now_us() - node.discovery.roll.fresh_us < SECOND
                             for node in self.nodes
                         ),
                         14 * SECOND,
@@ -429,7 +438,7 @@
         async def story() -> None:
             await self.wait(8 * SECOND)
             self.list.trouble = "one bad"
-            self.list.add(one=life("new"))
+            self.list.add(one=instance("new"))
             await self.wait_for(
                 lambda: self.all_know({f"i{n}" for n in range(10)} | {"new"}), 3 * SECOND
             )
@@ -452,7 +461,7 @@
             lines_send = reader.lines.send
 
             def send(*, address: str, message: Any, **rest: Any) -> None:
-                if isinstance(message, ListNews):
+                if isinstance(message, EndpointUpdate):
                     sent.append(address)
                 lines_send(address=address, message=message, **rest)
 
@@ -475,7 +484,7 @@
             relay.process.kill()
             self.list.row("i5")["state"] = "draining"
             await self.wait_for(
-                lambda: all(n.book.entries["i5"].is_draining for n in self.alive()), 3 * SECOND
+                lambda: all(n.registry.entries["i5"].is_draining for n in self.alive()), 3 * SECOND
             )
             self.assertLess(sum(node.counts["list_asks"] for node in self.nodes) - asks, 30)
 
@@ -485,227 +494,252 @@
         async def story() -> None:
             await self.wait(15 * SECOND)
             node = self.nodes[7]
-            node.book.observe(
+            node.registry.observe(
                 name="i3", state=DRAINING, why="sign in a reply", now_us=self.world.now_us()
             )
             node.gossip.spread()
             await self.wait_for(
-                lambda: all(n.book.entries["i3"].is_draining for n in self.alive()), SECOND
+                lambda: all(n.registry.entries["i3"].is_draining for n in self.alive()), SECOND
             )
 
         self.run_story(story)
 
 
-class BookTest(unittest.TestCase):
-    def book(self, *lives: Life, now_us: int = 0) -> Book:
-        book = Book(me="n1", places=Places(zone="a1", zones={"a1": "a", "a2": "a", "b1": "b"}))
-        book.set_lives(lives, now_us)
-        return book
+class BackendRegistryTest(unittest.TestCase):
+    def registry(self, *instances: Instance, now_us: int = 0) -> BackendRegistry:
+        registry = BackendRegistry(
+            me="n1", places=ZoneDistances(zone="a1", zones={"a1": "a", "a2": "a", "b1": "b"})
+        )
+        registry.set_instances(instances, now_us)
+        return registry
 
-    def choose(self, book: Book, now_us: int, rand: Any = None) -> list[Option]:
+    def choose(self, registry: BackendRegistry, now_us: int, rand: Any = None) -> list[Option]:
         return options(
             configuration=EMPTY,
-            book=book,
-            paces=Paces(),
+            registry=registry,
+            latencies=LatencyEstimates(),
             collection="c",
             shard="s",
-            domain="a1",
+            zone="a1",
             now_us=now_us,
             rand=rand,
         )
 
-    def best(self, book: Book, now_us: int) -> str:
-        first = self.choose(book, now_us)[0]
+    def best(self, registry: BackendRegistry, now_us: int) -> str:
+        first = self.choose(registry, now_us)[0]
         return "" if first.refusal else first.backend
 
     def test_drains_are_for_ever(self) -> None:
-        book = self.book(life("i1"), life("i2", is_draining=True), life("i3"))
-        self.assertTrue(self.choose(book, 1)[-1].refusal.startswith("draining"))
-        self.assertTrue(book.observe(name="i1", state=DRAINING, why="sign in a reply", now_us=2))
-        self.assertEqual([(DRAINING, 1)], [(r.state, r.turn) for r in book.rumors(now_us=3)])
+        registry = self.registry(instance("i1"), instance("i2", is_draining=True), instance("i3"))
+        self.assertTrue(self.choose(registry, 1)[-1].refusal.startswith("draining"))
+        self.assertTrue(
+            registry.observe(name="i1", state=DRAINING, why="sign in a reply", now_us=2)
+        )
+        self.assertEqual(
+            [(DRAINING, 1)], [(r.state, r.turn) for r in registry.backend_states(now_us=3)]
+        )
         for n in range(3, 9):
-            book.set_lives([life("i1"), life("i2"), life("i3")], n)
-            book.observe(name="i1", state=UP, why="probe", now_us=n, asked_us=n)
-            book.take_rumor(rumor=RumorMsg(backend="i2", state=UP, turn=99, seen_by="n2"), now_us=n)
-            self.assertEqual("i3", self.best(book, n))
-        book.set_lives([life("i3")], 10)
-        book.set_lives([life("i1"), life("i2"), life("i3")], 11)  # a list that lost its rows
-        self.assertEqual("i3", self.best(book, 12))
+            registry.set_instances([instance("i1"), instance("i2"), instance("i3")], n)
+            registry.observe(name="i1", state=UP, why="probe", now_us=n, asked_us=n)
+            registry.on_backend_state_received(
+                backend_state=BackendStateMsg(backend="i2", state=UP, turn=99, seen_by="n2"),
+                now_us=n,
+            )
+            self.assertEqual("i3", self.best(registry, n))
+        registry.set_instances([instance("i3")], 10)
+        registry.set_instances(
+            [instance("i1"), instance("i2"), instance("i3")], 11
+        )  # a list that lost its rows
+        self.assertEqual("i3", self.best(registry, 12))
 
     def test_a_rumor_of_a_drain_is_taken(self) -> None:
-        book = self.book(life("i1"), life("i2"))
-        rumor = RumorMsg(backend="i1", state=DRAINING, turn=1, seen_by="n2", why="sign")
-        self.assertTrue(book.take_rumor(rumor=rumor, now_us=1))
-        self.assertFalse(book.take_rumor(rumor=rumor, now_us=2))
-        self.assertEqual("i2", self.best(book, 3))
+        registry = self.registry(instance("i1"), instance("i2"))
+        backend_state = BackendStateMsg(
+            backend="i1", state=DRAINING, turn=1, seen_by="n2", why="sign"
+        )
+        self.assertTrue(registry.on_backend_state_received(backend_state=backend_state, now_us=1))
+        self.assertFalse(registry.on_backend_state_received(backend_state=backend_state, now_us=2))
+        self.assertEqual("i2", self.best(registry, 3))
 
     def test_gone_at_once_and_its_address_may_be_anothers(self) -> None:
-        old, new = life("i1", address="10.8.0.1:80"), life("j1", "t", address="10.8.0.1:80")
-        book = self.book(old, life("i2"))
-        book.entries["i1"].in_flight = 1
-        self.assertEqual(["j1", "i1"], book.set_lives([life("i2"), new], 5))
-        self.assertEqual(("i2",), book.lives_of("s"))
-        self.assertEqual(("j1",), book.lives_of("t"))
-        self.assertEqual("10.8.0.1:80", book.entries["j1"].address)
-        book.note_failure(name="i1", why=outlier_detection.RESET, now_us=6)  # what was in flight
-        self.assertEqual("", self.choose(book, 7)[0].refusal)
+        old, new = instance("i1", address="10.8.0.1:80"), instance("j1", "t", address="10.8.0.1:80")
+        registry = self.registry(old, instance("i2"))
+        registry.entries["i1"].in_flight = 1
+        self.assertEqual(["j1", "i1"], registry.set_instances([instance("i2"), new], 5))
+        self.assertEqual(("i2",), registry.instances_of("s"))
+        self.assertEqual(("j1",), registry.instances_of("t"))
+        self.assertEqual("10.8.0.1:80", registry.entries["j1"].address)
+        registry.note_failure(
+            name="i1", why=outlier_detection.RESET, now_us=6
+        )  # what was in flight
+        self.assertEqual("", self.choose(registry, 7)[0].refusal)
 
     def test_what_is_forgotten_leaves_no_trace(self) -> None:
-        book = self.book(life("i1"))
-        book.set_lives([life("i2")], 10)
-        book.set_lives([life("i3")], 70 * SECOND)
-        self.assertEqual({"i2", "i3"}, set(book.entries))
-        book.note_answer(name="i1", took_us=9, now_us=70 * SECOND)
-        book.note_full(name="i1", now_us=70 * SECOND)
+        registry = self.registry(instance("i1"))
+        registry.set_instances([instance("i2")], 10)
+        registry.set_instances([instance("i3")], 70 * SECOND)
+        self.assertEqual({"i2", "i3"}, set(registry.entries))
+        registry.note_answer(name="i1", took_us=9, now_us=70 * SECOND)
+        registry.note_full(name="i1", now_us=70 * SECOND)
         self.assertFalse(
-            book.note_failure(name="i1", why=outlier_detection.RESET, now_us=70 * SECOND)
+            registry.note_failure(name="i1", why=outlier_detection.RESET, now_us=70 * SECOND)
         )
-        self.assertEqual({"i2", "i3"}, set(book.entries))
+        self.assertEqual({"i2", "i3"}, set(registry.entries))
 
     def test_never_all_are_shunned(self) -> None:
-        book = self.book(life("i1"), life("i2"))
+        registry = self.registry(instance("i1"), instance("i2"))
         for n, name in enumerate(("i1", "i2")):
-            self.assertTrue(book.note_failure(name=name, why=outlier_detection.REFUSED, now_us=n))
-        ranked = self.choose(book, 5)
+            self.assertTrue(
+                registry.note_failure(name=name, why=outlier_detection.REFUSED, now_us=n)
+            )
+        ranked = self.choose(registry, 5)
         self.assertEqual(["", "shunned"], [option.refusal for option in ranked])
         self.assertEqual("i1", ranked[0].backend, "its time is nearest")
 
     def test_shunned_longer_each_time_and_tried_one_by_one(self) -> None:
-        book = self.book(life("i1"), life("i2"))
+        registry = self.registry(instance("i1"), instance("i2"))
         now_us, spans = 0, []
         for _ in range(7):
-            book.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=now_us)
-            until_us = book.entries["i1"].seen.shunned_until_us
+            registry.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=now_us)
+            until_us = registry.entries["i1"].seen.shunned_until_us
             spans.append(until_us - now_us)
             now_us = until_us
-            self.assertEqual("", {o.backend: o.refusal for o in self.choose(book, now_us)}["i1"])
-            book.entries["i1"].in_flight = 1
-            refusals = {o.backend: o.refusal for o in self.choose(book, now_us)}
+            self.assertEqual(
+                "", {o.backend: o.refusal for o in self.choose(registry, now_us)}["i1"]
+            )
+            registry.entries["i1"].in_flight = 1
+            refusals = {o.backend: o.refusal for o in self.choose(registry, now_us)}
             self.assertEqual("on trial", refusals["i1"])
-            book.entries["i1"].in_flight = 0
+            registry.entries["i1"].in_flight = 0
         self.assertEqual([500_000 << n for n in (0, 1, 2, 3, 4, 4, 4)], spans)
-        book.note_answer(name="i1", took_us=9_000, now_us=now_us)
-        book.entries["i1"].in_flight = 1
-        self.assertEqual("", {o.backend: o.refusal for o in self.choose(book, now_us)}["i1"])
+        registry.note_answer(name="i1", took_us=9_000, now_us=now_us)
+        registry.entries["i1"].in_flight = 1
+        self.assertEqual("", {o.backend: o.refusal for o in self.choose(registry, now_us)}["i1"])
 
     def test_one_late_answer_is_no_illness(self) -> None:
-        book = self.book(life("i1"), life("i2"))
-        book.note_overdue(name="i1", now_us=1_000)
-        self.assertEqual("i2", self.best(book, 2_000))
-        self.assertTrue(all(not o.refusal for o in self.choose(book, 2_000)))
-        self.assertEqual("i1", self.best(book, 102_000))
-        self.assertFalse(book.strike(name="i1", now_us=103_000))
-        self.assertTrue(all(not o.refusal for o in self.choose(book, 104_000)))
-        self.assertTrue(book.strike(name="i1", now_us=105_000))
-
-    def test_a_life_that_was_slow_is_tried_again(self) -> None:
-        book = self.book(life("i1"), life("i2"), life("i3"))
+        registry = self.registry(instance("i1"), instance("i2"))
+        registry.note_overdue(name="i1", now_us=1_000)
+        self.assertEqual("i2", self.best(registry, 2_000))
+        self.assertTrue(all(not o.refusal for o in self.choose(registry, 2_000)))
+        self.assertEqual("i1", self.best(registry, 102_000))
+        self.assertFalse(registry.strike(name="i1", now_us=103_000))
+        self.assertTrue(all(not o.refusal for o in self.choose(registry, 104_000)))
+        self.assertTrue(registry.strike(name="i1", now_us=105_000))
+
+    def test_a_instance_that_was_slow_is_tried_again(self) -> None:
+        registry = self.registry(instance("i1"), instance("i2"), instance("i3"))
         for name, took_us in (("i1", 60_000), ("i2", 12_000), ("i3", 13_000)):
             for _ in range(9):
-                book.note_answer(name=name, took_us=took_us, now_us=0)
+                registry.note_answer(name=name, took_us=took_us, now_us=0)
         rand = random.Random(1)
 
         def chosen(now_us: int) -> int:
             for name in ("i2", "i3"):
-                book.note_answer(name=name, took_us=12_500, now_us=now_us)
-            return sum(self.choose(book, now_us, rand)[0].backend == "i1" for _ in range(300))
+                registry.note_answer(name=name, took_us=12_500, now_us=now_us)
+            return sum(self.choose(registry, now_us, rand)[0].backend == "i1" for _ in range(300))
 
         self.assertLess(chosen(SECOND), 3)
         self.assertGreater(chosen(40 * SECOND), 30)
 
     def test_what_may_be_load_is_no_illness(self) -> None:
-        book = self.book(life("i1"), life("i2"))
-        book.note_answer(name="i1", took_us=12_000, now_us=SECOND)
-        seen = book.entries["i1"].seen
+        registry = self.registry(instance("i1"), instance("i2"))
+        registry.note_answer(name="i1", took_us=12_000, now_us=SECOND)
+        seen = registry.entries["i1"].seen
         for _n in range(5):  # sent just before the caller's time was over
             self.assertFalse(
-                book.note_failure(
+                registry.note_failure(
                     name="i1", why=outlier_detection.SILENT, now_us=SECOND, waited_us=90_000
                 )
             )
         self.assertEqual(0, seen.in_a_row)
-        book.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=SECOND + 50_000)
+        registry.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=SECOND + 50_000)
         self.assertEqual((1, 0), (seen.in_a_row, seen.shunned_until_us))
-        self.assertEqual("i2", self.best(book, SECOND + 60_000))
+        self.assertEqual("i2", self.best(registry, SECOND + 60_000))
         self.assertTrue(
-            book.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=2 * SECOND)
+            registry.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=2 * SECOND)
         )
         self.assertTrue(
-            book.note_failure(name="i2", why=outlier_detection.SILENT, now_us=9, waited_us=800_000)
+            registry.note_failure(
+                name="i2", why=outlier_detection.SILENT, now_us=9, waited_us=800_000
+            )
         )
 
     def test_full_is_loaded_and_not_ill(self) -> None:
-        book = self.book(life("i1"), life("i2"))
+        registry = self.registry(instance("i1"), instance("i2"))
         for n in range(20):
-            book.note_full(name="i1", now_us=n)
-        self.assertEqual("i2", self.best(book, 50_000))
-        self.assertEqual("i1", self.best(book, 200_000))
+            registry.note_full(name="i1", now_us=n)
+        self.assertEqual("i2", self.best(registry, 50_000))
+        self.assertEqual("i1", self.best(registry, 200_000))
 
-    def test_partners_that_shun_make_it_second_choice(self) -> None:
-        book = self.book(life("i1"), life("i2"))
+    def test_peers_that_shun_make_it_second_choice(self) -> None:
+        registry = self.registry(instance("i1"), instance("i2"))
         for voice in ("n2", "n3"):
-            book.take_rumor(rumor=RumorMsg(backend="i1", state=DARK, seen_by=voice), now_us=1_000)
-        self.assertEqual("i2", self.best(book, 2_000))
-        book.note_answer(name="i1", took_us=9_000, now_us=3_000)
-        self.assertEqual("i1", self.best(book, 4_000))
+            registry.on_backend_state_received(
+                backend_state=BackendStateMsg(backend="i1", state=DARK, seen_by=voice), now_us=1_000
+            )
+        self.assertEqual("i2", self.best(registry, 2_000))
+        registry.note_answer(name="i1", took_us=9_000, now_us=3_000)
+        self.assertEqual("i1", self.best(registry, 4_000))
 
     def test_a_refused_connection_is_told_for_a_while(self) -> None:
-        book = self.book(life("i1"), life("i2"))
-        self.assertTrue(book.observe(name="i1", state=GONE, why="refused", now_us=5))
-        self.assertEqual([(DARK, "i1")], [(r.state, r.backend) for r in book.rumors(now_us=6)])
-        self.assertEqual([], book.rumors(now_us=3 * SECOND))
+        registry = self.registry(instance("i1"), instance("i2"))
+        self.assertTrue(registry.observe(name="i1", state=GONE, why="refused", now_us=5))
+        self.assertEqual(
+            [(DARK, "i1")], [(r.state, r.backend) for r in registry.backend_states(now_us=6)]
+        )
+        self.assertEqual([], registry.backend_states(now_us=3 * SECOND))
 
     def test_cold_and_far_ones_come_after(self) -> None:
-        book = self.book(life("i1", cold_us=5 * SECOND), life("i2"))
-        self.assertEqual("i2", self.best(book, 1))
-        self.assertEqual("i1", self.best(book, 6 * SECOND))
-        far = life("i0", zone="b1")
-        book = self.book(far, life("i1", zone="a2"), life("i2"))
-        self.assertEqual(["i2", "i1", "i0"], [o.backend for o in self.choose(book, 1)])
-        book.entries["i2"].in_flight = book.entries["i1"].in_flight = 5
-        self.assertEqual("i0", self.best(book, 1), "the near ones are clearly worse")
+        registry = self.registry(instance("i1", cold_us=5 * SECOND), instance("i2"))
+        self.assertEqual("i2", self.best(registry, 1))
+        self.assertEqual("i1", self.best(registry, 6 * SECOND))
+        far = instance("i0", zone="b1")
+        registry = self.registry(far, instance("i1", zone="a2"), instance("i2"))
+        self.assertEqual(["i2", "i1", "i0"], [o.backend for o in self.choose(registry, 1)])
+        registry.entries["i2"].in_flight = registry.entries["i1"].in_flight = 5
+        self.assertEqual("i0", self.best(registry, 1), "the near ones are clearly worse")
 
     def test_a_near_one_that_often_fails_comes_after_a_far_one(self) -> None:
-        book = self.book(life("i1"), life("i2", zone="b1"))
+        registry = self.registry(instance("i1"), instance("i2", zone="b1"))
         for name in ("i1", "i2"):
             for _ in range(9):
-                book.note_answer(name=name, took_us=14_000, now_us=0)
-        self.assertEqual("i1", self.best(book, 1))
-        book.note_failure(name="i1", why=outlier_detection.RESET, now_us=2)
-        self.assertEqual("i1", self.best(book, 3), "one failure is little")
+                registry.note_answer(name=name, took_us=14_000, now_us=0)
+        self.assertEqual("i1", self.best(registry, 1))
+        registry.note_failure(name="i1", why=outlier_detection.RESET, now_us=2)
+        self.assertEqual("i1", self.best(registry, 3), "one failure is little")
         for n in range(3, 9):  # every other one fails
-            book.note_answer(name="i1", took_us=14_000, now_us=n)
-            book.note_failure(name="i1", why=outlier_detection.FAILED, now_us=n)
-        self.assertEqual("i2", self.best(book, 10))
-        self.assertEqual("i1", self.best(book, 20 * SECOND))
+            registry.note_answer(name="i1", took_us=14_000, now_us=n)
+            registry.note_failure(name="i1", why=outlier_detection.FAILED, now_us=n)
+        self.assertEqual("i2", self.best(registry, 10))
+        self.assertEqual("i1", self.best(registry, 20 * SECOND))
 
-    def test_a_life_whose_lines_are_in_use_is_refused(self) -> None:
+    def test_a_instance_whose_lines_are_in_use_is_refused(self) -> None:
         class Configuration:
             services = {"s": type("S", (), {"max_connections": 30})}
             backends: dict = {}
 
-        book = self.book(life("i1"), life("i2"))
-        book.set_live_edges(count=12, now_us=0)
-        book.declare(configuration=Configuration(), listed={})  # type: ignore[arg-type]
-        self.assertEqual(2, book.entries["i1"].line_limit)
-        book.entries["i1"].in_flight = 2
-        refusals = {o.backend: o.refusal for o in self.choose(book, 1)}
+        registry = self.registry(instance("i1"), instance("i2"))
+        registry.set_live_edges(count=12, now_us=0)
+        registry.declare(configuration=Configuration(), listed={})  # type: ignore[arg-type]
+        self.assertEqual(2, registry.entries["i1"].line_limit)
+        registry.entries["i1"].in_flight = 2
+        refusals = {o.backend: o.refusal for o in self.choose(registry, 1)}
         self.assertEqual({"i1": "no free line", "i2": ""}, refusals)
 
 
 class ReadyTest(unittest.TestCase):
     def test_an_edge_is_not_ready_before_it_knows_the_list(self) -> None:
-        roll = Roll(me="n", own="n:1")
+        roll = EndpointList(me="n", own="n:1")
         edge = SimpleNamespace(
             is_leaving=False,
-            keeper=SimpleNamespace(refusal=lambda now_us: ""),
+            lease_holder=SimpleNamespace(refusal=lambda now_us: ""),
             ports=SimpleNamespace(clock=SimpleNamespace(now_us=lambda: 5)),
-            list_task=SimpleNamespace(roll=roll),
+            discovery=SimpleNamespace(roll=roll),
         )
         self.assertEqual("the list of backends is not known yet", Edge.refusal(edge))
-        roll.take_reading(lives=[life("i1")], read_us=1, now_us=2)
+        roll.take_reading(instances=[instance("i1")], read_us=1, now_us=2)
         self.assertEqual("", Edge.refusal(edge))
-        edge.list_task = None  # a deployment without a list
+        edge.discovery = None  # a deployment without a list
         self.assertEqual("", Edge.refusal(edge))
 
 
@@ -718,7 +752,7 @@
         await super().start(node)
         node.probes = SuspectTask(
             ports=node.process.ports,
-            book=node.book,
+            registry=node.registry,
             me=node.name,
             edges=lambda: {one.name: one.zone for one in self.alive()},
             health_path=lambda service: "/health",
@@ -739,18 +773,20 @@
 
         async def story() -> None:
             nonlocal said
-            machine = self.world.add_machine(name="backend", domain="b1")
+            machine = self.world.add_machine(name="backend", zone="b1")
             address = self.list.row("i1")["address"]
             self.world.homes[address] = machine
-            process = SimProcess(world=self.world, name="backend", machine=machine, life=1)
+            process = SimProcess(world=self.world, name="backend", machine=machine, instance=1)
             await process.ports.net.serve_http(address=address, on_call=answer, body_limit=9)
             await self.wait(8 * SECOND)
             self.assertEqual({0}, set(self.probes().values()))
             for node in self.nodes:
                 for _ in range(5):  # eight seconds
                     now_us = self.world.now_us()
-                    node.book.entries["i1"].seen.shunned_until_us = 0
-                    node.book.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=now_us)
+                    node.registry.entries["i1"].seen.shunned_until_us = 0
+                    node.registry.note_failure(
+                        name="i1", why=outlier_detection.REFUSED, now_us=now_us
+                    )
             for other in ({"kelp-instance": "i9"}, {}):
                 said = HttpReply(status=200, headers=other)
                 await self.wait(1_100_000)
@@ -768,7 +804,7 @@
         self.run_story(story)
 
     def shuns(self, node: Node) -> bool:
-        return node.book.entries["i1"].seen.is_shunned(now_us=self.world.now_us())
+        return node.registry.entries["i1"].seen.is_shunned(now_us=self.world.now_us())
 
 
 class ChoiceSpreadTest(unittest.TestCase):
@@ -777,15 +813,15 @@
     def play(self, *, choose: Callable, rate: int, zones: tuple[str, ...], seed: int) -> Counter:
         """30 s of requests at `rate` a second, 12 ms each; counts by life, and waits."""
         rand = random.Random(seed)
-        lives = [life(f"i{n}", zone=zone) for n, zone in enumerate(zones)]
+        instances = [instance(f"i{n}", zone=zone) for n, zone in enumerate(zones)]
         homes = ("a1", "b1", "c1")
-        books = []
+        registries = []
         for n in range(12):
-            book = Book(me=f"n{n}", places=Places(zone=homes[n % 3]))
-            book.set_lives(lives, 0)
-            books.append(book)
+            registry = BackendRegistry(me=f"n{n}", places=ZoneDistances(zone=homes[n % 3]))
+            registry.set_instances(instances, 0)
+            registries.append(registry)
         seen: Counter = Counter()
-        free = {one.instance: [0.0] * one.slots for one in lives}  # when each slot is free
+        free = {one.instance_id: [0.0] * one.slots for one in instances}  # when each slot is free
         back: list[tuple[float, int, str, float]] = []
         now_us = 0.0
         while now_us < 30 * SECOND:
@@ -793,11 +829,13 @@
             back.sort()
             while back and back[0][0] <= now_us:
                 done_us, n, name, sent_us = back.pop(0)
-                books[n].entries[name].in_flight -= 1
-                books[n].note_answer(name=name, took_us=int(done_us - sent_us), now_us=int(done_us))
+                registries[n].entries[name].in_flight -= 1
+                registries[n].note_answer(
+                    name=name, took_us=int(done_us - sent_us), now_us=int(done_us)
+                )
             n = rand.randrange(12)
-            name = choose(book=books[n], now_us=int(now_us), rand=rand)
-            entry = books[n].entries[name]
+            name = choose(registry=registries[n], now_us=int(now_us), rand=rand)
+            entry = registries[n].entries[name]
             entry.in_flight += 1
             way_us = entry.distance_us / 2
             slots = free[name]
@@ -812,21 +850,21 @@
         return seen
 
     @staticmethod
-    def as_chosen(*, book: Book, now_us: int, rand: random.Random) -> str:
+    def as_chosen(*, registry: BackendRegistry, now_us: int, rand: random.Random) -> str:
         return options(
             configuration=EMPTY,
-            book=book,
-            paces=Paces(),
+            registry=registry,
+            latencies=LatencyEstimates(),
             collection="c",
             shard="s",
-            domain="",
+            zone="",
             now_us=now_us,
             rand=rand,
         )[0].backend
 
     @staticmethod
-    def by_lot(*, book: Book, now_us: int, rand: random.Random) -> str:
-        return rand.choice(book.lives_of("s"))
+    def by_lot(*, registry: BackendRegistry, now_us: int, rand: random.Random) -> str:
+        return rand.choice(registry.instances_of("s"))
 
     def test_equals_share_alike(self) -> None:
         seen = self.play(choose=self.as_chosen, rate=77, zones=("a1", "a1"), seed=1)
@@ -927,7 +965,7 @@
                 spent[n] += budget.take(service="s", shard="", now_us=at, edges=90)
         self.assertTrue(all(2 <= spent[n] <= 5 for n in range(90)), spent)
 
-    def test_a_new_life_has_no_slack_until_a_window_has_passed(self) -> None:
+    def test_a_new_instance_has_no_slack_until_a_window_has_passed(self) -> None:
         budget = Budget(ratio=0.2, slack=64, me="n", born_us=5 * SECOND)
         for at in range(5 * SECOND, 15 * SECOND, 50_000):
             self.assertFalse(budget.take(service="s", shard="", now_us=at, edges=4))
--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -11,7 +11,7 @@
 import unittest
 from typing import Any, Callable
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.core.web.operators import serve_operators
 from kelpstage.testbed.platform_model.machines import load
@@ -235,7 +235,7 @@
 
     async def replace(
         self, name: str, body: bytes, *, base: str, wait_us: int = 2_000_000
-    ) -> HttpReply | Defect:
+    ) -> HttpReply | KelpstageError:
         return await self.outside.ports.net.fetch(
             call=HttpCall(
                 method="POST",
@@ -270,7 +270,7 @@
 
 
 class Refused(unittest.TestCase):
-    def check(self, reply: HttpReply | Defect, *, path: str, what: str) -> None:
+    def check(self, reply: HttpReply | KelpstageError, *, path: str, what: str) -> None:
         self.assertIsInstance(reply, HttpReply, what)
         self.assertIn(reply.status, (400, 413, 422), (what, reply.body[:200]))
         self.assertTrue(json.loads(reply.body), what)
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -8,7 +8,7 @@
 import zlib
 from unittest import mock
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.transport.chunks import (
     CHUNK_BYTES,
     PIN_IDLE_US,
@@ -115,7 +115,7 @@
 
 
 class Differences(unittest.TestCase):
-    """Puts in the log as differences come to the same as whole ones, on every replica."""
+    """Writes in the log as differences come to the same as complete ones, on every replica."""
 
     def test_any_edit_comes_back_whole(self) -> None:
         rand = random.Random(1)
@@ -399,7 +399,7 @@
             took_us = await fleet.wait_for(
                 what="the edge to serve the newest",
                 is_there=lambda: (
-                    edge.keeper.configuration.version == fleet.version and not edge.refusal()
+                    edge.lease_holder.configuration.version == fleet.version and not edge.refusal()
                 ),
             )
             self.assertLess(took_us, 5 * SECOND)
@@ -460,7 +460,7 @@
             name = self.cores.world.rand.choice(self.cores.up())
             least = self.cores.version
             reply = await self.cores.call(name, "GET", headers={"Kelp-Time-Left-Us": "500000"})
-            if isinstance(reply, Defect) or reply.status != 200:
+            if isinstance(reply, KelpstageError) or reply.status != 200:
                 continue
             self.reads += 1
             version = int(reply.headers["etag"].strip('"'))
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -212,11 +212,11 @@
     history[:] = [row for row in history if row["event"] != "call" or row["done_us"] < 20 * S]
 
 
-def plant_old_defect(history: list[dict]) -> None:
+def plant_old_error(history: list[dict]) -> None:
     history.append(put_row(at_us=36 * S, sent_us=35 * S))
     history[:] = [row for row in history if row["event"] != "call" or row["done_us"] < 36 * S]
     row = last_call(history=history)
-    row.update(end="quorum_not_met", sent_us=40 * S, done_us=40 * S, defect_version=1)
+    row.update(end="quorum_not_met", sent_us=40 * S, done_us=40 * S, error_version=1)
 
 
 def plant_old(history: list[dict]) -> None:
@@ -405,7 +405,7 @@
         plant_label,
         plant_far_cut,
     ],
-    "old_configuration": [plant_old, plant_old_send, plant_old_defect],
+    "old_configuration": [plant_old, plant_old_send, plant_old_error],
     "slide_back": [plant_slide, plant_slide_over_restart],
     "lost_or_undead": [plant_lost, plant_undead, plant_nobodys],
     "linearizable": [
--- a/tests/test_salvage.py
+++ b/tests/test_cluster_recovery.py
@@ -1,24 +1,24 @@
-"""Salvage: nothing acknowledged is lost, and it is refused where it is unsafe."""
+"""ClusterRecovery: nothing acknowledged is lost, and it is refused where it is unsafe."""
 
 from __future__ import annotations
 
 import unittest
 
-from kelpstage.common.errors import SalvageRefused
-from kelpstage.core.cluster_recovery import Salvaged, salvage
+from kelpstage.common.errors.control import RecoveryRefusedError
+from kelpstage.core.cluster_recovery import RecoveredCluster, recover_cluster
 from kelpstage.testbed.checkers.configurations import lost_or_undead, old_configuration
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from kelpstage.testbed.simulation.world import SimProcess
 
 
-async def run_salvage(fleet: SimFleet, *, name: str, edges: list[str]) -> object:
+async def run_recovery(fleet: SimFleet, *, name: str, edges: list[str]) -> object:
     """Run the tool on a core's machine, as a process of its own."""
     machine = fleet.world.machines[name]
-    process = SimProcess(world=fleet.world, name=f"tool/{name}", machine=machine, life=1)
+    process = SimProcess(world=fleet.world, name=f"tool/{name}", machine=machine, instance=1)
     try:
         return await process.spawn(
-            salvage(
+            recover_cluster(
                 ports=process.ports,
                 own=fleet.core_address[name],
                 http=fleet.core_http(name=name),
@@ -33,7 +33,7 @@
     return run_sim(seed=seed, deployment=load(name="tiny"), story=story)
 
 
-class Salvage(unittest.TestCase):
+class ClusterRecovery(unittest.TestCase):
     def test_survivor_behind_an_acknowledged_put_takes_it_from_an_edge(self) -> None:
         async def story(fleet: SimFleet) -> None:
             await fleet.bring_up()
@@ -46,8 +46,8 @@
             for name in others:
                 fleet.kill_core(name=name, is_disk=True)
             edges = list(fleet.edge_own)
-            outcome = await run_salvage(fleet, name=left, edges=edges)
-            self.assertIsInstance(outcome, Salvaged)
+            outcome = await run_recovery(fleet, name=left, edges=edges)
+            self.assertIsInstance(outcome, RecoveredCluster)
             self.assertEqual(2, outcome.version)
             self.assertIn("the edge at", outcome.source)
             fleet.core_address = {left: fleet.core_address[left]}
@@ -86,17 +86,17 @@
             await fleet.bring_up()
             edges = list(fleet.edge_own)
             names = list(fleet.core_address)
-            running = await run_salvage(fleet, name=names[0], edges=edges)
-            self.assertIsInstance(running, SalvageRefused)
+            running = await run_recovery(fleet, name=names[0], edges=edges)
+            self.assertIsInstance(running, RecoveryRefusedError)
             self.assertIn("cores answer", running.why)
             fleet.kill_core(name=names[0])
-            one_lost = await run_salvage(fleet, name=names[0], edges=edges)
+            one_lost = await run_recovery(fleet, name=names[0], edges=edges)
             self.assertIn("cores answer", one_lost.why)
             for name in names[1:]:
                 fleet.kill_core(name=name, is_disk=True)
-            few = await run_salvage(fleet, name=names[0], edges=edges[:3])
+            few = await run_recovery(fleet, name=names[0], edges=edges[:3])
             self.assertIn("3 of 6 edges", few.why)
-            empty = await run_salvage(fleet, name=names[1], edges=edges)
+            empty = await run_recovery(fleet, name=names[1], edges=edges)
             self.assertIn("no member", empty.why)
 
         run_story(story)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -16,10 +16,10 @@
 from kelpstage.cli.offline.warnings import warnings_of
 from kelpstage.common.configuration.types import EMPTY, CallerLimits, Configuration, Service
 from kelpstage.common.configuration.validation import read_configuration
-from kelpstage.common.errors import EnvRefused
+from kelpstage.common.errors.validation import InvalidSettingsError
 from kelpstage.common.ports.interfaces import HttpCall
-from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, judge_env
-from kelpstage.core.leases.lease_table import LEASE_SPAN_US, Ledger
+from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, validate_settings
+from kelpstage.core.leases.lease_table import LEASE_SPAN_US, LeaseTable
 from kelpstage.core.state.machine import (
     REFUSALS_KEPT,
     AddEdge,
@@ -28,7 +28,7 @@
     Machine,
     PutApplied,
     PutConfiguration,
-    PutLost,
+    PutSuperseded,
 )
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
@@ -132,7 +132,7 @@
             (route.quorum, route.tree_fan_out, route.window_us, route.aim_us),
         )
         self.assertEqual(("kafi81c", "huvo11a"), configuration.route(collection="r-plain").fan_out)
-        self.assertTrue(configuration.is_gatherer(collection="r-gather", name="n", domain="d"))
+        self.assertTrue(configuration.is_gatherer(collection="r-gather", name="n", zone="d"))
 
     def test_the_longest_prefix_of_the_host_wins(self) -> None:
         body = document()
@@ -281,7 +281,9 @@
         self.assertEqual(PutApplied(version=9, epoch=2), self.put(machine, put_id="b", **later))
         self.assertEqual(PutApplied(version=5, epoch=1), self.put(machine, put_id="c", **first))
         other = dict(first, version=6)
-        self.assertEqual(PutLost(expected=0, current=9), self.put(machine, put_id="d", **other))
+        self.assertEqual(
+            PutSuperseded(expected=0, current=9), self.put(machine, put_id="d", **other)
+        )
         again = Machine(cluster="c", state=CoreState().parse(bytes(machine.state)))
         self.assertEqual(PutApplied(version=9, epoch=2), self.put(again, put_id="e", **later))
 
@@ -306,55 +308,55 @@
         self.assertEqual(PutApplied(version=1, epoch=1), self.put(machine, put_id="a", **put))
         self.assertEqual(PutApplied(version=1, epoch=1), self.put(machine, put_id="b", **put))
 
-    def test_several_edges_join_at_once_and_the_roster_before_is_kept(self) -> None:
+    def test_several_edges_join_at_once_and_the_membership_before_is_kept(self) -> None:
         machine = Machine(cluster="c")
 
         def add(*names: str) -> None:
             machine.apply(data=bytes(Command(add=AddEdge(edge=names[0], more=list(names[1:])))))
 
         add("a", "b", "c")
-        self.assertEqual((1, ["a", "b", "c"], []), self.rosters(machine))
+        self.assertEqual((1, ["a", "b", "c"], []), self.memberships(machine))
         add("d", "e", "a")
-        self.assertEqual((2, ["a", "b", "c", "d", "e"], ["a", "b", "c"]), self.rosters(machine))
+        self.assertEqual((2, ["a", "b", "c", "d", "e"], ["a", "b", "c"]), self.memberships(machine))
         add("f")  # one alone: majorities meet as they are
-        self.assertEqual((3, ["a", "b", "c", "d", "e", "f"], []), self.rosters(machine))
+        self.assertEqual((3, ["a", "b", "c", "d", "e", "f"], []), self.memberships(machine))
         add("g", "h")
         self.put(machine, put_id="p", expected=0, document=b"{}")
-        self.assertEqual([], machine.state.old_roster)
+        self.assertEqual([], machine.state.old_membership)
 
     def test_a_settled_batch_leaves_no_majority_behind(self) -> None:
         """Every way to install a batch on some: once it counts as settled, neither the
-        roster before nor the new one has a majority without it."""
+        membership before nor the new one has a majority without it."""
         late_us = 10 * LEASE_SPAN_US
         settled = 0
         for olds in range(6):
             for joined in range(2, 6):
-                roster = [f"e{place}" for place in range(olds + joined)]
-                old = roster[:olds]
-                for mask in range(2 ** len(roster)):
-                    has_it = [name for place, name in enumerate(roster) if mask >> place & 1]
-                    ledger = Ledger(since_us=0)
+                membership = [f"e{place}" for place in range(olds + joined)]
+                old = membership[:olds]
+                for mask in range(2 ** len(membership)):
+                    has_it = [name for place, name in enumerate(membership) if mask >> place & 1]
+                    lease_table = LeaseTable(since_us=0)
                     for name in has_it:
-                        ledger.heard(edge=name, incarnation=1, epoch=2, contact=None, now_us=1)
+                        lease_table.heard(edge=name, incarnation=1, epoch=2, contact=None, now_us=1)
                     if not all(  # as the lease service asks
-                        ledger.is_settled(epoch=2, roster=names, now_us=late_us)
-                        for names in ([roster, old] if old else [roster])
+                        lease_table.is_settled(epoch=2, membership=names, now_us=late_us)
+                        for names in ([membership, old] if old else [membership])
                     ):
                         continue
                     settled += 1
-                    for names in (old, roster):
+                    for names in (old, membership):
                         without = len(set(names) - set(has_it))
                         self.assertFalse(names and without * 2 > len(names), (old, has_it))
                         self.assertFalse(names and without * 2 == len(names), (old, has_it))
         self.assertGreater(settled, 100)
 
-    def rosters(self, machine: Machine) -> tuple:
+    def memberships(self, machine: Machine) -> tuple:
         state = machine.state
-        return state.epoch, list(state.roster), list(state.old_roster)
+        return state.epoch, list(state.membership), list(state.old_membership)
 
 
 class Operator:
-    """Puts and reads of a simulated fleet's operator, as HTTP has them."""
+    """Writes and reads of a simulated fleet's operator, as HTTP has them."""
 
     def __init__(self, fleet: SimFleet) -> None:
         self.fleet = fleet
@@ -467,7 +469,7 @@
             self.assertEqual((200, 7), (status, row["version"]))
             self.assertEqual(body, (await operator.fetch("node-03", "GET")).body)
             for edge in fleet.ready_edges():
-                held = fleet.daemons[f"edge/{edge}"].keeper.configuration
+                held = fleet.daemons[f"edge/{edge}"].lease_holder.configuration
                 self.assertEqual((7, {"r-gather", "r-plain"}), (held.version, set(held.forward)))
 
         run_story(story)
@@ -501,7 +503,7 @@
             status, row, took_us = await operator.put("two", base=1, version=5)
             self.assertEqual((503, "unresolved"), (status, row["kind"]))
             self.assertLess(took_us, 950_000)
-            lease_asked_us = edge.keeper.lease_until_us()
+            lease_asked_us = edge.lease_holder.lease_until_us()
             status, row, took_us = await operator.until_taken("two", base=1, version=5)
             self.assertEqual((200, 5), (status, row["version"]))
             self.assertGreaterEqual(
@@ -645,8 +647,8 @@
     }
 
     def faults(self, **more: object) -> list[str]:
-        outcome = judge_env(raw=self.CORE | more, form=CORE_FORM)
-        return [f.path for f in outcome.faults] if isinstance(outcome, EnvRefused) else []
+        outcome = validate_settings(raw=self.CORE | more, form=CORE_FORM)
+        return [f.path for f in outcome.faults] if isinstance(outcome, InvalidSettingsError) else []
 
     def test_cores(self) -> None:
         ten = [f"10.0.0.{n + 1}:1" for n in range(10)]
@@ -671,7 +673,7 @@
     def test_edges(self) -> None:
         edge = {name: value for name, value in self.CORE.items() if name != "data"}
         clash = edge | {"name": "e", "front": "10.0.0.1:2"}
-        self.assertEqual("front", judge_env(raw=clash, form=EDGE_FORM).faults[0].path)
+        self.assertEqual("front", validate_settings(raw=clash, form=EDGE_FORM).faults[0].path)
 
 
 if __name__ == "__main__":
--- a/tests/test_connection_walks.py
+++ b/tests/test_connection_walks.py
@@ -17,7 +17,7 @@
 from contextlib import suppress
 from typing import Any, Iterator
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.http import client as client_module
 from kelpstage.common.http.client import (
     CLOSED,
@@ -240,7 +240,7 @@
         if isinstance(outcome, HttpReply):
             self.assertIn(outcome.body, (name.encode(), b"nobody"))
             self.assertEqual(1, backend.begun[name])
-        elif isinstance(outcome, Defect) and not getattr(outcome, "was_sent", False):
+        elif isinstance(outcome, KelpstageError) and not getattr(outcome, "was_sent", False):
             self.assertEqual(0, backend.begun[name], outcome)
 
 
@@ -572,13 +572,13 @@
             )
             outcome = await client.fetch(call=call)
             kinds[type(outcome).__name__] += 1
-            self.assertIsInstance(outcome, (HttpReply, Defect))
+            self.assertIsInstance(outcome, (HttpReply, KelpstageError))
             if isinstance(outcome, HttpReply):
                 self.assertEqual("me", outcome.headers["x-id"])
         client_module.REPLY_BYTES = limits
         client.close()
         server.close()
-        self.assertGreater(kinds["LineLost"], 50)
+        self.assertGreater(kinds["ConnectionLostError"], 50)
         self.assertGreater(kinds["HttpReply"], 50)
         await until(lambda: client.connections_to(address=f"{host}:{port}") == (0, 0))
 
--- a/tests/test_core_cuts.py
+++ b/tests/test_core_cuts.py
@@ -15,11 +15,13 @@
 from typing import Any, Awaitable, Callable
 from unittest import mock
 
-from kelpstage.common.errors import Defect, DiskDefect, NoLeader, VersionMismatch
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.control import NoLeaderError, VersionMismatchError
+from kelpstage.common.errors.storage import DiskError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
-from kelpstage.common.transport.messages import ProxyOperator
+from kelpstage.common.transport.messages import ForwardOperatorCall
 from kelpstage.core.app import Core
-from kelpstage.core.leases.configuration_writes import Puts, as_result
+from kelpstage.core.leases.configuration_writes import ConfigurationWrites, as_result
 from kelpstage.core.raft import elections
 from kelpstage.core.raft.state import RaftState
 from kelpstage.core.replica_task import ReplicaTask
@@ -108,7 +110,7 @@
         self.is_open = True
         self._version = 0
 
-    async def _call(self, *, member: str, method: str, **more: Any) -> HttpReply | Defect:
+    async def _call(self, *, member: str, method: str, **more: Any) -> HttpReply | KelpstageError:
         cores = self.cores
         return await cores.outside.ports.net.fetch(
             call=HttpCall(
@@ -132,7 +134,7 @@
                 "Kelp-Time-Left-Us": str(ORDER_WAIT_US),
             },
         )
-        status = 0 if isinstance(reply, Defect) else reply.status
+        status = 0 if isinstance(reply, KelpstageError) else reply.status
         self.history.note(
             answer=Answer(
                 kind="order",
@@ -174,7 +176,7 @@
         reply = await self._call(
             member=member, method="GET", headers={"Kelp-Time-Left-Us": str(ORDER_WAIT_US)}
         )
-        is_answered = not isinstance(reply, Defect)
+        is_answered = not isinstance(reply, KelpstageError)
         is_found = is_answered and reply.status == 200
         self.history.note(
             answer=Answer(
@@ -365,7 +367,7 @@
 
 def never_confirmed(self: ReplicaTask, *, wait_us: int) -> Any:
     """Planted fault: a leader's own word stands for the majority's."""
-    outcome = None if self.is_leader else NoLeader(why="not the leader")
+    outcome = None if self.is_leader else NoLeaderError(why="not the leader")
     return _at_once(outcome=outcome)
 
 
@@ -373,19 +375,21 @@
     return outcome
 
 
-async def looked_up_in_memory(self: Puts, *, put: PutConfiguration, digest: bytes) -> Any:
+async def looked_up_in_memory(
+    self: ConfigurationWrites, *, put: PutConfiguration, digest: bytes
+) -> Any:
     """Planted fault: an order is judged by what this member happens to know."""
     outcome = self._task.machine.decided(put=put, digest=digest)
     return None if outcome is None else as_result(outcome=outcome, put_id=put.put_id)
 
 
-async def refused_in_memory(self: Puts, *, put: PutConfiguration, **_: Any) -> Any:
+async def refused_in_memory(self: ConfigurationWrites, *, put: PutConfiguration, **_: Any) -> Any:
     """Planted fault: a base version that this member has not got is refused by its word."""
     current = self._task.machine.state.version
-    return VersionMismatch(expected=put.expected, current=current)
+    return VersionMismatchError(expected=put.expected, current=current)
 
 
-async def read_from_memory(*, core: Core, ask: ProxyOperator) -> HttpReply:
+async def read_from_memory(*, core: Core, ask: ForwardOperatorCall) -> HttpReply:
     """Planted fault: a member that leads, or thinks so, reads without the read index."""
     if ask.method == "GET" and core.task.is_leader:
         return _get_configuration(task=core.task)
@@ -418,8 +422,8 @@
 
     def test_an_order_refused_from_stale_state(self) -> None:
         with (
-            mock.patch.object(Puts, "_look_up", looked_up_in_memory),
-            mock.patch.object(Puts, "_refuse", refused_in_memory),
+            mock.patch.object(ConfigurationWrites, "_look_up", looked_up_in_memory),
+            mock.patch.object(ConfigurationWrites, "_refuse", refused_in_memory),
             mock.patch.object(RaftState, "has_quorum_contact", lambda self: True),
         ):
             found = self.violations(story=cut_story(of="leader", cut=both_ways))
@@ -428,7 +432,7 @@
 
     def test_a_refusal_by_the_log_needs_a_majority_even_beside_a_stale_look_up(self) -> None:
         with (
-            mock.patch.object(Puts, "_look_up", looked_up_in_memory),
+            mock.patch.object(ConfigurationWrites, "_look_up", looked_up_in_memory),
             mock.patch.object(RaftState, "has_quorum_contact", lambda self: True),
         ):
             found = self.violations(story=cut_story(of="leader", cut=both_ways))
@@ -449,8 +453,8 @@
 
     def test_a_woken_core_that_judges_orders_from_memory(self) -> None:
         with (
-            mock.patch.object(Puts, "_look_up", looked_up_in_memory),
-            mock.patch.object(Puts, "_refuse", refused_in_memory),
+            mock.patch.object(ConfigurationWrites, "_look_up", looked_up_in_memory),
+            mock.patch.object(ConfigurationWrites, "_refuse", refused_in_memory),
         ):
             day = run_day(freezes, seed=2, call_us=PATIENT_US)
         self.assertIn("status=412", " ".join(day.history.violations))
@@ -518,7 +522,7 @@
 
     def test_a_read_confirmed_before_the_replica_began_anew_is_void(self) -> None:
         async def begin_anew(cores: Cores, name: str) -> None:
-            cores.daemons[name]._on_disk_defect(DiskDefect(path="log", op="sync", why="planted"))
+            cores.daemons[name]._on_disk_error(DiskError(path="log", op="sync", why="planted"))
             await cores.sleep(10_000)
 
         self.assertEqual(self.read_over(meanwhile=begin_anew).status, 503)
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -10,7 +10,7 @@
 import unittest
 from typing import Any, Awaitable, Callable
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall
 from kelpstage.core.app import Core
 from kelpstage.core.web.operators import serve_operators
@@ -31,16 +31,16 @@
         self.names: list[str] = []
         self.processes: dict[str, SimProcess] = {}
         self.daemons: dict[str, Core] = {}
-        self.lives: dict[str, int] = {}
+        self.instances: dict[str, int] = {}
         self.serial = 0
         self.version = 0
         for place in range(count):
-            self.add(name=f"c{place}", domain=f"d{place % regions}")
-        machine = world.add_machine(name="outside", domain="outside")
-        self.outside = SimProcess(world=world, name="outside", machine=machine, life=1)
+            self.add(name=f"c{place}", zone=f"d{place % regions}")
+        machine = world.add_machine(name="outside", zone="outside")
+        self.outside = SimProcess(world=world, name="outside", machine=machine, instance=1)
 
-    def add(self, *, name: str, domain: str) -> None:
-        machine = self.world.add_machine(name=name, domain=domain)
+    def add(self, *, name: str, zone: str) -> None:
+        machine = self.world.add_machine(name=name, zone=zone)
         self.names.append(name)
         for port in (7100, 8100):
             self.world.homes[self.address(name, port)] = machine
@@ -53,23 +53,23 @@
     ) -> None:
         for name in names or self.names:
             self.world.machines[name].is_on = True
-            self.lives[name] = self.lives.get(name, 0) + 1
+            self.instances[name] = self.instances.get(name, 0) + 1
             process = SimProcess(
                 world=self.world,
                 name=f"core/{name}",
                 machine=self.world.machines[name],
-                life=self.lives[name],
+                instance=self.instances[name],
             )
-            env = {
-                "domain": process.machine.domain,
+            settings = {
+                "domain": process.machine.zone,
                 "own": self.address(name),
                 "http": self.address(name, 8100),
                 "seeds": [self.address(seed) for seed in seeds or self.names[:3]],
                 "data": "data",
                 "bounds": {"tolerance": self.tolerance, "is_first_start": is_first},
             }
-            core = Core(ports=process.ports, env=env, serve=self.serve)
-            assert not isinstance(await core.open(), Defect)
+            core = Core(ports=process.ports, settings=settings, serve=self.serve)
+            assert not isinstance(await core.open(), KelpstageError)
             self.processes[name], self.daemons[name] = process, core
 
     def kill(self, *names: str, is_power: bool = False, is_disk: bool = False) -> None:
@@ -147,10 +147,10 @@
                     "Kelp-Time-Left-Us": "900000",
                 },
             )
-            if not isinstance(reply, Defect) and reply.status == 200:
+            if not isinstance(reply, KelpstageError) and reply.status == 200:
                 self.version = version
                 return target
-            assert isinstance(reply, Defect) or reply.status == 503, reply
+            assert isinstance(reply, KelpstageError) or reply.status == 503, reply
             await self.sleep(100_000)
         raise AssertionError(f"never acknowledged: {reply}")
 
@@ -159,7 +159,7 @@
             reply = await self.call(
                 self.up()[turn % len(self.up())], "GET", headers={"Kelp-Time-Left-Us": "900000"}
             )
-            if not isinstance(reply, Defect) and reply.status == 200:
+            if not isinstance(reply, KelpstageError) and reply.status == 200:
                 return int(reply.headers["etag"].strip('"')), reply.body
             await self.sleep(200_000)
         raise AssertionError(f"not read back: {reply}")
@@ -175,7 +175,7 @@
     far_bytes_per_us: float = 0.0,
 ) -> None:
     """Run a story in a world of its own, on cores that `make` makes; a connection between
-    domains carries so many bytes in a microsecond, without a bound if 0."""
+    zones carries so many bytes in a microsecond, without a bound if 0."""
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     loop.set_exception_handler(lambda _, context: None)
@@ -281,9 +281,9 @@
                 self.assertIsNone(cores.daemons[name].task)
             await cores.start("c2", "c3", "c4", "c5", seeds=["c0", "c1", "c2"])
             cores.daemons["c0"].reread(
-                env={"seeds": [cores.address(n) for n in ("c3", "c4", "c5")]}
+                settings={"seeds": [cores.address(n) for n in ("c3", "c4", "c5")]}
             )
-            cores.daemons["c1"].reread(env={"seeds": [cores.address("c5")]})
+            cores.daemons["c1"].reread(settings={"seeds": [cores.address("c5")]})
             await cores.wait_for(lambda: len(cores.voters()) == 5)
             await cores.wait_for(
                 lambda: all(d.identity.cluster == cluster for d in cores.daemons.values())
@@ -367,7 +367,7 @@
                 cores.kill(gone, is_disk=True)
                 cores.world.machines[gone].is_on = False
                 fresh = f"c{turn + 3}"
-                cores.add(name=fresh, domain=f"d{turn % 3}")
+                cores.add(name=fresh, zone=f"d{turn % 3}")
                 await cores.sleep(800_000)
                 # The list of seeds lags: the one that is gone is still on it.
                 await cores.start(fresh, seeds=[gone, *cores.names[:2]])
@@ -388,7 +388,7 @@
                 replica = cores.daemons[moved].identity.replica
                 cores.kill(moved)
                 cores.world.machines[moved].is_on = False
-                cores.add(name=fresh, domain=f"d{turn}")
+                cores.add(name=fresh, zone=f"d{turn}")
                 cores.world.machines[fresh].platter = cores.world.machines[moved].platter
                 await cores.start(fresh, seeds=cores.names[:2])
                 await cores.wait_for(lambda fresh=fresh: cores.address(fresh) in cores.voters())
@@ -501,7 +501,7 @@
                     "Kelp-Time-Left-Us": "900000",
                 },
             )
-            if isinstance(reply, Defect) or reply.status == 503:
+            if isinstance(reply, KelpstageError) or reply.status == 503:
                 await cores.sleep(rand.randrange(20_000, 400_000))
                 continue
             if reply.status == 200:
@@ -522,7 +522,7 @@
             reply = await cores.call(
                 rand.choice(cores.names), "GET", headers={"Kelp-Time-Left-Us": "900000"}
             )
-            if isinstance(reply, Defect) or reply.status == 503:
+            if isinstance(reply, KelpstageError) or reply.status == 503:
                 await cores.sleep(100_000)
                 continue
             version = 0 if reply.status == 404 else int(reply.headers["etag"].strip('"'))
--- a/tests/test_cores_power_loss.py
+++ b/tests/test_cores_power_loss.py
@@ -9,7 +9,7 @@
 from typing import Any
 from unittest import mock
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.core.app import Core
 from kelpstage.core.store.store import Store
 from tests.test_cores import Cores, play
@@ -170,9 +170,9 @@
         for turn in range(READS_MOST):
             name = cores.up()[turn % len(cores.up())]
             reply = await cores.call(name, "GET", headers={"Kelp-Time-Left-Us": "900000"})
-            if not isinstance(reply, Defect) and reply.status == 404:
+            if not isinstance(reply, KelpstageError) and reply.status == 404:
                 return 0
-            if not isinstance(reply, Defect) and reply.status == 200:
+            if not isinstance(reply, KelpstageError) and reply.status == 200:
                 return int(reply.headers["etag"].strip('"'))
             await cores.sleep(200_000)
         raise AssertionError(f"not read back: {reply}")
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,12 +1,15 @@
-"""The pages name every defect, setting and fault story that there is."""
+"""The pages name every error, setting and fault story that there is."""
 
 from __future__ import annotations
 
+import importlib
 import pathlib
+import pkgutil
 import re
 import unittest
 
 from kelpstage.common import errors
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM
 from kelpstage.testbed.checkers.register import CHECKERS
 from kelpstage.testbed.platform_model.rules.register import RULES
@@ -21,13 +24,11 @@
 
 
 class Pages(unittest.TestCase):
-    def test_every_defect_is_explained(self) -> None:
+    def test_every_error_is_explained(self) -> None:
         text = page(name="callers.md") + page(name="operators.md")
-        kinds = [
-            errors.tag_of(name=name)
-            for name, kind in vars(defects).items()
-            if isinstance(kind, type) and issubclass(kind, errors.Defect) and name != "Defect"
-        ]
+        for module in pkgutil.iter_modules(errors.__path__, prefix=f"{errors.__name__}."):
+            importlib.import_module(module.name)
+        kinds = [error.kind for error in KelpstageError.__subclasses__()]
         self.assertGreater(len(kinds), 30)
         self.assertEqual([], [kind for kind in kinds if f"`{kind}`" not in text])
 
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -12,7 +12,7 @@
 from kelpstage.cli.offline.warnings import warnings_of
 from kelpstage.common.configuration.types import Configuration
 from kelpstage.common.configuration.validation import DOCUMENT_LIMIT, read_configuration
-from kelpstage.common.errors import ConfigurationRefused
+from kelpstage.common.errors.validation import InvalidConfigurationError
 from kelpstage.testbed.fleet.deployment import configuration_of, load, names
 
 EXAMPLES = pathlib.Path(__file__).resolve().parent.parent / "docs" / "configurations"
@@ -105,7 +105,7 @@
         ):
             with self.subTest(data=data[:20]):
                 self.assertIsInstance(
-                    read_configuration(data=data, version=1), ConfigurationRefused
+                    read_configuration(data=data, version=1), InvalidConfigurationError
                 )
 
     def test_quorum_true_is_no_number(self) -> None:
@@ -124,7 +124,7 @@
             document["nodes"][f"node-0{number}"]["labels"]["role"] = "other"
         found = {w.path: w.why for w in warnings_of(configuration=read(document))}
         self.assertIn("one backend only", found["collections.tiny.shards.s1"])
-        self.assertIn("all backends in one domain", found["collections.tiny.shards.s2"])
+        self.assertIn("all backends in one zone", found["collections.tiny.shards.s2"])
         self.assertIn("the loss of", found["routes.tiny.Quorum"])
         self.assertIn("1 nodes may gather", found["collections.tiny.gatherers"])
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -7,7 +7,7 @@
 import random
 import unittest
 
-from kelpstage.edge.events import Began, Ended, RoundEnded
+from kelpstage.edge.events import AttemptEnded, Began, Ended
 from kelpstage.edge.timelines import EVENTS_AT_MOST, KEPT, MARKED_KEPT, Timelines
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.faults import FAULTS
@@ -33,7 +33,7 @@
     def run_story(self, story) -> None:
         run_sim(seed=2, deployment=load(name="tiny"), story=story)
 
-    def test_a_good_search_with_its_partners_parts(self) -> None:
+    def test_a_good_search_with_its_peers_parts(self) -> None:
         async def story(fleet: SimFleet) -> None:
             await fleet.bring_up()
             address = fleet.edge_http["node-04"]
@@ -42,9 +42,9 @@
             self.assertEqual(reply.headers["kelp-search"], body["search"])
             view = await told(fleet, address, reply)
             self.assertEqual(("complete", 6), (view["outcome"], view["shards_in"]))
-            rounds = [r for r in view["timeline"] if r["event"] == "RoundSent"]
+            rounds = [r for r in view["timeline"] if r["event"] == "AttemptSent"]
             for part in view["partners"].values():
-                rounds += [r for r in part["timeline"] if r["event"] == "RoundSent"]
+                rounds += [r for r in part["timeline"] if r["event"] == "AttemptSent"]
             chosen = {row["shard"]: row["backend"] for row in rounds}
             self.assertEqual({p["shard"]: p["backend"] for p in body["parts"]}, chosen)
             for row in rounds:
@@ -75,8 +75,10 @@
                 for row in part.get("timeline", [])
             ]
             kinds = {row["event"] for row in events}
-            self.assertLessEqual({"RoundSent", "RoundRefused", "PartnerLate", "Ended"}, kinds)
-            whys = {row["why"] for row in events if row["event"] in ("RoundSent", "RoundRefused")}
+            self.assertLessEqual({"AttemptSent", "AttemptRefused", "ChildLate", "Ended"}, kinds)
+            whys = {
+                row["why"] for row in events if row["event"] in ("AttemptSent", "AttemptRefused")
+            }
             self.assertIn("past its window: a rival", whys)
             self.assertIn("past its window: a rival: the budget is spent", whys)
             listed = await fetch(fleet, address, "/v1/searches?only=failed&limit=3")
@@ -88,7 +90,7 @@
 
         self.run_story(story)
 
-    def test_begun_again_and_a_dead_partner(self) -> None:
+    def test_begun_again_and_a_dead_peer(self) -> None:
         async def story(fleet: SimFleet) -> None:
             await fleet.bring_up()
             address = fleet.edge_http["node-04"]
@@ -98,7 +100,7 @@
             await fleet.sleep(us=50_000)
             await FAULTS["recut"](fleet, random.Random(1))
             view = await told(fleet, address, await call)
-            self.assertEqual(1, sum(r["event"] == "BeganAgain" for r in view["timeline"]))
+            self.assertEqual(1, sum(r["event"] == "SearchRestarted" for r in view["timeline"]))
             self.assertEqual(2, sum(r["event"] == "Planned" for r in view["timeline"]))
             fleet.kill_edge(name="node-02")
             view = await told(fleet, address, await search(fleet, address))
@@ -136,7 +138,7 @@
             for turn in range(EVENTS_AT_MOST + 5 if number == 0 else 1):
                 view.fold(
                     number,
-                    RoundEnded(search=name, shard="s", number=turn, backend="b", outcome="in"),
+                    AttemptEnded(search=name, shard="s", number=turn, backend="b", outcome="in"),
                 )
             outcome = "quorum_not_met" if number < 10 else "complete"
             view.fold(
--- a/tests/test_fleet_sim.py
+++ b/tests/test_fleet_sim.py
@@ -31,7 +31,7 @@
 
 
 class CallersInput(unittest.TestCase):
-    def test_bad_calls_get_typed_defects(self) -> None:
+    def test_bad_calls_get_typed_errors(self) -> None:
         search = "/v1/collections/tiny/search"
         cases = [
             ("POST", search, {}, b"{}", 400, "missing_time_left"),
@@ -227,14 +227,14 @@
                     fleet.world.cut(a="node-05", b=other)
             row = await fleet.put_next()
             self.assertEqual(200, row["status"])
-            self.assertEqual(1, edge.keeper.configuration.version)
+            self.assertEqual(1, edge.lease_holder.configuration.version)
             self.assertTrue(edge.refusal())
             self.assertNotIn("node-05", fleet.ready_edges())
             fleet.world.heal()
             await fleet.wait_for(
                 what="the edge to catch up", is_there=lambda: not edge.refusal(), us=5_000_000
             )
-            self.assertEqual(2, edge.keeper.configuration.version)
+            self.assertEqual(2, edge.lease_holder.configuration.version)
 
         run_story(story)
 
@@ -271,39 +271,39 @@
 
 class Vouching(unittest.TestCase):
     """An epoch that was announced and then lost with every core stops nobody; one
-    that a partner has installed does."""
+    that a peer has installed does."""
 
     def test_heard_of_is_not_installed(self) -> None:
         from kelpstage.common.configuration.types import Configuration
-        from kelpstage.common.transport.messages import LeaseReply, StateDoc, WitnessReply
-        from kelpstage.edge.lease.lease_holder import Keeper
+        from kelpstage.common.transport.messages import ConfirmEpochReply, LeaseReply, StateDoc
+        from kelpstage.edge.lease.lease_holder import LeaseHolder
 
-        keeper = Keeper(me="a")
-        roster = ["a", "b", "c"]
-        keeper.install(
-            doc=StateDoc(cluster="k", epoch=4, version=1, roster=roster),
+        lease_holder = LeaseHolder(me="a")
+        membership = ["a", "b", "c"]
+        lease_holder.install(
+            doc=StateDoc(cluster="k", epoch=4, version=1, membership=membership),
             configuration=Configuration(version=1, document=b""),
             now_us=0,
         )
-        keeper.take_lease(
+        lease_holder.take_lease(
             reply=LeaseReply(is_granted=True, cluster="k", epoch=4, span_us=10), sent_us=0
         )
 
         def hear(edge: str, epoch: int, vouches: bool = True) -> None:
-            keeper.take_witness(
-                reply=WitnessReply(edge=edge, vouches=vouches, epoch=epoch, cluster="k"),
+            lease_holder.on_epoch_confirmed(
+                reply=ConfirmEpochReply(edge=edge, vouches=vouches, epoch=epoch, cluster="k"),
                 asked_us=100 + epoch,
             )
 
         hear("b", 4, vouches=False)
-        self.assertTrue(keeper.refusal(now_us=200))
+        self.assertTrue(lease_holder.refusal(now_us=200))
         hear("b", 4)
-        self.assertEqual("", keeper.refusal(now_us=200))
-        self.assertTrue(keeper.note_epoch(epoch=5, source=""))
-        self.assertEqual("", keeper.refusal(now_us=200))
+        self.assertEqual("", lease_holder.refusal(now_us=200))
+        self.assertTrue(lease_holder.note_epoch(epoch=5, source=""))
+        self.assertEqual("", lease_holder.refusal(now_us=200))
         hear("c", 5)
-        self.assertIn("newer epoch", keeper.refusal(now_us=200))
-        self.assertTrue(keeper.refusal(now_us=5_000_000))
+        self.assertIn("newer epoch", lease_holder.refusal(now_us=200))
+        self.assertTrue(lease_holder.refusal(now_us=5_000_000))
 
 
 class FixedSeeds(unittest.TestCase):
@@ -351,11 +351,11 @@
         403: [
             (9_296_877, "core_freeze"),
             (16_307_625, "edges_one_way"),
-            (16_367_654, "domain_cut"),
+            (16_367_654, "zone_cut"),
             (19_384_883, "backend_lies"),
         ],
         427: [
-            (474_055, "domain_cut"),
+            (474_055, "zone_cut"),
             (7_710_180, "backend_drains"),
             (15_500_114, "many_recuts"),
             (16_463_365, "backends_pause"),
@@ -387,8 +387,8 @@
     def test_a_herd_while_cores_are_gone(self) -> None:
         self.judge_run(seed=325, deployment="netherlands")
 
-    def test_a_domain_cut_off_far_away(self) -> None:
-        self.judge_run(seed=6, deployment="netherlands", names="domain_cut", far_us=60_000)
+    def test_a_zone_cut_off_far_away(self) -> None:
+        self.judge_run(seed=6, deployment="netherlands", names="zone_cut", far_us=60_000)
 
     def test_moved_backends_far_away(self) -> None:
         self.judge_run(seed=5, deployment="netherlands", names="put_moves", far_us=60_000)
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -6,26 +6,22 @@
 import unittest
 from types import SimpleNamespace
 
-from kelpstage.common.errors import (
-    BackendFailed,
-    BackendLost,
-    BadReply,
-    ConnectRefused,
-    LineLost,
-    NoBackend,
-    NotRun,
-    QuorumNotMet,
-    TimeLeftSpent,
-    UnknownRoute,
-    WaitOver,
+from kelpstage.common.errors.backends import (
+    BackendConnectionError,
+    BackendFailedError,
+    InvalidReplyError,
+    RequestNotRunError,
 )
+from kelpstage.common.errors.requests import UnknownRouteError
+from kelpstage.common.errors.serving import DeadlineExceededError, NoBackendError, QuorumNotMetError
+from kelpstage.common.errors.transport import ConnectError, ConnectionLostError, ReplyTimeoutError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Owner
 from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.forward.request import read_request
 from kelpstage.edge.forward.sealed_answer import SealedCodec
 from kelpstage.edge.gather.record_order import ByteOrder, lowest_cut
 from kelpstage.edge.gather.stages.merge import surely_not_run
-from kelpstage.edge.gather.tree import Branch, grow_by_zone
+from kelpstage.edge.gather.tree import Subtree, grow_by_zone
 from kelpstage.edge.retries.load_shedding import IN_FLIGHT_AT_MOST, may_enter
 from kelpstage.edge.web.forward import failure_reply
 
@@ -74,19 +70,19 @@
 
     def test_what_is_no_part(self):
         for given, kind in (
-            (reply(request="r-2"), BadReply),
-            (reply(request="r-2", status=421), BadReply),
-            (reply(request="r-2", status=503, headers={"kelp-not-run": "1"}), BadReply),
-            (HttpReply(status=503, headers={"kelp-not-run": "1"}), BadReply),
-            (reply(headers={"kelp-not-run": "1"}), BadReply),
-            (reply(seal=""), BadReply),
-            (reply(seal="a,b"), BadReply),
-            (reply(headers={"content-encoding": "gzip"}), BadReply),
-            (reply(status=500), BackendFailed),
-            (reply(status=504), BackendFailed),
-            (reply(status=503, headers={"kelp-not-run": "1"}), NotRun),
-            (reply(status=429, headers={"kelp-not-run": "1"}), NotRun),
-            (reply(status=421), NotRun),
+            (reply(request="r-2"), InvalidReplyError),
+            (reply(request="r-2", status=421), InvalidReplyError),
+            (reply(request="r-2", status=503, headers={"kelp-not-run": "1"}), InvalidReplyError),
+            (HttpReply(status=503, headers={"kelp-not-run": "1"}), InvalidReplyError),
+            (reply(headers={"kelp-not-run": "1"}), InvalidReplyError),
+            (reply(seal=""), InvalidReplyError),
+            (reply(seal="a,b"), InvalidReplyError),
+            (reply(headers={"content-encoding": "gzip"}), InvalidReplyError),
+            (reply(status=500), BackendFailedError),
+            (reply(status=504), BackendFailedError),
+            (reply(status=503, headers={"kelp-not-run": "1"}), RequestNotRunError),
+            (reply(status=429, headers={"kelp-not-run": "1"}), RequestNotRunError),
+            (reply(status=421), RequestNotRunError),
         ):
             with self.subTest(status=given.status, headers=given.headers):
                 self.assertIsInstance(self.part(given), kind)
@@ -96,7 +92,7 @@
 
     def test_a_503_that_does_not_say_so_has_run(self):
         whole = self.codec.read_whole(reply=reply(status=503), backend="i-1", request_id="r-1")
-        self.assertIsInstance(whole, BackendFailed)
+        self.assertIsInstance(whole, BackendFailedError)
         self.assertFalse(surely_not_run(outcome=whole))
 
     def test_a_late_answer_to_another_request_is_passed_over(self):
@@ -135,13 +131,13 @@
 
     def test_only_what_surely_did_not_run_may_be_sent_again_where_once_is_the_most(self):
         for outcome, is_sure in (
-            (ConnectRefused(address="a"), True),
-            (NotRun(backend="i", answer=503, why="full"), True),
-            (LineLost(address="a", was_sent=False), True),
-            (LineLost(address="a"), False),
-            (WaitOver(address="a", after_us=1), False),
-            (BadReply(backend="i", part="seal", why="none"), False),
-            (BackendFailed(backend="i", answer=500), False),
+            (ConnectError(address="a"), True),
+            (RequestNotRunError(backend="i", answer=503, why="full"), True),
+            (ConnectionLostError(address="a", was_sent=False), True),
+            (ConnectionLostError(address="a"), False),
+            (ReplyTimeoutError(address="a", after_us=1), False),
+            (InvalidReplyError(backend="i", part="seal", why="none"), False),
+            (BackendFailedError(backend="i", answer=500), False),
         ):
             with self.subTest(outcome=outcome.kind):
                 self.assertEqual(surely_not_run(outcome=outcome), is_sure)
@@ -181,9 +177,9 @@
         self.assertEqual(near, {"a", "b", "c", "f"})
 
 
-def walk(branch: Branch):
-    yield branch
-    for child in branch.children:
+def walk(subtree: Subtree):
+    yield subtree
+    for child in subtree.children:
         yield from walk(child)
 
 
@@ -212,18 +208,18 @@
         return given.status, given.headers.get("Retry-After")
 
     def test_503_only_for_what_has_not_run(self):
-        failure = NoBackend(shard="s", why="none")
+        failure = NoBackendError(shard="s", why="none")
         self.assertEqual(self.status(failure)[0], 503)
         self.assertIsNotNone(self.status(failure)[1])
         self.assertEqual(self.status(failure, has_run=True), (502, None))
-        short = QuorumNotMet(collection="c", configuration=1, shards_in=1, quorum=2)
+        short = QuorumNotMetError(collection="c", configuration=1, shards_in=1, quorum=2)
         self.assertEqual(self.status(short, has_run=True), (502, None))
-        self.assertEqual(self.status(UnknownRoute(host="h", path="/"))[0], 404)
+        self.assertEqual(self.status(UnknownRouteError(host="h", path="/"))[0], 404)
 
     def test_what_has_not_run_is_told_so_whatever_failed(self):
         for failure in (
-            BackendLost(backend="b", cause="turned away"),
-            TimeLeftSpent(where="at the backend"),
+            BackendConnectionError(backend="b", cause="turned away"),
+            DeadlineExceededError(where="at the backend"),
         ):
             status, retry_after = self.status(failure)
             self.assertEqual(503, status)
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -8,24 +8,26 @@
 from kelpstage.common.ports.interfaces import HttpReply
 from kelpstage.edge.backend.reply import SealedPart, read_reply
 from kelpstage.edge.gather.record_order import lowest_cut, merge, sort_and_cut
-from kelpstage.edge.gather.tree import Branch, grow, last_fan_out, levels
+from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
 from kelpstage.testbed.stand_ins.backend import LIES, bent_body
 from kelpstage.testbed.stand_ins.records import Cut, best, part, sealed_reply
 
 
-def gathered(*, branch: Branch, cut: Cut, query: str, limit: int | None) -> list:
+def gathered(*, subtree: Subtree, cut: Cut, query: str, limit: int | None) -> list:
     """What a branch passes up, by the rules of its level."""
     runs = [
         sort_and_cut(
             records=[(-s, d) for s, d in part(query=query, cut=cut, shard=shard)],
             cut=lowest_cut(limit=limit),
         )
-        for shard in branch.shards
+        for shard in subtree.shards
+    ]
+    runs += [
+        gathered(subtree=child, cut=cut, query=query, limit=limit) for child in subtree.children
     ]
-    runs += [gathered(branch=child, cut=cut, query=query, limit=limit) for child in branch.children]
     merged = merge(runs=runs, limit=None)
     cut_at = lowest_cut(limit=limit)
-    return merged[:cut_at] if cut_at is not None and not branch.children else merged
+    return merged[:cut_at] if cut_at is not None and not subtree.children else merged
 
 
 class TreeTest(unittest.TestCase):
@@ -69,7 +71,7 @@
                 fan_out=rand.choice((2, 3, 5)),
             )
             got = merge(
-                runs=[gathered(branch=tree, cut=cut, query=query, limit=limit)], limit=limit
+                runs=[gathered(subtree=tree, cut=cut, query=query, limit=limit)], limit=limit
             )
             self.assertEqual(
                 best(query=query, cut=cut, shards=frozenset(shards), limit=limit),
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -1,5 +1,5 @@
 """What the control work costs as a fleet grows: gossip and leases on their own, hollow
-fleets of whole daemons, and the refusals of `kelprig hollow`."""
+fleets of whole daemons, and the refusals of `kelpstage-testbed hollow`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from kelpstage.common.transport.connections import IDLE_LOOK_US, IDLE_US
 from kelpstage.common.transport.delta import apply_delta, pack_delta
 from kelpstage.common.transport.messages import EdgeContact, MemberMsg
-from kelpstage.core.leases.lease_table import Ledger
+from kelpstage.core.leases.lease_table import LeaseTable
 from kelpstage.edge.gossip.swim import ALIVE, DEAD, PING, SUSPECT, TICK_US, Swim
 from kelpstage.edge.lease.task import LARGE_RENEW_WAIT_US, renew_period_us
 from kelpstage.testbed.hollow.fleet import SECOND, HollowFleet, HollowStuck, document
@@ -41,7 +41,7 @@
         try:
             await fleet.start()
             await fleet.wait_for(
-                what="a whole roster",
+                what="a whole membership",
                 us=30 * SECOND,
                 is_there=lambda: fleet.leader() != "" and fleet.ready_to_put(),
             )
@@ -73,7 +73,7 @@
         address=f"10.0.{n // 250}.{n % 250 + 1}:7000",
         incarnation=1_700_000_000_000_000,
         beat=beat,
-        domain=f"zone-{n % 6}",
+        zone=f"zone-{n % 6}",
         http=f"10.0.{n // 250}.{n % 250 + 1}:8000",
         **more,
     )
@@ -84,9 +84,9 @@
     swim = Swim(
         me=member(n=n),
         rand=random.Random(n),
-        rumors=list,
-        on_rumor=lambda rumor: None,
-        is_near=lambda domain: domain in ("zone-0", "zone-1"),
+        backend_states=list,
+        on_backend_state=lambda backend_state: None,
+        is_near=lambda zone: zone in ("zone-0", "zone-1"),
     )
     swim.take_table(table=[bytes(member(n=i)) for i in range(count) if i != n], now_us=0)
     return swim
@@ -143,7 +143,10 @@
         self.assertEqual(SUSPECT, b.status(name="node-0002"))
         # It is alive after all: its own word counts at once, whatever beat was guessed.
         c = Swim(
-            me=member(n=2, beat=12), rand=random.Random(2), rumors=list, on_rumor=lambda rumor: None
+            me=member(n=2, beat=12),
+            rand=random.Random(2),
+            backend_states=list,
+            on_backend_state=lambda backend_state: None,
         )
         c.meet(name="node-0001", address="10.0.0.2:7000", incarnation=0, now_us=0)
         _, news = b._message(to="node-0002", kind=PING, number=9)
@@ -199,26 +202,28 @@
         return EdgeContact(name=name, address=f"{name}:1", incarnation=incarnation)
 
     def test_only_what_changed_is_told(self) -> None:
-        ledger = Ledger(since_us=5)
+        lease_table = LeaseTable(since_us=5)
         for n in range(90):
-            ledger.heard(
+            lease_table.heard(
                 edge=f"n{n}", incarnation=1, epoch=1, contact=self.contact(f"n{n}"), now_us=9
             )
-        ledger.note_cores(cores=["a:1", "b:1"])
-        mark = ledger.mark()
-        self.assertEqual(([], []), ledger.news_for(known=mark, now_us=10, limit=32))
+        lease_table.note_cores(cores=["a:1", "b:1"])
+        mark = lease_table.mark()
+        self.assertEqual(([], []), lease_table.news_for(known=mark, now_us=10, limit=32))
         # A renewal without its contact changes nothing, a new life does.
-        ledger.heard(edge="n1", incarnation=1, epoch=2, contact=EdgeContact(), now_us=11)
-        self.assertEqual(mark, ledger.mark())
-        ledger.heard(edge="n2", incarnation=2, epoch=2, contact=self.contact("n2", 2), now_us=11)
-        contacts, cores = ledger.news_for(known=mark, now_us=12, limit=32)
+        lease_table.heard(edge="n1", incarnation=1, epoch=2, contact=EdgeContact(), now_us=11)
+        self.assertEqual(mark, lease_table.mark())
+        lease_table.heard(
+            edge="n2", incarnation=2, epoch=2, contact=self.contact("n2", 2), now_us=11
+        )
+        contacts, cores = lease_table.news_for(known=mark, now_us=12, limit=32)
         self.assertEqual((["n2"], []), ([contact.name for contact in contacts], cores))
 
-    def test_a_mark_of_another_ledger_counts_for_nothing(self) -> None:
-        old, new = Ledger(since_us=5), Ledger(since_us=6)
-        for ledger in (old, new):
-            ledger.heard(edge="n", incarnation=1, epoch=1, contact=self.contact("n"), now_us=9)
-            ledger.note_cores(cores=["a:1"])
+    def test_a_mark_of_another_lease_table_counts_for_nothing(self) -> None:
+        old, new = LeaseTable(since_us=5), LeaseTable(since_us=6)
+        for lease_table in (old, new):
+            lease_table.heard(edge="n", incarnation=1, epoch=1, contact=self.contact("n"), now_us=9)
+            lease_table.note_cores(cores=["a:1"])
         contacts, cores = new.news_for(known=old.mark(), now_us=10, limit=32)
         self.assertEqual((1, ["a:1"]), (len(contacts), cores))
 
@@ -258,7 +263,7 @@
         bytes and lines bounded."""
 
         async def story(fleet: HollowFleet) -> None:
-            epoch = fleet.edges["n0009"].keeper.epoch
+            epoch = fleet.edges["n0009"].lease_holder.epoch
             self.assertLess(epoch, 12, "each join had an epoch of its own")
             fleet._is_watching = True
             await fleet.sleep(us=4 * SECOND)
@@ -290,11 +295,11 @@
     def test_who_was_to_hand_the_news_on_is_gone(self) -> None:
         async def story(fleet: HollowFleet) -> None:
             leader = fleet.cores[fleet.leader()]
-            contacts = leader.lease_service.ledger.contacts(now_us=fleet.world.now_us())
+            contacts = leader.lease_service.lease_table.contacts(now_us=fleet.world.now_us())
             firsts = {}
             for contact in contacts:
-                firsts.setdefault(contact.domain, contact.name)
-            # The leader picks at random: here always the first of each domain.
+                firsts.setdefault(contact.zone, contact.name)
+            # The leader picks at random: here always the first of each zone.
             leader.ports.rand.randrange = lambda *_: 0
             silent = [name for name in firsts.values() if int(name[1:]) >= 3]
             for name in silent:
@@ -344,7 +349,7 @@
                 is_there=lambda: min(len(e.swim.live()) for e in fleet.edges.values()) == 24,
             )
             self.assertEqual(24, fleet.ready_count())
-            versions = {edge.keeper.configuration.version for edge in fleet.edges.values()}
+            versions = {edge.lease_holder.configuration.version for edge in fleet.edges.values()}
             self.assertEqual({fleet.version}, versions)
 
         with constants_set(constants={"kelpstage.edge.gossip.swim:FORGET_US": 15 * SECOND}):
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -11,7 +11,7 @@
 import unittest
 from typing import Any, Awaitable, Callable
 
-from kelpstage.common.errors import ConnectRefused, LineLost, WaitOver
+from kelpstage.common.errors.transport import ConnectError, ConnectionLostError, ReplyTimeoutError
 from kelpstage.common.http import client as client_module
 from kelpstage.common.http.client import HttpClient
 from kelpstage.common.http.server import HttpServer
@@ -409,8 +409,8 @@
         ):
             raw = await self.raw(data)
             status, _, body = await raw.reply()
-            defect = json.loads(body)["defect"]
-            self.assertEqual((408, "slow_request", part), (status, defect["kind"], defect["part"]))
+            error = json.loads(body)["defect"]
+            self.assertEqual((408, "slow_request", part), (status, error["kind"], error["part"]))
             self.assertEqual(b"", await raw.rest())
         self.assertEqual(["/slow"], self.urls())
         self.gates["/slow"].set()
@@ -566,7 +566,7 @@
             ("/a", {"headers": {"A": "b\0"}}),
         ):
             outcome = await self.fetch(path, **fields)
-            self.assertIsInstance(outcome, LineLost)
+            self.assertIsInstance(outcome, ConnectionLostError)
             self.assertFalse(outcome.was_sent)
         self.assertEqual(0, self.lines)
 
@@ -633,7 +633,7 @@
         first = asyncio.ensure_future(self.fetch("/first", line_limit=1))
         await until(lambda: bool(self.requests))
         late = await self.fetch("/late", line_limit=1, wait_us=20_000)
-        self.assertEqual((WaitOver, False), (type(late), late.was_sent))
+        self.assertEqual((ReplyTimeoutError, False), (type(late), late.was_sent))
         gone = asyncio.ensure_future(self.fetch("/gone", line_limit=1))
         last = asyncio.ensure_future(self.fetch("/last", line_limit=1))
         await asyncio.sleep(0)
@@ -654,7 +654,7 @@
 
         await self.serve(script)
         late = await self.fetch(line_limit=1, wait_us=300_000)
-        self.assertEqual((WaitOver, True), (type(late), late.was_sent))
+        self.assertEqual((ReplyTimeoutError, True), (type(late), late.was_sent))
         await until(lambda: self.ended == [1])
         task = asyncio.ensure_future(self.fetch(line_limit=1))
         waiting = asyncio.ensure_future(self.fetch(line_limit=1))
@@ -682,7 +682,7 @@
     async def test_nobody_there(self) -> None:
         for limit in (0, 1):
             outcomes = await asyncio.gather(*(self.fetch(line_limit=limit) for _ in range(3)))
-            self.assertEqual([ConnectRefused] * 3, [type(outcome) for outcome in outcomes])
+            self.assertEqual([ConnectError] * 3, [type(outcome) for outcome in outcomes])
         self.assertEqual((0, 0), self.kept())
         self.assertFalse((await self.fetch("/", headers={"A": "\n"})).was_sent)
         wrong = await self.client.fetch(call=HttpCall(method="GET", url="http://nowhere/x"))
@@ -698,7 +698,9 @@
             sock.setblocking(False)
             sock.connect_ex((host, int(port)))
         outcome = await self.fetch(wait_us=100_000)
-        self.assertEqual((WaitOver, False, (0, 0)), (type(outcome), outcome.was_sent, self.kept()))
+        self.assertEqual(
+            (ReplyTimeoutError, False, (0, 0)), (type(outcome), outcome.was_sent, self.kept())
+        )
         for sock in (listener, *fill):
             sock.close()
 
@@ -747,7 +749,8 @@
                 with self.subTest(reply=reply, limit=limit):
                     outcome = await self.fetch(line_limit=limit, method="POST", body=b"x")
                     self.assertEqual(
-                        (LineLost, why, True), (type(outcome), outcome.why, outcome.was_sent)
+                        (ConnectionLostError, why, True),
+                        (type(outcome), outcome.why, outcome.was_sent),
                     )
                     self.assertEqual((0, 0), self.kept())
         self.assertEqual(2 * len(cases), len(self.requests))
@@ -876,7 +879,7 @@
         await self.replies(OK, b"", OK)
         self.assertEqual(200, (await self.fetch()).status)
         lost = await self.fetch(method="POST", body=b"x")
-        self.assertEqual((LineLost, True), (type(lost), lost.was_sent))
+        self.assertEqual((ConnectionLostError, True), (type(lost), lost.was_sent))
         self.assertEqual(200, (await self.fetch()).status)
         self.assertEqual((3, 2), (len(self.requests), self.lines))
 
@@ -890,7 +893,9 @@
 
         await self.serve(script)
         lost = await self.fetch()
-        self.assertEqual((LineLost, True, 1), (type(lost), lost.was_sent, len(self.requests)))
+        self.assertEqual(
+            (ConnectionLostError, True, 1), (type(lost), lost.was_sent, len(self.requests))
+        )
 
     async def test_what_the_other_side_says_of_the_line_is_heeded(self) -> None:
         for header in (b"Connection: close", b"Keep-Alive: timeout=0"):
@@ -929,7 +934,7 @@
         self.assertEqual((b"b", (0, 0)), (got.body, self.kept()))
         for why in ("no answer in the protocol", "closed"):
             got = await self.fetch(owner_of=lambda reply: Owner(reply.headers["x-id"] == "b"))
-            self.assertEqual((LineLost, why, True), (type(got), got.why, got.was_sent))
+            self.assertEqual((ConnectionLostError, why, True), (type(got), got.why, got.was_sent))
         self.assertEqual(3, len(self.requests))
 
     async def test_an_extra_answer_and_the_true_one_later(self) -> None:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,12 +16,12 @@
 
 from kelpstage.common.transport.messages import LeaseReply
 from kelpstage.core.leases.lease_service import LeaseService
-from kelpstage.core.leases.lease_table import LEASE_SPAN_US, Ledger
+from kelpstage.core.leases.lease_table import LEASE_SPAN_US, LeaseTable
 from kelpstage.core.raft.state import RaftState
 from kelpstage.core.raft.types import TransferLeadership
-from kelpstage.edge.backend.endpoint_list import Roll
-from kelpstage.edge.backend.instance import Life
-from kelpstage.edge.lease.lease_holder import WITNESS_US, Keeper
+from kelpstage.edge.backend.endpoint_list import EndpointList
+from kelpstage.edge.backend.instance import Instance
+from kelpstage.edge.lease.lease_holder import WITNESS_US, LeaseHolder
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from kelpstage.testbed.simulation.world import SimClock
@@ -82,9 +82,9 @@
             process = self.fleet.processes[f"edge/{node.name}"]
             if not process.is_alive or process.is_frozen:
                 continue
-            version = edge.keeper.configuration.version
+            version = edge.lease_holder.configuration.version
             own_us = edge.ports.clock.now_us()
-            if version < newest and edge.keeper.has_lease(now_us=own_us):
+            if version < newest and edge.lease_holder.has_lease(now_us=own_us):
                 self._note(name=node.name, what=f"a lease at {version}, acknowledged {newest}")
             if edge.refusal():
                 self.unready_us[node.name] = self.unready_us.get(node.name, 0) + LOOK_US
@@ -141,7 +141,7 @@
 
     async def tell(fleet: SimFleet) -> None:
         await fleet.start()
-        await fleet.wait_for(what="a whole membership", is_there=fleet.is_roster_whole)
+        await fleet.wait_for(what="a whole membership", is_there=fleet.is_membership_whole)
         operators = Operators(cores=FleetCores(fleet=fleet), call_us=CALL_US)
         await operators.order()
         await fleet.wait_for(
@@ -262,7 +262,9 @@
             edge = fleet.daemons["edge/node-05"]
             known = set(edge.leases.cores)
             self.assertEqual(known, set(fleet.core_address.values()))
-            hint = LeaseReply(cluster=edge.keeper.cluster, cores=["10.9.9.9:7100"], why="no leader")
+            hint = LeaseReply(
+                cluster=edge.lease_holder.cluster, cores=["10.9.9.9:7100"], why="no leader"
+            )
             edge.leases._take(reply=hint, sent_us=fleet.now_us(), target="10.9.9.9:7100")
             self.assertLessEqual(known, set(edge.leases.cores))
             await fleet.sleep(us=2_000_000)
@@ -277,12 +279,12 @@
             await fleet.bring_up()
             leases = fleet.daemons["edge/node-05"].leases
             broken = mock.AsyncMock(side_effect=RuntimeError("planted"))
-            with mock.patch.object(leases, "_renew_through_partner", broken):
+            with mock.patch.object(leases, "_renew_through_peer", broken):
                 leases._relay_now(target="10.9.9.9:7100")
                 await fleet.sleep(us=100_000)
             self.assertEqual(broken.await_count, 1)
             real = mock.AsyncMock(return_value=False)
-            with mock.patch.object(leases, "_renew_through_partner", real):
+            with mock.patch.object(leases, "_renew_through_peer", real):
                 leases._relay_now(target="10.9.9.9:7100")
                 await fleet.sleep(us=100_000)
             self.assertEqual(real.await_count, 1)
@@ -362,38 +364,38 @@
     """A reading of the list that lay in a cut link is no news when it arrives, however
     young it says it is: readings are numbered."""
 
-    LIFE = Life(instance="i", service="s", address="127.0.0.1:1")
+    LIFE = Instance(instance_id="i", service="s", address="127.0.0.1:1")
 
-    def two_rolls(self) -> tuple[Roll, Roll]:
+    def two_rolls(self) -> tuple[EndpointList, EndpointList]:
         """A reader, and a node that took its first reading."""
-        first, node = Roll(me="first", own="first:1"), Roll(me="node", own="node:1")
-        first.take_reading(lives=[self.LIFE], read_us=0, now_us=1_000)
+        first, node = EndpointList(me="first", own="first:1"), EndpointList(me="node", own="node:1")
+        first.take_reading(instances=[self.LIFE], read_us=0, now_us=1_000)
         node.take_news(news=first.news(now_us=1_000), now_us=2_000)
         return first, node
 
     def test_a_late_reading_of_a_reader_before(self) -> None:
         first, node = self.two_rolls()
-        first.take_reading(lives=[self.LIFE], read_us=500_000, now_us=501_000)
+        first.take_reading(instances=[self.LIFE], read_us=500_000, now_us=501_000)
         late = first.news(now_us=501_000)  # 1 ms old as it is sent; it lies in the link
-        second = Roll(me="second", own="second:1")
+        second = EndpointList(me="second", own="second:1")
         second.take_news(news=node.news(now_us=600_000, is_whole=True), now_us=601_000)
         draining = replace(self.LIFE, is_draining=True)
         for turn in range(3, 10):
             now_us = turn * 1_000_000
-            second.take_reading(lives=[draining], read_us=now_us, now_us=now_us)
+            second.take_reading(instances=[draining], read_us=now_us, now_us=now_us)
             node.take_news(news=second.news(now_us=now_us), now_us=now_us + 10_000)
-        self.assertTrue(node.lives["i"].is_draining)
+        self.assertTrue(node.instances["i"].is_draining)
         node.take_news(news=late, now_us=9_500_000)
-        self.assertTrue(node.lives["i"].is_draining)
+        self.assertTrue(node.instances["i"].is_draining)
         self.assertEqual(node.reader, "second")
         self.assertEqual(node.fresh_us, 9_010_000)
 
     def test_a_late_reading_that_says_the_same_does_not_count_as_fresh(self) -> None:
         first, node = self.two_rolls()
         late = first.news(now_us=2_000)
-        second = Roll(me="second", own="second:1")
+        second = EndpointList(me="second", own="second:1")
         second.take_news(news=node.news(now_us=600_000, is_whole=True), now_us=601_000)
-        second.take_reading(lives=[self.LIFE], read_us=3_000_000, now_us=3_000_000)
+        second.take_reading(instances=[self.LIFE], read_us=3_000_000, now_us=3_000_000)
         node.take_news(news=second.news(now_us=3_000_000), now_us=3_000_000)
         node.take_news(news=late, now_us=9_000_000)
         self.assertEqual(node.fresh_us, 3_000_000)
@@ -402,24 +404,24 @@
     def test_a_reader_that_began_anew_goes_on_above_what_it_hears(self) -> None:
         first, node = self.two_rolls()
         for turn in range(1, 6):
-            first.take_reading(lives=[self.LIFE], read_us=turn, now_us=turn)
+            first.take_reading(instances=[self.LIFE], read_us=turn, now_us=turn)
         node.take_news(news=first.news(now_us=10), now_us=10)
-        fresh = Roll(me="fresh", own="fresh:1")
-        other = replace(self.LIFE, instance="j")
-        fresh.take_reading(lives=[other], read_us=2_000_000, now_us=2_000_000)
+        fresh = EndpointList(me="fresh", own="fresh:1")
+        other = replace(self.LIFE, instance_id="j")
+        fresh.take_reading(instances=[other], read_us=2_000_000, now_us=2_000_000)
         node.take_news(news=fresh.news(now_us=2_000_000, is_whole=True), now_us=2_000_000)
-        self.assertEqual(list(node.lives), ["i"])  # its first number counts for little
+        self.assertEqual(list(node.instances), ["i"])  # its first number counts for little
         fresh.take_news(news=node.news(now_us=2_100_000), now_us=2_100_000)
-        fresh.take_reading(lives=[other], read_us=3_000_000, now_us=3_000_000)
+        fresh.take_reading(instances=[other], read_us=3_000_000, now_us=3_000_000)
         node.take_news(news=fresh.news(now_us=3_000_000, is_whole=True), now_us=3_000_000)
-        self.assertEqual(list(node.lives), ["j"])
+        self.assertEqual(list(node.instances), ["j"])
 
 
 async def unconfirmed(self: LeaseService) -> None:
     """Planted fault: a deposed leader goes on renewing leases."""
 
 
-def lapsed_at_once(self: Ledger, *, edge: str, epoch: int, now_us: int) -> bool:
+def lapsed_at_once(self: LeaseTable, *, edge: str, epoch: int, now_us: int) -> bool:
     """Planted fault: a new leader holds unknown leases for lapsed."""
     holder = self._holders.get(edge)
     return holder is None or not holder.leases
@@ -441,12 +443,12 @@
         self.assertIn("serves", found)
 
     def test_a_new_leader_that_does_not_wait(self) -> None:
-        with mock.patch.object(Ledger, "_is_lapsed", lapsed_at_once):
+        with mock.patch.object(LeaseTable, "_is_lapsed", lapsed_at_once):
             found = self.watched(transfer_beside_a_cut_off_edge)
         self.assertIn("a lease at", found)
 
     def test_an_edge_that_serves_past_its_lease(self) -> None:
-        with mock.patch.object(Keeper, "refusal", lambda self, *, now_us: ""):
+        with mock.patch.object(LeaseHolder, "refusal", lambda self, *, now_us: ""):
             found = self.watched(leader_with_an_edge)
         self.assertIn("serves", found)
 
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -101,7 +101,7 @@
         (("roster", *core), 0, "node-06", ""),
         (("remove-edge", "node-06", *core), 1, "", "edge_still_here"),
         (("remove-edge", "nobody", *core), 1, "", "unknown_edge"),
-        (("status", *core, *edge), 0, "kelpd node-04", ""),
+        (("status", *core, *edge), 0, "kelpstage-edge node-04", ""),
         (("explain", *edge), 0, "complete", ""),
         (("explain", "nobody-1-1", *edge), 1, "", "unknown_search"),
         (("explain", "--only", "odd", *edge), 1, "", "bad_request"),
@@ -111,12 +111,12 @@
         (("diff", file, file), 0, "no change", ""),
     ]
     for arguments, code, out_part, err_part in expected:
-        got, out, err = await tool("ctl", *arguments)
+        got, out, err = await tool("cli", *arguments)
         assert got == code and out_part in out and err_part in err, (arguments, got, out, err)
         assert "Traceback" not in err, err
-    listed = json.loads((await tool("ctl", "explain", "--json", *edge))[1])["searches"]
+    listed = json.loads((await tool("cli", "explain", "--json", *edge))[1])["searches"]
     search = next(row["search"] for row in listed if row["part"] == "root")
-    got, out, err = await tool("ctl", "explain", search, *edge)
+    got, out, err = await tool("cli", "explain", search, *edge)
     assert got == 0 and "planned under configuration" in out and "first; window" in out, (out, err)
     day, result = str(fleet.folder / "a.day"), str(fleet.folder / "a.result")
     write_day(path=day, history=[r for r in fleet.history if r["event"] == "call"][-60:])
@@ -144,16 +144,16 @@
     ]
     for name in fleet.edge_own:
         arguments += ["--edge-own", fleet.edge_own[name]]
-    got, out, err = await tool("ctl", *arguments)
+    got, out, err = await tool("cli", *arguments)
     assert got == 1 and "cores answer" in err, (got, out, err)
     fleet.processes.all[f"core-{left}"].kill()
-    got, out, err = await tool("ctl", *arguments)
+    got, out, err = await tool("cli", *arguments)
     assert got == 0 and "A NEW CLUSTER" in out and "configuration 6" in out, (got, out, err)
     for name in lost:
         del fleet.core_http[name]
     fleet.start_core(name=left)
     await fleet.wait_for(what="the salvaged core to lead", is_there=fleet.has_leader)
-    got, out, err = await tool("ctl", "get", "--core", fleet.core_http[left])
+    got, out, err = await tool("cli", "get", "--core", fleet.core_http[left])
     assert got == 0 and "version 6" in err, (got, out, err)
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -68,7 +68,7 @@
 class Node:
     replica: Replica
     disk: Disk
-    life: int = 1
+    instance: int = 1
     is_alive: bool = True
     synced: int = 0
     unsynced: list[t.Persist] = field(default_factory=list)
@@ -103,7 +103,7 @@
     # --- the run -------------------------------------------------------------------------
 
     def start(self, name: str, disk: Disk) -> None:
-        life = self.nodes[name].life + 1 if name in self.nodes else 1
+        instance = self.nodes[name].instance + 1 if name in self.nodes else 1
         replica = Replica(
             me=name,
             cluster="k",
@@ -115,20 +115,20 @@
             log=MemoryLog(base_index=0, base_term=0, entries=list(disk.entries)),
             voters=self.voters,
         )
-        self.nodes[name] = Node(replica=replica, disk=disk, life=life)
+        self.nodes[name] = Node(replica=replica, disk=disk, instance=instance)
         self.schedule(self.rand.randrange(TICK_US), "tick", name)
 
     def schedule(self, after_us: int, kind: str, name: str, what: object = None) -> None:
-        life = self.nodes[name].life if name else 0
-        entry = (self.now + after_us, next(self.serial), kind, name, life, what)
+        instance = self.nodes[name].instance if name else 0
+        entry = (self.now + after_us, next(self.serial), kind, name, instance, what)
         heapq.heappush(self.heap, entry)
 
     def turn(self) -> str:
         """Take the next event; its kind."""
-        self.now, _, kind, name, life, what = heapq.heappop(self.heap)
+        self.now, _, kind, name, instance, what = heapq.heappop(self.heap)
         if name:
             node = self.nodes[name]
-            if not node.is_alive or (node.life != life and kind != "message"):
+            if not node.is_alive or (node.instance != instance and kind != "message"):
                 return "none"
         getattr(self, f"do_{kind}")(name, what)
         return kind
@@ -785,7 +785,7 @@
 
         async def story(cores: Cores) -> None:
             await self.begin(cores)
-            cores.add(name="c3", domain="d0")
+            cores.add(name="c3", zone="d0")
             await cores.start("c3", seeds=cores.names[:3])
             await cores.sleep(1_500_000)
             await cores.put()
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -14,7 +14,7 @@
 
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.core import snapshots
-from kelpstage.core.leases.configuration_writes import Puts
+from kelpstage.core.leases.configuration_writes import ConfigurationWrites
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.state import machine as state_machine
 from kelpstage.core.state.machine import (
@@ -25,9 +25,9 @@
     Machine,
     PutApplied,
     PutConfiguration,
-    PutLost,
     PutNotAbove,
-    PutUnclear,
+    PutOutcomeUnknown,
+    PutSuperseded,
     RefusePut,
     put_digest,
 )
@@ -36,8 +36,8 @@
 from kelpstage.testbed.platform_model.machines import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from tests.test_bad_orders import Site, order
+from tests.test_cluster_recovery import run_recovery
 from tests.test_cores import hurt, play
-from tests.test_salvage import run_salvage
 
 
 class AppliedRequests(unittest.TestCase):
@@ -66,7 +66,7 @@
     def refuse(self, *, times: int) -> None:
         for number in range(times):
             outcome = self.put(self.machine, base=0, version=9, text=f"late {number}")
-            self.assertIsInstance(outcome, PutLost)
+            self.assertIsInstance(outcome, PutSuperseded)
 
     def restored(self) -> Machine:
         return Machine(cluster="c", state=CoreState().parse(bytes(self.machine.state)))
@@ -96,7 +96,7 @@
         self.change(times=RECORDS_KEPT + 20)
         for machine in (self.machine, self.restored()):
             outcome = self.put(machine, base=0, version=2, text="another on 0")
-            self.assertEqual(PutLost(expected=0, current=machine.state.version), outcome)
+            self.assertEqual(PutSuperseded(expected=0, current=machine.state.version), outcome)
 
     def test_a_snapshot_decides_as_the_replica_that_took_it(self) -> None:
         self.change(times=RECORDS_KEPT + 30)
@@ -121,10 +121,10 @@
         for machine in (self.machine, self.restored()):
             for base in range(0, machine.state.version, 2):
                 outcome = self.put(machine, base=base, version=base + 2, text=f"on {base}")
-                wanted = PutUnclear if base < forgotten else PutApplied
+                wanted = PutOutcomeUnknown if base < forgotten else PutApplied
                 self.assertIsInstance(outcome, wanted, base)
                 other = self.put(machine, base=base, version=base + 2, text="another")
-                wanted = PutUnclear if base < forgotten else PutLost
+                wanted = PutOutcomeUnknown if base < forgotten else PutSuperseded
                 self.assertIsInstance(other, wanted, base)
 
     def test_the_record_costs_few_bytes(self) -> None:
@@ -136,18 +136,18 @@
         digest = put_digest(document=b"early", expected=4, version=6)
         refusal = RefusePut(put_id="early", digest=digest, expected=4, version=6)
         outcome = self.machine.apply(data=bytes(Command(refuse=refusal)))
-        self.assertEqual(PutLost(expected=4, current=2), outcome)
+        self.assertEqual(PutSuperseded(expected=4, current=2), outcome)
         self.change(times=1)
         for machine in (self.machine, self.restored()):
             outcome = self.put(machine, base=4, version=6, text="early", put_id="early")
-            self.assertEqual(PutLost(expected=4, current=2), outcome)
+            self.assertEqual(PutSuperseded(expected=4, current=2), outcome)
             self.assertEqual(4, machine.state.version)
 
     def test_a_refusal_that_comes_when_its_base_is_there_decides_nothing(self) -> None:
         self.change(times=1)
         digest = put_digest(document=b"x", expected=2, version=4)
         refusal = Command(refuse=RefusePut(put_id="x", digest=digest, expected=2, version=4))
-        self.assertIsInstance(self.machine.apply(data=bytes(refusal)), PutUnclear)
+        self.assertIsInstance(self.machine.apply(data=bytes(refusal)), PutOutcomeUnknown)
         outcome = self.put(self.machine, base=2, version=4, text="x", put_id="x")
         self.assertEqual(PutApplied(version=4, epoch=2), outcome)
         self.assertEqual(outcome, self.machine.apply(data=bytes(refusal)))
@@ -160,7 +160,7 @@
         self.assertEqual(PutNotAbove(version=2, current=2), self.put(self.machine, **low))
 
 
-class Ledger:
+class LeaseTable:
     """What the operators of a simulated site sent, read and were answered."""
 
     def __init__(self) -> None:
@@ -188,7 +188,7 @@
 
     def __init__(self, **more: Any) -> None:
         super().__init__(**more)
-        self.ledger = Ledger()
+        self.lease_table = LeaseTable()
         self.is_open = True
         self.lost_share = 0.6
 
@@ -196,7 +196,7 @@
         """One call with an order; its answer may be lost on its way."""
         sent_us = self.world.now_us()
         reply = await self.replace(
-            member, self.ledger.bodies[write.key], base=str(write.base), wait_us=1_000_000
+            member, self.lease_table.bodies[write.key], base=str(write.base), wait_us=1_000_000
         )
         status = reply.status if isinstance(reply, HttpReply) else 0
         assert status in (0, 200, 400, 412, 503), reply
@@ -230,7 +230,7 @@
         if reply.status == 200:
             version = json.loads(reply.body)["Revision"]
             content = hashlib.sha256(reply.body).hexdigest()
-        self.ledger.reads.append(
+        self.lease_table.reads.append(
             Read(sent_us=sent_us, done_us=self.world.now_us(), version=version, content=content)
         )
         return version
@@ -246,7 +246,7 @@
                 continue
             turn += 1
             orders = [
-                self.ledger.order(
+                self.lease_table.order(
                     key=f"{who}{turn}.{place}",
                     base=base,
                     version=base + (step or rand.randrange(1, 9)),
@@ -254,7 +254,7 @@
                 for place in range(at_once)
             ]
             await asyncio.gather(*(self.insist(write, rand=rand) for write in orders))
-            known = self.ledger.acknowledged()
+            known = self.lease_table.acknowledged()
             for write in rand.sample(known, min(2, len(known))):
                 await self.send(write, member=rand.choice(self.names))
 
@@ -281,9 +281,11 @@
             for who in ("a", "b")
         ]
         for _ in range(troubles):
-            before = len(site.ledger.acknowledged())
+            before = len(site.lease_table.acknowledged())
             await site.wait_for(
-                lambda b=before: len(site.ledger.acknowledged()) > b or any(w.done() for w in work),
+                lambda b=before: (
+                    len(site.lease_table.acknowledged()) > b or any(w.done() for w in work)
+                ),
                 us=30_000_000,
             )
             await hurt(site, rand)
@@ -297,7 +299,7 @@
         await site.wait_for(lambda: len(site.voters()) >= 2 * site.tolerance + 1)
         for member in site.names:
             await site.read_once(member=member)
-        for write in site.ledger.acknowledged():  # superseded or not, everywhere
+        for write in site.lease_table.acknowledged():  # superseded or not, everywhere
             for member in site.names:
                 await site.send(write, member=member)
 
@@ -314,15 +316,15 @@
 
     def check(self, **plan: int) -> OrderSite:
         site = day(**plan)
-        self.assertEqual([], site.ledger.anomalies(), plan)
-        self.assertGreater(len(site.ledger.acknowledged()), 5, "hardly anything was taken")
+        self.assertEqual([], site.lease_table.anomalies(), plan)
+        self.assertGreater(len(site.lease_table.acknowledged()), 5, "hardly anything was taken")
         return site
 
     def test_two_operators_with_one_number(self) -> None:
         for seed in range(5):
             with self.subTest(seed=seed):
                 site = self.check(seed=seed, count=3, at_once=1, step=2)
-                numbers = Counter((write.base, write.version) for write in site.ledger.writes)
+                numbers = Counter((write.base, write.version) for write in site.lease_table.writes)
                 self.assertGreater(max(numbers.values()), 1, "they never met")
 
     def test_two_operators_with_one_number_over_many_snapshots(self) -> None:
@@ -335,13 +337,13 @@
         for seed in range(20, 23):
             with self.subTest(seed=seed):
                 site = self.check(seed=seed, count=3, at_once=4, step=0)
-                refused = [write for write in site.ledger.writes if write.is_refused]
+                refused = [write for write in site.lease_table.writes if write.is_refused]
                 self.assertGreater(len(refused), 10)
 
     def found(self, **plan: int) -> str:
         """What the checker says of a day, over a few seeds."""
         for seed in range(60, 66):
-            anomalies = day(seed=seed, count=3, at_once=1, step=2, **plan).ledger.anomalies()
+            anomalies = day(seed=seed, count=3, at_once=1, step=2, **plan).lease_table.anomalies()
             if anomalies:
                 return anomalies[0]
         return ""
@@ -361,7 +363,7 @@
             self.assertIn("was taken, and refused", self.found())
 
     def test_orders_that_are_not_looked_up_are_noticed(self) -> None:
-        with mock.patch.object(Puts, "_look_up", lambda self, **_: _soon(None)):
+        with mock.patch.object(ConfigurationWrites, "_look_up", lambda self, **_: _soon(None)):
             self.assertIn("was taken, and refused", self.found())
 
     def test_one_number_among_eight_at_five_voters(self) -> None:
@@ -380,14 +382,14 @@
         async def story(site: OrderSite) -> None:
             await site.start(is_first=True)
             await site.wait_for(lambda: len(site.voters()) == 3)
-            first = site.ledger.order(key="first", base=0, version=3)
+            first = site.lease_table.order(key="first", base=0, version=3)
             await site.insist(first, rand=random.Random(seed))
             leader = site.leader()
             others = [name for name in site.names if name != leader]
             log = site.daemons[leader].task.raft.log
             before = log.last_index
-            sent = site.ledger.order(key="sent", base=3, version=5)
-            rival = site.ledger.order(key="rival", base=3, version=5)
+            sent = site.lease_table.order(key="sent", base=3, version=5)
+            rival = site.lease_table.order(key="rival", base=3, version=5)
             call = asyncio.ensure_future(self.patient(site, sent, member=leader))
             while log.last_index == before:
                 await site.sleep(500)
@@ -415,7 +417,7 @@
     async def patient(self, site: OrderSite, write: Write, *, member: str) -> Answer:
         """The order by the product's own interface, which can wait for longer."""
         sent_us = site.world.now_us()
-        document, version = CONFIGURATION.to_document(body=site.ledger.bodies[write.key])
+        document, version = CONFIGURATION.to_document(body=site.lease_table.bodies[write.key])
         reply = await site.outside.ports.net.fetch(
             call=HttpCall(
                 method="PUT",
@@ -440,8 +442,8 @@
             with self.subTest(seed=seed):
                 site, answer = self.lead_is_lost(seed=seed)
                 self.assertIs(Answer.UNCLEAR, answer)
-                self.assertEqual([], site.ledger.anomalies())
-                _, sent, rival = site.ledger.writes
+                self.assertEqual([], site.lease_table.anomalies())
+                _, sent, rival = site.lease_table.writes
                 self.assertGreaterEqual(len(sent.of(Answer.ACKNOWLEDGED)), 3)
                 self.assertGreaterEqual(len(rival.of(Answer.CONFLICT)), 3)
                 self.assertFalse(sent.is_refused or rival.of(Answer.ACKNOWLEDGED))
@@ -454,11 +456,11 @@
             if self.is_leader:
                 return
             for token, _ in self._proposals.values():
-                self.waiters.settle(token=token, outcome=PutLost(expected=3, current=4))
+                self.waiters.settle(token=token, outcome=PutSuperseded(expected=3, current=4))
             self._proposals.clear()
 
         with mock.patch.object(ReplicaTask, "_take", take):
-            found = [self.lead_is_lost(seed=seed)[0].ledger.anomalies() for seed in range(3)]
+            found = [self.lead_is_lost(seed=seed)[0].lease_table.anomalies() for seed in range(3)]
         self.assertIn("sent was taken, and refused (another version is current)", sum(found, []))
 
 
@@ -471,14 +473,14 @@
             await site.wait_for(lambda: len(site.voters()) == 3)
             for turn in range(6):
                 version = turn + 1
-                write = site.ledger.order(key=f"o{turn}", base=turn, version=version)
+                write = site.lease_table.order(key=f"o{turn}", base=turn, version=version)
                 answers = await asyncio.gather(
                     *(site.send(write, member=member) for member in site.names * 2)
                 )
                 self.assertEqual({Answer.ACKNOWLEDGED}, set(answers))
             puts = site.daemons[site.leader()].task.machine.state.puts
             self.assertEqual(6, len(puts), "each was taken once")
-            self.assertEqual([], site.ledger.anomalies())
+            self.assertEqual([], site.lease_table.anomalies())
 
         play(story, seed=7, count=3, tolerance=1, make=OrderSite)
 
@@ -492,7 +494,7 @@
             for gap_us in (-40_000, -9_000, -1_000, 0, 1_000, 9_000, 40_000):
                 for members in itertools.product(site.names, repeat=2):
                     pair = [
-                        site.ledger.order(key=f"{side}{base}", base=base, version=base + 2)
+                        site.lease_table.order(key=f"{side}{base}", base=base, version=base + 2)
                         for side in "ab"
                     ]
                     answers = await asyncio.gather(
@@ -508,7 +510,7 @@
                         for write, answer in zip(pair, answers, strict=True):
                             self.assertIs(answer, await site.send(write, member=member))
                     base += 2
-            self.assertEqual([], site.ledger.anomalies())
+            self.assertEqual([], site.lease_table.anomalies())
 
         play(story, seed=8, count=3, tolerance=1, make=OrderSite)
 
@@ -544,7 +546,7 @@
             self.assertEqual(200, (await send(3, core=others[0]))["status"])
             for name in others:
                 fleet.kill_core(name=name, is_disk=True)
-            outcome = await run_salvage(fleet, name=left, edges=list(fleet.edge_own))
+            outcome = await run_recovery(fleet, name=left, edges=list(fleet.edge_own))
             self.assertEqual(4, outcome.version)
             seeds = [fleet.core_address[left], "10.9.9.8:1", "10.9.9.9:1"]
             await fleet.start_core(name=left, seeds=seeds)
@@ -590,7 +592,7 @@
             leader, cores = fleet.leader(), list(fleet.core_address)
             row = await fleet.put(core=leader, wait_us=200_000, **order_row)
             self.assertEqual("unresolved", row["end"])
-            lease_ends_us = edge.keeper.lease_until_us()
+            lease_ends_us = edge.lease_holder.lease_until_us()
             if is_lead_lost:
                 fleet.kill_core(name=leader)
                 cores.remove(leader)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -17,9 +17,9 @@
 
 from kelpstage.common.configuration.types import Configuration
 from kelpstage.common.configuration.validation import read_configuration
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
-from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, judge_env
+from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, validate_settings
 
 ROOT = Path(__file__).resolve().parent.parent
 TESTBED = ROOT / "kelpstage" / "testbed"  # holds a model of the platform, is not deployed
@@ -125,10 +125,10 @@
 class SettingsTest(unittest.TestCase):
     def test_both_daemons_settings_are_the_products_own(self):
         settings = load("settings")
-        edge = judge_env(raw=settings.edge_settings(fields=FIELDS), form=EDGE_FORM)
-        core = judge_env(raw=settings.core_settings(fields=FIELDS), form=CORE_FORM)
-        self.assertNotIsInstance(edge, Defect)
-        self.assertNotIsInstance(core, Defect)
+        edge = validate_settings(raw=settings.edge_settings(fields=FIELDS), form=EDGE_FORM)
+        core = validate_settings(raw=settings.core_settings(fields=FIELDS), form=CORE_FORM)
+        self.assertNotIsInstance(edge, KelpstageError)
+        self.assertNotIsInstance(core, KelpstageError)
         self.assertEqual((edge["own"], core["own"]), ("10.1.0.6:7295", "10.1.0.6:7280"))
         self.assertEqual(core["seeds"], ["10.1.0.6:7280", "10.2.0.30:7280", "10.3.0.41:7280"])
         self.assertEqual(edge["bounds"]["drain_us"], 3_000_000)
@@ -213,7 +213,9 @@
                     document, version = self.configuration.to_document(body=body)
                 except self.configuration.Untranslatable:
                     continue
-                self.assertIsInstance(read_configuration(data=document, version=version), Defect)
+                self.assertIsInstance(
+                    read_configuration(data=document, version=version), KelpstageError
+                )
 
 
 class OperatorCallsTest(unittest.TestCase):
@@ -279,18 +281,19 @@
         )
 
     def test_a_page(self):
-        lives, token = self.read({"InstanceList": [self.ROW], "NextToken": "p-50"})
+        instances, token = self.read({"InstanceList": [self.ROW], "NextToken": "p-50"})
         self.assertEqual(
-            (lives[0].instance, lives[0].slots, lives[0].cold_us), ("i-1", 2, 1_500_000)
+            (instances[0].instance_id, instances[0].slots, instances[0].cold_us),
+            ("i-1", 2, 1_500_000),
         )
         self.assertEqual(token, "p-50")
 
     def test_a_bad_entry_is_passed_over_and_a_bad_page_changes_nothing(self):
         rows = [7, {**self.ROW, "Address": 9}, {**self.ROW, "InstanceId": ""}, self.ROW]
-        lives, token = self.read({"InstanceList": rows, "NextToken": None})
-        self.assertEqual(([life.instance for life in lives], token), (["i-1"], None))
+        instances, token = self.read({"InstanceList": rows, "NextToken": None})
+        self.assertEqual(([instance.instance_id for instance in instances], token), (["i-1"], None))
         for page in (b"", b"[]", {"InstanceList": {}}, {"InstanceList": [], "NextToken": 5}):
-            self.assertIsInstance(self.read(page), Defect)
+            self.assertIsInstance(self.read(page), KelpstageError)
 
 
 class NamesTest(unittest.TestCase):
--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -16,11 +16,11 @@
 from typing import Any
 from unittest import mock
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpReply
-from kelpstage.common.transport.messages import LifeMsg
+from kelpstage.common.transport.messages import InstanceMsg
 from kelpstage.edge.backend.address_poll import read_list
-from kelpstage.edge.backend.instance import digest_of, life_of, message_of
+from kelpstage.edge.backend.instance import digest_of, instance_of, message_of
 from tests.test_platform import FIELDS, load
 
 ROW = {
@@ -62,14 +62,14 @@
     def read(self, body: bytes) -> int:
         """How many entries are taken; each must stand all that is done with it."""
         got = self.reader.read_page(HttpReply(status=200, body=body))
-        if isinstance(got, Defect):
+        if isinstance(got, KelpstageError):
             return -1
-        lives, _ = got
-        digest_of(lives=lives)
-        for life in lives:
-            message = message_of(life=life, cold_us=life.cold_us)
-            self.assertEqual(life, life_of(message=LifeMsg().parse(bytes(message))))
-        return len(lives)
+        instances, _ = got
+        digest_of(instances=instances)
+        for instance in instances:
+            message = message_of(instance=instance, cold_us=instance.cold_us)
+            self.assertEqual(instance, instance_of(message=InstanceMsg().parse(bytes(message))))
+        return len(instances)
 
     def test_odd_values_in_each_field(self) -> None:
         for name in ROW:
--- a/tests/test_platform_sim.py
+++ b/tests/test_platform_sim.py
@@ -6,7 +6,7 @@
 import unittest
 from unittest import mock
 
-from kelpstage.edge.backend.registry import Book
+from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.forward.sealed_answer import SealedCodec
 from kelpstage.edge.retries.budget import Budget
 from kelpstage.testbed.platform_model.scenario import (
@@ -119,7 +119,7 @@
         self.assertIn("BUDGET", found)
 
     def test_drains_that_are_not_heeded(self):
-        with mock.patch.object(Book, "refusal_of_life", lambda self, **_: ""):
+        with mock.patch.object(BackendRegistry, "refusal_of_instance", lambda self, **_: ""):
             found = self.lines(troubles=("srv_drain",), seconds=10)
         self.assertIn("DRAIN", found)
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -7,14 +7,14 @@
 import unittest
 from typing import Any
 
-from kelpstage.common.errors import (
-    AddressTaken,
-    ConnectRefused,
-    LineLost,
-    UnknownResource,
-    WaitOver,
+from kelpstage.common.errors.requests import UnknownResourceError
+from kelpstage.common.errors.transport import (
+    AddressInUseError,
+    ConnectError,
+    ConnectionLostError,
+    ReplyTimeoutError,
 )
-from kelpstage.common.http.replies import defect_reply
+from kelpstage.common.http.replies import error_reply
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.common.ports.live import live_ports
 
@@ -40,7 +40,7 @@
                 if call.url == "/late":
                     await never.wait()
                 if call.url == "/missing":
-                    return defect_reply(defect=UnknownResource(path="/missing"))
+                    return error_reply(error=UnknownResourceError(path="/missing"))
                 return HttpReply(status=200, headers={"X-One": "1"}, body=call.body)
 
             async def fetch(path: str, method: str = "POST", wait_us: int = 5_000_000):
@@ -53,22 +53,22 @@
                     )
                 )
 
-            self.assertIsInstance(await fetch("/x"), ConnectRefused)
+            self.assertIsInstance(await fetch("/x"), ConnectError)
             listener = await ports.net.serve_http(address=address, on_call=answer, body_limit=100)
             good = await fetch("/good")
             self.assertEqual(
                 (200, b"\x00\xffbytes", "1"), (good.status, good.body, good.headers["x-one"])
             )
             self.assertEqual(404, (await fetch("/missing", "GET")).status)
-            self.assertIsInstance(await fetch("/broken"), LineLost)
+            self.assertIsInstance(await fetch("/broken"), ConnectionLostError)
             self.assertEqual(1, sum(call.url == "/broken" for call in seen), "sent again unasked")
-            self.assertIsInstance(await fetch("/late", wait_us=100_000), WaitOver)
+            self.assertIsInstance(await fetch("/late", wait_us=100_000), ReplyTimeoutError)
             big = await ports.net.fetch(
                 call=HttpCall(method="PUT", url=f"http://{address}/b", body=b"x" * 101)
             )
             self.assertEqual(413, big.status)
             taken = await ports.net.serve_http(address=address, on_call=answer, body_limit=1)
-            self.assertIsInstance(taken, AddressTaken)
+            self.assertIsInstance(taken, AddressInUseError)
             listener.close()
             never.set()
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -289,7 +289,7 @@
     def test_an_acknowledged_suffix_stays_in_the_log_and_on_disk(self) -> None:
         one, effects = self.late_fetch()
         self.assertEqual((80, 80, 60), self.ends(one))
-        kept = only(effects, t.KeepSnapshot)
+        kept = only(effects, t.SaveSnapshot)
         self.assertEqual(list(range(61, 81)), [entry.index for entry in kept[0].tail])
 
     def test_a_membership_change_in_the_suffix_stays_in_force(self) -> None:
@@ -320,7 +320,7 @@
         offers = only(one.offer(term=4, sender="b", index=60, index_term=3), t.FetchOffered)
         effects = one.fetched(offers[0])
         self.assertEqual((60, 50, 60), self.ends(one))
-        self.assertEqual([], only(effects, t.KeepSnapshot)[0].tail)
+        self.assertEqual([], only(effects, t.SaveSnapshot)[0].tail)
         one.step(t.Synced(number=one.replica.state.writes.last_number))
         self.assertEqual((60, 60, 60), self.ends(one))
 
@@ -377,14 +377,14 @@
 
     async def late_fetch_on_disk(self, loop: VirtualLoop) -> Recovered:
         world = World(seed=1, loop=loop)
-        machine = world.add_machine(name="m", domain="d")
-        process = SimProcess(world=world, name="p", machine=machine, life=1)
+        machine = world.add_machine(name="m", zone="d")
+        process = SimProcess(world=world, name="p", machine=machine, instance=1)
         store = Store(ports=process.ports)
         identity = DiskIdentity(replica="a", cluster="k")
         await store.read_identity()
         await store.write_identity(identity=identity)
         founding = DiskSnapshot(index=1, term=1, members=MEMBERS, cluster="k")
-        await store.keep_snapshot(snapshot=founding, tail=[], term=1, vote="")
+        await store.save_snapshot(snapshot=founding, tail=[], term=1, vote="")
         failures: list[object] = []
         task = ReplicaTask(
             ports=process.ports,
@@ -395,7 +395,7 @@
             own="10.0.0.1:7100",
             on_applied=lambda outcome, index: None,
             on_role=lambda role: None,
-            on_defect=failures.append,
+            on_error=failures.append,
         )
         entries = [LogEntry(index=i, term=2, kind=t.NOOP) for i in range(2, 81)]
         task.heard(
@@ -422,7 +422,7 @@
         self.assertEqual([], failures)
         process.kill()
         machine.platter.cut_power()
-        store = Store(ports=SimProcess(world=world, name="p", machine=machine, life=2).ports)
+        store = Store(ports=SimProcess(world=world, name="p", machine=machine, instance=2).ports)
         return await store.recover(identity=await store.read_identity())
 
 
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -10,25 +10,25 @@
 from kelpstage.common.configuration.validation import read_configuration
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.transport.messages import (
+    BackendStateMsg,
+    ConfirmEpochReply,
     Gathered,
     MemberMsg,
     PartMsg,
-    RumorMsg,
     StateDoc,
-    WitnessReply,
 )
-from kelpstage.edge.backend.registry import DARK, LYING, Book
+from kelpstage.edge.backend.registry import DARK, LYING, BackendRegistry
 from kelpstage.edge.backend.reply import SealedPart
 from kelpstage.edge.backend.selection import options
 from kelpstage.edge.gather.context import World
-from kelpstage.edge.gather.latency import Paces
-from kelpstage.edge.gather.messages import BackendSaid, KidSaid
+from kelpstage.edge.gather.latency import LatencyEstimates
+from kelpstage.edge.gather.messages import BackendReplied, ChildReplied
 from kelpstage.edge.gather.record_order import pack_records
-from kelpstage.edge.gather.request_state import GATHERS, ROOT, Cell, Gathering, Kid
+from kelpstage.edge.gather.request_state import GATHERS, ROOT, Cell, Child, Gathering
 from kelpstage.edge.gather.stages.merge import take
-from kelpstage.edge.gather.tree import Branch
+from kelpstage.edge.gather.tree import Subtree
 from kelpstage.edge.gossip.swim import Swim
-from kelpstage.edge.lease.lease_holder import Keeper
+from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.retries.budget import Budget
 from kelpstage.testbed.fleet.deployment import configuration_of, load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
@@ -45,17 +45,17 @@
         self.configuration = read_configuration(
             data=configuration_of(deployment=load(name="tiny"), addresses=addresses), version=1
         )
-        self.book, self.paces = Book(me="n"), Paces()
-        self.book.declare(configuration=self.configuration, listed={})
+        self.registry, self.latencies = BackendRegistry(me="n"), LatencyEstimates()
+        self.registry.declare(configuration=self.configuration, listed={})
 
     def order(self, now_us: int) -> list[str]:
         ranked = options(
             configuration=self.configuration,
-            book=self.book,
-            paces=self.paces,
+            registry=self.registry,
+            latencies=self.latencies,
             collection="tiny",
             shard="s1",
-            domain="east",
+            zone="east",
             now_us=now_us,
             rand=random.Random(1),
         )
@@ -63,21 +63,21 @@
 
     def test_one_that_lied_is_asked_last_for_a_while(self) -> None:
         self.assertEqual(["b-01", "b-02"], self.order(0))
-        self.book.lied(name="b-01", now_us=0)
+        self.registry.lied(name="b-01", now_us=0)
         self.assertEqual(["b-02", "b-01"], self.order(1))
         self.assertEqual(["b-01", "b-02"], self.order(60_000_000))
 
     def test_others_hear_of_the_lie(self) -> None:
-        self.book.lied(name="b-01", now_us=0)
-        [rumor] = [r for r in self.book.rumors(now_us=1) if r.state == LYING]
-        other = Book(me="m")
+        self.registry.lied(name="b-01", now_us=0)
+        [backend_state] = [r for r in self.registry.backend_states(now_us=1) if r.state == LYING]
+        other = BackendRegistry(me="m")
         other.declare(configuration=self.configuration, listed={})
-        self.assertTrue(other.take_rumor(rumor=rumor, now_us=5))
+        self.assertTrue(other.on_backend_state_received(backend_state=backend_state, now_us=5))
         self.assertTrue(other.is_distrusted(name="b-01", now_us=6))
 
     def test_one_that_was_slow_gives_way_and_is_tried_again(self) -> None:
         for _ in range(20):
-            self.paces.saw(name="b-01", took_us=900_000, now_us=0)
+            self.latencies.saw(name="b-01", took_us=900_000, now_us=0)
         self.assertEqual(["b-02", "b-01"], self.order(1_000))
         self.assertEqual(["b-01", "b-02"], self.order(60_000_000))
 
@@ -108,32 +108,32 @@
         run_sim(seed=1, deployment=load(name="tiny"), story=story)
 
 
-class LateKid(unittest.TestCase):
-    """The root gathered one of a late kid's two shards again; then the kid's reply
+class LateChild(unittest.TestCase):
+    """The root gathered one of a late child's two shards again; then the child's reply
     came with both. It used to be thrown away, and the other shard with it."""
 
-    def test_a_late_kids_reply_is_taken_whole(self) -> None:
+    def test_a_late_children_reply_is_taken_whole(self) -> None:
         configuration = read_configuration(
             data=configuration_of(deployment=load(name="tiny"), addresses={}), version=1
         )
         world = World(
             me="r",
-            domain="east",
+            zone="east",
             own="",
             rand=random.Random(1),
-            keeper=Keeper(me="r"),
+            lease_holder=LeaseHolder(me="r"),
             swim=Swim(
                 me=MemberMsg(name="r"),
                 rand=random.Random(1),
-                rumors=list,
-                on_rumor=lambda rumor: None,
+                backend_states=list,
+                on_backend_state=lambda backend_state: None,
             ),
-            book=Book(me="r"),
-            paces=Paces(),
+            registry=BackendRegistry(me="r"),
+            latencies=LatencyEstimates(),
             budget=Budget(),
             journal=Journal(now=lambda: 0),
         )
-        kid = Kid(slot=0, branch=Branch(node="k", shards=("s1", "s2")), is_sent=True)
+        child = Child(slot=0, subtree=Subtree(node="k", shards=("s1", "s2")), is_sent=True)
         record = Gathering(
             key=1,
             kind=ROOT,
@@ -144,12 +144,12 @@
             stage=GATHERS,
             configuration=configuration,
             route=configuration.route(collection="tiny"),
-            kids=[kid],
+            children=[child],
             cells={"s1": Cell(shard="s1", is_extra=True)},
         )
         own = SealedPart(shard="s1", cut="c1", stamp="x", count=1, records=[(-5, b"own")])
         take(
-            BackendSaid(
+            BackendReplied(
                 key=1, generation=0, shard="s1", number=1, backend="b", sent_us=0, outcome=own
             ),
             record,
@@ -161,7 +161,9 @@
             version=1, parts=parts, records=pack_records(records=[(-7, b"two"), (-5, b"own")])
         )
         take(
-            KidSaid(key=1, generation=0, slot=0, node="k", sent_us=0, outcome=reply), record, world
+            ChildReplied(key=1, generation=0, slot=0, node="k", sent_us=0, outcome=reply),
+            record,
+            world,
         )
         self.assertEqual(["s1", "s2"], sorted(record.parts))
         self.assertEqual([[(-7, b"two"), (-5, b"own")]], list(record.runs.values()))
@@ -210,8 +212,8 @@
 
 
 class RestartWithoutCores(unittest.TestCase):
-    """An edge that restarts while no core is there takes state and roster from its
-    partners and serves, but vouches for nobody; where most have forgotten, none does."""
+    """An edge that restarts while no core is there takes state and membership from its
+    peers and serves, but vouches for nobody; where most have forgotten, none does."""
 
     def run_story(self, restarted: list[str]) -> tuple[SimFleet, list[str]]:
         seen: list[str] = []
@@ -233,46 +235,46 @@
     def test_two_of_six_serve_again(self) -> None:
         fleet, ready = self.run_story(["node-02", "node-05"])
         self.assertEqual([n.name for n in fleet.deployment.nodes], ready)
-        keeper = fleet.daemons["edge/node-02"].keeper
-        self.assertFalse(keeper.vouches)
-        self.assertEqual(1, keeper.configuration.version)
+        lease_holder = fleet.daemons["edge/node-02"].lease_holder
+        self.assertFalse(lease_holder.vouches)
+        self.assertEqual(1, lease_holder.configuration.version)
 
     def test_half_of_six_forgot_and_nobody_serves(self) -> None:
         _, ready = self.run_story(["node-02", "node-04", "node-05"])
         self.assertEqual([], ready)
 
     def test_it_does_not_serve_what_is_older_than_it_served_before(self) -> None:
-        keeper = Keeper(me="a")
-        keeper.install(
-            doc=StateDoc(cluster="k", epoch=4, version=3, roster=["a", "b", "c"]),
+        lease_holder = LeaseHolder(me="a")
+        lease_holder.install(
+            doc=StateDoc(cluster="k", epoch=4, version=3, membership=["a", "b", "c"]),
             configuration=Configuration(version=3, document=b""),
             now_us=0,
         )
         for edge in ("b", "c"):
-            keeper.take_witness(
-                reply=WitnessReply(edge=edge, vouches=True, epoch=4, cluster="k"), asked_us=10
+            lease_holder.on_epoch_confirmed(
+                reply=ConfirmEpochReply(edge=edge, vouches=True, epoch=4, cluster="k"), asked_us=10
             )
-        self.assertEqual("", keeper.refusal(now_us=20))
-        keeper.take_witness(
-            reply=WitnessReply(edge="c", vouches=True, epoch=4, cluster="k", asker_version=4),
+        self.assertEqual("", lease_holder.refusal(now_us=20))
+        lease_holder.on_epoch_confirmed(
+            reply=ConfirmEpochReply(edge="c", vouches=True, epoch=4, cluster="k", asker_version=4),
             asked_us=11,
         )
-        self.assertTrue(keeper.refusal(now_us=20))
+        self.assertTrue(lease_holder.refusal(now_us=20))
 
 
 class CutHelper(unittest.TestCase):
-    """A partner that gossip reaches but queries do not is asked last, longer each time."""
+    """A peer that gossip reaches but queries do not is asked last, longer each time."""
 
     def test_shyness_grows_until_a_reply(self) -> None:
         world = World(
             me="n",
-            domain="d",
+            zone="d",
             own="",
             rand=random.Random(1),
-            keeper=Keeper(me="n"),
+            lease_holder=LeaseHolder(me="n"),
             swim=None,
-            book=Book(me="n"),
-            paces=Paces(),
+            registry=BackendRegistry(me="n"),
+            latencies=LatencyEstimates(),
             budget=Budget(),
             journal=Journal(now=lambda: 0),
         )
@@ -302,24 +304,25 @@
             ),
             version=1,
         )
-        book = Book(me="n")
-        book.declare(configuration=configuration, listed={})
-        for partner in ("k", "l"):
+        registry = BackendRegistry(me="n")
+        registry.declare(configuration=configuration, listed={})
+        for peer in ("k", "l"):
             for name in configuration.backends:
-                book.take_rumor(
-                    rumor=RumorMsg(backend=name, state=DARK, seen_by=partner), now_us=1_000
+                registry.on_backend_state_received(
+                    backend_state=BackendStateMsg(backend=name, state=DARK, seen_by=peer),
+                    now_us=1_000,
                 )
         ranked = options(
             configuration=configuration,
-            book=book,
-            paces=Paces(),
+            registry=registry,
+            latencies=LatencyEstimates(),
             collection="tiny",
             shard="s1",
-            domain="east",
+            zone="east",
             now_us=2_000,
             rand=None,
         )
         self.assertEqual(["", ""], [option.refusal for option in ranked])
         self.assertTrue(all(option.is_distrusted for option in ranked))
-        book.heard_back(name="b-02", now_us=2_500)
-        self.assertFalse(book.is_distrusted(name="b-02", now_us=3_000))
+        registry.heard_back(name="b-02", now_us=2_500)
+        self.assertFalse(registry.is_distrusted(name="b-02", now_us=3_000))
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -9,7 +9,7 @@
 import tempfile
 import unittest
 
-from kelpstage.common.errors import DayForeign, DayTorn
+from kelpstage.common.errors.storage import InvalidRecordingError, TruncatedRecordingError
 from kelpstage.common.recording.format import HEAD, pack_row, read_day
 from kelpstage.replay.main import diff, load, run_day, save, show
 from kelpstage.testbed.fleet.deployment import load as load_deployment
@@ -59,13 +59,13 @@
             outcome = read_day(path="p", data=data[:size])
             if isinstance(outcome, list):
                 continue
-            self.assertIsInstance(outcome, DayTorn)
+            self.assertIsInstance(outcome, TruncatedRecordingError)
             whole = read_day(path="p", data=data[:size], is_torn_tail_fine=True)
             self.assertEqual(rows[: len(whole)], whole)
         bent = bytearray(data)
         bent[len(HEAD) + 20] ^= 1
         damaged = read_day(path="p", data=bytes(bent), is_torn_tail_fine=True)
-        self.assertEqual((DayForeign, len(HEAD)), (type(damaged), damaged.offset))
+        self.assertEqual((InvalidRecordingError, len(HEAD)), (type(damaged), damaged.offset))
         (self.folder / "x").write_bytes(b"junk")
         code, out, err = quietly(show, day=self.path("x"), torn_tail=False)
         self.assertEqual((2, ""), (code, out))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -84,7 +84,7 @@
             Arrival(
                 attempt=attempt,
                 service=service,
-                instance=f"i-{service}",
+                instance_id=f"i-{service}",
                 node=node,
                 at_us=sent_us + 10_000,
                 host=HOST,
@@ -97,7 +97,7 @@
             seal=seal,
             attempt=attempt,
             service=service,
-            instance=f"i-{service}",
+            instance_id=f"i-{service}",
             status=200,
             body=body,
         )
@@ -269,7 +269,9 @@
 
 @plants("UNASKED")
 def a_run_that_nobody_asked_for(day):
-    day.arrivals.append(Arrival(attempt="zz", service="b", instance="i-b", node="n1", at_us=50 * S))
+    day.arrivals.append(
+        Arrival(attempt="zz", service="b", instance_id="i-b", node="n1", at_us=50 * S)
+    )
 
 
 @plants("UNASKED")
@@ -337,15 +339,15 @@
 @plants("DRAIN")
 def a_request_long_after_a_drain_is_known(day):
     at_us = request_of(day, "/one/").sent_us - 3_500_000
-    day.shown.append(Shown(instance="i-b", node="n3", at_us=at_us))
-    day.arrivals[:] = [a for a in day.arrivals if a.instance != "i-b" or a.at_us < at_us + 4 * S]
+    day.shown.append(Shown(instance_id="i-b", node="n3", at_us=at_us))
+    day.arrivals[:] = [a for a in day.arrivals if a.instance_id != "i-b" or a.at_us < at_us + 4 * S]
 
 
 @plants("DRAIN")
 def a_request_long_after_a_drain_that_the_list_showed_in_an_unsettled_core(day):
     """The time runs while the core isn't settled."""
     request = request_of(day, "/one/", after_us=70 * S)
-    day.leavers.append(Leaver(instance="i-b", listed_us=request.sent_us - 8 * S))
+    day.leavers.append(Leaver(instance_id="i-b", listed_us=request.sent_us - 8 * S))
     day.troubles.append(
         Trouble(
             machine="n2",
@@ -357,7 +359,7 @@
     arrival = arrivals_of(day, request)[0]
     listed_us = request.sent_us - 8 * S
     day.arrivals[:] = [
-        a for a in day.arrivals if a is arrival or a.instance != "i-b" or a.at_us < listed_us
+        a for a in day.arrivals if a is arrival or a.instance_id != "i-b" or a.at_us < listed_us
     ]
 
 
@@ -426,7 +428,7 @@
     day.orders[1] = order(5, 3, at_us, routes=routes(single="c"))
     for arrival in day.arrivals:
         if arrival.service == "b" and arrival.at_us > at_us + 1_000_000:
-            arrival.service, arrival.instance = "c", "i-c"
+            arrival.service, arrival.instance_id = "c", "i-c"
 
 
 @plants("CONFIG late")
@@ -625,7 +627,7 @@
     first = arrivals_of(day, request)[0]
     for number in range(times):
         again = copy.copy(first)
-        again.instance += f"-{number}"
+        again.instance_id += f"-{number}"
         day.arrivals.append(again)
 
 
@@ -662,7 +664,7 @@
 
 @plants("ACKS")
 def backends_whose_leaving_nobody_noted(day):
-    day.leavers = [Leaver(instance=f"x{n}", listed_us=50 * S) for n in range(3)]
+    day.leavers = [Leaver(instance_id=f"x{n}", listed_us=50 * S) for n in range(3)]
 
 
 @plants("FAULT")
@@ -773,7 +775,7 @@
         )
         self.assertNotIn("CONFIG late", self.lines(day))
 
-    def test_a_new_life_may_begin_behind(self):
+    def test_a_new_instance_may_begin_behind(self):
         day = clean_day()
         move_single(day)
         mine = [
@@ -784,7 +786,7 @@
         arrivals_of(day, mine[2])[0].service = "b"
         for request in day.requests:
             if request.node == "n2" and request.sent_us >= mine[2].sent_us:
-                request.node_life = 1
+                request.node_incarnation = 1
         self.assertNotIn("CONFIG slid back", self.lines(day))
 
     def test_one_of_two_on_top_of_one_may_be_acknowledged(self):
@@ -849,8 +851,8 @@
         day = clean_day()
         for request in beyond_tries(day, count=4):
             first = arrivals_of(day, request)[0]
-            first.instance += f" of {request.attempt}"
-            day.crashes[first.instance] = first.at_us + 1_000
+            first.instance_id += f" of {request.attempt}"
+            day.crashes[first.instance_id] = first.at_us + 1_000
         self.assertNotIn("BUDGET", self.lines(day))
 
     def test_a_gathered_request_has_its_tries_in_each_shard(self):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -6,7 +6,7 @@
 import random
 import unittest
 
-from kelpstage.common.errors import DiskDefect, LogDamaged
+from kelpstage.common.errors.storage import DiskError, LogDamagedError
 from kelpstage.common.transport.messages import LogEntry
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot, DiskStep
 from kelpstage.core.store.store import Store
@@ -32,9 +32,9 @@
 
     async def _with_disk(self, loop, story, seed: int) -> None:
         world = World(seed=seed, loop=loop)
-        machine = world.add_machine(name="m", domain="d")
+        machine = world.add_machine(name="m", zone="d")
         self.platter = machine.platter
-        self.process = SimProcess(world=world, name="p", machine=machine, life=1)
+        self.process = SimProcess(world=world, name="p", machine=machine, instance=1)
         await story()
 
     async def fresh(self) -> Store:
@@ -70,7 +70,7 @@
                     await asyncio.sleep(0)
                     self.platter.cut_power()
                     found = await self.reopened()
-                    self.assertNotIsInstance(found, LogDamaged)
+                    self.assertNotIsInstance(found, LogDamagedError)
                     self.assertIn(found.log.last_index, (written, written + 1))
 
                 self.run_story(story, seed=seed)
@@ -84,7 +84,7 @@
             middle = len(file.data) // 2
             file.data = file.data[:middle] + b"\x00" + file.data[middle + 1 :]
             found = await self.reopened()
-            self.assertIsInstance(found, LogDamaged)
+            self.assertIsInstance(found, LogDamagedError)
 
         self.run_story(story)
 
@@ -94,15 +94,17 @@
             await store.append(steps=[DiskStep(entries=[entry(1), entry(2)])])
             snapshot = DiskSnapshot(index=2, term=1, state=b"s", cluster="c")
             self.assertIsNone(
-                await store.keep_snapshot(snapshot=snapshot, tail=[], term=3, vote="v")
+                await store.save_snapshot(snapshot=snapshot, tail=[], term=3, vote="v")
             )
             found = await self.reopened()
             self.assertEqual((2, 3, "v"), (found.log.base_index, found.term, found.vote))
             name = next(p for p in self.platter.files if p.endswith(".snap"))
             self.platter.files[name].data = self.platter.files[name].data[:-1]
-            self.assertIsInstance(await self.reopened(), LogDamaged)
+            self.assertIsInstance(await self.reopened(), LogDamagedError)
             self.platter.files["identity"].data = b"junk"
-            self.assertIsInstance(await Store(ports=self.process.ports).read_identity(), LogDamaged)
+            self.assertIsInstance(
+                await Store(ports=self.process.ports).read_identity(), LogDamagedError
+            )
 
         self.run_story(story)
 
@@ -117,13 +119,13 @@
 
         self.run_story(story)
 
-    def test_full_disk_is_a_typed_defect_and_harms_nothing_written(self) -> None:
+    def test_full_disk_is_a_typed_error_and_harms_nothing_written(self) -> None:
         async def story() -> None:
             store = await self.fresh()
             await store.append(steps=[DiskStep(entries=[entry(1)])])
             self.platter.is_full = True
             outcome = await store.append(steps=[DiskStep(entries=[entry(2)])])
-            self.assertIsInstance(outcome, DiskDefect)
+            self.assertIsInstance(outcome, DiskError)
             self.assertEqual("ENOSPC", outcome.why)
             self.platter.is_full = False
             found = await self.reopened()
@@ -148,7 +150,7 @@
                         ]
                     )
                     work = asyncio.ensure_future(
-                        store.keep_snapshot(
+                        store.save_snapshot(
                             snapshot=DiskSnapshot(index=2, term=1, state=b"s", cluster="c"),
                             tail=[entry(3)],
                             term=1,
@@ -160,7 +162,7 @@
                     await asyncio.sleep(0)
                     self.platter.cut_power()
                     found = await self.reopened()
-                    self.assertNotIsInstance(found, LogDamaged)
+                    self.assertNotIsInstance(found, LogDamagedError)
                     self.assertEqual((3, 1, "r"), (found.log.last_index, found.term, found.vote))
 
                 self.run_story(story, seed=moment)
--- a/tests/test_store_planted_faults.py
+++ b/tests/test_store_planted_faults.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from kelpstage.common.errors import Defect
+from kelpstage.common.errors.base import KelpstageError
 from kelpstage.core.store import records, recovery
 from kelpstage.core.store import store as store_module
 from kelpstage.core.store.layout import IDENTITY_PATH, LOG_FOLDER, ROOT, SNAPSHOT_FOLDER
@@ -51,7 +51,7 @@
     """A file's end is cut off before it is written anew."""
     whole = SimDisk.append
 
-    async def append(self: SimDisk, *, path: str, data: bytes, at: int) -> Defect | None:
+    async def append(self: SimDisk, *, path: str, data: bytes, at: int) -> KelpstageError | None:
         await whole(self, path=path, data=b"", at=at)
         return await whole(self, path=path, data=data, at=at)
 
@@ -61,7 +61,7 @@
 def identity_in_place() -> Patch:
     """The identity is written over instead of beside."""
 
-    async def write(self: Store, *, identity: DiskIdentity) -> Defect | None:
+    async def write(self: Store, *, identity: DiskIdentity) -> KelpstageError | None:
         data = records.write_identity(identity=identity)
         await self._disk.write(path=IDENTITY_PATH, data=data)
         await self._disk.sync(path=IDENTITY_PATH)
@@ -74,7 +74,7 @@
     """Setting aside deletes the log before the identity."""
     whole = Store.set_aside
 
-    async def set_aside(self: Store) -> Defect | None:
+    async def set_aside(self: Store) -> KelpstageError | None:
         await self._drop(is_needless=lambda name: True)
         return await whole(self)
 
@@ -85,7 +85,7 @@
     """A snapshot's predecessors go before the segment behind it is begun."""
     whole = Store._begin_segment
 
-    async def begin(self: Store, **named: Any) -> Defect | None:
+    async def begin(self: Store, **named: Any) -> KelpstageError | None:
         await self._drop_before(segment=self._segment + 1, index=0)
         return await whole(self, **named)
 
@@ -94,21 +94,21 @@
 
 def identity_too_soon() -> Patch:
     """A member's identity is written before the snapshot that it begins from."""
-    whole = Store.keep_snapshot
+    whole = Store.save_snapshot
 
-    async def keep(self: Store, **named: Any) -> Defect | None:
+    async def keep(self: Store, **named: Any) -> KelpstageError | None:
         member = DiskIdentity(replica=self._replica, cluster=named["snapshot"].cluster)
         await self.write_identity(identity=member)
         return await whole(self, **named)
 
-    return mock.patch.object(Store, "keep_snapshot", keep)
+    return mock.patch.object(Store, "save_snapshot", keep)
 
 
 def survivor_dropped_too_soon() -> Patch:
     """The old replica's files go before the new identity is written."""
     whole = Store.write_identity
 
-    async def write(self: Store, *, identity: DiskIdentity) -> Defect | None:
+    async def write(self: Store, *, identity: DiskIdentity) -> KelpstageError | None:
         await self._drop(is_needless=self._is_foreign)
         return await whole(self, identity=identity)
 
@@ -117,12 +117,12 @@
 
 def snapshot_loses(**lost: Any) -> Patch:
     """A snapshot forgets something of what its segment is to begin with."""
-    whole = Store.keep_snapshot
+    whole = Store.save_snapshot
 
-    async def keep(self: Store, *, snapshot: DiskSnapshot, **named: Any) -> Defect | None:
+    async def keep(self: Store, *, snapshot: DiskSnapshot, **named: Any) -> KelpstageError | None:
         return await whole(self, snapshot=snapshot, **(named | lost))
 
-    return mock.patch.object(Store, "keep_snapshot", keep)
+    return mock.patch.object(Store, "save_snapshot", keep)
 
 
 def mark_too_soon() -> Patch:
@@ -131,13 +131,13 @@
 
     async def write_synced(
         self: Store, *, path: str, at: int, data: bytes, is_new: bool
-    ) -> Defect | None:
+    ) -> KelpstageError | None:
         size, self._size = self._size, at + len(data)
-        defect = await self._disk.append(path=path, data=data, at=at)
+        error = await self._disk.append(path=path, data=data, at=at)
         await self.mark_synced()
         self._size = size
-        defect = defect or await whole(self._disk, path=path)
-        return defect or await self._disk.sync_folder(folder=LOG_FOLDER)
+        error = error or await whole(self._disk, path=path)
+        return error or await self._disk.sync_folder(folder=LOG_FOLDER)
 
     return mock.patch.object(Store, "_write_synced", write_synced)
 
--- a/tests/test_store_power_loss.py
+++ b/tests/test_store_power_loss.py
@@ -17,7 +17,8 @@
 from functools import partial
 from typing import Any
 
-from kelpstage.common.errors import Defect, DiskDefect, FormatMismatch, LogDamaged
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.storage import DiskError, FormatMismatchError, LogDamagedError
 from kelpstage.common.log.checksummed import MARK
 from kelpstage.common.ports.live import LiveDisk
 from kelpstage.common.transport.messages import LogEntry
@@ -25,7 +26,7 @@
 from kelpstage.core.store.layout import mark_path
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot, DiskStep
 from kelpstage.core.store.store import Store
-from kelpstage.core.store.task import DiskTask, KeepThis
+from kelpstage.core.store.task import DiskTask, PersistRequest
 from kelpstage.testbed.simulation.disk import Platter, SimFile
 from tests.power_loss import Machine, copy_of, every_way, finish
 
@@ -122,7 +123,7 @@
 
     def write(store: Store, state: State) -> object:
         ended = after(state)
-        return store.keep_snapshot(
+        return store.save_snapshot(
             snapshot=snapshot_of(index=ended.base, term=ended.base_term),
             tail=ended.entries(start=ended.base + 1),
             term=state.term,
@@ -139,7 +140,7 @@
         return replace(state, base=state.last + beyond, base_term=term, terms=())
 
     def write(store: Store, state: State) -> object:
-        return store.keep_snapshot(
+        return store.save_snapshot(
             snapshot=snapshot_of(index=state.last + beyond, term=term),
             tail=[],
             term=state.term,
@@ -156,7 +157,7 @@
         return replace(state, base=state.last - behind, base_term=term, terms=())
 
     def write(store: Store, state: State) -> object:
-        return store.keep_snapshot(
+        return store.save_snapshot(
             snapshot=snapshot_of(index=state.last - behind, term=term),
             tail=[],
             term=state.term,
@@ -210,15 +211,15 @@
         self.machine = machine
         self.store = Store(ports=machine.ports, segment_bytes=SEGMENT_BYTES)
         self.promised = self.pending = state or State()
-        self.failures: list[Defect] = []
+        self.failures: list[KelpstageError] = []
 
-    async def open(self, *, identity: DiskIdentity = MEMBER) -> State | Defect:
+    async def open(self, *, identity: DiskIdentity = MEMBER) -> State | KelpstageError:
         """Read the disk as a core does at its start."""
         found = await self.store.read_identity()
         if found != identity:
-            return found if isinstance(found, Defect) else Defect()
+            return found if isinstance(found, KelpstageError) else KelpstageError()
         recovered = await self.store.recover(identity=identity)
-        if isinstance(recovered, Defect):
+        if isinstance(recovered, KelpstageError):
             return recovered
         log = recovered.log
         state = State(
@@ -246,9 +247,9 @@
         """All operations; after a failure the replica starts anew and tries again."""
         for operation in operations:
             self.pending = operation.after(self.promised)
-            while (defect := await operation.write(self.store, self.promised)) is not None:
-                self._note(failure=defect)
-                while isinstance(state := await self.open(), DiskDefect):
+            while (error := await operation.write(self.store, self.promised)) is not None:
+                self._note(failure=error)
+                while isinstance(state := await self.open(), DiskError):
                     self._note(failure=state)
                 assert state in (self.promised, self.pending), (operation.name, state)
                 if state == self.pending:
@@ -256,7 +257,7 @@
             self.promised = self.pending
             await self.store.mark_synced()
 
-    def _note(self, *, failure: Defect) -> None:
+    def _note(self, *, failure: KelpstageError) -> None:
         """A full disk is emptied after some failures; a sync fails once."""
         self.failures.append(failure)
         self.machine.platter.is_sync_failing = False
@@ -265,14 +266,14 @@
 
     async def become_member(
         self, *, empty: DiskIdentity, member: DiskIdentity, snapshot: DiskSnapshot | None = None
-    ) -> State | Defect:
+    ) -> State | KelpstageError:
         """What a core does at its start until it is a member, again after any cut."""
         identity = await self.store.read_identity()
         if identity is None:
             assert await self.store.write_identity(identity=empty) is None
         if identity != member:
-            defect = await self.store.begin_member(identity=member, snapshot=snapshot, term=1)
-            assert defect is None, defect
+            error = await self.store.begin_member(identity=member, snapshot=snapshot, term=1)
+            assert error is None, error
         return await self.open(identity=member)
 
 
@@ -372,7 +373,7 @@
         writer.machine.platter.is_full = True
         self.assertEqual(writer.promised, finish(Writer(machine=writer.machine).open()))
         refused = finish(writer.store.append(steps=[DiskStep(has_vote=True, term=9)]))
-        self.assertIsInstance(refused, DiskDefect)
+        self.assertIsInstance(refused, DiskError)
 
     def test_a_stall_before_each_change_only_takes_time(self) -> None:
         for step in range(100):
@@ -392,7 +393,7 @@
             self.assert_promise_kept(restarted(writer=writer, choose=lambda n: 0), where="")
 
     def test_the_same_operations_in_a_real_folder(self) -> None:
-        async def play(folder: str) -> tuple[State, State | Defect]:
+        async def play(folder: str) -> tuple[State, State | KelpstageError]:
             machine = Machine()
             machine.ports.disk = LiveDisk(root=folder)
             writer = Writer(machine=machine)
@@ -453,16 +454,16 @@
             store=writer.store,
             on_synced=reported.append,
             on_kept=lambda index: None,
-            on_defect=self.fail,
+            on_error=self.fail,
         )
-        items: list[Persist | KeepThis] = [
+        items: list[Persist | PersistRequest] = [
             Persist(number=n, entries=[entry(index=n, term=n)], term=n, vote=str(n))
             for n in range(1, 13)
         ]
         place = rand.randrange(2, 12)
         items.insert(
             place,
-            KeepThis(
+            PersistRequest(
                 snapshot=snapshot_of(index=place - 1, term=place - 1),
                 tail=[entry(index=place, term=place)],
                 term=place,
@@ -481,7 +482,7 @@
         return reported[-1]
 
     async def feed(
-        self, *, task: DiskTask, items: list[Persist | KeepThis], rand: random.Random
+        self, *, task: DiskTask, items: list[Persist | PersistRequest], rand: random.Random
     ) -> None:
         """Let the task find its writes one or some at a time."""
         work = task.run()
@@ -589,14 +590,14 @@
 class Damage(unittest.TestCase):
     """Any byte flipped, any file cut short: noticed, named, never served."""
 
-    def damaged(self, *, path: str, data: bytes) -> State | Defect:
+    def damaged(self, *, path: str, data: bytes) -> State | KelpstageError:
         writer = grown()
         writer.machine.platter.files[path].data = data
         return finish(writer.open())
 
-    def assert_noticed(self, found: State | Defect, *, path: str, where: str) -> None:
-        self.assertIsInstance(found, (LogDamaged, FormatMismatch), where)
-        assert isinstance(found, LogDamaged | FormatMismatch)
+    def assert_noticed(self, found: State | KelpstageError, *, path: str, where: str) -> None:
+        self.assertIsInstance(found, (LogDamagedError, FormatMismatchError), where)
+        assert isinstance(found, LogDamagedError | FormatMismatchError)
         self.assertEqual(path, found.path, where)
 
     def test_every_byte_flipped(self) -> None:
@@ -629,7 +630,7 @@
                 continue
             writer = grown()
             del writer.machine.platter.files[path]
-            self.assertIsInstance(finish(writer.open()), LogDamaged, path)
+            self.assertIsInstance(finish(writer.open()), LogDamagedError, path)
 
     def test_without_the_mark_only_the_last_record_passes_for_a_torn_write(self) -> None:
         """A loss of power may take the mark; then all before the last record is judged."""
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,11 +13,24 @@
 
 import betterproto as bp
 
-from kelpstage.common.errors import BadFrame, ConnectRefused, Defect, LineLost, WaitOver
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.transport import (
+    ConnectError,
+    ConnectionLostError,
+    InvalidFrameError,
+    ReplyTimeoutError,
+)
 from kelpstage.common.transport import frames
 from kelpstage.common.transport.codec import Message, table_of
 from kelpstage.common.transport.connections import IN_WORK_LIMIT, Lines, LineServer
-from kelpstage.common.transport.messages import TYPES, Done, FetchState, GossipMsg, Meet, MeetReply
+from kelpstage.common.transport.messages import (
+    TYPES,
+    Done,
+    FetchState,
+    GossipMsg,
+    RegisterEdge,
+    RegisterEdgeReply,
+)
 from kelpstage.testbed.simulation.loop import VirtualLoop
 from kelpstage.testbed.simulation.world import SimProcess, World
 
@@ -36,19 +49,19 @@
 
     async def _with_world(self, loop, story) -> None:
         world = World(seed=1, loop=loop)
-        here = world.add_machine(name="here", domain="d")
-        there = world.add_machine(name="there", domain="d")
+        here = world.add_machine(name="here", zone="d")
+        there = world.add_machine(name="there", zone="d")
         world.homes[ADDRESS] = there
         self.world = world
-        self.server_process = SimProcess(world=world, name="server", machine=there, life=1)
-        self.client = SimProcess(world=world, name="client", machine=here, life=1)
+        self.server_process = SimProcess(world=world, name="server", machine=there, instance=1)
+        self.client = SimProcess(world=world, name="client", machine=here, instance=1)
         self.counts: Counter = Counter()
 
         async def on_message(message, source):
             if isinstance(message, Done):
                 raise ValueError("a message that was not thought of")
-            if isinstance(message, Meet):
-                return MeetReply(cluster=message.edge)
+            if isinstance(message, RegisterEdge):
+                return RegisterEdgeReply(cluster=message.edge)
             await self.server_process.ports.clock.sleep(us=10_000_000)
             return Done(is_ok=True)
 
@@ -66,7 +79,9 @@
         await asyncio.sleep(0)
 
     async def ask(self) -> object:
-        return await self.lines.call(address=ADDRESS, message=Meet(edge="x"), wait_us=1_000_000)
+        return await self.lines.call(
+            address=ADDRESS, message=RegisterEdge(edge="x"), wait_us=1_000_000
+        )
 
     async def raw(self, data: bytes) -> object:
         stream = await self.client.ports.net.connect(address=ADDRESS, wait_us=1_000_000)
@@ -100,13 +115,13 @@
             for name, data in bad.items():
                 with self.subTest(case=name):
                     before = self.counts["line_bad_frame"]
-                    self.assertIsInstance(await self.raw(data), Defect)
+                    self.assertIsInstance(await self.raw(data), KelpstageError)
                     self.assertEqual(before + 1, self.counts["line_bad_frame"])
                     self.assertEqual("x", (await self.ask()).cluster)
 
         self.run_story(story)
 
-    def test_other_wire_version_is_a_typed_defect(self) -> None:
+    def test_other_wire_version_is_a_typed_error(self) -> None:
         async def story() -> None:
             await self.raw(struct.pack("!4sHH", b"KELP", frames.WIRE_VERSION + 1, 0))
             self.assertEqual(1, self.counts["line_wire_mismatch"])
@@ -121,7 +136,7 @@
             )
             await asyncio.sleep(0)
             self.assertEqual("x", (await self.ask()).cluster)
-            self.assertIsInstance(await slow, WaitOver)
+            self.assertIsInstance(await slow, ReplyTimeoutError)
 
         self.run_story(story)
 
@@ -131,7 +146,7 @@
                 self.lines.call(address=ADDRESS, message=FetchState(), wait_us=15_000_000)
             )
             hasty = await self.lines.call(address=ADDRESS, message=FetchState(), wait_us=4_000_000)
-            self.assertIsInstance(hasty, WaitOver)
+            self.assertIsInstance(hasty, ReplyTimeoutError)
             self.assertEqual("x", (await self.ask()).cluster)
             self.assertIsInstance(await patient, Done)
 
@@ -153,19 +168,23 @@
             address = "10.0.0.1:7001"
             self.world.homes[address] = self.world.machines["there"]
             await self.server_process.ports.net.listen(address=address, on_stream=serve)
-            late = await self.lines.call(address=address, message=Meet(edge="a"), wait_us=4_000_000)
-            self.assertIsInstance(late, WaitOver)
+            late = await self.lines.call(
+                address=address, message=RegisterEdge(edge="a"), wait_us=4_000_000
+            )
+            self.assertIsInstance(late, ReplyTimeoutError)
             self.assertTrue(late.was_sent)
             second = asyncio.ensure_future(
-                self.lines.call(address=address, message=Meet(edge="b"), wait_us=2_000_000)
+                self.lines.call(address=address, message=RegisterEdge(edge="b"), wait_us=2_000_000)
             )
             await asyncio.sleep(0.2)
             first, other = held
-            answer = frames.pack(message=MeetReply(cluster="a"), flag=frames.REPLY, mark=1)
+            answer = frames.pack(message=RegisterEdgeReply(cluster="a"), flag=frames.REPLY, mark=1)
             first.write(data=answer)
             await asyncio.sleep(0.2)
             self.assertFalse(second.done())
-            other.write(data=frames.pack(message=MeetReply(cluster="b"), flag=frames.REPLY, mark=1))
+            other.write(
+                data=frames.pack(message=RegisterEdgeReply(cluster="b"), flag=frames.REPLY, mark=1)
+            )
             self.assertEqual("b", (await second).cluster)
 
         self.run_story(story)
@@ -182,16 +201,16 @@
                     serve = partial(self.speak_up, flag=flag)
                     await self.server_process.ports.net.listen(address=address, on_stream=serve)
                     got = await self.lines.call(
-                        address=address, message=Meet(edge="a"), wait_us=4_000_000
+                        address=address, message=RegisterEdge(edge="a"), wait_us=4_000_000
                     )
-                    self.assertIsInstance(got, BadFrame)
+                    self.assertIsInstance(got, InvalidFrameError)
 
         self.run_story(story)
 
     async def speak_up(self, stream: Any, source: str, *, flag: int) -> None:
         """A server that sends a message of its own under the number of a call."""
         await stream.read(size=frames.PREFACE.size + frames.HEAD.size)
-        message = frames.pack(message=MeetReply(cluster="z"), flag=flag, mark=1)
+        message = frames.pack(message=RegisterEdgeReply(cluster="z"), flag=flag, mark=1)
         stream.write(data=frames.preface(lane=frames.CONTROL) + message)
         await self.world_sleep()
 
@@ -199,7 +218,7 @@
         async def story() -> None:
             stream = await self.client.ports.net.connect(address=ADDRESS, wait_us=1_000_000)
             stream.write(data=b"KE")
-            self.assertIsInstance(await stream.read(size=1), Defect)
+            self.assertIsInstance(await stream.read(size=1), KelpstageError)
             self.assertEqual(1, self.counts["line_wait_over"])
             self.assertEqual("x", (await self.ask()).cluster)
 
@@ -209,7 +228,7 @@
         async def story() -> None:
             started = self.world.now_us()
             broken = await self.lines.call(address=ADDRESS, message=Done(), wait_us=9_000_000)
-            self.assertIsInstance(broken, LineLost)
+            self.assertIsInstance(broken, ConnectionLostError)
             self.assertLess(self.world.now_us() - started, 100_000)
             self.assertEqual(1, self.counts["line_handler_broken"])
             self.assertEqual("x", (await self.ask()).cluster)
@@ -232,19 +251,19 @@
             self.world.cuts |= {("here", "there"), ("there", "here")}
             for wait_us in (300_000, 3_000_000):  # before the connect gives up, and after
                 got = await self.lines.call(
-                    address=ADDRESS, message=Meet(edge="x"), wait_us=wait_us
+                    address=ADDRESS, message=RegisterEdge(edge="x"), wait_us=wait_us
                 )
-                self.assertEqual((WaitOver, False), (type(got), got.was_sent))
+                self.assertEqual((ReplyTimeoutError, False), (type(got), got.was_sent))
 
         self.run_story(story)
 
-    def test_dead_partner_is_refused_at_once(self) -> None:
+    def test_dead_peer_is_refused_at_once(self) -> None:
         async def story() -> None:
             self.assertEqual("x", (await self.ask()).cluster)
             self.server_process.kill()
             await asyncio.sleep(0.1)
             started = self.world.now_us()
-            self.assertIsInstance(await self.ask(), ConnectRefused)
+            self.assertIsInstance(await self.ask(), ConnectError)
             self.assertLess(self.world.now_us() - started, 100_000)
 
         self.run_story(story)
--- a/tests/test_worst_days.py
+++ b/tests/test_worst_days.py
@@ -98,7 +98,7 @@
     """One machine is gone for good, an empty one comes at another address."""
     cores.kill(gone, is_disk=True)
     cores.names.remove(gone)
-    cores.add(name=fresh, domain="d0")
+    cores.add(name=fresh, zone="d0")
     await cores.sleep(1_000_000)
     await cores.start(fresh, seeds=[gone, *cores.names[:2]])
 
