--- /dev/null
+++ b/tests/test_compatibility.py
@@ -0,0 +1,517 @@
+"""What version 0.1.0 wrote, sent and accepted is still read, understood and accepted.
+
+The fixtures are described in `tests/fixtures/v0.1.0/README.md`. They know messages and
+their fields by number, errors by their public tag, and no name of a class or a module.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import dataclasses
+import hashlib
+import json
+import pathlib
+import re
+import shutil
+import tempfile
+import tomllib
+import unittest
+from collections.abc import Iterator
+from typing import Any
+from unittest import mock
+
+import betterproto as bp
+import typer
+from typer.testing import CliRunner
+
+# All names of the product that this file uses, apart from those in the section below.
+from kelpstage.base.configuration.check import read_configuration
+from kelpstage.base.configuration.types import Configuration
+from kelpstage.base.day.format import HEAD as DAY_HEAD
+from kelpstage.base.day.format import pack_row, read_day
+from kelpstage.base.defects import Defect as RootError
+from kelpstage.base.defects import Fault
+from kelpstage.base.env.read import CORE_FORM, EDGE_FORM, read_env
+from kelpstage.base.ports.live import live_ports
+from kelpstage.base.ports.types import HttpCall, HttpReply
+from kelpstage.base.wire import frames
+from kelpstage.base.wire.delta import apply_delta, pack_delta
+from kelpstage.base.wire.http import defect_reply as error_reply
+from kelpstage.base.wire.messages import TYPES, GossipMsg, MemberMsg, StateDoc
+from kelpstage.core.main import app as core_cli
+from kelpstage.core.raft.members import read_members
+from kelpstage.core.state.machine import (
+    CoreState,
+    Machine,
+    PutApplied,
+    PutClash,
+    PutLost,
+    PutNotAbove,
+    PutUnclear,
+    PutUnreadable,
+    RosterSet,
+)
+from kelpstage.core.store.records import DiskSnapshot, DiskStep
+from kelpstage.core.store.store import Store
+from kelpstage.ctl.main import app as operator_cli
+from kelpstage.edge.forward.names import HeaderNames
+from kelpstage.edge.gossip.task import MAGIC as GOSSIP_MAGIC
+from kelpstage.edge.main import app as edge_cli
+from kelpstage.rep.main import app as replay_cli
+from proof.fleet.deployment import load as load_deployment
+from proof.sim.fleet import SimFleet, run_sim
+from proof.standin.backend import SENDER_HEADER, StandIn
+
+FIXTURES = pathlib.Path(__file__).parent / "fixtures" / "v0.1.0"
+PROJECT_FILE = pathlib.Path(__file__).parent.parent / "pyproject.toml"
+CORE_FOLDERS = ("core-run", "core-steps")
+NOOP, MEMBERSHIP, COMMAND = 0, 1, 2  # kinds of log entries, as they stand in the files
+LANES = (0, 1, 2)
+FREE_LISTS = ("events", "records")  # of replies: their rows differ from one to the next
+
+COMMAND_LINES = {
+    "kelpd": edge_cli,
+    "kelpc": core_cli,
+    "kelpctl": operator_cli,
+    "kelprep": replay_cli,
+}
+SETTINGS_FORMS = {"edge": EDGE_FORM, "core": CORE_FORM}
+ENCODED_MESSAGES = {"state": StateDoc, "snapshot": DiskSnapshot}
+OUTCOMES = {
+    PutApplied: "applied",
+    PutLost: "lost",
+    PutNotAbove: "not above",
+    PutClash: "clash",
+    PutUnclear: "unclear",
+    PutUnreadable: "unreadable",
+    RosterSet: "roster set",
+}
+
+Json = dict[str, Any]
+
+
+# --- attributes and calls of the product ---------------------------------------------------
+
+
+def load_json(*, name: str) -> Any:
+    return json.loads((FIXTURES / name).read_text())
+
+
+async def open_store(*, folder: pathlib.Path) -> tuple[Store, Any]:
+    """The store over a data folder, and what it recovers."""
+    store = Store(ports=live_ports(data_folder=str(folder)))
+    identity = await store.read_identity()
+    recovered = await store.recover(identity=identity)
+    return store, recovered
+
+
+def machine_of(*, recovered: Any) -> Machine:
+    """The state machine as the snapshot has it, without the log's entries."""
+    state = None
+    if recovered.snapshot is not None:
+        state = CoreState().parse(recovered.snapshot.state)
+    return Machine(cluster=recovered.identity.cluster, state=state)
+
+
+def contents_of(*, recovered: Any) -> Json:
+    """All that a data folder holds, with every entry applied."""
+    machine = machine_of(recovered=recovered)
+    entries = [entry_row(entry=entry, machine=machine) for entry in recovered.log.entries]
+    return {
+        "identity": by_number(message=recovered.identity),
+        "term": recovered.term,
+        "vote": recovered.vote,
+        "base_index": recovered.log.base_index,
+        "base_term": recovered.log.base_term,
+        "last_index": recovered.log.last_index,
+        "last_term": recovered.log.last_term,
+        "snapshot": by_number(message=recovered.snapshot),
+        "entries": entries,
+        "state": by_number(message=machine.state),
+        "document_sha256": hashlib.sha256(machine.state.document).hexdigest(),
+        "installed_by_edges": by_number(message=machine.doc()),
+    }
+
+
+def entry_row(*, entry: Any, machine: Machine) -> Json:
+    """A log entry and what it does: the new members, or the outcome of its command."""
+    row: Json = {"entry": by_number(message=entry)}
+    if entry.kind == MEMBERSHIP:
+        row["members"] = [by_number(message=one) for one in read_members(data=entry.data)]
+    if entry.kind == COMMAND:
+        row["outcome"] = outcome_row(outcome=machine.apply(data=entry.data))
+    return row
+
+
+def outcome_row(*, outcome: Any) -> list[Any]:
+    """What an outcome is, and its numbers in order; the wording of a reason may change."""
+    values = dataclasses.astuple(outcome)
+    return [OUTCOMES[type(outcome)], *(one for one in values if not isinstance(one, str))]
+
+
+def read_frame(*, data: bytes, lane: int) -> tuple[Any, Any]:
+    """A frame's head and its message."""
+    head = frames.read_head(data=data[: frames.HEAD.size], lane=lane, address="a")
+    return head, frames.read_body(head=head, data=data[frames.HEAD.size :], address="a")
+
+
+def error_kinds() -> dict[str, type[RootError]]:
+    """The errors of the product by the tag that callers see."""
+    return {kind.__new__(kind).kind: kind for kind in leaf_classes(root=RootError)}
+
+
+def settings_row(*, settings: Any) -> Any:
+    """Settings as JSON has them."""
+    return dataclasses.asdict(settings) if dataclasses.is_dataclass(settings) else settings
+
+
+async def fetch(*, fleet: SimFleet, request: Json) -> HttpReply:
+    """Send a request of the fixture to an edge or a core of the fleet."""
+    name = sorted(fleet.core_address)[0]
+    hosts = {
+        "edge": fleet.edge_http[name],
+        "core": fleet.core_http(name=name),
+        "leader": fleet.core_http(name=fleet.leader()),
+    }
+    body = request.get("body", "").encode()
+    if "configuration_note" in request:
+        body = fleet.configuration(note=request["configuration_note"])
+    return await fleet.outside.ports.net.fetch(
+        call=HttpCall(
+            method=request["method"],
+            url=f"http://{hosts[request['to']]}{request['path']}",
+            headers=request.get("headers", {}),
+            body=body,
+            wait_us=20_000_000,
+        )
+    )
+
+
+# --- comparing without names -----------------------------------------------------------------
+
+
+def field_number(field: dataclasses.Field) -> int:
+    return bp.FieldMetadata.get(field).number
+
+
+def by_number(*, message: Any) -> Json:
+    """The fields that differ from their defaults, keyed by number."""
+    fields = sorted(dataclasses.fields(message), key=field_number)
+    values = {str(field_number(field)): getattr(message, field.name) for field in fields}
+    return {number: plain(value=value) for number, value in values.items() if is_set(value=value)}
+
+
+def is_set(*, value: Any) -> bool:
+    if isinstance(value, bp.Message):
+        return bool(by_number(message=value))
+    return bool(value)
+
+
+def plain(*, value: Any) -> Any:
+    """A field's value as JSON has it; bytes are told from text."""
+    if isinstance(value, bp.Message):
+        return by_number(message=value)
+    if isinstance(value, bytes):
+        return {"hex": value.hex()}
+    if isinstance(value, list):
+        return [plain(value=one) for one in value]
+    return value
+
+
+def leaf_classes(*, root: type) -> Iterator[type]:
+    """The product's classes under a root that have no subclasses themselves."""
+    subclasses = [kind for kind in root.__subclasses__() if kind.__module__.startswith("kelpstage")]
+    for kind in subclasses:
+        yield from leaf_classes(root=kind)
+    if not subclasses:
+        yield root
+
+
+def options_of(*, app: typer.Typer) -> dict[str, Json]:
+    """What each command of a command line takes; "" is a program's only command."""
+    root = typer.main.get_command(app)
+    commands = getattr(root, "commands", {"": root})
+    return {name: parameters_of(command=command) for name, command in commands.items()}
+
+
+def parameters_of(*, command: Any) -> Json:
+    names = [name for parameter in command.params for name in parameter.opts]
+    options = sorted(name for name in names if name.startswith("-"))
+    return {"options": options, "arguments": len(names) - len(options)}
+
+
+def reply_row(*, reply: HttpReply) -> Json:
+    """What callers may rely on in a reply: status, names of headers and of the JSON's fields."""
+    row: Json = {"status": reply.status, "headers": sorted(name.lower() for name in reply.headers)}
+    body = json.loads(reply.body)
+    row["fields"] = sorted(body)
+    if reply.status != 200:
+        error = body[row["fields"][0]]
+        row["error"] = {"kind": error["kind"], "fields": sorted(error)}
+        return row
+    lists = {name: rows for name, rows in body.items() if name not in FREE_LISTS}
+    row["rows"] = {name: row_fields(rows=rows) for name, rows in lists.items() if is_rows(rows)}
+    return row
+
+
+def is_rows(value: Any) -> bool:
+    return isinstance(value, list) and bool(value) and isinstance(value[0], dict)
+
+
+def row_fields(*, rows: list[Json]) -> list[str]:
+    return sorted({name for row in rows for name in row})
+
+
+def backend_call(*, call: HttpCall) -> Json:
+    """What backends may rely on in a call, with the names of shards and records left out."""
+    path = re.sub(r"(shards|records)/[^/]+", r"\1/*", call.url)
+    names = {name.lower() for name in call.headers} - {SENDER_HEADER.lower()}
+    return {"method": call.method, "path": path, "headers": sorted(names)}
+
+
+# --- tests -----------------------------------------------------------------------------------
+
+
+class DataFolder(unittest.TestCase):
+    def copy_of(self, *, name: str) -> pathlib.Path:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        return pathlib.Path(shutil.copytree(FIXTURES / name, pathlib.Path(folder.name) / "data"))
+
+    def test_everything_in_the_folder_is_read(self) -> None:
+        for name in CORE_FOLDERS:
+            with self.subTest(folder=name):
+                _, recovered = asyncio.run(open_store(folder=self.copy_of(name=name)))
+                expected = load_json(name=f"{name}.expected.json")
+                self.assertEqual(expected, contents_of(recovered=recovered))
+
+    def test_the_state_is_written_as_before(self) -> None:
+        for name in CORE_FOLDERS:
+            with self.subTest(folder=name):
+                _, recovered = asyncio.run(open_store(folder=self.copy_of(name=name)))
+                state = recovered.snapshot.state
+                self.assertEqual(state, bytes(CoreState().parse(state)))
+                path = next((FIXTURES / name / "snapshots").iterdir())
+                self.assertTrue(path.read_bytes().endswith(bytes(recovered.snapshot)))
+
+    def test_a_repeated_order_gets_the_outcome_that_it_had(self) -> None:
+        for name in CORE_FOLDERS:
+            _, recovered = asyncio.run(open_store(folder=self.copy_of(name=name)))
+            machine = machine_of(recovered=recovered)
+            for entry in recovered.log.entries:
+                if entry.kind == COMMAND:
+                    machine.apply(data=entry.data)
+            before = bytes(machine.state)
+            rows = load_json(name="repeated-orders.json")[name]
+            self.assertTrue(rows)
+            for row in rows:
+                with self.subTest(folder=name, order=row["order"]):
+                    outcome = machine.apply(data=bytes.fromhex(row["command"]))
+                    self.assertEqual(row["outcome"], outcome_row(outcome=outcome))
+            self.assertEqual(before, bytes(machine.state))
+
+    def test_the_configuration_in_force_is_still_a_good_one(self) -> None:
+        state = load_json(name="core-run.expected.json")["state"]
+        document = bytes.fromhex(state["4"]["hex"])
+        judged = read_configuration(data=document, version=state["3"])
+        self.assertIsInstance(judged, Configuration)
+
+    def test_the_folder_is_carried_on_with(self) -> None:
+        for name in CORE_FOLDERS:
+            with self.subTest(folder=name):
+                folder = self.copy_of(name=name)
+                expected = load_json(name=f"{name}.expected.json")
+                before, after = asyncio.run(self.append_and_reopen(folder=folder))
+                self.assertEqual(expected["last_index"] + 1, after.log.last_index)
+                self.assertEqual((expected["term"] + 1, "v"), (after.term, after.vote))
+                self.assertEqual(before.log.entries, after.log.entries[:-1])
+                self.assertEqual(before.snapshot, after.snapshot)
+                self.assertEqual(
+                    expected["state"], contents_of(recovered=after)["state"]
+                )  # the new entry is a no-op
+
+    async def append_and_reopen(self, *, folder: pathlib.Path) -> tuple[Any, Any]:
+        store, before = await open_store(folder=folder)
+        term = before.term + 1
+        entry = type(before.log.entries[-1])(index=before.log.last_index + 1, term=term, kind=NOOP)
+        step = DiskStep(entries=[entry], has_vote=True, term=term, vote="v")
+        self.assertIsNone(await store.append(steps=[step]))
+        await store.mark_synced()
+        _, after = await open_store(folder=folder)
+        return before, after
+
+
+class RecordedDay(unittest.TestCase):
+    def setUp(self) -> None:
+        self.data = (FIXTURES / "day.kday").read_bytes()
+
+    def test_every_kind_of_row_is_read_and_written_as_before(self) -> None:
+        rows = load_json(name="day.expected.json")["rows"]
+        kinds = {"begin", "call", "put", "fault", "listed", "result"}
+        self.assertEqual(kinds, {row["what"] for row in rows})
+        self.assertEqual(rows, read_day(path="day", data=self.data))
+        self.assertEqual(self.data, DAY_HEAD + b"".join(pack_row(row=row) for row in rows))
+
+    def test_a_torn_day_is_read_up_to_its_last_whole_row(self) -> None:
+        rows = load_json(name="day.expected.json")["rows"]
+        torn = self.data[:-1]
+        self.assertEqual(rows[:-1], read_day(path="day", data=torn, is_torn_tail_fine=True))
+
+    def test_the_program_shows_the_day_as_before(self) -> None:
+        for name in ("day.kday", "results.kday"):
+            with self.subTest(file=name):
+                shown = CliRunner().invoke(replay_cli, ["show", str(FIXTURES / name)])
+                self.assertEqual(0, shown.exit_code)
+                expected = load_json(name="day.expected.json")["shown"][name]
+                self.assertEqual(expected, json.loads(shown.stdout))
+
+
+class Wire(unittest.TestCase):
+    def test_messages_have_the_numbers_that_they_had(self) -> None:
+        expected = {int(number) for number in load_json(name="frames.json")["frames"]}
+        self.assertEqual(expected, set(TYPES))
+
+    def test_every_frame_is_read_and_written_as_before(self) -> None:
+        for number, row in load_json(name="frames.json")["frames"].items():
+            with self.subTest(number=number):
+                data = bytes.fromhex(row["hex"])
+                head, message = read_frame(data=data, lane=row["lane"])
+                self.assertIs(TYPES[int(number)], type(message))
+                self.assertEqual(
+                    (int(number), row["flag"], row["mark"]), (head.number, head.flag, head.mark)
+                )
+                self.assertEqual(row["fields"], by_number(message=message))
+                self.assertEqual(
+                    data, frames.pack(message=message, flag=row["flag"], mark=row["mark"])
+                )
+
+    def test_connections_begin_as_before(self) -> None:
+        expected = load_json(name="frames.json")["prefaces"]
+        self.assertEqual(expected, [frames.preface(lane=lane).hex() for lane in LANES])
+
+    def test_gossip_datagrams_are_read_and_written_as_before(self) -> None:
+        row = load_json(name="gossip.json")
+        data = bytes.fromhex(row["hex"])
+        self.assertTrue(data.startswith(GOSSIP_MAGIC))
+        message = GossipMsg().parse(data[len(GOSSIP_MAGIC) :])
+        self.assertEqual(row["fields"], by_number(message=message))
+        self.assertEqual(data, GOSSIP_MAGIC + bytes(message))
+        for member in row["members"]:
+            packed = bytes.fromhex(member["hex"])
+            parsed = MemberMsg().parse(packed)
+            self.assertEqual(member["fields"], by_number(message=parsed))
+            self.assertEqual(packed, bytes(parsed))
+
+    def test_differences_are_applied_as_before(self) -> None:
+        """What packs them may come to other bytes, so those are not compared."""
+        for row in load_json(name="deltas.json"):
+            with self.subTest(case=row["case"]):
+                base, whole = bytes.fromhex(row["base"]), bytes.fromhex(row["whole"])
+                delta = bytes.fromhex(row["delta"])
+                self.assertEqual(whole, apply_delta(base=base, delta=delta))
+                again = pack_delta(base=base, whole=whole)
+                self.assertEqual(whole, apply_delta(base=base, delta=again))
+
+    def test_values_in_chunks_are_put_together_as_before(self) -> None:
+        for name, row in load_json(name="chunks.json").items():
+            with self.subTest(value=name):
+                chunks = [
+                    read_frame(data=bytes.fromhex(chunk), lane=frames.BULK)[1]
+                    for chunk in row["frames"]
+                ]
+                packed = b"".join(chunk.data for chunk in chunks)
+                self.assertEqual({hashlib.sha256(packed).digest()}, {one.digest for one in chunks})
+                self.assertEqual({len(packed)}, {chunk.total for chunk in chunks})
+                whole = apply_delta(base=b"", delta=packed)
+                message = ENCODED_MESSAGES[name]().parse(whole)
+                self.assertEqual(row["fields"], by_number(message=message))
+                self.assertEqual(whole, bytes(message))
+
+
+class PublicErrors(unittest.TestCase):
+    def test_the_kinds_are_those_of_before(self) -> None:
+        expected = [row["kind"] for row in load_json(name="errors.json")]
+        self.assertEqual(expected, sorted(error_kinds()))
+
+    def test_each_is_reported_to_callers_as_before(self) -> None:
+        kinds = error_kinds()
+        for row in load_json(name="errors.json"):
+            with self.subTest(kind=row["kind"]):
+                error = self.error_from(kind=kinds[row["kind"]], body=row["body"])
+                reply = error_reply(defect=error)
+                self.assertEqual(row["status"], reply.status)
+                self.assertEqual(row["retry_after"], reply.headers.get("Retry-After"))
+                self.assertEqual(row["body"].encode(), reply.body)
+
+    def error_from(self, *, kind: type[RootError], body: str) -> RootError:
+        """An error from the values in its reply, which stand in the order of its fields."""
+        [values] = json.loads(body).values()
+        del values["kind"]
+        if "faults" in values:
+            values["faults"] = [
+                self.error_from(kind=Fault, body=json.dumps({"error": {"kind": "fault", **one}}))
+                for one in values["faults"]
+            ]
+        names = [field.name for field in dataclasses.fields(kind)]
+        return kind(**dict(zip(names, values.values(), strict=True)))
+
+
+class PublicHttp(unittest.TestCase):
+    def test_paths_headers_and_fields_are_those_of_before(self) -> None:
+        expected = load_json(name="http.json")
+        replies: list[Json] = []
+        backend_calls: list[Json] = []
+        answer = StandIn.answer
+
+        async def note_and_answer(backend: StandIn, call: HttpCall) -> Any:
+            noted = backend_call(call=call)
+            if noted not in backend_calls and "/shards/" in noted["path"]:
+                backend_calls.append(noted)
+            return await answer(backend, call)
+
+        async def story(fleet: SimFleet) -> None:
+            await fleet.bring_up()
+            for row in expected["requests"]:
+                replies.append(reply_row(reply=await fetch(fleet=fleet, request=row["request"])))
+
+        with mock.patch.object(StandIn, "answer", note_and_answer):
+            run_sim(seed=11, deployment=load_deployment(name="tiny"), story=story)
+        for row, reply in zip(expected["requests"], replies, strict=True):
+            request = row["request"]
+            with self.subTest(to=request["to"], method=request["method"], path=request["path"]):
+                self.assertEqual(row["reply"], reply)
+        self.assertCountEqual(expected["backend_calls"], backend_calls)
+
+
+class UsersSettings(unittest.TestCase):
+    def test_settings_files_are_accepted_as_before(self) -> None:
+        for program, form in SETTINGS_FORMS.items():
+            for extent in ("full", "minimal"):
+                with self.subTest(program=program, extent=extent):
+                    name = f"settings-{program}-{extent}.json"
+                    settings = read_env(file=str(FIXTURES / name), flags={}, form=form)
+                    self.assertEqual(load_json(name=name), settings_row(settings=settings))
+
+    def test_a_key_that_was_never_known_is_refused_with_its_path(self) -> None:
+        for program, form in SETTINGS_FORMS.items():
+            with self.subTest(program=program):
+                name = FIXTURES / f"settings-{program}-minimal.json"
+                refused = read_env(file=str(name), flags={"no_such_key": 1}, form=form)
+                self.assertEqual(["no_such_key"], [fault.path for fault in refused.faults])
+
+    def test_header_names_have_the_keys_and_defaults_of_before(self) -> None:
+        expected = load_json(name="header-names.json")
+        self.assertEqual(expected, dataclasses.asdict(HeaderNames()))
+
+    def test_command_lines_take_the_options_that_they_took(self) -> None:
+        for program, commands in load_json(name="options.json").items():
+            present = options_of(app=COMMAND_LINES[program])
+            for command, expected in commands.items():
+                with self.subTest(program=program, command=command):
+                    missing = set(expected["options"]) - set(present[command]["options"])
+                    self.assertEqual(set(), missing)
+                    self.assertEqual(expected["arguments"], present[command]["arguments"])
+
+    def test_the_programs_have_the_names_that_they_had(self) -> None:
+        scripts = tomllib.loads(PROJECT_FILE.read_text())["project"]["scripts"]
+        self.assertEqual(set(), set(COMMAND_LINES) - set(scripts))
