--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -24,43 +24,44 @@
 import typer
 from typer.testing import CliRunner
 
+from kelpstage.cli.main import app as operator_cli
+from kelpstage.common.configuration.types import Configuration
+
 # All names of the product that this file uses, apart from those in the section below.
-from kelpstage.base.configuration.check import read_configuration
-from kelpstage.base.configuration.types import Configuration
-from kelpstage.base.day.format import HEAD as DAY_HEAD
-from kelpstage.base.day.format import pack_row, read_day
-from kelpstage.base.defects import Defect as RootError
-from kelpstage.base.defects import Fault
-from kelpstage.base.env.read import CORE_FORM, EDGE_FORM, read_env
-from kelpstage.base.ports.live import live_ports
-from kelpstage.base.ports.types import HttpCall, HttpReply
-from kelpstage.base.wire import frames
-from kelpstage.base.wire.delta import apply_delta, pack_delta
-from kelpstage.base.wire.http import defect_reply as error_reply
-from kelpstage.base.wire.messages import TYPES, GossipMsg, MemberMsg, StateDoc
+from kelpstage.common.configuration.validation import read_configuration
+from kelpstage.common.errors.base import KelpstageError as RootError
+from kelpstage.common.errors.validation import InvalidField
+from kelpstage.common.http.replies import error_reply as error_reply
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.common.ports.live import live_ports
+from kelpstage.common.recording.format import HEAD as DAY_HEAD
+from kelpstage.common.recording.format import pack_row, read_day
+from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, read_settings_file
+from kelpstage.common.transport import frames
+from kelpstage.common.transport.delta import apply_delta, pack_delta
+from kelpstage.common.transport.messages import TYPES, GossipMsg, MemberMsg, StateDoc
 from kelpstage.core.main import app as core_cli
 from kelpstage.core.raft.members import read_members
 from kelpstage.core.state.machine import (
     CoreState,
     Machine,
+    MembershipSet,
     PutApplied,
-    PutClash,
-    PutLost,
     PutNotAbove,
-    PutUnclear,
+    PutOutcomeUnknown,
+    PutSuperseded,
     PutUnreadable,
-    RosterSet,
+    PutVersionTaken,
 )
 from kelpstage.core.store.records import DiskSnapshot, DiskStep
 from kelpstage.core.store.store import Store
-from kelpstage.ctl.main import app as operator_cli
-from kelpstage.edge.forward.names import HeaderNames
+from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.gossip.task import MAGIC as GOSSIP_MAGIC
 from kelpstage.edge.main import app as edge_cli
-from kelpstage.rep.main import app as replay_cli
-from proof.fleet.deployment import load as load_deployment
-from proof.sim.fleet import SimFleet, run_sim
-from proof.standin.backend import SENDER_HEADER, StandIn
+from kelpstage.replay.main import app as replay_cli
+from kelpstage.testbed.fleet.deployment import load as load_deployment
+from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
+from kelpstage.testbed.stand_ins.backend import SENDER_HEADER, StandIn
 
 FIXTURES = pathlib.Path(__file__).parent / "fixtures" / "v0.1.0"
 PROJECT_FILE = pathlib.Path(__file__).parent.parent / "pyproject.toml"
@@ -79,12 +80,12 @@
 ENCODED_MESSAGES = {"state": StateDoc, "snapshot": DiskSnapshot}
 OUTCOMES = {
     PutApplied: "applied",
-    PutLost: "lost",
+    PutSuperseded: "lost",
     PutNotAbove: "not above",
-    PutClash: "clash",
-    PutUnclear: "unclear",
+    PutVersionTaken: "clash",
+    PutOutcomeUnknown: "unclear",
     PutUnreadable: "unreadable",
-    RosterSet: "roster set",
+    MembershipSet: "roster set",
 }
 
 Json = dict[str, Any]
@@ -438,7 +439,7 @@
         for row in load_json(name="errors.json"):
             with self.subTest(kind=row["kind"]):
                 error = self.error_from(kind=kinds[row["kind"]], body=row["body"])
-                reply = error_reply(defect=error)
+                reply = error_reply(error=error)
                 self.assertEqual(row["status"], reply.status)
                 self.assertEqual(row["retry_after"], reply.headers.get("Retry-After"))
                 self.assertEqual(row["body"].encode(), reply.body)
@@ -449,7 +450,9 @@
         del values["kind"]
         if "faults" in values:
             values["faults"] = [
-                self.error_from(kind=Fault, body=json.dumps({"error": {"kind": "fault", **one}}))
+                self.error_from(
+                    kind=InvalidField, body=json.dumps({"error": {"kind": "fault", **one}})
+                )
                 for one in values["faults"]
             ]
         names = [field.name for field in dataclasses.fields(kind)]
@@ -489,14 +492,14 @@
             for extent in ("full", "minimal"):
                 with self.subTest(program=program, extent=extent):
                     name = f"settings-{program}-{extent}.json"
-                    settings = read_env(file=str(FIXTURES / name), flags={}, form=form)
+                    settings = read_settings_file(file=str(FIXTURES / name), flags={}, form=form)
                     self.assertEqual(load_json(name=name), settings_row(settings=settings))
 
     def test_a_key_that_was_never_known_is_refused_with_its_path(self) -> None:
         for program, form in SETTINGS_FORMS.items():
             with self.subTest(program=program):
                 name = FIXTURES / f"settings-{program}-minimal.json"
-                refused = read_env(file=str(name), flags={"no_such_key": 1}, form=form)
+                refused = read_settings_file(file=str(name), flags={"no_such_key": 1}, form=form)
                 self.assertEqual(["no_such_key"], [fault.path for fault in refused.faults])
 
     def test_header_names_have_the_keys_and_defaults_of_before(self) -> None:
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -120,9 +120,9 @@
     assert got == 0 and "planned under configuration" in out and "first; window" in out, (out, err)
     day, result = str(fleet.folder / "a.day"), str(fleet.folder / "a.result")
     write_day(path=day, history=[r for r in fleet.history if r["event"] == "call"][-60:])
-    got, out, err = await tool("rep", "run", day, "--out", result, "--speed", "4", *edge)
+    got, out, err = await tool("replay", "run", day, "--out", result, "--speed", "4", *edge)
     assert got == 0 and json.loads(out)["ends"]["ok"] >= 45, (got, out, err)
-    got, out, err = await tool("rep", "diff", result, result)
+    got, out, err = await tool("replay", "diff", result, result)
     assert got == 0, (got, out, err)
     await lose_most_cores(fleet=fleet)
 
