--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -19,6 +19,7 @@
 from kelpstage.common.configuration.validation import read_configuration
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
+from kelpstage.common.ports.live import live_ports
 from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, validate_settings
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -170,6 +171,24 @@
                 self.assertEqual(end.exception.code, 2)
 
 
+class ProgramsTest(unittest.IsolatedAsyncioTestCase):
+    async def test_both_programs_build_their_daemon_from_the_platforms_file(self):
+        for name in ("edge", "core"):
+            with self.subTest(name), tempfile.TemporaryDirectory() as folder:
+                file = Path(folder, "local.conf")
+                file.write_text(json.dumps({**FIELDS, "DataPath": folder}))
+                program = load(name)
+                with (
+                    mock.patch.dict(os.environ, KELPSTAGE_SETTINGS=str(file)),
+                    mock.patch.object(program, "run_daemon") as run_daemon,
+                ):
+                    program.run()
+                    started = run_daemon.call_args.kwargs
+                    daemon = started["build"](live_ports(data_folder=folder))
+                    daemon.reread(settings=started["read_settings"]())
+                self.assertTrue(callable(daemon.open))
+
+
 class ConfigurationTest(unittest.TestCase):
     def setUp(self):
         self.configuration = load("configuration")
