--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -14,7 +14,6 @@
 import struct
 import unittest
 from collections import Counter
-from contextlib import suppress
 from functools import partial
 from types import SimpleNamespace
 from typing import Any, Awaitable, Callable, Iterator
@@ -38,6 +37,7 @@
 from kelpstage.edge.lease.keeper import Keeper
 from kelpstage.edge.rounds.budget import Budget
 from kelpstage.edge.web.forward import serve_forwarded
+from tests.async_case import AsyncCase, RawServer
 from tests.test_http import Raw, free_address, until
 
 SERVICE = "once"
@@ -64,22 +64,20 @@
 
     def __init__(self, *, name: str, script: Script) -> None:
         self.name, self.script = name, script
-        self.address = ""
         self.arrivals: list[str] = []
         self.connections = 0
-        self.writers: list[asyncio.StreamWriter] = []
-        self._server: asyncio.Server | None = None
+        self._server = RawServer(handler=self._take)
+
+    @property
+    def address(self) -> str:
+        return self._server.address
 
     async def open(self) -> None:
-        self._server = await asyncio.start_server(self._take, "127.0.0.1", 0)
-        host, port = self._server.sockets[0].getsockname()
-        self.address = f"{host}:{port}"
+        await self._server.start()
 
     async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        self.writers.append(writer)
-        with suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            await self.script(self, self.connections, reader, writer)
+        await self.script(self, self.connections, reader, writer)
 
     async def request(self, reader: asyncio.StreamReader) -> str:
         """Read one request whole; its id."""
@@ -95,11 +93,8 @@
         self.arrivals.append(name)
         return name
 
-    def close(self) -> None:
-        for writer in self.writers:
-            writer.close()
-        if self._server is not None:
-            self._server.close()
+    async def stop(self) -> None:
+        await self._server.stop()
 
 
 def answer(
@@ -145,7 +140,7 @@
 GOOD = says(answer)
 
 
-class EdgeCase(unittest.IsolatedAsyncioTestCase):
+class EdgeCase(AsyncCase):
     """An edge of its real parts between raw sockets on both sides."""
 
     is_repeatable = False
@@ -153,6 +148,7 @@
     deadline_us = DEADLINE_US
 
     async def asyncSetUp(self) -> None:
+        await super().asyncSetUp()
         self.clock = BootClock()
         self.client = HttpClient()
         self.sends: list[HttpCall] = []
@@ -243,13 +239,18 @@
         for raw in self.raws:
             raw.close()
         self.client.close()
-        for backend in self.backends:
-            backend.close()
+        await self.stop_backends()
         self.server.abort()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
+    async def stop_backends(self) -> None:
+        """End the backends of this test; the next ones are new."""
+        for backend in self.backends:
+            await backend.stop()
+        self.backends = []
+
     async def start(self, *scripts: Script) -> list[RawBackend]:
         """New backends, in the order in which they are asked."""
         self.starts += 1
@@ -372,7 +373,7 @@
     async def test_what_may_have_run_is_never_sent_again(self) -> None:
         for name, script in MAY_HAVE_RUN.items():
             with self.subTest(name):
-                self.backends = []
+                await self.stop_backends()
                 first, second = await self.start(script, GOOD)
                 status, headers, _ = await self.ask(f"r {name}".replace(" ", "-"))
                 self.assertEqual(502, status)
@@ -384,7 +385,7 @@
     async def test_an_answer_that_is_the_backends_goes_back_as_it_came(self) -> None:
         for name, (script, status, seal) in GOES_BACK.items():
             with self.subTest(name):
-                self.backends = []
+                await self.stop_backends()
                 first, second = await self.start(script, GOOD)
                 got, headers, body = await self.ask(f"r {name}".replace(" ", "-"))
                 self.assertEqual((status, seal, b"fine"), (got, headers.get("kelp-seal", ""), body))
@@ -393,7 +394,7 @@
     async def test_what_was_turned_away_may_go_to_another_within_its_attempts(self) -> None:
         for script in (NOT_RUN, ELSEWHERE):
             with self.subTest(script=script):
-                self.backends = []
+                await self.stop_backends()
                 first, second = await self.start(script, GOOD)
                 status, headers, _ = await self.ask("r")
                 self.assertEqual((200, "a.1"), (status, headers["kelp-seal"]))
@@ -414,13 +415,13 @@
 
     async def test_nobody_there_goes_to_another(self) -> None:
         first, second = await self.start(GOOD, GOOD)
-        first.close()
+        await first.stop()
         status, _, _ = await self.ask("r")
         self.assertEqual((200, 1), (status, len(second.arrivals)))
 
     async def test_nobody_there_at_all_is_a_promise(self) -> None:
         for backend in await self.start(GOOD, GOOD):
-            backend.close()
+            await backend.stop()
         status, headers, _ = await self.ask("r")
         self.assertEqual(503, status)
         self.assertIn("retry-after", headers)
@@ -504,7 +505,8 @@
             (WaitOver(address="a", after_us=1), False),
         ):
             with self.subTest(outcome=outcome):
-                self.backends, self.sends = [], []
+                await self.stop_backends()
+                self.sends = []
                 await self.start(GOOD, GOOD)
                 outcomes = iter([outcome])
                 self.before_fetch = partial(next_of, outcomes)
@@ -592,7 +594,7 @@
     async def test_a_failure_goes_to_another_within_the_attempts(self) -> None:
         for name, script in MAY_HAVE_RUN.items():
             with self.subTest(name):
-                self.backends = []
+                await self.stop_backends()
                 first, second = await self.start(script, GOOD)
                 status, headers, body = await self.ask(f"r {name}".replace(" ", "-"))
                 self.assertEqual((200, "a.1", b"fine"), (status, headers["kelp-seal"], body))
@@ -602,7 +604,7 @@
         """The first backend's 500 goes back, seal and all, when nothing better came."""
         for second in (NOT_RUN, says(lambda name: b"", then="reset"), MAY_HAVE_RUN["two lengths"]):
             with self.subTest(second=second):
-                self.backends = []
+                await self.stop_backends()
                 await self.start(says(lambda name: answer(name, status=500)), second)
                 status, headers, _ = await self.ask("r")
                 self.assertEqual((500, "a.1"), (status, headers["kelp-seal"]))
@@ -615,7 +617,7 @@
     async def test_one_attempt_is_one(self) -> None:
         for name, script in [*MAY_HAVE_RUN.items(), ("not run", NOT_RUN)]:
             with self.subTest(name):
-                self.backends = []
+                await self.stop_backends()
                 first, second = await self.start(script, GOOD)
                 status, _, _ = await self.ask("r")
                 self.assertEqual(503 if name == "not run" else 502, status)
--- a/tests/test_connection_walks.py
+++ b/tests/test_connection_walks.py
@@ -34,6 +34,7 @@
 )
 from kelpstage.base.http.server import HttpServer
 from kelpstage.base.ports.types import HttpCall, HttpLimits, HttpReply, Owner
+from tests.async_case import AsyncCase, RawServer
 from tests.test_http import Raw, free_address, until
 
 WALKS = 240
@@ -86,28 +87,26 @@
         self.begun: Counter = Counter()
         self.open = 0
         self.most_open = 0
-        self.address = ""
-        self._server: asyncio.Server | None = None
-        self._writers: list[asyncio.StreamWriter] = []
+        self._server = RawServer(handler=self._serve)
+
+    @property
+    def address(self) -> str:
+        return self._server.address
 
     async def start(self) -> None:
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        host, port = self._server.sockets[0].getsockname()
-        self.address = f"{host}:{port}"
+        await self._server.start()
 
-    def stop(self) -> None:
-        self._server.close()
-        for writer in self._writers:
-            writer.transport.abort()
+    async def stop(self) -> None:
+        await self._server.stop()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._writers.append(writer)
         self.open += 1
         self.most_open = max(self.most_open, self.open)
-        with suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            while not writer.transport.is_closing():
+        try:
+            while not writer.is_closing():
                 await self._step(reader=reader, writer=writer)
-        self.open -= 1
+        finally:
+            self.open -= 1
 
     async def _step(self, *, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         line = await reader.readuntil(b"\r\n")
@@ -143,6 +142,8 @@
         writer.write(at_once.get(action, b""))
         if action == "answer in pieces":
             for at in range(0, len(whole), cut):
+                if writer.is_closing():  # the client has ended the connection
+                    return
                 writer.write(whole[at : at + cut])
                 await asyncio.sleep(0)
         if action == "extra answer later":
@@ -157,7 +158,7 @@
             writer.close()
 
 
-class ClientWalks(unittest.IsolatedAsyncioTestCase):
+class ClientWalks(AsyncCase):
     seen: set[tuple[State, State]] = set()
 
     async def test_walks(self) -> None:
@@ -203,7 +204,7 @@
         async with asyncio.timeout(30):
             await asyncio.gather(*(caller(number) for number in range(4)))
         client.close()
-        backend.stop()
+        await backend.stop()
         self.assertEqual([], broken)
         self.assertEqual((0, 0), client.connections_to(address=backend.address))
         self.assertLessEqual(max(backend.begun.values(), default=0), 1)
@@ -244,7 +245,7 @@
             self.assertEqual(0, backend.begun[name], outcome)
 
 
-class Cancelled(unittest.IsolatedAsyncioTestCase):
+class Cancelled(AsyncCase):
     """Found by a walk (seed 0): a call that was cancelled in the very turn in which its
     answer came closed the connection under the next call, which then waited for ever."""
 
@@ -252,14 +253,13 @@
         client = HttpClient()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            with suppress(asyncio.IncompleteReadError, ConnectionError):
-                while True:
-                    await reader.readuntil(b"\r\n\r\n")
-                    writer.write(reply_to("me"))
-
-        server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        host, port = server.sockets[0].getsockname()
-        call = HttpCall(method="GET", url=f"http://{host}:{port}/", line_limit=1)
+            while True:
+                await reader.readuntil(b"\r\n\r\n")
+                writer.write(reply_to("me"))
+
+        server = RawServer(handler=serve)
+        await server.start()
+        call = HttpCall(method="GET", url=f"http://{server.address}/", line_limit=1)
         first = asyncio.ensure_future(client.fetch(call=call))
         gate = asyncio.Event()
 
@@ -283,22 +283,23 @@
         finally:
             ClientConnection._finish = finish
         self.assertTrue(first.cancelled())
-        self.assertEqual((1, 1), client.connections_to(address=f"{host}:{port}"))
+        self.assertEqual((1, 1), client.connections_to(address=server.address))
         client.close()
-        server.close()
+        await server.stop()
 
 
-class Transitions(unittest.IsolatedAsyncioTestCase):
+class Transitions(AsyncCase):
     """The edges of the table that a walk meets only by chance."""
 
     async def asyncSetUp(self) -> None:
+        await super().asyncSetUp()
         self.backend = WalkingBackend(rand=random.Random(1))
         await self.backend.start()
         self.client = HttpClient()
 
     async def asyncTearDown(self) -> None:
         self.client.close()
-        self.backend.stop()
+        await self.backend.stop()
 
     async def lease(self) -> ClientConnection:
         call = HttpCall(method="GET", url=f"http://{self.backend.address}/", line_limit=1)
@@ -324,21 +325,20 @@
         gate = asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            with suppress(asyncio.IncompleteReadError, ConnectionError):
-                head = await reader.readuntil(b"\r\n\r\n")
-                await gate.wait()
-                if answers_early:
-                    writer.write(reply_to("me"))
-                    await reader.read()
-                elif reads:
-                    size = int(head.lower().partition(b"content-length:")[2].split(b"\r\n")[0])
-                    await reader.readexactly(size)
-                    writer.write(reply_to("me"))
-                else:
-                    reset(writer)
+            head = await reader.readuntil(b"\r\n\r\n")
+            await gate.wait()
+            if answers_early:
+                writer.write(reply_to("me"))
+                await reader.read()
+            elif reads:
+                size = int(head.lower().partition(b"content-length:")[2].split(b"\r\n")[0])
+                await reader.readexactly(size)
+                writer.write(reply_to("me"))
+            else:
+                reset(writer)
 
-        server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        host, port = server.sockets[0].getsockname()
+        server = RawServer(handler=serve)
+        await server.start()
         states: list[State] = []
         become = ClientConnection._become
 
@@ -350,7 +350,7 @@
 
         call = HttpCall(
             method="POST",
-            url=f"http://{host}:{port}/me",
+            url=f"http://{server.address}/me",
             body=b"x" * UNSENDABLE,
             wait_us=10_000_000,
             line_limit=1,
@@ -361,7 +361,7 @@
                 await self.client.fetch(call=call)
         finally:
             ClientConnection._become = become
-            server.close()
+            await server.stop()
         self.assertIn(SENDING, states)
         return states[states.index(SENDING) + 1 :]
 
@@ -427,10 +427,11 @@
         at += size
 
 
-class ServerWalks(unittest.IsolatedAsyncioTestCase):
+class ServerWalks(AsyncCase):
     """Clients that pipeline, break off, expect 100, send in pieces and write nonsense."""
 
     async def asyncSetUp(self) -> None:
+        await super().asyncSetUp()
         self.rand = random.Random(3)
         self.runs: Counter = Counter()
         self.broken: list[dict] = []
@@ -536,7 +537,7 @@
         self.assertEqual(Counter(), self.runs)
 
 
-class ClientFuzz(unittest.IsolatedAsyncioTestCase):
+class ClientFuzz(AsyncCase):
     """Answers with some bytes changed: a typed outcome each, and never another's."""
 
     async def test_malformed_answers(self) -> None:
@@ -546,26 +547,23 @@
         rand = random.Random(5)
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            with suppress(asyncio.IncompleteReadError, ConnectionError):
-                while True:
-                    await reader.readuntil(b"\r\n\r\n")
-                    data = bytearray(reply_to("me"))
-                    for _ in range(rand.randrange(3)):
-                        data[rand.randrange(len(data))] = rand.randrange(256)
-                    if rand.random() < 0.1:
-                        data[:0] = rand.randbytes(rand.choice((3, 10_000)))
-                    writer.write(bytes(data))
-                    await writer.drain()
-                    writer.close()
-                    return
+            await reader.readuntil(b"\r\n\r\n")
+            data = bytearray(reply_to("me"))
+            for _ in range(rand.randrange(3)):
+                data[rand.randrange(len(data))] = rand.randrange(256)
+            if rand.random() < 0.1:
+                data[:0] = rand.randbytes(rand.choice((3, 10_000)))
+            writer.write(bytes(data))
+            await writer.drain()
+            writer.close()
 
-        server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        host, port = server.sockets[0].getsockname()
+        server = RawServer(handler=serve)
+        await server.start()
         kinds: Counter = Counter()
         for _ in range(WALKS * 2):
             call = HttpCall(
                 method="GET",
-                url=f"http://{host}:{port}/",
+                url=f"http://{server.address}/",
                 line_limit=2,
                 wait_us=10_000_000,
                 owner_of=lambda reply: Owner(reply.headers.get("x-id") == "me"),
@@ -577,10 +575,10 @@
                 self.assertEqual("me", outcome.headers["x-id"])
         client_module.REPLY_BYTES = limits
         client.close()
-        server.close()
+        await server.stop()
         self.assertGreater(kinds["LineLost"], 50)
         self.assertGreater(kinds["HttpReply"], 50)
-        await until(lambda: client.connections_to(address=f"{host}:{port}") == (0, 0))
+        await until(lambda: client.connections_to(address=server.address) == (0, 0))
 
 
 if __name__ == "__main__":
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -4,11 +4,9 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import json
 import socket
 import struct
-import unittest
 from typing import Any, Awaitable, Callable
 
 from kelpstage.base.defects import ConnectRefused, LineLost, WaitOver
@@ -16,6 +14,7 @@
 from kelpstage.base.http.client import HttpClient
 from kelpstage.base.http.server import HttpServer
 from kelpstage.base.ports.types import HttpCall, HttpLimits, HttpReply, Owner
+from tests.async_case import AsyncCase, RawServer
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 PATIENCE_S = 20
@@ -44,7 +43,8 @@
         self.reader, self.writer = reader, writer
 
     def send(self, data: bytes) -> None:
-        self.writer.write(data)
+        if not self.writer.is_closing():  # the server may have ended the connection
+            self.writer.write(data)
 
     async def reply(self, *, has_body: bool = True) -> tuple[int, dict[str, str], bytes]:
         async with asyncio.timeout(PATIENCE_S):
@@ -69,10 +69,11 @@
         self.writer.close()
 
 
-class ServerCase(unittest.IsolatedAsyncioTestCase):
+class ServerCase(AsyncCase):
     limits = HttpLimits(header_bytes=1000, body_bytes=100, header_us=5_000_000, idle_us=10_000_000)
 
     async def asyncSetUp(self) -> None:
+        await super().asyncSetUp()
         self.calls: list[HttpCall] = []
         self.gates: dict[str, asyncio.Event] = {}
         self.answers: dict[str, Any] = {}
@@ -462,36 +463,33 @@
 Script = Callable[[int, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-class ClientCase(unittest.IsolatedAsyncioTestCase):
+class ClientCase(AsyncCase):
     async def asyncSetUp(self) -> None:
+        await super().asyncSetUp()
         self.client = HttpClient()
         self.address = free_address()
         self.requests: list[bytes] = []
         self.ended: list[int] = []
         self.lines = 0
-        self.writers: list[asyncio.StreamWriter] = []
-        self.server: asyncio.Server | None = None
+        self.servers: list[RawServer] = []
 
     async def asyncTearDown(self) -> None:
         self.client.close()
-        for writer in self.writers:
-            writer.close()
-        if self.server is not None:
-            self.server.close()
+        for server in self.servers:
+            await server.stop()
 
     async def serve(self, script: Script) -> None:
         async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.lines += 1
             number = self.lines
-            self.writers.append(writer)
-            with contextlib.suppress(
-                asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError
-            ):
+            try:
                 await script(number, reader, writer)
-            self.ended.append(number)
+            finally:
+                self.ended.append(number)
 
-        host, _, port = self.address.partition(":")
-        self.server = await asyncio.start_server(take, host, int(port))
+        server = RawServer(handler=take)
+        await server.start(address=self.address)
+        self.servers.append(server)
 
     async def replies(self, *replies: bytes) -> None:
         """Answer the requests, over all lines, with these bytes in turn; then with OK.
@@ -816,7 +814,7 @@
                 await self.replies(OK + extra)
                 self.assertEqual([b"ok"] * 2, [(await self.fetch()).body for _ in range(2)])
                 self.assertEqual((2, 2), (self.lines, len(self.requests)))
-                self.server.close()
+                self.servers[-1].close_listener()
 
     async def test_an_answer_that_comes_while_the_line_is_idle(self) -> None:
         idle = asyncio.Event()
@@ -900,7 +898,7 @@
                 for _ in range(3):
                     self.assertEqual(200, (await self.fetch()).status)
                 self.assertEqual(3, self.lines)
-                self.server.close()
+                self.servers[-1].close_listener()
 
     async def test_old_servers_close_unless_they_say_otherwise(self) -> None:
         old = b"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok"
