--- /dev/null
+++ b/tests/summary.py
@@ -0,0 +1,56 @@
+"""Counts the outcomes of a run and holds them against the list of known failures."""
+
+from __future__ import annotations
+
+import unittest
+from dataclasses import dataclass, field
+
+from tests.known_red import KnownRed
+from tests.outcome import Outcome
+
+
+@dataclass(kw_only=True)
+class Summary:
+    """The counts of a run.
+
+    A listed test that fails is counted as known red, neither as passed nor as failed. One
+    that does not fail though it ran fails the run, so that the list is kept true.
+    """
+
+    known: list[KnownRed]
+    run: int = 0
+    skipped: int = 0
+    failed: set[str] = field(default_factory=set)
+    known_failed: set[str] = field(default_factory=set)
+
+    def add(self, outcome: Outcome) -> None:
+        """Count one outcome."""
+        listed = {entry.test for entry in self.known}
+        self.run += outcome.run
+        self.skipped += outcome.skipped
+        self.failed |= outcome.failed - listed
+        self.known_failed |= outcome.failed & listed
+
+    def stale(self, *, selected: set[str]) -> list[str]:
+        """Why entries of the list no longer hold; `selected` are the tests of this run."""
+        faults = []
+        for entry in self.known:
+            if not exists(entry.test):
+                faults.append(f"{entry.test} is listed as known red and does not exist")
+            elif entry.test in selected and entry.test not in self.known_failed:
+                faults.append(f"{entry.test} is listed as known red and did not fail")
+        return faults
+
+    def passed(self) -> int:
+        """How many tests passed."""
+        return self.run - self.skipped - len(self.failed) - len(self.known_failed)
+
+    def closing_line(self) -> str:
+        """The last line of a run; known failures are in none of its counts."""
+        return f"{self.passed()} passed, {len(self.failed)} failed, {self.skipped} skipped"
+
+
+def exists(test: str) -> bool:
+    """Is there exactly this test?"""
+    loaded = list(unittest.TestLoader().loadTestsFromName(test))
+    return len(loaded) == 1 and isinstance(loaded[0], unittest.TestCase) and loaded[0].id() == test
--- /dev/null
+++ b/tests/test_runner.py
@@ -0,0 +1,153 @@
+"""The runner itself: known failures, what a test leaves behind, the closing line."""
+
+from __future__ import annotations
+
+import asyncio
+import pathlib
+import tempfile
+import unittest
+
+from tests import known_red
+from tests.known_red import BrokenList, KnownRed
+from tests.outcome import Outcome, run_suite
+from tests.summary import Summary, exists
+
+HERE = "tests.test_runner.KnownRedFile.test_no_file_means_no_entries"
+OTHER = "tests.test_runner.KnownRedFile.test_entries_are_read"
+
+
+def outcome(*, name: str = HERE, failed: frozenset[str] = frozenset(), skipped: int = 0) -> Outcome:
+    """The outcome of one test."""
+    return Outcome(name=name, run=1, skipped=skipped, failed=failed, text="")
+
+
+def summary_of(*tests: str) -> Summary:
+    """A summary that knows these tests to fail."""
+    return Summary(known=[KnownRed(test=test, reason="a cause, issue 1") for test in tests])
+
+
+class KnownRedFile(unittest.TestCase):
+    def test_no_file_means_no_entries(self) -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            self.assertEqual([], known_red.read(pathlib.Path(folder)))
+
+    def test_entries_are_read(self) -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            path = pathlib.Path(folder, known_red.FILE_NAME)
+            path.write_text("\ntests.a.B.test_c: blocks are lost, issue 12\ntests.d #3 slow\n")
+            found = known_red.read(pathlib.Path(folder))
+        self.assertEqual(["tests.a.B.test_c", "tests.d"], [entry.test for entry in found])
+        self.assertEqual("tests.a.B.test_c: blocks are lost, issue 12", str(found[0]))
+
+    def test_an_empty_file_means_no_entries(self) -> None:
+        self.assertEqual([], known_red.parse("\n \n"))
+
+    def test_a_line_names_a_test_its_cause_and_its_issue(self) -> None:
+        for line in ("tests.a.B.test_c", "tests.a.B.test_c: no number", ": a cause, issue 1"):
+            with self.subTest(line=line), self.assertRaises(BrokenList):
+                known_red.parse(line)
+
+    def test_at_most_three_tests_may_be_listed(self) -> None:
+        lines = [f"tests.a.B.test_{number}: a cause, issue 1" for number in range(4)]
+        self.assertEqual(3, len(known_red.parse("\n".join(lines[:3]))))
+        with self.assertRaises(BrokenList):
+            known_red.parse("\n".join(lines))
+
+    def test_a_test_is_listed_once(self) -> None:
+        with self.assertRaises(BrokenList):
+            known_red.parse("tests.a: a cause, issue 1\ntests.a: another, issue 2")
+
+
+class Counting(unittest.TestCase):
+    def test_a_listed_failure_is_in_no_count_of_the_closing_line(self) -> None:
+        summary = summary_of(HERE)
+        summary.add(outcome(failed=frozenset({HERE})))
+        summary.add(outcome(name=OTHER))
+        self.assertEqual([], summary.stale(selected={HERE, OTHER}))
+        self.assertEqual("1 passed, 0 failed, 0 skipped", summary.closing_line())
+        self.assertEqual({HERE}, summary.known_failed)
+
+    def test_another_failure_is_still_a_failure(self) -> None:
+        summary = summary_of(HERE)
+        summary.add(outcome(failed=frozenset({HERE})))
+        summary.add(outcome(name=OTHER, failed=frozenset({OTHER})))
+        self.assertEqual({OTHER}, summary.failed)
+        self.assertEqual("0 passed, 1 failed, 0 skipped", summary.closing_line())
+
+    def test_a_listed_test_that_passes_is_stale(self) -> None:
+        summary = summary_of(HERE)
+        summary.add(outcome())
+        self.assertEqual(1, len(summary.stale(selected={HERE})))
+
+    def test_a_listed_test_that_is_skipped_is_stale(self) -> None:
+        summary = summary_of(HERE)
+        summary.add(outcome(skipped=1))
+        self.assertEqual(1, len(summary.stale(selected={HERE})))
+
+    def test_a_listed_test_that_was_not_asked_for_is_not_stale(self) -> None:
+        self.assertEqual([], summary_of(HERE).stale(selected={OTHER}))
+
+    def test_a_listed_test_that_does_not_exist_is_stale(self) -> None:
+        summary = summary_of("tests.test_runner.KnownRedFile.test_of_long_ago")
+        self.assertEqual(1, len(summary.stale(selected=set())))
+
+    def test_only_a_single_test_exists(self) -> None:
+        self.assertTrue(exists(HERE))
+        for name in ("tests.test_runner", "tests.test_runner.KnownRedFile", "tests.no_such"):
+            with self.subTest(name=name):
+                self.assertFalse(exists(name))
+
+
+class Samples:
+    """Tests that the tests below run; hidden in here from discovery."""
+
+    class Broken(unittest.TestCase):
+        def test_subtests(self) -> None:
+            for number in range(3):
+                with self.subTest(number=number):
+                    self.assertEqual(1, number)
+
+    class Async(unittest.IsolatedAsyncioTestCase):
+        async def test_unretrieved(self) -> None:
+            async def fail() -> None:
+                raise ValueError("nobody sees this")
+
+            task = asyncio.ensure_future(fail())
+            await asyncio.wait({task})
+
+        async def test_never_awaited(self) -> None:
+            asyncio.sleep(0)
+
+        async def test_clean(self) -> None:
+            await asyncio.sleep(0)
+
+    class Loop(unittest.TestCase):
+        def test_destroyed(self) -> None:
+            loop = asyncio.new_event_loop()
+            loop.create_task(asyncio.sleep(60))
+            loop.run_until_complete(asyncio.sleep(0))
+            loop.close()
+
+
+class LeftBehind(unittest.TestCase):
+    def run_sample(self, test: unittest.TestCase) -> Outcome:
+        return run_suite(name=test.id(), suite=unittest.TestSuite([test]))
+
+    def test_what_a_test_leaves_behind_fails_it(self) -> None:
+        for test, report in (
+            (Samples.Async("test_unretrieved"), "Task exception was never retrieved"),
+            (Samples.Async("test_never_awaited"), "was never awaited"),
+            (Samples.Loop("test_destroyed"), "Task was destroyed but it is pending"),
+        ):
+            with self.subTest(report=report):
+                found = self.run_sample(test)
+                self.assertEqual({test.id()}, found.failed)
+                self.assertIn(report, found.text)
+
+    def test_a_clean_test_passes(self) -> None:
+        found = self.run_sample(Samples.Async("test_clean"))
+        self.assertEqual((1, frozenset()), (found.run, found.failed))
+
+    def test_subtests_that_fail_count_as_their_test(self) -> None:
+        test = Samples.Broken("test_subtests")
+        self.assertEqual({test.id()}, self.run_sample(test).failed)
