--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -3,6 +3,8 @@
 Each line names a test by its full id, then the cause and the issue:
 
     tests.test_store.Reading.test_cut: the last block is lost, issue 12
+
+Doctests can't be listed.
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 
 FILE_NAME = "KNOWN-RED.txt"
 MAX_ENTRIES = 3
-LINE = re.compile(r"(?P<test>[\w.]+)[:,]?\s+(?P<reason>.*\S.*)")
+LINE = re.compile(r"(?P<test>tests\.[\w.]+)[:,]?\s+(?P<reason>.*\S.*)")
 ISSUE = re.compile(r"(issue |#)\d+")
 
 
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -43,7 +43,12 @@
         self.assertEqual([], known_red.parse("\n \n"))
 
     def test_a_line_names_a_test_its_cause_and_its_issue(self) -> None:
-        for line in ("tests.a.B.test_c", "tests.a.B.test_c: no number", ": a cause, issue 1"):
+        for line in (
+            "tests.a.B.test_c",
+            "tests.a.B.test_c: no number",
+            ": a cause, issue 1",
+            "kelpstage.a.example: a doctest, issue 1",
+        ):
             with self.subTest(line=line), self.assertRaises(BrokenList):
                 known_red.parse(line)
 
