--- a/kelpstage/ctl/out.py
+++ b/kelpstage/ctl/out.py
@@ -23,8 +23,10 @@
 def fail(*, defect: Defect | dict, code: int, is_json: bool = False) -> NoReturn:
     """Say what went wrong on stderr and leave with the code.
 
+    >>> from contextlib import redirect_stderr
     >>> from kelpstage.base.defects import NoLeader
-    >>> fail(defect=NoLeader(why="x"), code=1)
+    >>> with redirect_stderr(sys.stdout):
+    ...     fail(defect=NoLeader(why="x"), code=1)
     Traceback (most recent call last):
     SystemExit: 1
     """
