--- a/kelpstage/testbed/fleet/fleet.py
+++ b/kelpstage/testbed/fleet/fleet.py
@@ -415,6 +415,7 @@
 
     def stop(self) -> None:
         """End every process; say what they wrote, then remove the folder."""
+        self.platform.close()
         self.processes.stop_all()
         for path in sorted(self.folder.glob("*.log")):
             text = path.read_text(encoding="utf-8", errors="replace").strip()
--- a/kelpstage/testbed/stand_ins/platform.py
+++ b/kelpstage/testbed/stand_ins/platform.py
@@ -8,7 +8,7 @@
 from typing import Callable
 
 from kelpstage.common.errors.base import KelpstageError
-from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
+from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Listener, Ports
 
 READY_US = 500_000
 READY_WAIT_US = 400_000
@@ -27,6 +27,7 @@
     listed: dict[str, tuple[str, str]] = field(default_factory=dict)
     turn: int = 0
     note: Callable[[dict], None] = lambda row: None
+    _server: Listener | None = None
 
     async def open(self) -> None:
         self.listed = {name: (address, "running") for name, address in self.backends.items()}
@@ -37,6 +38,12 @@
             )
             if not hasattr(outcome, "close"):
                 raise OSError(str(outcome))
+            self._server = outcome
+
+    def close(self) -> None:
+        """Stop listening; a platform without an address never listened."""
+        if self._server is not None:
+            self._server.close()
 
     async def serve(self, call: HttpCall) -> HttpReply:
         rows = [
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -21,6 +21,7 @@
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.common.ports.live import live_ports
 from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, validate_settings
+from tests.async_case import AsyncCase
 
 ROOT = Path(__file__).resolve().parent.parent
 TESTBED = ROOT / "kelpstage" / "testbed"  # holds a model of the platform, is not deployed
@@ -171,12 +172,18 @@
                 self.assertEqual(end.exception.code, 2)
 
 
-class ProgramsTest(unittest.IsolatedAsyncioTestCase):
+def settings_file(*, folder: str) -> Path:
+    """The platform's file for a process whose data lie in `folder`."""
+    file = Path(folder, "local.conf")
+    file.write_text(json.dumps({**FIELDS, "DataPath": folder}))
+    return file
+
+
+class ProgramsTest(AsyncCase):
     async def test_both_programs_build_their_daemon_from_the_platforms_file(self):
         for name in ("edge", "core"):
             with self.subTest(name), tempfile.TemporaryDirectory() as folder:
-                file = Path(folder, "local.conf")
-                file.write_text(json.dumps({**FIELDS, "DataPath": folder}))
+                file = settings_file(folder=folder)
                 program = load(name)
                 with (
                     mock.patch.dict(os.environ, KELPSTAGE_SETTINGS=str(file)),
