--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -108,6 +108,7 @@
     "sto" + "(?:ry|ries)",
     "part" + "ners?",
     "ro" + "lls?(?!-)",
+    "me" + "nd(?:s|ed)?",
 )
 
 
