--- a/kelpstage/common/configuration/forward_routes.py
+++ b/kelpstage/common/configuration/forward_routes.py
@@ -1,7 +1,7 @@
 """The sections `services` and `forward`: routes by host and prefix, with shares or shards.
 
 A document may hold some thousand routes, and most of what can be wrong with one is a
-matter of two keys or two routes, so they are judged by hand (see `docs/style.md`).
+matter of two keys or two routes, so they are judged by hand (see `docs/developing.md`).
 """
 
 from __future__ import annotations
