--- a/kelpstage/cli/output.py
+++ b/kelpstage/cli/output.py
@@ -23,15 +23,10 @@
 def fail(*, error: KelpstageError | dict, code: int, is_json: bool = False) -> NoReturn:
     """Say what went wrong on stderr and leave with the code.
 
-    <<<<<<< HEAD:kelpstage/cli/output.py
-        >>> from kelpstage.common.errors.control import NoLeaderError
-        >>> fail(error=NoLeaderError(why="x"), code=1)
-    =======
         >>> from contextlib import redirect_stderr
-        >>> from kelpstage.base.defects import NoLeader
-        >>> with redirect_stderr(sys.stdout):
-        ...     fail(defect=NoLeader(why="x"), code=1)
-    >>>>>>> tools:kelpstage/ctl/out.py
+    >>> from kelpstage.common.errors.control import NoLeaderError
+    >>> with redirect_stderr(sys.stdout):
+    ...     fail(error=NoLeaderError(why="x"), code=1)
         Traceback (most recent call last):
         SystemExit: 1
     """
