--- a/kelpstage/cli/output.py
+++ b/kelpstage/cli/output.py
@@ -23,12 +23,12 @@
 def fail(*, error: KelpstageError | dict, code: int, is_json: bool = False) -> NoReturn:
     """Say what went wrong on stderr and leave with the code.
 
-        >>> from contextlib import redirect_stderr
+    >>> from contextlib import redirect_stderr
     >>> from kelpstage.common.errors.control import NoLeaderError
     >>> with redirect_stderr(sys.stdout):
     ...     fail(error=NoLeaderError(why="x"), code=1)
-        Traceback (most recent call last):
-        SystemExit: 1
+    Traceback (most recent call last):
+    SystemExit: 1
     """
     row = error.as_json() if isinstance(error, KelpstageError) else error
     if is_json:
