--- a/kelpstage/core/bootstrap.py
+++ b/kelpstage/core/bootstrap.py
@@ -18,7 +18,7 @@
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.transport.messages import CoreMember, SeedState
-from kelpstage.core.state.machine import CoreState
+from kelpstage.core.state.replicated_state import CoreState
 from kelpstage.core.store.records import DiskSnapshot
 
 FOUNDING_INDEX = 1
--- a/kelpstage/core/cluster_recovery.py
+++ b/kelpstage/core/cluster_recovery.py
@@ -28,7 +28,8 @@
 )
 from kelpstage.core.raft import types as raft
 from kelpstage.core.raft.members import read_members
-from kelpstage.core.state.machine import CoreState, Machine, adopt
+from kelpstage.core.state.machine import Machine
+from kelpstage.core.state.replicated_state import CoreState, adopt
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot
 from kelpstage.core.store.store import Recovered, Store
 
--- a/kelpstage/core/leases/configuration_writes.py
+++ b/kelpstage/core/leases/configuration_writes.py
@@ -27,19 +27,16 @@
 from kelpstage.core.leases.lease_table import LEASE_SPAN_US
 from kelpstage.core.leases.validation import DocumentValidator
 from kelpstage.core.replica_task import ReplicaTask
-from kelpstage.core.state.machine import (
-    Command,
+from kelpstage.core.state.commands import Command, PutConfiguration, RefusePut, put_command
+from kelpstage.core.state.digests import put_digest
+from kelpstage.core.state.outcomes import (
     PutApplied,
-    PutConfiguration,
     PutNotAbove,
     PutOutcomeUnknown,
     PutSuperseded,
     PutUnreadable,
     PutVersionTaken,
-    RefusePut,
     outcome_of,
-    put_command,
-    put_digest,
 )
 
 if TYPE_CHECKING:
--- a/kelpstage/core/leases/lease_service.py
+++ b/kelpstage/core/leases/lease_service.py
@@ -22,7 +22,8 @@
 from kelpstage.core.leases.configuration_writes import ConfigurationWrites
 from kelpstage.core.leases.lease_table import LEASE_SPAN_US, LeaseTable
 from kelpstage.core.replica_task import ReplicaTask
-from kelpstage.core.state.machine import AddEdge, Command, MembershipSet, RemoveEdge
+from kelpstage.core.state.commands import AddEdge, Command, RemoveEdge
+from kelpstage.core.state.outcomes import MembershipSet
 
 ANNOUNCED_BYTES = 256 * 1024
 RELAYED_FROM = 20  # edges; fewer than that are told directly
--- a/kelpstage/core/replica_task.py
+++ b/kelpstage/core/replica_task.py
@@ -39,7 +39,8 @@
 from kelpstage.core.raft.members import read_members
 from kelpstage.core.raft.replica import Replica
 from kelpstage.core.snapshots import LogSize, SnapshotFetcher, SnapshotPolicy
-from kelpstage.core.state.machine import CoreState, Machine
+from kelpstage.core.state.machine import Machine
+from kelpstage.core.state.replicated_state import CoreState
 from kelpstage.core.store.records import DiskSnapshot
 from kelpstage.core.store.store import Recovered, Store
 from kelpstage.core.store.task import DiskTask, PersistRequest
--- /dev/null
+++ b/kelpstage/core/state/commands.py
@@ -0,0 +1,123 @@
+"""The commands of the replicated log: what one entry asks the state machine to do.
+
+The field numbers are those of the log on disk and never change. A conditional write names
+the version that it replaces (`expected`), as `If-Match` does (RFC 9110, section 13.1.1).
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import List
+
+import betterproto as bp
+
+from kelpstage.common.transport.delta import pack_delta
+from kelpstage.core.state.digests import document_digest, put_digest
+from kelpstage.core.state.replicated_state import (
+    CoreState,
+)
+
+PACKED_FROM_BYTES = 512  # shorter documents are sent uncompressed
+
+
+@dataclass
+class PutConfiguration(bp.Message):
+    """A conditional write: replace the document of version `expected` by this one."""
+
+    put_id: str = bp.string_field(1)
+    expected: int = bp.uint64_field(2)
+    document: bytes = bp.bytes_field(3)
+    version: int = bp.uint64_field(4)  # that the operator gives it; 0: the next one
+
+
+@dataclass
+class RefusePut(bp.Message):
+    """Makes the refusal of a write final whose base version is still to come: a copy of
+    it that arrives once that version is current must not be applied any more."""
+
+    put_id: str = bp.string_field(1)
+    digest: bytes = bp.bytes_field(2)
+    expected: int = bp.uint64_field(3)
+    version: int = bp.uint64_field(4)
+
+
+@dataclass
+class PutDelta(bp.Message):
+    """A write whose document is sent as a delta against the one that it replaces.
+
+    `expected` names the base; with `has_base` false the document is only compressed.
+    """
+
+    put_id: str = bp.string_field(1)
+    expected: int = bp.uint64_field(2)
+    delta: bytes = bp.bytes_field(3)
+    version: int = bp.uint64_field(4)  # that the operator gives it; 0: the next one
+    digest: bytes = bp.bytes_field(5)  # of the complete write, as `put_digest` makes it
+    has_base: bool = bp.bool_field(6)
+    base_digest: bytes = bp.bytes_field(7)
+
+
+Put = PutConfiguration | PutDelta | RefusePut
+
+
+def version_of(*, put: Put) -> int:
+    """The version that a write would produce.
+
+    >>> [version_of(put=PutConfiguration(expected=4, version=version)) for version in (0, 9)]
+    [5, 9]
+    """
+    return put.version or put.expected + 1
+
+
+@dataclass
+class AddEdge(bp.Message):
+    """Edges join the membership."""
+
+    edge: str = bp.string_field(1)
+    more: List[str] = bp.string_field(2)  # that join together with it
+
+
+@dataclass
+class RemoveEdge(bp.Message):
+    """An edge leaves the membership."""
+
+    edge: str = bp.string_field(1)
+
+
+@dataclass
+class Command(bp.Message):
+    """What one log entry does to the state."""
+
+    put: PutConfiguration = bp.message_field(1, group="what")
+    add: AddEdge = bp.message_field(2, group="what")
+    remove: RemoveEdge = bp.message_field(3, group="what")
+    put_delta: PutDelta = bp.message_field(4, group="what")
+    refuse: RefusePut = bp.message_field(5, group="what")
+
+
+def put_command(*, put: PutConfiguration, state: CoreState) -> Command:
+    """The command for a write, in a compact encoding.
+
+    A write that replaces the document in force is encoded as a delta against it. That is
+    safe: a version is given to one document only, and a write that finds another version
+    in force is refused without decoding its document.
+
+    >>> before = CoreState(version=1, document=b"0123456789abcdef" * 64)
+    >>> put = PutConfiguration(put_id="p", expected=1, document=before.document + b"!")
+    >>> len(bytes(put_command(put=put, state=before))) < 100
+    True
+    """
+    if len(put.document) < PACKED_FROM_BYTES:
+        return Command(put=put)
+    base = state.document if put.expected == state.version else b""
+    return Command(
+        put_delta=PutDelta(
+            put_id=put.put_id,
+            expected=put.expected,
+            delta=pack_delta(base=base, whole=put.document),
+            version=put.version,
+            digest=put_digest(document=put.document, expected=put.expected, version=put.version),
+            has_base=bool(base),
+            base_digest=document_digest(document=base) if base else b"",
+        )
+    )
--- /dev/null
+++ b/kelpstage/core/state/replicated_state.py
@@ -0,0 +1,77 @@
+"""The replicated state as snapshots hold it, and the records of applied requests in it.
+
+The field numbers are those of snapshots on disk and never change.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Iterator, List
+
+import betterproto as bp
+
+from kelpstage.common.transport.messages import StateDoc
+
+DIGEST_PREFIX_BYTES = 16
+VERSION_BYTES = 8
+ROW_BYTES = DIGEST_PREFIX_BYTES + VERSION_BYTES
+
+
+@dataclass
+class RequestRecord(bp.Message):
+    """The applied-request record of one write: its identity and its outcome."""
+
+    put_id: str = bp.string_field(1)
+    digest: bytes = bp.bytes_field(2)
+    version: int = bp.uint64_field(3)
+    epoch: int = bp.uint64_field(4)
+    expected: int = bp.uint64_field(5)
+    found: int = bp.uint64_field(6)
+    asked: int = bp.uint64_field(7)  # the version that the operator gave it; 0: the next one
+
+
+@dataclass
+class CoreState(bp.Message):
+    """The replicated state, as snapshots hold it."""
+
+    cluster: str = bp.string_field(1)
+    epoch: int = bp.uint64_field(2)
+    version: int = bp.uint64_field(3)
+    document: bytes = bp.bytes_field(4)
+    membership: List[str] = bp.string_field(5)
+    puts: List[RequestRecord] = bp.message_field(6)  # applied, oldest first
+    old_membership: List[str] = bp.string_field(7)  # before the newest epoch, if it added several
+    refused: List[RequestRecord] = bp.message_field(8)  # oldest first
+    superseded: bytes = bp.bytes_field(9)  # rows of those applied before `puts`, oldest first
+    forgotten_to: int = bp.uint64_field(10)  # up to this version, others may have been applied
+
+
+def adopt(*, state: CoreState, doc: StateDoc) -> None:
+    """Adopt the state that an edge has installed, which is newer than any state known here.
+
+    The writes in between left no record, so none of them may be refused from now on.
+
+    >>> state = CoreState(version=3)
+    >>> adopt(state=state, doc=StateDoc(version=9, epoch=4, document=b"{}"))
+    >>> state.version, state.forgotten_to
+    (9, 9)
+    """
+    if doc.version > state.version:
+        state.forgotten_to = doc.version
+    state.version, state.document = doc.version, doc.document
+    state.membership, state.epoch = list(doc.membership), doc.epoch
+    state.old_membership = []
+
+
+def read_rows(*, rows: bytes) -> Iterator[tuple[bytes, int]]:
+    """The digest prefix and the version of each superseded write, oldest first.
+
+    >>> list(read_rows(rows=b"0123456789abcdef" + (7).to_bytes(8, "big")))
+    [(b'0123456789abcdef', 7)]
+    """
+    for start in range(0, len(rows), ROW_BYTES):
+        prefix, version = (
+            rows[start : start + DIGEST_PREFIX_BYTES],
+            rows[start + DIGEST_PREFIX_BYTES : start + ROW_BYTES],
+        )
+        yield prefix, int.from_bytes(version, "big")
--- a/kelpstage/core/web/operators.py
+++ b/kelpstage/core/web/operators.py
@@ -27,7 +27,7 @@
 from kelpstage.core.handlers import forward_to_leader
 from kelpstage.core.leases.validation import validate_document
 from kelpstage.core.replica_task import ReplicaTask
-from kelpstage.core.state.machine import PutApplied
+from kelpstage.core.state.outcomes import PutApplied
 
 if TYPE_CHECKING:
     from kelpstage.core.app import Core
--- a/kelpstage/testbed/model/adapter.py
+++ b/kelpstage/testbed/model/adapter.py
@@ -37,18 +37,11 @@
 from kelpstage.core.raft.replica import Replica
 from kelpstage.core.raft.replication import append_own, commit_to, replicate_all
 from kelpstage.core.raft.state import InvariantViolated as ReplicaInvariantViolated
-from kelpstage.core.state.machine import (
-    Command,
-    CoreState,
-    Machine,
-    PutApplied,
-    PutConfiguration,
-    PutNotAbove,
-    PutSuperseded,
-    RefusePut,
-    put_command,
-    put_digest,
-)
+from kelpstage.core.state.commands import Command, PutConfiguration, RefusePut, put_command
+from kelpstage.core.state.digests import put_digest
+from kelpstage.core.state.machine import Machine
+from kelpstage.core.state.outcomes import PutApplied, PutNotAbove, PutSuperseded
+from kelpstage.core.state.replicated_state import CoreState
 from kelpstage.core.store.records import DiskSnapshot
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -22,14 +22,10 @@
 from kelpstage.core import snapshots
 from kelpstage.core.raft import elections
 from kelpstage.core.replica_task import ReplicaTask
-from kelpstage.core.state.machine import (
-    Command,
-    CoreState,
-    Machine,
-    PutConfiguration,
-    PutUnreadable,
-    put_command,
-)
+from kelpstage.core.state.commands import Command, PutConfiguration, put_command
+from kelpstage.core.state.machine import Machine
+from kelpstage.core.state.outcomes import PutUnreadable
+from kelpstage.core.state.replicated_state import CoreState
 from kelpstage.edge.events import Installed
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -42,9 +42,8 @@
 from kelpstage.common.transport.messages import TYPES, GossipMsg, MemberMsg, StateDoc
 from kelpstage.core.main import app as core_cli
 from kelpstage.core.raft.members import read_members
-from kelpstage.core.state.machine import (
-    CoreState,
-    Machine,
+from kelpstage.core.state.machine import Machine
+from kelpstage.core.state.outcomes import (
     MembershipSet,
     PutApplied,
     PutNotAbove,
@@ -53,6 +52,7 @@
     PutUnreadable,
     PutVersionTaken,
 )
+from kelpstage.core.state.replicated_state import CoreState
 from kelpstage.core.store.records import DiskSnapshot, DiskStep
 from kelpstage.core.store.store import Store
 from kelpstage.edge.forward.headers import HeaderNames
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -20,16 +20,10 @@
 from kelpstage.common.ports.interfaces import HttpCall
 from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, validate_settings
 from kelpstage.core.leases.lease_table import LEASE_SPAN_US, LeaseTable
-from kelpstage.core.state.machine import (
-    REFUSALS_KEPT,
-    AddEdge,
-    Command,
-    CoreState,
-    Machine,
-    PutApplied,
-    PutConfiguration,
-    PutSuperseded,
-)
+from kelpstage.core.state.commands import AddEdge, Command, PutConfiguration
+from kelpstage.core.state.machine import REFUSALS_KEPT, Machine
+from kelpstage.core.state.outcomes import PutApplied, PutSuperseded
+from kelpstage.core.state.replicated_state import CoreState
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 
--- a/tests/test_core_cuts.py
+++ b/tests/test_core_cuts.py
@@ -25,7 +25,7 @@
 from kelpstage.core.raft import elections
 from kelpstage.core.raft.state import RaftState
 from kelpstage.core.replica_task import ReplicaTask
-from kelpstage.core.state.machine import PutConfiguration
+from kelpstage.core.state.commands import PutConfiguration
 from kelpstage.core.web import operators as operators_module
 from kelpstage.core.web.operators import _answer as real_answer
 from kelpstage.core.web.operators import _get_configuration
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -17,20 +17,11 @@
 from kelpstage.core.leases.configuration_writes import ConfigurationWrites
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.state import machine as state_machine
-from kelpstage.core.state.machine import (
-    RECORDS_KEPT,
-    REFUSALS_KEPT,
-    Command,
-    CoreState,
-    Machine,
-    PutApplied,
-    PutConfiguration,
-    PutNotAbove,
-    PutOutcomeUnknown,
-    PutSuperseded,
-    RefusePut,
-    put_digest,
-)
+from kelpstage.core.state.commands import Command, PutConfiguration, RefusePut
+from kelpstage.core.state.digests import put_digest
+from kelpstage.core.state.machine import RECORDS_KEPT, REFUSALS_KEPT, Machine
+from kelpstage.core.state.outcomes import PutApplied, PutNotAbove, PutOutcomeUnknown, PutSuperseded
+from kelpstage.core.state.replicated_state import CoreState
 from kelpstage.testbed.checkers.linearizable import Answer, Read, Try, Write, find_anomalies
 from kelpstage.testbed.fleet.deployment import load as fleet_deployment
 from kelpstage.testbed.platform_model.machines import load
