--- a/kelpstage/core/store/recovery.py
+++ b/kelpstage/core/store/recovery.py
@@ -107,6 +107,23 @@
     return first.base_index != index
 
 
+def base_behind(*, snapshot: DiskSnapshot, tail: list[LogEntry], term: int, vote: str) -> DiskStep:
+    """The step that begins a segment behind a snapshot; `tail` are the entries behind it.
+
+    >>> base_behind(snapshot=DiskSnapshot(index=7, term=2), tail=[], term=3, vote="a").base_index
+    7
+    """
+    return DiskStep(
+        is_base=True,
+        base_index=snapshot.index,
+        base_term=snapshot.term,
+        entries=tail,
+        has_vote=True,
+        term=term,
+        vote=vote,
+    )
+
+
 def base_of(*, recovered: Recovered) -> DiskStep:
     """The step that begins a segment with all that a replica has.
 
--- a/kelpstage/core/store/store.py
+++ b/kelpstage/core/store/store.py
@@ -6,13 +6,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 
 from kelpstage.common.errors.base import KelpstageError
-from kelpstage.common.errors.storage import LogDamagedError
 from kelpstage.common.log.checksummed import seal
 from kelpstage.common.ports.interfaces import Disk, Ports
 from kelpstage.common.transport.messages import LogEntry
+from kelpstage.core.store.folder import OWNED_FOLDERS, DataFolder
 from kelpstage.core.store.layout import (
     IDENTITY_PATH,
     LOG_FOLDER,
@@ -25,6 +25,7 @@
     segment_path,
     snapshot_path,
 )
+from kelpstage.core.store.reading import ReplicaReader
 from kelpstage.core.store.records import (
     SEGMENT_HEAD,
     DiskIdentity,
@@ -34,17 +35,13 @@
     Segment,
     SyncedMark,
     read_identity,
-    read_mark,
-    read_segment,
-    read_snapshot,
     write_identity,
     write_mark,
     write_snapshot,
 )
-from kelpstage.core.store.recovery import Recovered, base_of, is_to_begin_anew, rebuild
+from kelpstage.core.store.recovery import Recovered, base_behind, base_of, is_to_begin_anew, rebuild
 
 SEGMENT_BYTES = 1024 * 1024
-OWNED_FOLDERS = (LOG_FOLDER, SNAPSHOT_FOLDER)
 
 
 class Store:
@@ -57,22 +54,22 @@
 
     def __init__(self, *, ports: Ports, segment_bytes: int = SEGMENT_BYTES) -> None:
         """A segment that would grow beyond `segment_bytes` is followed by a new one."""
+        self._ports = ports
         self._disk: Disk = ports.disk
+        self._folder = DataFolder(ports=ports)
         self._point = ports.point
         self._segment_bytes = segment_bytes
         self._replica = ""
         self._segment = 0
         self._size = 0
 
-    # --- identity ------------------------------------------------------------------
-
     async def read_identity(self) -> DiskIdentity | None | KelpstageError:
         """Whose folder this is; `None` in an empty one."""
         for folder in OWNED_FOLDERS:  # looking into a folder makes it
             names = await self._disk.names(folder=folder)
             if isinstance(names, KelpstageError):
                 return names
-        error = await self._drop_unfinished_identity()
+        error = await self._folder.drop_unfinished_identity()
         if error is not None:
             return error
         error = await self._disk.sync_folder(folder=ROOT)
@@ -87,7 +84,7 @@
         """Make this the folder of a replica, at once and for good."""
         self._replica = identity.replica
         data = write_identity(identity=identity)
-        return await self._replace_file(path=IDENTITY_PATH, folder=ROOT, data=data)
+        return await self._folder.replace_file(path=IDENTITY_PATH, folder=ROOT, data=data)
 
     async def begin_member(
         self, *, identity: DiskIdentity, snapshot: DiskSnapshot | None = None, term: int = 0
@@ -130,19 +127,21 @@
         self._segment, self._size = 0, 0
         return await self._drop(is_needless=self._is_foreign)
 
-    # --- recovery ----------------------------------------------------------------------
-
     async def recover(self, *, identity: DiskIdentity) -> Recovered | KelpstageError:
-        """Read the newest snapshot and the log behind it; cut a torn end; refuse damage."""
+        """Read the newest snapshot and the log behind it; truncate an incomplete last write.
+
+        Damage anywhere else is refused with `LogDamagedError`.
+        """
         self._replica = identity.replica
         self._segment, self._size = 0, 0
-        snapshot = await self._newest_snapshot(cluster=identity.cluster)
+        reader = ReplicaReader(ports=self._ports, folder=self._folder, replica=self._replica)
+        snapshot = await reader.newest_snapshot(cluster=identity.cluster)
         if isinstance(snapshot, KelpstageError):
             return snapshot
-        mark = await self._read_mark()
+        mark = await reader.synced_mark()
         if isinstance(mark, KelpstageError):
             return mark
-        segments = await self._segments_that_count(mark=mark)
+        segments = await reader.live_segments(mark=mark)
         if isinstance(segments, KelpstageError):
             return segments
         recovered = rebuild(identity=identity, segments=segments, snapshot=snapshot, mark=mark)
@@ -151,67 +150,17 @@
         error = await self._settle(segments=segments, recovered=recovered, mark=mark)
         return error or recovered
 
-    async def _newest_snapshot(self, *, cluster: str) -> DiskSnapshot | None | KelpstageError:
-        indexes = await self._numbers(folder=SNAPSHOT_FOLDER)
-        if isinstance(indexes, KelpstageError):
-            return indexes
-        if not indexes:
-            return None
-        path = snapshot_path(replica=self._replica, index=indexes[-1])
-        data = await self._disk.read(path=path)
-        if isinstance(data, KelpstageError):
-            return data
-        snapshot = read_snapshot(path=path, data=data or b"")
-        if isinstance(snapshot, KelpstageError):
-            return snapshot
-        if snapshot.index != indexes[-1] or snapshot.cluster != cluster:
-            return LogDamagedError(path=path, offset=0, why="a snapshot of something else")
-        return snapshot
-
-    async def _read_mark(self) -> SyncedMark | None | KelpstageError:
-        data = await self._disk.read(path=mark_path(replica=self._replica))
-        if isinstance(data, KelpstageError):
-            return data
-        return read_mark(data=data or b"")
-
-    async def _segments_that_count(
-        self, *, mark: SyncedMark | None
-    ) -> list[Segment] | KelpstageError:
-        """From the newest one that begins with a base on; all if none does."""
-        numbers = await self._numbers(folder=LOG_FOLDER)
-        if isinstance(numbers, KelpstageError):
-            return numbers
-        segments: list[Segment] = []
-        for number in reversed(numbers):
-            path = segment_path(replica=self._replica, number=number)
-            data = await self._disk.read(path=path)
-            if isinstance(data, KelpstageError):
-                return data
-            segment = read_segment(
-                path=path,
-                number=number,
-                data=data or b"",
-                is_last=number == numbers[-1],
-                synced=mark.size if mark and mark.segment == number else 0,
-            )
-            if isinstance(segment, KelpstageError):
-                return segment
-            segments.insert(0, segment)
-            if segment.begins_with_base:
-                break
-        return segments
-
     async def _settle(
         self, *, segments: list[Segment], recovered: Recovered, mark: SyncedMark | None
     ) -> KelpstageError | None:
-        """Make what was read last, then drop what it makes needless.
+        """Make durable what was read, then drop the files that it supersedes.
 
         What was read may have been in the cache only: a process that was killed leaves
         writes and names there that no sync has covered.
         """
         base_index = recovered.log.base_index
-        is_anew = is_to_begin_anew(segments=segments, index=base_index)
-        if segments and not is_anew:
+        needs_new_segment = is_to_begin_anew(segments=segments, index=base_index)
+        if segments and not needs_new_segment:
             error = await self._settle_end(segment=segments[-1], mark=mark)
             if error is not None:
                 return error
@@ -219,14 +168,14 @@
             error = await self._disk.sync_folder(folder=folder)
             if error is not None:
                 return error
-        if is_anew:
+        if needs_new_segment:
             # In place of a last one that holds nothing; else each try would add another.
             last = segments[-1] if segments else None
             self._segment = 0 if last is None else last.number - (not last.records)
             error = await self._begin_segment(base=base_of(recovered=recovered))
             if error is not None:
                 return error
-        base = self._segment if is_anew or not segments else segments[0].number
+        base = self._segment if needs_new_segment or not segments else segments[0].number
         error = await self._drop_before(segment=base, index=base_index)
         if error is None:
             error = await self._drop(is_needless=self._is_foreign)
@@ -237,10 +186,10 @@
     async def _settle_end(
         self, *, segment: Segment, mark: SyncedMark | None
     ) -> KelpstageError | None:
-        """Cut off a torn end, and write the last record again unless it is marked as synced.
+        """Truncate an incomplete last write; rewrite the last record unless it is marked as synced.
 
-        It is written in place, over the same bytes, and not cut off before: torn by a
-        loss of power that leaves what was there. (A sync that failed may leave a record
+        It is written in place, over the same bytes, and not truncated before: a write that
+        a loss of power interrupts leaves what was there. (A sync that failed may leave a record
         readable that is not on the disk; another sync alone would not write it.)
         """
         self._segment, self._size = segment.number, segment.end
@@ -251,8 +200,6 @@
         tail = segment.data[start : segment.end]
         return await self._write_synced(path=segment.path, at=start, data=tail, is_new=True)
 
-    # --- writing -----------------------------------------------------------------------------
-
     async def append(self, *, steps: list[DiskStep]) -> KelpstageError | None:
         """Write one record and sync it."""
         record = DiskRecord(steps=steps)
@@ -278,7 +225,7 @@
     async def _write_synced(
         self, *, path: str, at: int, data: bytes, is_new: bool
     ) -> KelpstageError | None:
-        """Write at an offset, end the file behind it and sync both, the name too if new."""
+        """Write at an offset, truncate the file behind it, sync it, and its name if it is new."""
         error = await self._disk.append(path=path, data=data, at=at)
         if error is not None:
             return error
@@ -289,8 +236,9 @@
         return error
 
     async def mark_synced(self) -> None:
-        """Note how much of the log is synced, so that damage before it is told from a torn
-        write. The mark is not synced itself: an older one, or none, says less, not wrong."""
+        """Note how much of the log is synced, so that damage before it is told from an
+        incomplete write. The mark itself is not synced: an older one, or none, claims
+        less, but nothing wrong."""
         if self._segment == 0:
             return
         mark = SyncedMark(segment=self._segment, size=self._size)
@@ -300,13 +248,13 @@
     async def save_snapshot(
         self, *, snapshot: DiskSnapshot, tail: list[LogEntry], term: int, vote: str
     ) -> KelpstageError | None:
-        """Write a snapshot, begin a segment behind it, drop what came before.
+        """Write a snapshot, begin a segment behind it, drop the files before it.
 
         `tail` are the entries behind the snapshot that the log still holds: the new
         segment begins with them, since the older ones go.
         """
         self._point("snapshot.before_write")
-        error = await self._replace_file(
+        error = await self._folder.replace_file(
             path=snapshot_path(replica=self._replica, index=snapshot.index),
             folder=SNAPSHOT_FOLDER,
             data=write_snapshot(snapshot=snapshot),
@@ -314,15 +262,7 @@
         if error is not None:
             return error
         self._point("snapshot.after_write")
-        base = DiskStep(
-            is_base=True,
-            base_index=snapshot.index,
-            base_term=snapshot.term,
-            entries=tail,
-            has_vote=True,
-            term=term,
-            vote=vote,
-        )
+        base = base_behind(snapshot=snapshot, tail=tail, term=term, vote=vote)
         error = await self._begin_segment(base=base)
         if error is not None:
             return error
@@ -330,7 +270,7 @@
         return await self._drop_before(segment=self._segment, index=snapshot.index)
 
     async def _begin_segment(self, *, base: DiskStep) -> KelpstageError | None:
-        """A new segment whose first record makes all older ones needless."""
+        """Begin a segment whose first record supersedes all older segments."""
         self._segment += 1
         data = SEGMENT_HEAD + seal(body=bytes(DiskRecord(steps=[base])))
         path = segment_path(replica=self._replica, number=self._segment)
@@ -339,27 +279,8 @@
             self._size = len(data)
         return error
 
-    async def _replace_file(self, *, path: str, folder: str, data: bytes) -> KelpstageError | None:
-        """Write beside, sync, rename, sync the folder."""
-        beside = path + UNFINISHED_SUFFIX
-        steps: list[Callable[[], Awaitable[KelpstageError | None]]] = [
-            lambda: self._disk.write(path=beside, data=data),
-            lambda: self._disk.sync(path=beside),
-            lambda: self._disk.rename(path=beside, to=path),
-            lambda: self._disk.sync_folder(folder=folder),
-        ]
-        for step in steps:
-            self._point("file.before_step")
-            error = await step()
-            if error is not None:
-                return error
-        self._point("file.after_rename_sync")
-        return None
-
-    # --- dropping ------------------------------------------------------------------------
-
     async def _drop_before(self, *, segment: int, index: int) -> KelpstageError | None:
-        """Drop segments and snapshots that newer ones, synced, have made needless."""
+        """Drop segments and snapshots that newer, synced ones have superseded."""
 
         def is_older(name: str) -> bool:
             parts = parse_name(name=name)
@@ -370,28 +291,7 @@
         return await self._drop(is_needless=is_older)
 
     async def _drop(self, *, is_needless: Callable[[str], bool]) -> KelpstageError | None:
-        """Delete files of log and snapshots, oldest first, and sync their folders."""
-        for folder in OWNED_FOLDERS:
-            names = await self._disk.names(folder=folder)
-            if isinstance(names, KelpstageError):
-                return names
-            needless = [name for name in names if is_needless(name)]
-            for name in needless:
-                error = await self._disk.delete(path=f"{folder}/{name}")
-                if error is not None:
-                    return error
-            error = await self._disk.sync_folder(folder=folder) if needless else None
-            if error is not None:
-                return error
-        return None
-
-    async def _drop_unfinished_identity(self) -> KelpstageError | None:
-        """Delete what a broken-off write left beside, before its name is used again."""
-        beside = IDENTITY_PATH + UNFINISHED_SUFFIX
-        names = await self._disk.names(folder=ROOT)
-        if isinstance(names, KelpstageError):
-            return names
-        return await self._disk.delete(path=beside) if beside in names else None
+        return await self._folder.drop(is_needless=is_needless)
 
     def _is_own(self, name: str) -> bool:
         """Does a name in log or snapshots belong to this replica?"""
@@ -401,11 +301,3 @@
         """Does it belong to another replica, or is it unfinished? Files of other kinds stay."""
         owner = owner_of(name=name)
         return name.endswith(UNFINISHED_SUFFIX) or owner not in (None, self._replica)
-
-    async def _numbers(self, *, folder: str) -> list[int] | KelpstageError:
-        """The numbers of this replica's files in a folder, ascending."""
-        names = await self._disk.names(folder=folder)
-        if isinstance(names, KelpstageError):
-            return names
-        found = [parse_name(name=name) for name in names]
-        return sorted(parts.number for parts in found if parts and parts.replica == self._replica)
