--- a/kelpstage/core/app.py
+++ b/kelpstage/core/app.py
@@ -1,32 +1,36 @@
-"""A core process: lines, life of the replica, the lease service, operator HTTP."""
+"""A core process, built from its parts: the composition root of `kelpstage.core`.
+
+Listens for other processes and for operators, and runs one replica after the other: after
+an error of its disk a replica is stopped and rebuilt from what is on the disk.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections import Counter
-from typing import Any, Callable
+from typing import Any, Awaitable, Callable
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.errors.storage import LogDamagedError
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.log.ring import logger
-from kelpstage.common.ports.interfaces import Ports
+from kelpstage.common.ports.interfaces import HttpReply, Ports
 from kelpstage.common.settings.bounds import bounds_of, voters_of
 from kelpstage.common.transport.connections import Lines, LineServer
 from kelpstage.common.transport.messages import (
     CoreMember,
     EdgeContact,
-    JoinCore,
     SeedProbe,
     SeedState,
 )
 from kelpstage.core.bootstrap import (
     FOUNDING_TERM,
-    Join,
-    Wait,
+    JoinCluster,
+    WaitForSeeds,
     decide_bootstrap,
     founding_snapshot,
 )
+from kelpstage.core.edge_contacts import EdgeContacts
 from kelpstage.core.events import (
     DiskFailed,
     Founded,
@@ -38,30 +42,37 @@
 from kelpstage.core.graceful_leave import Leaving
 from kelpstage.core.handlers import handle
 from kelpstage.core.leases.lease_service import LeaseService
+from kelpstage.core.membership_requests import keep_membership
 from kelpstage.core.raft import types as raft
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot
-from kelpstage.core.store.store import Recovered, Store
+from kelpstage.core.store.recovery import Recovered
+from kelpstage.core.store.store import Store
 from kelpstage.core.web.operators import serve_operators
 
-LOOK_US = 300_000
+RESTART_US = 300_000  # after an error of the disk
 LEAVE_SHARE = 0.6  # of the grace for a stop, spent on leaving
-PLACE_LOOK_US = 100_000  # while this core belongs to no cluster
-REJOIN_US = 1_000_000
-NO_PLACE_US = 250_000
-CONTACT_KEPT_US = 30_000_000
-CONTACTS_TOLD = 20
-SOME_CONTACTS = 8  # of more than that
+SEED_PROBE_US = 500_000  # that a seed is waited for
+BOOTSTRAP_LOOK_US = 100_000  # while this core belongs to no cluster
 OPERATOR_BODY_LIMIT = 4 * 1024 * 1024 + 1024
 log = logger(name="core")
 
 
 class Core:
-    """One `kelpstage-control`."""
-
-    def __init__(self, *, ports: Ports, settings: dict, serve: Callable = serve_operators) -> None:
-        """`serve` answers at the operators' interface (a deployment may put words of its
-        own before it)."""
+    """One core process.
+
+    Owner of the identity, the running replica and its lease service; the last two are there
+    together, from the start of a replica to its end.
+    """
+
+    def __init__(
+        self,
+        *,
+        ports: Ports,
+        settings: dict[str, Any],
+        serve: Callable[..., Awaitable[HttpReply]] = serve_operators,
+    ) -> None:
+        """`serve` answers operators' calls; a deployment may wrap `serve_operators`."""
         self.ports = ports
         self.settings = settings
         self.bounds = bounds_of(settings=settings)
@@ -69,7 +80,7 @@
         self.own: str = settings["own"]
         self.http: str = settings["http"]
         self.seeds: list[str] = list(settings["seeds"])
-        self.counts: Counter = Counter()
+        self.counts: Counter[str] = Counter()
         self.journal = Journal(now=ports.clock.now_us)
         self.lines = Lines(ports=ports, counts=self.counts)
         self.server = LineServer(
@@ -81,12 +92,12 @@
         self.lease_service: LeaseService | None = None
         self.is_stopping = False
         self.waits_for = "starting"
-        self._contacts: dict[str, tuple[int, EdgeContact]] = {}
+        self._edge_contacts = EdgeContacts(ports=ports)
         self._broken: asyncio.Event = asyncio.Event()
         self._http_listener: Any = None
 
     async def open(self) -> KelpstageError | None:
-        """Listen on both addresses, then live."""
+        """Listen on both addresses, then run the replica in the background."""
         error = await self.server.open()
         if error is not None:
             return error
@@ -98,24 +109,22 @@
         if isinstance(outcome, KelpstageError):
             return outcome
         self._http_listener = outcome
-        self.ports.keep(self._live())
-        self.ports.keep(self._keep_place())
+        self.ports.keep(self._run_replicas())
+        self.ports.keep(keep_membership(core=self))
         return None
 
     async def _on_message(self, message: Any, source: str) -> Any:
         return await handle(message, self, source)
 
-    # --- life --------------------------------------------------------------------------
-
-    async def _live(self) -> None:
+    async def _run_replicas(self) -> None:
         while not self.is_stopping:
             recovered = await self._recover()
             if isinstance(recovered, KelpstageError):
                 self._note_disk(error=recovered)
-                await self.ports.clock.sleep(us=LOOK_US)
+                await self.ports.clock.sleep(us=RESTART_US)
                 continue
             if recovered is None:
-                await self.ports.clock.sleep(us=PLACE_LOOK_US)
+                await self.ports.clock.sleep(us=BOOTSTRAP_LOOK_US)
                 continue
             await self._run_replica(recovered=recovered)
 
@@ -139,7 +148,7 @@
         return recovered
 
     async def _set_aside(self, *, damage: LogDamagedError) -> KelpstageError | None:
-        """A damaged replica counts as empty: it comes back as a new one."""
+        """Drop a damaged replica: this core comes back as a new, empty one."""
         log.error("{} at {}: {}; this replica begins anew", damage.path, damage.offset, damage.why)
         self.journal.add(SetAside(path=damage.path, why=damage.why))
         self.identity = None
@@ -156,7 +165,7 @@
             journal=self.journal,
             recovered=recovered,
             own=self.own,
-            on_applied=lambda outcome, index: self.lease_service and self.lease_service.applied(),
+            on_applied=self._on_applied,
             on_role=self._on_role,
             on_error=self._on_disk_error,
             voters=voters_of(settings=self.settings),
@@ -172,7 +181,11 @@
         await self._broken.wait()
         self.task.stop()
         self.task, self.lease_service = None, None
-        await self.ports.clock.sleep(us=LOOK_US)
+        await self.ports.clock.sleep(us=RESTART_US)
+
+    def _on_applied(self, outcome: object, index: int) -> None:
+        if self.lease_service is not None:
+            self.lease_service.applied()
 
     def _on_role(self, role: str) -> None:
         if role == raft.LEADER and self.lease_service is not None:
@@ -189,13 +202,11 @@
         self.waits_for = waits_for
         self.journal.add(DiskFailed(path=error.path, op=getattr(error, "op", ""), why=error.why))
 
-    # --- founding and joining --------------------------------------------------------------
-
     def seed_state(self) -> SeedState:
-        """What this core says of itself to a core that looks for its place."""
+        """What this core reports of itself to one that looks for a cluster."""
         identity = self.identity or DiskIdentity()
         if identity.cluster and self.task is None:
-            identity = DiskIdentity()  # not up yet: neither empty nor a member
+            identity = DiskIdentity()  # not started yet: neither empty nor a member
         members: list[CoreMember] = []
         if self.task is not None:
             replica = self.task.raft
@@ -217,13 +228,14 @@
         async def probe(seed: str) -> SeedState | KelpstageError:
             if seed == self.own:
                 return self.seed_state()
-            return await self.lines.call(
-                address=seed, message=SeedProbe(replica=me), wait_us=500_000
+            reply: SeedState | KelpstageError = await self.lines.call(
+                address=seed, message=SeedProbe(replica=me), wait_us=SEED_PROBE_US
             )
+            return reply
 
         states = await asyncio.gather(*(probe(seed) for seed in self.seeds))
         # A core that has not read its disk yet is neither empty nor a member.
-        return [s for s in states if isinstance(s, KelpstageError) or s.replica]
+        return [state for state in states if isinstance(state, KelpstageError) or state.replica]
 
     async def _found_or_join(self) -> Recovered | None | KelpstageError:
         states = await self._probe_seeds()
@@ -231,89 +243,55 @@
         if identity is None or identity.cluster:
             return None
         step = decide_bootstrap(me=identity.replica, own=self.own, seeds=self.seeds, states=states)
-        if isinstance(step, Wait):
+        if isinstance(step, WaitForSeeds):
             self.waits_for = step.why
             return None
-        if isinstance(step, Join):
+        if isinstance(step, JoinCluster):
             self.journal.add(JoinedCluster(cluster=step.cluster))
             if step.members:
-                return await self._begin(cluster=step.cluster, members=step.members)
-            return await self._take_cluster(cluster=step.cluster)
+                return await self._found(identity, cluster=step.cluster, members=step.members)
+            return await self._become_member(identity, cluster=step.cluster)
         cluster = f"{self.ports.rand.getrandbits(64):016x}"
         self.journal.add(Founded(cluster=cluster))
-        return await self._begin(cluster=cluster, members=step.members)
+        return await self._found(identity, cluster=cluster, members=step.members)
 
-    async def _begin(self, *, cluster: str, members: list[CoreMember]) -> KelpstageError | None:
-        """Become a member from the founding snapshot on."""
+    async def _found(
+        self, empty: DiskIdentity, *, cluster: str, members: list[CoreMember]
+    ) -> KelpstageError | None:
+        """Become a member of a new cluster, from the founding snapshot on."""
         snapshot = founding_snapshot(cluster=cluster, members=members)
-        return await self._take_cluster(cluster=cluster, snapshot=snapshot)
+        return await self._become_member(empty, cluster=cluster, snapshot=snapshot)
 
-    async def _take_cluster(
-        self, *, cluster: str, snapshot: DiskSnapshot | None = None
+    async def _become_member(
+        self, empty: DiskIdentity, *, cluster: str, snapshot: DiskSnapshot | None = None
     ) -> KelpstageError | None:
         """Become a member of a cluster, with a snapshot to begin from or without."""
-        identity = DiskIdentity(replica=self.identity.replica, cluster=cluster)
+        identity = DiskIdentity(replica=empty.replica, cluster=cluster)
         term = FOUNDING_TERM if snapshot else 0
         error = await self.store.begin_member(identity=identity, snapshot=snapshot, term=term)
         if error is None:
             self.identity = identity
         return error
 
-    def reread(self, *, settings: dict) -> None:
-        """Take over what may change in the settings of a running core: its seeds."""
+    def reread(self, *, settings: dict[str, Any]) -> None:
+        """Apply the settings that may change while a core runs: its seeds."""
         self.seeds = list(settings["seeds"])
         self.settings = self.settings | {"seeds": self.seeds}
 
-    async def _keep_place(self) -> None:
-        """Ask for a place while this replica has none, or hears no leader."""
-        while True:
-            task = self.task
-            has_place = task is not None and task.raft.members.has(replica=task.me)
-            await self.ports.clock.sleep(us=REJOIN_US if has_place else NO_PLACE_US)
-            task = self.task
-            if task is None or self.is_stopping:
-                continue
-            mine = task.raft.members.get(replica=task.me)
-            if mine is not None and mine.address == self.own and task.raft.leader:
-                continue
-            if task.is_leader:
-                continue
-            await self._ask_place(task=task)
-
-    async def _ask_place(self, *, task: ReplicaTask) -> None:
-        member = CoreMember(replica=task.me, address=self.own, http=self.http)
-        known = {m.address for m in task.raft.members.current} | set(self.seeds)
-        for address in sorted(known - {self.own}):
-            self.lines.send(address=address, message=JoinCore(cluster=task.cluster, member=member))
-
-    # --- edges heard of -----------------------------------------------------------------------
-
     def meet(self, *, contact: EdgeContact) -> None:
-        """Remember where an edge is that another process told of."""
-        if not contact.name:
-            return  # told before
-        self._contacts[contact.name] = (self.ports.clock.now_us(), contact)
-
-    def peers(self) -> list[EdgeContact]:
-        """Edges heard of lately, by whichever way."""
-        oldest = self.ports.clock.now_us() - CONTACT_KEPT_US
-        return [c for _, (at, c) in sorted(self._contacts.items()) if at > oldest]
+        """Remember the contact of an edge."""
+        self._edge_contacts.note(contact=contact)
 
     def some_peers(self) -> list[EdgeContact]:
-        """As many of them as help an edge to find the others, by lot."""
-        peers = self.peers()
-        if len(peers) <= CONTACTS_TOLD:
-            return peers
-        return self.ports.rand.sample(peers, SOME_CONTACTS)
+        """Contacts that help an edge to find the others."""
+        return self._edge_contacts.sample()
 
     def core_addresses(self) -> list[str]:
         """Addresses of all members; none before this core is one."""
-        return [m.address for m in self.task.raft.members.current] if self.task else []
-
-    # --- end ----------------------------------------------------------------------------------
+        return [member.address for member in self.task.raft.members.current] if self.task else []
 
     async def stop(self) -> None:
-        """Planned stop: this core leaves the cluster by agreement, if time allows."""
+        """Planned stop: leave the cluster gracefully if time allows, then close."""
         self.is_stopping = True
         task = self.task
         if task is not None:
--- a/kelpstage/core/bootstrap.py
+++ b/kelpstage/core/bootstrap.py
@@ -6,7 +6,7 @@
 message that founds can arrive late.
 
 At any later start an empty core only joins: it may have lost its disk, and the seeds
-that it is told may be empty too, while the cluster is elsewhere. Most seeds in their
+in its settings may be empty too, while the cluster is elsewhere. Most seeds in their
 first start prove that nothing was ever acknowledged: every cluster that was founded
 from these seeds needs most of them to commit anything. A seed that was restarted
 before the founding, and so may not found, thus stops nobody.
@@ -26,73 +26,73 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Wait:
-    """Nothing to do yet."""
+class WaitForSeeds:
+    """Nothing can be done yet, for this reason."""
 
     why: str
 
 
 @dataclass(frozen=True, kw_only=True)
-class Join:
-    """Belong to this cluster; `members` are its members if this core is one."""
+class JoinCluster:
+    """Join this cluster; `members` are its founders if this core is one of them."""
 
     cluster: str
     members: list[CoreMember]
 
 
 @dataclass(frozen=True, kw_only=True)
-class BootstrapNow:
-    """This core founds the cluster, with these members."""
+class FoundCluster:
+    """Found a cluster with these members."""
 
     members: list[CoreMember]
 
 
 def decide_bootstrap(
     *, me: str, own: str, seeds: list[str], states: list[SeedState | KelpstageError]
-) -> Wait | Join | BootstrapNow:
-    """What an empty core does next, from what the seeds say.
+) -> WaitForSeeds | JoinCluster | FoundCluster:
+    """What an empty core does next, from the states of the seeds that answer.
 
     >>> state = lambda r, a: SeedState(replica=r, address=a, is_empty=True)
     >>> three = [state("x", "1"), state("y", "2"), state("z", "3")]
     >>> type(decide_bootstrap(me="x", own="1", seeds=["1", "2", "3"], states=three)).__name__
-    'BootstrapNow'
+    'FoundCluster'
     >>> decide_bootstrap(me="y", own="2", seeds=["1", "2", "3"], states=three)
-    Wait(why='the seed x founds')
+    WaitForSeeds(why='the seed x founds')
     >>> three[0].only_joins = True
     >>> decide_bootstrap(me="x", own="1", seeds=["1", "2", "3"], states=three)
-    Wait(why='the seed y founds')
+    WaitForSeeds(why='the seed y founds')
     >>> decide_bootstrap(me="x", own="1", seeds=["1", "2", "3"],
     ...     states=[SeedState(replica="y", cluster="c"), *three[1:]])
-    Join(cluster='c', members=[])
+    JoinCluster(cluster='c', members=[])
     """
-    heard = [state for state in states if isinstance(state, SeedState)]
-    clusters = sorted({state.cluster for state in heard if not state.is_empty and state.cluster})
+    answers = [state for state in states if isinstance(state, SeedState)]
+    clusters = sorted({state.cluster for state in answers if not state.is_empty and state.cluster})
     if len(clusters) > 1:
-        return Wait(why=f"seeds of {len(clusters)} clusters: {', '.join(clusters)}")
+        return WaitForSeeds(why=f"seeds of {len(clusters)} clusters: {', '.join(clusters)}")
     if clusters:
-        named = [state.members for state in heard if any(m.replica == me for m in state.members)]
-        return Join(cluster=clusters[0], members=named[0] if named else [])
-    if len(heard) < len(seeds):
-        return Wait(why=f"{len(heard)} of {len(seeds)} seeds answer")
+        named = [state.members for state in answers if any(m.replica == me for m in state.members)]
+        return JoinCluster(cluster=clusters[0], members=named[0] if named else [])
+    if len(answers) < len(seeds):
+        return WaitForSeeds(why=f"{len(answers)} of {len(seeds)} seeds answer")
     if own not in seeds:
-        return Wait(why="not a seed itself, and no seed has a cluster")
-    if len({state.replica for state in heard}) < len(seeds):
-        return Wait(why="two seeds are one process")
-    founders = sorted(state.replica for state in heard if not state.only_joins)
+        return WaitForSeeds(why="not a seed itself, and no seed has a cluster")
+    if len({state.replica for state in answers}) < len(seeds):
+        return WaitForSeeds(why="two seeds are one process")
+    founders = sorted(state.replica for state in answers if not state.only_joins)
     if len(founders) * 2 <= len(seeds):
-        return Wait(why=f"{len(founders)} of {len(seeds)} seeds may found a cluster")
+        return WaitForSeeds(why=f"{len(founders)} of {len(seeds)} seeds may found a cluster")
     if founders[0] != me:
-        return Wait(why=f"the seed {founders[0]} founds")
-    return BootstrapNow(
+        return WaitForSeeds(why=f"the seed {founders[0]} founds")
+    return FoundCluster(
         members=[
             CoreMember(replica=state.replica, address=state.address, http=state.http, is_voter=True)
-            for state in heard
+            for state in answers
         ]
     )
 
 
 def founding_snapshot(*, cluster: str, members: list[CoreMember]) -> DiskSnapshot:
-    """What every founding replica begins with.
+    """The snapshot that every founding replica begins with.
 
     >>> founding_snapshot(cluster="c", members=[]).index
     1
--- a/kelpstage/core/cluster_recovery.py
+++ b/kelpstage/core/cluster_recovery.py
@@ -31,7 +31,8 @@
 from kelpstage.core.state.machine import Machine
 from kelpstage.core.state.replicated_state import CoreState, adopt
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot
-from kelpstage.core.store.store import Recovered, Store
+from kelpstage.core.store.recovery import Recovered
+from kelpstage.core.store.store import Store
 
 ASK_US = 1_500_000
 
@@ -45,14 +46,23 @@
     version: int
     epoch: int
     source: str
-    membership: list
+    membership: list[str]
+
+
+@dataclass(frozen=True, kw_only=True)
+class EdgeEpoch:
+    """The epoch that an edge has installed, and the address at which it answered."""
+
+    edge: str
+    epoch: int
+    address: str
 
 
 def newest_state(*, recovered: Recovered) -> CoreState:
     """The state with every entry in the survivor's log applied, committed or not.
 
     An entry that was acknowledged is committed, but the survivor may not have
-    heard so. One that was never acknowledged may come into force by this; its
+    been notified. One that was never acknowledged may come into force by this; its
     operator was told `unresolved`, never that it was refused.
     """
     state = CoreState(cluster=recovered.identity.cluster)
@@ -97,14 +107,14 @@
     if isinstance(recovered, (KelpstageError, LogDamagedError)):
         return recovered
     lines = Lines(ports=ports, counts=Counter())
-    outcome = await _judge_and_write(
+    outcome = await _check_and_write(
         ports=ports, store=store, lines=lines, recovered=recovered, own=own, http=http, edges=edges
     )
     lines.close()
     return outcome
 
 
-async def _judge_and_write(
+async def _check_and_write(
     *,
     ports: Ports,
     store: Store,
@@ -119,30 +129,17 @@
     if alive:
         return RecoveryRefusedError(why=f"cores answer at {', '.join(alive)}: stop or use those")
     state = newest_state(recovered=recovered)
-    told = await _ask_edges(lines=lines, edges=edges, cluster=recovered.identity.cluster)
-    known = {name for name, _, _ in told} & set(state.membership)
-    if len(known) * 2 <= len(state.membership):
+    answers = await _ask_edges(lines=lines, edges=edges, cluster=recovered.identity.cluster)
+    count = _count_answering(answers=answers, membership=state.membership)
+    if count * 2 <= len(state.membership):
         return RecoveryRefusedError(
-            why=f"{len(known)} of {len(state.membership)} edges of the membership answer; "
+            why=f"{count} of {len(state.membership)} edges of the membership answer; "
             "most are needed, "
             "to be sure of the newest configuration that was acknowledged"
         )
-    source = "this folder"
-    epoch, address = max(((e, a) for _, e, a in told), default=(0, ""))
-    if epoch > state.epoch:
-        doc = await _fetch_state(lines=lines, clock=ports.clock, address=address, epoch=epoch)
-        if doc is None:
-            return RecoveryRefusedError(
-                why=f"the edge at {address} has epoch {epoch} but did not give it"
-            )
-        adopt(state=state, doc=doc)
-        source = f"the edge at {address}"
-        known = {name for name, _, _ in told} & set(state.membership)
-        if len(known) * 2 <= len(state.membership):  # several joined at once since
-            return RecoveryRefusedError(
-                why=f"{len(known)} of {len(state.membership)} edges of the newest membership "
-                "answer; most are needed"
-            )
+    source = await _adopt_newest(lines=lines, clock=ports.clock, state=state, answers=answers)
+    if isinstance(source, KelpstageError):
+        return source
     return await _write(
         ports=ports,
         store=store,
@@ -154,6 +151,32 @@
     )
 
 
+def _count_answering(*, answers: list[EdgeEpoch], membership: list[str]) -> int:
+    return len({answer.edge for answer in answers} & set(membership))
+
+
+async def _adopt_newest(
+    *, lines: Lines, clock: Clock, state: CoreState, answers: list[EdgeEpoch]
+) -> str | KelpstageError:
+    """Adopt the newest state that an edge has, if it is newer; where the state is from."""
+    epoch, address = max(((answer.epoch, answer.address) for answer in answers), default=(0, ""))
+    if epoch <= state.epoch:
+        return "this folder"
+    doc = await _fetch_state(lines=lines, clock=clock, address=address, epoch=epoch)
+    if doc is None:
+        return RecoveryRefusedError(
+            why=f"the edge at {address} has epoch {epoch} but did not give it"
+        )
+    adopt(state=state, doc=doc)
+    count = _count_answering(answers=answers, membership=state.membership)
+    if count * 2 <= len(state.membership):  # several joined at once since
+        return RecoveryRefusedError(
+            why=f"{count} of {len(state.membership)} edges of the newest membership "
+            "answer; most are needed"
+        )
+    return f"the edge at {address}"
+
+
 async def _alive_cores(*, lines: Lines, members: list[CoreMember], own: str) -> list[str]:
     addresses = sorted({m.address for m in members} | {own})
     replies = await asyncio.gather(
@@ -162,7 +185,7 @@
     return [a for a, reply in zip(addresses, replies, strict=True) if isinstance(reply, SeedState)]
 
 
-async def _ask_edges(*, lines: Lines, edges: list[str], cluster: str) -> list[tuple[str, int, str]]:
+async def _ask_edges(*, lines: Lines, edges: list[str], cluster: str) -> list[EdgeEpoch]:
     replies = await asyncio.gather(
         *(
             lines.call(address=a, message=ConfirmEpoch(cluster=cluster), wait_us=ASK_US)
@@ -170,7 +193,7 @@
         )
     )
     return [
-        (reply.edge, reply.epoch, address)
+        EdgeEpoch(edge=reply.edge, epoch=reply.epoch, address=address)
         for address, reply in zip(edges, replies, strict=True)
         if isinstance(reply, ConfirmEpochReply) and reply.cluster == cluster and reply.vouches
     ]
@@ -184,7 +207,11 @@
         ask=lambda pinned, offset: FetchState(epoch=epoch, offset=offset, pinned=pinned),
     )
     data = None if packed is None else apply_delta(base=b"", delta=packed)
-    return None if data is None else StateDoc().parse(data)
+    if data is None:
+        return None
+    doc = StateDoc()
+    doc.parse(data)
+    return doc
 
 
 async def _write(
--- a/kelpstage/core/events.py
+++ b/kelpstage/core/events.py
@@ -1,4 +1,4 @@
-"""What a core writes into its journal."""
+"""Events that a core writes into its journal; their names and fields are public."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 class MembersChanged(Event):
     """The cluster has other members: their addresses."""
 
-    members: list
+    members: list[str]
 
 
 @dataclass(frozen=True, kw_only=True)
 class MarginNoted(Event):
-    """How many voters the leader could lose from then on with a majority left."""
+    """How many voters the leader can lose from now on with a majority left."""
 
     losses_borne: int
     losses_wanted: int
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LeaveEnded(Event):
-    """A planned stop: how the others let this core go."""
+    """A planned stop has ended: how far the others had let this core leave."""
 
     state: str
     losses_borne: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PutDecided(Event):
-    """The log decided an order."""
+    """The log decided a write."""
 
     put_id: str
     outcome: str
@@ -81,7 +81,7 @@
 class MembershipChanged(Event):
     """The membership of edges changed: their names."""
 
-    membership: list
+    membership: list[str]
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SnapshotFetchFailed(Event):
-    """A transfer of a snapshot broke off; the next begins at the earliest after this."""
+    """A transfer of a snapshot failed; the next begins at the earliest after this."""
 
     index: int
     again_after_us: int
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DiskFailed(Event):
-    """An operation on the disk failed; the replica is built anew from the disk."""
+    """An operation on the disk failed; the replica is rebuilt from the disk."""
 
     path: str
     op: str
--- a/kelpstage/core/handlers.py
+++ b/kelpstage/core/handlers.py
@@ -1,15 +1,15 @@
-"""What a core does with each message that comes by its own lines."""
+"""Handlers of the messages that other processes send to a core.
+
+One function a message type; `handle` dispatches by it. A handler returns the reply, None
+where none is due.
+"""
 
 from __future__ import annotations
 
-from dataclasses import replace
 from functools import singledispatch
-from typing import Any, TypeVar
+from typing import Any
 
 from kelpstage.common.errors.base import KelpstageError
-from kelpstage.common.errors.transport import ConnectionLostError
-from kelpstage.common.transport import frames
-from kelpstage.common.transport.delta import apply_delta, pack_delta
 from kelpstage.common.transport.messages import (
     AppendEntries,
     AppendEntriesReply,
@@ -33,21 +33,23 @@
     SeedState,
     TimeoutNow,
 )
+from kelpstage.core.context import MessageContext
+from kelpstage.core.forwarding import pack_body, unpack_body
 from kelpstage.core.raft.types import JoinRequested, LeaveRequested, LeaveState
+from kelpstage.core.web.operators import answer_as_leader
 
 FORWARD_WAIT_US = 1_500_000
-PACKED_FROM_BYTES = 4 * 1024
-Forwarded = TypeVar("Forwarded", ForwardOperatorCall, ForwardOperatorCallReply)
 
 
 @singledispatch
-async def handle(message: Any, core: Any, source: str) -> Any:
-    """Answer a message of another process; None where none is due."""
+async def handle(message: object, core: MessageContext, source: str) -> Any:
+    """Answer a message of another process; one of an unknown type is counted."""
     core.counts["line_unexpected_message"] += 1
     return None
 
 
-async def _raft(message: Any, core: Any, source: str) -> None:
+async def on_raft_message(message: object, core: MessageContext, source: str) -> None:
+    """Queue a Raft message for the replica; without one it is lost, as on a network."""
     if core.task is not None:
         core.task.heard(message=message)
 
@@ -60,16 +62,18 @@
     InstallSnapshot,
     TimeoutNow,
 ):
-    handle.register(kind, _raft)
+    handle.register(kind, on_raft_message)
 
 
 @handle.register
-async def _(message: SeedProbe, core: Any, source: str) -> SeedState:
+async def on_seed_probe(message: SeedProbe, core: MessageContext, source: str) -> SeedState:
+    """Report what this core is to one that looks for a cluster."""
     return core.seed_state()
 
 
 @handle.register
-async def _(message: JoinCore, core: Any, source: str) -> Done:
+async def on_join_core(message: JoinCore, core: MessageContext, source: str) -> Done:
+    """Queue the request of a core to become a member; a follower forwards it once."""
     task = core.task
     if task is None or message.cluster != task.cluster:
         return Done(why="another cluster")
@@ -84,7 +88,8 @@
 
 
 @handle.register
-async def _(message: LeaveCore, core: Any, source: str) -> LeaveCoreReply:
+async def on_leave_core(message: LeaveCore, core: MessageContext, source: str) -> LeaveCoreReply:
+    """Queue the request of a member to leave, and report how far that is."""
     task = core.task
     if task is None or message.cluster != task.cluster or not task.is_leader:
         return LeaveCoreReply(state=LeaveState.NOT_LEADER)
@@ -100,21 +105,26 @@
 
 
 @handle.register
-async def _(message: FetchSnapshot, core: Any, source: str) -> Chunk:
+async def on_fetch_snapshot(message: FetchSnapshot, core: MessageContext, source: str) -> Chunk:
+    """Send a chunk of the newest snapshot."""
     if core.task is None:
         return Chunk(is_found=False)
     return core.task.snapshot_chunk(ask=message)
 
 
 @handle.register
-async def _(message: FetchState, core: Any, source: str) -> Chunk:
+async def on_fetch_state(message: FetchState, core: MessageContext, source: str) -> Chunk:
+    """Send a chunk of the newest applied state."""
     if core.task is None:
         return Chunk(is_found=False)
-    return core.task.state_chunk(ask=message)
+    return core.task.state_chunk(request=message)
 
 
 @handle.register
-async def _(message: RegisterEdge, core: Any, source: str) -> RegisterEdgeReply:
+async def on_register_edge(
+    message: RegisterEdge, core: MessageContext, source: str
+) -> RegisterEdgeReply:
+    """Remember an edge, and tell it of other edges and of the cores."""
     core.meet(contact=message.contact)
     return RegisterEdgeReply(
         cluster=core.identity.cluster if core.identity else "",
@@ -124,13 +134,14 @@
 
 
 @handle.register
-async def _(message: Renew, core: Any, source: str) -> LeaseReply:
+async def on_renew(message: Renew, core: MessageContext, source: str) -> LeaseReply:
+    """Renew a lease as the leader; a follower forwards the request, at most twice."""
     core.meet(contact=message.contact)
     task, lease_service = core.task, core.lease_service
     if task is None or lease_service is None:
         return LeaseReply(why="this core is not up", peers=core.some_peers())
     if task.is_leader:
-        return await lease_service.renew(ask=message)
+        return await lease_service.renew(request=message)
     hint = LeaseReply(
         cluster=task.cluster,
         why="no leader known",
@@ -141,7 +152,7 @@
     if message.hops >= 2 or not task.leader_address:
         return hint
     message.hops += 1
-    reply = await core.lines.call(
+    reply: LeaseReply | KelpstageError = await core.lines.call(
         address=task.leader_address, message=message, wait_us=FORWARD_WAIT_US
     )
     if isinstance(reply, KelpstageError):
@@ -151,53 +162,12 @@
 
 
 @handle.register
-async def _(
-    message: ForwardOperatorCall, core: Any, source: str
+async def on_forward_operator_call(
+    message: ForwardOperatorCall, core: MessageContext, source: str
 ) -> ForwardOperatorCallReply | None:
-    from kelpstage.core.web.operators import answer_as_leader
-
-    ask = unpack_body(message=message)
-    if ask is None:
+    """Answer an operator's call that another core has forwarded."""
+    request = unpack_body(message=message)
+    if request is None:
         core.counts["line_unreadable_body"] += 1
-        return None  # no answer: the caller takes it for a silent leader
-    return pack_body(message=await answer_as_leader(core=core, ask=ask))
-
-
-def pack_body(*, message: Forwarded) -> Forwarded:
-    """The same message with a large body compressed, for its way between cores.
-
-    >>> packed = pack_body(message=ForwardOperatorCallReply(status=200, body=b"route " * 1000))
-    >>> len(packed.packed) < 100, packed.body, unpack_body(message=packed).body == b"route " * 1000
-    (True, b'', True)
-    """
-    if len(message.body) < PACKED_FROM_BYTES:
-        return message
-    return replace(message, body=b"", packed=pack_delta(base=b"", whole=message.body))
-
-
-def unpack_body(*, message: Forwarded) -> Forwarded | None:
-    """The reverse of `pack_body`; nothing if the bytes are damaged.
-
-    >>> unpack_body(message=ForwardOperatorCallReply(packed=b"junk")) is None
-    True
-    """
-    if not message.packed:
-        return message
-    body = apply_delta(base=b"", delta=message.packed)
-    return None if body is None else replace(message, body=body, packed=b"")
-
-
-async def forward_to_leader(
-    *, core: Any, ask: ForwardOperatorCall
-) -> ForwardOperatorCallReply | KelpstageError:
-    """Hand an operator's call to the leader, on the line for bulk."""
-    address = core.task.leader_address
-    reply = await core.lines.call(
-        address=address,
-        message=pack_body(message=ask),
-        wait_us=ask.wait_us * 19 // 20,  # so that the caller hears of a silent leader
-        lane=frames.BULK,
-    )
-    if not isinstance(reply, ForwardOperatorCallReply):
-        return reply
-    return unpack_body(message=reply) or ConnectionLostError(address=address, why="unreadable body")
+        return None  # the caller takes no answer for a silent leader
+    return pack_body(message=await answer_as_leader(core=core, request=request))
--- a/kelpstage/core/leases/configuration_writes.py
+++ b/kelpstage/core/leases/configuration_writes.py
@@ -1,14 +1,14 @@
-"""Operators' orders, as the leader takes them: judged, proposed, settled, each by a piece
-of work that goes on when its caller's patience ends, so that a repeat finds it done.
+"""Writes of configurations on the leader: validated, proposed, settled.
 
-Nothing is decided here: the replicated state machine decides, and this module answers
-200 or refuses only by what a log says that was confirmed to be the newest.
-See `docs/notes/control/orders.md`."""
+Each write runs in a task of its own that outlives its caller's wait, so that a repeat finds
+its outcome. Nothing is decided here: the replicated state machine decides, and this module
+reports success or refusal only from a log that was confirmed to be the newest.
+See `docs/notes/control/orders.md`.
+"""
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Any
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.errors.control import (
@@ -24,6 +24,8 @@
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import Ports
 from kelpstage.core.events import PutDecided
+from kelpstage.core.leases.epoch_settlement import EpochSettlement
+from kelpstage.core.leases.leader_confirmation import CONFIRM_US
 from kelpstage.core.leases.lease_table import LEASE_SPAN_US
 from kelpstage.core.leases.validation import DocumentValidator
 from kelpstage.core.replica_task import ReplicaTask
@@ -32,24 +34,25 @@
 from kelpstage.core.state.outcomes import (
     PutApplied,
     PutNotAbove,
+    PutOutcome,
     PutOutcomeUnknown,
     PutSuperseded,
     PutUnreadable,
     PutVersionTaken,
     outcome_of,
 )
+from kelpstage.core.state.replicated_state import CoreState
 
-if TYPE_CHECKING:
-    from kelpstage.core.leases.lease_service import LeaseService
-
-CONFIRM_US = 1_000_000
-PATIENCE_US = 10_000_000
+LEAST_WRITE_US = 10_000_000  # that a write is worked on, however short its caller waits
 LOOK_US = 50_000
-CORES_MEET_US = 5_000_000
+CORES_MEET_US = 5_000_000  # after an election, until other cores have made contact
 
 
 class ConfigurationWrites:
-    """What the lease service does with orders."""
+    """Takes writes through the log, one epoch at a time.
+
+    `tolerance` is the number of cores whose loss an acknowledged write survives.
+    """
 
     def __init__(
         self,
@@ -57,75 +60,77 @@
         ports: Ports,
         journal: Journal,
         task: ReplicaTask,
-        lease_service: "LeaseService",
+        settlement: EpochSettlement,
         tolerance: int,
     ) -> None:
         self._ports = ports
         self._journal = journal
         self._task = task
-        self._lease_service = lease_service
+        self._settlement = settlement
         self._tolerance = tolerance
         self._voters_needed = 2 * tolerance + 1
-        self._work: dict[bytes, asyncio.Future] = {}
-        self.judge = DocumentValidator().judge
+        self._running: dict[bytes, asyncio.Future[PutApplied | KelpstageError]] = {}
+        self.validate = DocumentValidator().validate
 
     async def put(
         self, *, document: bytes, expected: int, put_id: str, wait_us: int, version: int = 0
     ) -> PutApplied | KelpstageError:
-        """Put a configuration; 200 is given when no edge can serve an older one.
+        """Write a configuration; done when no edge can serve an older one.
 
-        A call that runs out of time gets `WriteUnresolvedError`, while the work goes on: the same
-        put again, under whatever id, waits for the same work or hears what it came to.
+        A call that runs out of time (`wait_us`) gets `WriteUnresolvedError` while the write
+        goes on: the same write again, under whatever id, waits for it or gets its outcome.
         """
-        judged = self.judge(document=document)
-        if isinstance(judged, InvalidConfigurationError):
-            return judged
-        if judged and version and judged != version:
-            why = f"the put is given version {version}, the document says {judged}"
+        stated_version = self.validate(document=document)
+        if isinstance(stated_version, InvalidConfigurationError):
+            return stated_version
+        if stated_version and version and stated_version != version:
+            why = f"the put is given version {version}, the document says {stated_version}"
             return InvalidConfigurationError(faults=[InvalidField(path="version", why=why)])
-        version = version or judged
+        version = version or stated_version
         digest = put_digest(document=document, expected=expected, version=version)
         record = self._task.machine.record(put_id=put_id)
         if record is not None and record.digest != digest:
             return PutIdReusedError(put_id=put_id, why="it named another put")
-        work = self._work.get(digest)
-        if work is None:
+        running = self._running.get(digest)
+        if running is None:
             put = PutConfiguration(
                 put_id=put_id, expected=expected, document=document, version=version
             )
-            work = self._ports.spawn(
-                self._see_through(put=put, digest=digest, wait_us=max(wait_us, PATIENCE_US))
+            running = self._ports.spawn(
+                self._run_write(put=put, digest=digest, wait_us=max(wait_us, LEAST_WRITE_US))
             )
-            self._work[digest] = work
-        outcome = await self._ports.clock.within(work, us=wait_us)
+            self._running[digest] = running
+        outcome: PutApplied | KelpstageError | None = await self._ports.clock.within(
+            running, us=wait_us
+        )
         if outcome is None:
             return WriteUnresolvedError(put_id=put_id, why="still at work on it; ask again")
         if isinstance(outcome, WriteUnresolvedError):
             return WriteUnresolvedError(put_id=put_id, why=outcome.why)
         return outcome
 
-    async def _see_through(
+    async def _run_write(
         self, *, put: PutConfiguration, digest: bytes, wait_us: int
     ) -> PutApplied | KelpstageError:
         until_us = self._ports.clock.now_us() + wait_us
         try:
             return await self._decide(put=put, digest=digest, until_us=until_us)
         finally:
-            self._work.pop(digest, None)
+            self._running.pop(digest, None)
 
     async def _decide(
         self, *, put: PutConfiguration, digest: bytes, until_us: int
     ) -> PutApplied | KelpstageError:
         decided = await self._look_up(put=put, digest=digest)
         if decided is None:
-            async with self._lease_service.change:
-                # While this waited its turn, the lead may have been elsewhere.
+            async with self._settlement.change:
+                # While this waited for the lock, another core may have led.
                 decided = await self._look_up(put=put, digest=digest)
                 if decided is None:
                     decided = await self._propose(put=put, digest=digest, until_us=until_us)
         if isinstance(decided, KelpstageError):
             return decided
-        if not await self._lease_service.settled(
+        if not await self._settlement.wait_settled(
             epoch=decided.epoch, wait_us=self._left_us(until_us)
         ):
             return WriteUnresolvedError(
@@ -140,7 +145,7 @@
     async def _look_up(
         self, *, put: PutConfiguration, digest: bytes
     ) -> PutApplied | KelpstageError | None:
-        """Was this put decided, by a log that is confirmed to be the newest?"""
+        """The outcome of a write that a log confirmed to be the newest holds, or None."""
         error = await self._task.confirm(wait_us=CONFIRM_US)
         if error is not None:
             return error
@@ -150,8 +155,8 @@
     async def _refuse(
         self, *, put: PutConfiguration, digest: bytes, until_us: int
     ) -> PutApplied | KelpstageError:
-        """Refuse by the log an order on a version to come: a copy of it that is still
-        under way must not be taken when that version is there."""
+        """Refuse through the log a write on a version to come: a copy of it that is still
+        in flight must not be applied when that version is there."""
         refusal = RefusePut(
             put_id=put.put_id, digest=digest, expected=put.expected, version=put.version
         )
@@ -165,8 +170,11 @@
     async def _propose(
         self, *, put: PutConfiguration, digest: bytes, until_us: int
     ) -> PutApplied | KelpstageError:
-        """Bring a put into the log. Versions only rise, so what is refused here without a
-        trace in the log would be refused again whenever another copy of it came."""
+        """Propose a write to the log.
+
+        Versions only rise, so what is refused here without a record in the log would be
+        refused again whenever another copy of it arrived.
+        """
         clock = self._ports.clock
         if clock.now_us() >= until_us:
             return WriteUnresolvedError(put_id=put.put_id, why="its turn came too late; ask again")
@@ -177,83 +185,97 @@
             return VersionMismatchError(expected=put.expected, current=state.version)
         if put.version and put.version <= state.version:
             return VersionNotAboveError(version=put.version, current=state.version)
+        error = await self._check_ready(state=state, until_us=until_us)
+        if error is not None:
+            return error
+        self._ports.point("core.before_propose")
+        command = put_command(put=put, state=self._task.machine.state)
+        outcome = await self._task.propose(
+            data=bytes(command), put_id=put.put_id, wait_us=self._left_us(until_us)
+        )
+        self._record_decision(put=put, outcome=outcome)
+        result = as_result(outcome=outcome, put_id=put.put_id)
+        if isinstance(result, PutApplied):
+            # The next change waits until this one is settled.
+            await self._settlement.wait_settled(epoch=result.epoch, wait_us=self._left_us(until_us))
+        return result
+
+    async def _check_ready(self, *, state: CoreState, until_us: int) -> KelpstageError | None:
+        """Why no write can be proposed now; None if one can."""
         membership = list(state.membership)
-        await self._hear_membership(membership=membership, until_us=until_us)
-        lease_table, now_us = self._lease_service.lease_table, clock.now_us()
+        await self._await_edge_majority(membership=membership, until_us=until_us)
+        lease_table, now_us = self._settlement.lease_table, self._ports.clock.now_us()
         if not lease_table.has_majority(membership=membership, now_us=now_us):
             heard = lease_table.heard_lately(membership=membership, now_us=now_us)
             return NoEdgeMajorityError(heard=len(heard), membership=len(membership))
         if not await self._has_voters(until_us=until_us):
             return TooFewVotersError(voters=self._voters(), needed=self._voters_needed)
-        if not await self._lease_service.settled(
+        if not await self._settlement.wait_settled(
             epoch=state.epoch, wait_us=self._left_us(until_us)
         ):
             return NoLeaderError(why="the change before this one is not settled yet")
-        self._ports.point("core.before_propose")
-        command = put_command(put=put, state=self._task.machine.state)
-        outcome = await self._task.propose(
-            data=bytes(command), put_id=put.put_id, wait_us=self._left_us(until_us)
-        )
-        result = as_result(outcome=outcome, put_id=put.put_id)
-        if isinstance(outcome, (PutApplied, PutSuperseded, PutNotAbove)):
-            self._journal.add(
-                PutDecided(
-                    put_id=put.put_id,
-                    outcome="applied" if isinstance(outcome, PutApplied) else "lost",
-                    version=self._task.machine.state.version,
-                )
+        return None
+
+    def _record_decision(
+        self, *, put: PutConfiguration, outcome: PutOutcome | KelpstageError
+    ) -> None:
+        if not isinstance(outcome, (PutApplied, PutSuperseded, PutNotAbove)):
+            return
+        self._journal.add(
+            PutDecided(
+                put_id=put.put_id,
+                outcome="applied" if isinstance(outcome, PutApplied) else "lost",
+                version=self._task.machine.state.version,
             )
-        if isinstance(result, PutApplied):
-            # The next change waits behind this one, within the same order.
-            await self._lease_service.settled(epoch=result.epoch, wait_us=self._left_us(until_us))
-        return result
+        )
 
-    async def _hear_membership(self, *, membership: list[str], until_us: int) -> None:
-        """A leader that was elected a moment ago has not heard its edges yet; give
-        them one span before it is said that most are missing."""
+    async def _await_edge_majority(self, *, membership: list[str], until_us: int) -> None:
+        """Give the edges one lease span after an election to report, before most of them
+        are considered missing."""
         clock = self._ports.clock
-        until_us = min(until_us, self._lease_service.lease_table.since_us + LEASE_SPAN_US)
+        until_us = min(until_us, self._settlement.lease_table.since_us + LEASE_SPAN_US)
         while clock.now_us() < until_us:
-            if self._lease_service.lease_table.has_majority(
+            if self._settlement.lease_table.has_majority(
                 membership=membership, now_us=clock.now_us()
             ):
                 return
-            await self._lease_service.heard_news(wait_us=LOOK_US)
+            await self._settlement.wait_for_edge_report(wait_us=LOOK_US)
 
     def _voters(self) -> int:
         return sum(member.is_voter for member in self._task.raft.members.current)
 
     async def _has_voters(self, *, until_us: int) -> bool:
-        """Are there enough voters that what most of them have outlives the losses that
-        are to be borne? While the set is being filled, wait for it.
-        See `docs/notes/voters.md`."""
+        """Are there enough voters that what a majority has survives `tolerance` losses?
+
+        While voters are still being added, wait for them. See `docs/notes/voters.md`.
+        """
         clock = self._ports.clock
         while self._voters() < self._voters_needed:
-            if self._is_all_there_is():
+            if self._is_every_core_voting():
                 return True
             if clock.now_us() >= until_us or not self._task.is_leader:
                 return False
             await clock.sleep(us=LOOK_US)
         return True
 
-    def _is_all_there_is(self) -> bool:
-        """Is no other core in sight, while most of those there are hold a put on one disk
-        more than may be lost? What was acknowledged is then kept all the same."""
-        led_us = self._ports.clock.now_us() - self._lease_service.lease_table.since_us
+    def _is_every_core_voting(self) -> bool:
+        """Is there no other core, while a majority of the voters has one disk more than may
+        be lost? What was acknowledged is then kept all the same."""
+        led_us = self._ports.clock.now_us() - self._settlement.lease_table.since_us
         members = self._task.raft.members.current
         is_alone = led_us > CORES_MEET_US and all(member.is_voter for member in members)
         return is_alone and self._voters() // 2 >= self._tolerance
 
     def put_state(self, *, put_id: str) -> PutApplied | KelpstageError | None:
-        """What became of a put, as far as this leader's log tells."""
+        """The outcome of a write, None if this leader's log holds no record of it."""
         record = self._task.machine.record(put_id=put_id)
         if record is None:
             return None
         return as_result(outcome=outcome_of(record=record), put_id=put_id)
 
 
-def as_result(*, outcome: Any, put_id: str) -> PutApplied | KelpstageError:
-    """What an operator is answered for a put's outcome.
+def as_result(*, outcome: PutOutcome | KelpstageError, put_id: str) -> PutApplied | KelpstageError:
+    """The result that an operator gets for a write's outcome.
 
     >>> as_result(outcome=PutSuperseded(expected=1, current=2), put_id="p")
     VersionMismatchError(expected=1, current=2)
--- a/kelpstage/core/leases/lease_table.py
+++ b/kelpstage/core/leases/lease_table.py
@@ -1,7 +1,7 @@
-"""The leader's lease table of leases: who may still be serving, and under what.
+"""The leader's lease table: which edges may still be serving, and which epoch.
 
-Plain and in memory: a new leader knows of no lease, so it takes it that every
-edge of the membership got one the moment before it was elected.
+In memory only, without I/O. A new leader knows of no lease, so it assumes that every edge
+of the membership got one the moment before it was elected. All times are microseconds.
 """
 
 from __future__ import annotations
@@ -11,7 +11,9 @@
 from kelpstage.common.transport.messages import EdgeContact
 
 LEASE_SPAN_US = 2_000_000
-LEASE_MARGIN_US = 200_000
+LEASE_MARGIN_US = 200_000  # for clocks that run at different speeds
+NEVER_US = -(10**12)
+CONTACT_KEPT_SPANS = 15  # an edge that has reported within so many spans is worth a contact
 
 
 @dataclass(kw_only=True)
@@ -20,7 +22,7 @@
 
     incarnation: int = 0
     epoch: int = 0
-    heard_us: int = -(10**12)
+    heard_us: int = NEVER_US  # when it reported last
     leases: list[tuple[int, int]] = field(default_factory=list)  # epoch, when
     contact: EdgeContact | None = None
     relayed_by: str = ""  # address of the edge that carried its last renewal, if one did
@@ -56,8 +58,9 @@
         now_us: int,
         relayed_by: str = "",
     ) -> bool:
-        """An edge says what it has installed. False if a newer incarnation of it was heard:
-        what an older one says counts for nothing.
+        """Record the epoch that an edge reports as installed.
+
+        False, and without effect, if a newer incarnation of the edge has reported.
 
         >>> lease_table = LeaseTable(since_us=0)
         >>> [lease_table.heard(edge="a", incarnation=n, epoch=1, contact=None, now_us=10)
@@ -93,7 +96,7 @@
         holder = self._holders.get(edge)
         if holder is not None and holder.incarnation == incarnation:
             holder.leases = []
-            holder.heard_us = -(10**12)
+            holder.heard_us = NEVER_US
             holder.contact = None
 
     def _is_lapsed(self, *, edge: str, epoch: int, now_us: int) -> bool:
@@ -119,10 +122,13 @@
         ]
 
     def is_settled(
-        self, *, epoch: int, membership: list[str], now_us: int, gone: frozenset = frozenset()
+        self, *, epoch: int, membership: list[str], now_us: int, gone: frozenset[str] = frozenset()
     ) -> bool:
-        """Can no edge serve an older epoch any more? Edges that an operator vouches
-        to be gone for good neither serve nor speak for an older epoch."""
+        """Can no edge serve an older epoch any more?
+
+        Edges in `gone`, which an operator states to be gone for good, neither serve nor
+        count for an older epoch.
+        """
         others = [edge for edge in membership if edge not in gone]
         older = sum(not self._has_installed(edge=edge, epoch=epoch) for edge in others)
         if membership and older * 2 >= len(membership):
@@ -130,7 +136,7 @@
         return not self.behind(epoch=epoch, membership=others, now_us=now_us)
 
     def heard_lately(self, *, membership: list[str], now_us: int) -> list[str]:
-        """The edges of a membership that were heard within the span of a lease."""
+        """The edges of a membership that have reported within the span of a lease."""
         return [
             edge
             for edge in membership
@@ -138,17 +144,17 @@
         ]
 
     def has_majority(self, *, membership: list[str], now_us: int) -> bool:
-        """Are enough edges there for a put to settle?"""
+        """Have enough edges reported for a write to settle?"""
         if not membership:
             return True
         return len(self.heard_lately(membership=membership, now_us=now_us)) * 2 > len(membership)
 
     def holder(self, *, edge: str) -> LeaseRecord | None:
-        """What is known of an edge; None if it was never heard."""
+        """What is known of an edge; None if it has never reported."""
         return self._holders.get(edge)
 
     def contacts(self, *, now_us: int) -> list[EdgeContact]:
-        """Where the edges are that were heard within a lease's span.
+        """Contacts of the edges that have reported within a lease's span.
 
         Another one holds no lease, so that nothing waits for it; it learns of the newest
         epoch from the answer to its next renewal, and fetches that state alone.
@@ -160,7 +166,7 @@
             if holder.contact is not None and holder.heard_us >= oldest_us
         ]
 
-    # --- what an edge need not be told again ------------------------------------------
+    # --- changes since an edge was last notified ------------------------------------------
 
     def note_cores(self, *, cores: list[str]) -> None:
         """Note the addresses of the cores, which edges are told when they change."""
@@ -169,11 +175,11 @@
             self._cores, self._cores_changed_at = list(cores), self._changes
 
     def count(self) -> int:
-        """Edges that were ever heard of."""
+        """How many edges have ever reported."""
         return len(self._holders)
 
     def mark(self) -> int:
-        """Stands for the contacts and cores as they are now, in this lease table."""
+        """A token for the contacts and cores as they are now, in this lease table."""
         return self._era() | self._changes
 
     def _era(self) -> int:
@@ -206,13 +212,18 @@
             (
                 holder
                 for holder in self._holders.values()
-                if holder.changed_at > since and self._is_here(holder=holder, now_us=now_us)
+                if holder.changed_at > since
+                and self._has_recent_contact(holder=holder, now_us=now_us)
             ),
             key=lambda holder: -holder.changed_at,
         )
         cores = self._cores if self._cores_changed_at > since else []
-        return [holder.contact for holder in newest[:limit]], list(cores)
+        contacts = [holder.contact for holder in newest[:limit] if holder.contact is not None]
+        return contacts, list(cores)
 
     @staticmethod
-    def _is_here(*, holder: LeaseRecord, now_us: int) -> bool:
-        return holder.contact is not None and now_us - holder.heard_us < 15 * LEASE_SPAN_US
+    def _has_recent_contact(*, holder: LeaseRecord, now_us: int) -> bool:
+        return (
+            holder.contact is not None
+            and now_us - holder.heard_us < CONTACT_KEPT_SPANS * LEASE_SPAN_US
+        )
--- a/kelpstage/core/leases/validation.py
+++ b/kelpstage/core/leases/validation.py
@@ -1,4 +1,4 @@
-"""Whether a document is a configuration at all: the same on every core, at any time."""
+"""Validation of documents as configurations: the same on every core, at any time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from kelpstage.common.configuration.validation import read_configuration
 from kelpstage.common.errors.validation import InvalidConfigurationError
 
-JUDGED_KEPT = 8
+RESULTS_KEPT = 8
 
 
 def validate_document(*, document: bytes) -> InvalidConfigurationError | int:
@@ -18,27 +18,27 @@
     >>> validate_document(document=b"{").faults[0].path
     '(whole)'
     """
-    judged = read_configuration(data=document, version=1)
-    return judged if isinstance(judged, InvalidConfigurationError) else judged.stated_version
+    result = read_configuration(data=document, version=1)
+    return result if isinstance(result, InvalidConfigurationError) else result.stated_version
 
 
 class DocumentValidator:
-    """Judges documents; a repeat is not judged again, since a large one takes a while.
+    """Validates documents, with a small cache, since a large one takes a while.
 
-    >>> judge = DocumentValidator()
-    >>> judge.judge(document=b'{"forward": {}}')
+    >>> validator = DocumentValidator()
+    >>> validator.validate(document=b'{"forward": {}}')
     0
     """
 
     def __init__(self) -> None:
-        self._judged: dict[bytes, InvalidConfigurationError | int] = {}
+        self._results: dict[bytes, InvalidConfigurationError | int] = {}
 
-    def judge(self, *, document: bytes) -> InvalidConfigurationError | int:
-        """What `validate_document` says of it."""
+    def validate(self, *, document: bytes) -> InvalidConfigurationError | int:
+        """The result of `validate_document`, from the cache if it is there."""
         digest = hashlib.sha256(document).digest()
-        found = self._judged.get(digest)
-        if found is None:
-            found = self._judged[digest] = validate_document(document=document)
-            while len(self._judged) > JUDGED_KEPT:
-                del self._judged[next(iter(self._judged))]
-        return found
+        result = self._results.get(digest)
+        if result is None:
+            result = self._results[digest] = validate_document(document=document)
+            while len(self._results) > RESULTS_KEPT:
+                del self._results[next(iter(self._results))]
+        return result
--- a/kelpstage/core/main.py
+++ b/kelpstage/core/main.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import List, Optional
+from typing import Any, List, Optional
 
 import typer
 
@@ -30,7 +30,7 @@
 ) -> None:
     """Run a core: it keeps configurations, the edge membership and leases in a replicated log."""
 
-    def read_settings() -> dict:
+    def read_settings() -> dict[str, Any]:
         return settings_or_exit(
             outcome=read_settings_file(
                 file=settings,
--- /dev/null
+++ b/kelpstage/core/pending_proposals.py
@@ -0,0 +1,52 @@
+"""Proposals of this replica whose entries are in its log and not applied yet."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from kelpstage.common.errors.control import WriteUnresolvedError
+from kelpstage.common.transport.messages import LogEntry
+from kelpstage.core.waiters import Waiters
+
+LEADERSHIP_LOST = "leadership was lost before the commit"
+
+
+@dataclass(frozen=True, slots=True)
+class _Proposal:
+    token: int
+    term: int
+
+
+class PendingProposals:
+    """Settles the waiter of each proposal, by log index.
+
+    The entry that is applied at an index may come from another leader: then the outcome of
+    the proposal is unknown here, since a third replica may still hold and commit it.
+    """
+
+    def __init__(self, *, waiters: Waiters) -> None:
+        self._waiters = waiters
+        self._by_index: dict[int, _Proposal] = {}
+
+    def add(self, *, index: int, token: int, term: int) -> None:
+        """Note that the proposal of `token` became the entry of this index and term."""
+        self._by_index[index] = _Proposal(token, term)
+
+    def settle(self, *, entry: LogEntry, outcome: object) -> None:
+        """Give the outcome of an applied entry to the waiter of its proposal, if any."""
+        proposal = self._by_index.pop(entry.index, None)
+        if proposal is None:
+            return
+        if proposal.term != entry.term:
+            outcome = WriteUnresolvedError(put_id="", why=LEADERSHIP_LOST)
+        self._waiters.settle(token=proposal.token, outcome=outcome)
+
+    def lose(self, *, start: int) -> None:
+        """Settle the proposals from index `start` on, whose entries left the log.
+
+        Another replica may still hold such an entry and commit it: this is no refusal.
+        """
+        for index in [index for index in self._by_index if index >= start]:
+            proposal = self._by_index.pop(index)
+            lost = WriteUnresolvedError(put_id="", why=LEADERSHIP_LOST)
+            self._waiters.settle(token=proposal.token, outcome=lost)
--- a/kelpstage/core/replica_task.py
+++ b/kelpstage/core/replica_task.py
@@ -1,11 +1,11 @@
-"""The replica's task: owns Raft and the state machine, speaks for them.
+"""The replica's task: feeds events to Raft and performs the effects that it returns.
 
-Events come by its queue; effects become lines, disk writes and settled waits.
+The asynchronous shell around the sans-I/O replica. Events come through one queue; effects
+become messages, disk writes, applied commands and settled waiters.
 """
 
 from __future__ import annotations
 
-from collections import deque
 from functools import singledispatchmethod
 from typing import Any, Callable
 
@@ -16,47 +16,47 @@
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.log.ring import logger
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.common.transport import frames
 from kelpstage.common.transport.chunks import ChunkSource
 from kelpstage.common.transport.connections import Lines
-from kelpstage.common.transport.delta import pack_delta
 from kelpstage.common.transport.messages import (
-    AppendEntries,
     Chunk,
     CoreMember,
     FetchSnapshot,
     FetchState,
-    LogEntry,
 )
+from kelpstage.core.chunk_server import ChunkServer
 from kelpstage.core.events import (
     MarginNoted,
     MembersChanged,
     RoleTaken,
     SnapshotInstalled,
-    SnapshotKept,
 )
+from kelpstage.core.outgoing_messages import OutgoingMessages
+from kelpstage.core.pending_proposals import PendingProposals
 from kelpstage.core.raft import types as raft
 from kelpstage.core.raft.members import read_members
 from kelpstage.core.raft.replica import Replica
-from kelpstage.core.snapshots import LogSize, SnapshotFetcher, SnapshotPolicy
+from kelpstage.core.snapshot_writer import SnapshotWriter
+from kelpstage.core.snapshots import SnapshotFetcher
 from kelpstage.core.state.machine import Machine
 from kelpstage.core.state.replicated_state import CoreState
 from kelpstage.core.store.records import DiskSnapshot
-from kelpstage.core.store.store import Recovered, Store
-from kelpstage.core.store.task import DiskTask, PersistRequest
+from kelpstage.core.store.recovery import Recovered
+from kelpstage.core.store.store import Store
+from kelpstage.core.store.task import DiskTask
 from kelpstage.core.waiters import Waiters
 
 TICK_US = 20_000
-LOST = "leadership was lost before the commit"
 log = logger(name="replica")
 
 
-def _data_bytes(*, entries: list[LogEntry]) -> int:
-    return sum(len(entry.data) for entry in entries)
-
-
 class ReplicaTask:
-    """One replica with its disk and its state."""
+    """One replica with its disk and its state machine.
+
+    Owner of the replica, the state machine and the index up to which it has applied.
+    `on_applied` is called after each applied command, `on_role` with each new Raft role,
+    `on_error` once when the disk fails, after which the replica is to be stopped.
+    """
 
     def __init__(
         self,
@@ -81,14 +81,10 @@
         self._on_error = on_error
         self.cluster = recovered.identity.cluster
         self.me = recovered.identity.replica
-        self.inbox: Queue = Queue()
-        self.waiters = Waiters()
-        self._held: deque[raft.Send] = deque()
-        self._synced = 0
-        self._proposals: dict[int, tuple[int, int]] = {}  # index -> token, term
-        self._log_bytes = _data_bytes(entries=recovered.log.entries)
-        self._in_writing: DiskSnapshot | None = None  # taken here, not on disk yet
-        self._policy = SnapshotPolicy()
+        self.inbox: Queue[object] = Queue()
+        self._waiters = Waiters()
+        self._outgoing = OutgoingMessages(ports=ports, lines=lines)
+        self._proposals = PendingProposals(waiters=self._waiters)
         self._fetched: DiskSnapshot | None = None
         self._fetcher = SnapshotFetcher(
             lines=lines,
@@ -96,16 +92,15 @@
             journal=journal,
             cluster=self.cluster,
             spawn=ports.spawn,
-            on_fetched=self._snapshot_arrived,
+            on_fetched=self._on_snapshot_fetched,
         )
-        self.snapshots = ChunkSource()
-        self.states = ChunkSource()
+        self._chunks = ChunkServer(clock=ports.clock, cluster=self.cluster)
         members: list[CoreMember] = []
         state: CoreState | None = None
         if recovered.snapshot is not None:
             members = list(recovered.snapshot.members)
             state = CoreState().parse(recovered.snapshot.state)
-            self._publish_snapshot(snapshot=recovered.snapshot)
+            self._chunks.publish_snapshot(snapshot=recovered.snapshot)
         self.machine = Machine(cluster=self.cluster, state=state)
         self.applied = recovered.log.base_index
         self.raft = Replica(
@@ -125,6 +120,13 @@
             on_kept=lambda index: self.inbox.put_nowait(raft.SnapshotTaken(index=index)),
             on_error=on_error,
         )
+        self._snapshot_writer = SnapshotWriter(
+            replica=self.raft,
+            cluster=self.cluster,
+            chunks=self._chunks,
+            journal=journal,
+            write=self._disk.inbox.put_nowait,
+        )
         self._tasks = [
             ports.keep(self._disk.run()),
             ports.keep(self._run()),
@@ -136,38 +138,61 @@
         for task in self._tasks:
             task.cancel()
 
-    # --- what handlers ask -----------------------------------------------------------
+    @property
+    def snapshots(self) -> ChunkSource:
+        """The snapshot that members are offered."""
+        return self._chunks.snapshots
+
+    def snapshot_chunk(self, *, ask: FetchSnapshot) -> Chunk:
+        """A chunk of the newest snapshot, or of the one that the peer has begun to fetch."""
+        return self._chunks.snapshot_chunk(request=ask)
+
+    def state_chunk(self, *, request: FetchState) -> Chunk:
+        """A chunk of the newest applied state, or of the one that the edge has begun."""
+        return self._chunks.state_chunk(request=request, machine=self.machine)
 
     @property
     def is_leader(self) -> bool:
-        """Does this replica lead, as far as it knows?"""
+        """Is this replica the leader, as far as it knows?"""
         return self.raft.role == raft.LEADER
 
     @property
     def leader_address(self) -> str:
-        """Where the leader is, as far as this replica knows; empty if it knows none."""
+        """The address of the leader as far as this replica knows; empty if it knows none."""
         if self.is_leader:
             return self._own
         if not self.raft.leader:
             return ""
         return self.raft.members.address(replica=self.raft.leader) or self.raft.leader_address
 
+    def snapshot_now(self) -> None:
+        """Write a snapshot of the applied state, unless one is being written."""
+        self._snapshot_writer.take(machine=self.machine, applied=self.applied)
+
     async def propose(self, *, data: bytes, put_id: str, wait_us: int) -> Any:
-        """The command's outcome once it is committed and applied."""
-        token, future = self.waiters.open()
+        """Propose a command and return its outcome once it is committed and applied.
+
+        `WriteUnresolvedError` after `wait_us` microseconds, or if leadership is lost: it may
+        still be committed. `NoLeaderError` if it was never in the log.
+        """
+        token, future = self._waiters.open()
         self.inbox.put_nowait(raft.Propose(kind=raft.COMMAND, data=data, token=token))
         outcome = await self._ports.clock.within(future, us=wait_us)
         if outcome is not None:
             return outcome
-        self.waiters.drop(token=token)
+        self._waiters.drop(token=token)
         return WriteUnresolvedError(put_id=put_id, why="not confirmed by a majority in time")
 
     async def confirm(self, *, wait_us: int) -> NoLeaderError | None:
-        """Is this the leader now, and is all that was acknowledged applied here?"""
-        token, future = self.waiters.open()
+        """Confirm that this is the leader now and has applied all that was acknowledged.
+
+        The read index of the Raft thesis, section 6.4. None if confirmed; `NoLeaderError` if
+        not, or not within `wait_us` microseconds.
+        """
+        token, future = self._waiters.open()
         self.inbox.put_nowait(raft.ReadIndex(token=token))
         outcome = await self._ports.clock.within(future, us=wait_us)
-        self.waiters.drop(token=token)
+        self._waiters.drop(token=token)
         if outcome is True:
             return None
         return outcome or NoLeaderError(why="no majority of cores confirmed the leader in time")
@@ -176,8 +201,6 @@
         """Queue a Raft message for the replica."""
         self.inbox.put_nowait(raft.Received(message=message))
 
-    # --- the task ------------------------------------------------------------------------
-
     async def _tick(self) -> None:
         while True:
             await self._ports.clock.sleep(us=TICK_US)
@@ -192,50 +215,30 @@
         for effect in self.raft.step(now_us=self._ports.clock.now_us(), event=event):
             self._perform(effect)
         if isinstance(event, raft.Synced):
-            self._synced = max(self._synced, event.number)
-            self._release()
+            self._outgoing.release(synced=event.number)
         if isinstance(event, raft.SnapshotTaken):
-            self._snapshot_is_on_disk(index=event.index)
-        self._consider_snapshot()
+            self._snapshot_writer.on_written(index=event.index)
+        self._snapshot_writer.take_if_due(
+            machine=self.machine, applied=self.applied, now_us=self._ports.clock.now_us()
+        )
 
     @singledispatchmethod
     def _perform(self, effect: Any) -> None:
         raise TypeError(type(effect))
 
     @_perform.register
-    def _(self, effect: raft.Send) -> None:
-        if effect.after > self._synced:
-            self._held.append(effect)
-            return
-        self._dispatch(send=effect)
-
-    def _dispatch(self, *, send: raft.Send) -> None:
-        lane = frames.CONTROL
-        if isinstance(send.message, AppendEntries) and raft.is_large(send.message.entries):
-            lane = frames.BULK
-        self._ports.point("raft.before_send")
-        self._lines.send(address=send.to.address, message=send.message, lane=lane)
-
-    def _release(self) -> None:
-        while self._held and self._held[0].after <= self._synced:
-            self._dispatch(send=self._held.popleft())
+    def _perform_send(self, effect: raft.Send) -> None:
+        self._outgoing.send(effect)
 
     @_perform.register
-    def _(self, effect: raft.Persist) -> None:
+    def _perform_persist(self, effect: raft.Persist) -> None:
         if effect.cut_from is not None:
-            self._lose_proposals(start=effect.cut_from)
-        self._log_bytes += _data_bytes(entries=effect.entries)
+            self._proposals.lose(start=effect.cut_from)
+        self._snapshot_writer.add_entries(entries=effect.entries)
         self._disk.inbox.put_nowait(effect)
 
-    def _lose_proposals(self, *, start: int) -> None:
-        """Entries dropped from the log will never be applied from there."""
-        for index in [i for i in self._proposals if i >= start]:
-            token, _ = self._proposals.pop(index)
-            # Another replica may still hold the entry and commit it: no refusal.
-            self.waiters.settle(token=token, outcome=WriteUnresolvedError(put_id="", why=LOST))
-
     @_perform.register
-    def _(self, effect: raft.Commit) -> None:
+    def _perform_commit(self, effect: raft.Commit) -> None:
         for entry in effect.entries:
             outcome: Any = None
             if entry.kind == raft.COMMAND:
@@ -245,134 +248,50 @@
                 addresses = [m.address for m in read_members(data=entry.data)]
                 self._journal.add(MembersChanged(members=addresses))
             self.applied = entry.index
-            found = self._proposals.pop(entry.index, None)
-            if found is None:
-                continue
-            token, term = found
-            if term != entry.term:
-                outcome = WriteUnresolvedError(put_id="", why=LOST)
-            self.waiters.settle(token=token, outcome=outcome)
+            self._proposals.settle(entry=entry, outcome=outcome)
 
     @_perform.register
-    def _(self, effect: raft.Proposed) -> None:
-        self._proposals[effect.index] = (effect.token, effect.term)
+    def _perform_proposed(self, effect: raft.Proposed) -> None:
+        self._proposals.add(index=effect.index, token=effect.token, term=effect.term)
 
     @_perform.register
-    def _(self, effect: raft.NotLeader) -> None:
-        self.waiters.settle(token=effect.token, outcome=NoLeaderError(why="not the leader"))
+    def _perform_not_leader(self, effect: raft.NotLeader) -> None:
+        self._waiters.settle(token=effect.token, outcome=NoLeaderError(why="not the leader"))
 
     @_perform.register
-    def _(self, effect: raft.ReadReady) -> None:
-        self.waiters.settle(token=effect.token, outcome=True)
+    def _perform_read_ready(self, effect: raft.ReadReady) -> None:
+        self._waiters.settle(token=effect.token, outcome=True)
 
     @_perform.register
-    def _(self, effect: raft.ReadLost) -> None:
-        self.waiters.settle(
+    def _perform_read_lost(self, effect: raft.ReadLost) -> None:
+        self._waiters.settle(
             token=effect.token, outcome=NoLeaderError(why="not the leader, or not yet")
         )
 
     @_perform.register
-    def _(self, effect: raft.RoleChanged) -> None:
+    def _perform_role_changed(self, effect: raft.RoleChanged) -> None:
         self._journal.add(RoleTaken(role=effect.role, term=effect.term))
         self._on_role(effect.role)
 
     @_perform.register
-    def _(self, effect: raft.MarginChanged) -> None:
+    def _perform_margin_changed(self, effect: raft.MarginChanged) -> None:
         if effect.losses_borne < effect.losses_wanted:
-            text = "the voters in reach bear the loss of {} more, {} are wanted"
+            text = "the reachable voters tolerate the loss of {} more, {} are wanted"
             log.warning(text, max(0, effect.losses_borne), effect.losses_wanted)
         self._journal.add(
             MarginNoted(losses_borne=effect.losses_borne, losses_wanted=effect.losses_wanted)
         )
 
     @_perform.register
-    def _(self, effect: raft.Removed) -> None:
+    def _perform_removed(self, effect: raft.Removed) -> None:
         self._on_role("removed")
 
-    # --- snapshots ----------------------------------------------------------------------------
-
-    def _consider_snapshot(self) -> None:
-        if self._in_writing is not None:
-            return
-        now_us = self._ports.clock.now_us()
-        size = LogSize(
-            entries=self.applied - self.raft.log.base_index,
-            data_bytes=self._log_bytes,
-            snapshot_bytes=self.snapshots.size,
-        )
-        is_in_transfer = self.snapshots.is_in_transfer(now_us=now_us)
-        if self._policy.is_due(size=size, is_in_transfer=is_in_transfer, now_us=now_us):
-            self.snapshot_now()
-
-    def snapshot_now(self) -> None:
-        """Write a snapshot of all that is applied, unless one is being written."""
-        if self._in_writing is not None or self.applied == self.raft.log.base_index:
-            return
-        snapshot = DiskSnapshot(
-            index=self.applied,
-            term=self.raft.log.term_at(index=self.applied) or 0,
-            members=self.raft.members.at(index=self.applied),
-            state=bytes(self.machine.state),
-            cluster=self.cluster,
-        )
-        self._in_writing = snapshot
-        self._disk.inbox.put_nowait(
-            PersistRequest(
-                snapshot=snapshot,
-                tail=self.raft.log.slice(start=self.applied + 1, stop=self.raft.log.last_index),
-                term=self.raft.term,
-                vote=self.raft.vote,
-                number=0,
-            )
-        )
-
-    def _snapshot_is_on_disk(self, *, index: int) -> None:
-        """The log begins behind this snapshot now, so it is what members are offered."""
-        snapshot = self._in_writing
-        if snapshot is not None and snapshot.index == index:
-            self._in_writing = None
-            if index == self.raft.log.base_index:  # none of another core's came meanwhile
-                self._publish_snapshot(snapshot=snapshot)
-        self._log_bytes = _data_bytes(entries=self.raft.log.entries)
-        self._journal.add(SnapshotKept(index=index))
-
-    def _publish_snapshot(self, *, snapshot: DiskSnapshot) -> None:
-        """Serve this snapshot: its index is the log's base, which offers name."""
-        self.snapshots.publish(
-            mark=snapshot.index,
-            mark_term=snapshot.term,
-            data=pack_delta(base=b"", whole=bytes(snapshot)),
-            now_us=self._ports.clock.now_us(),
-        )
-
-    def snapshot_chunk(self, *, ask: FetchSnapshot) -> Chunk:
-        """A piece of the newest snapshot, or of the one that the asker has begun."""
-        if ask.cluster != self.cluster:
-            return Chunk(is_found=False)
-        return self.snapshots.chunk(
-            least=ask.index,
-            pinned=ask.pinned,
-            offset=ask.offset,
-            now_us=self._ports.clock.now_us(),
-        )
-
-    def state_chunk(self, *, ask: FetchState) -> Chunk:
-        """A piece of the newest applied state, or of the one that the asker has begun."""
-        now_us = self._ports.clock.now_us()
-        epoch = self.machine.state.epoch
-        if self.states.mark != epoch:
-            packed = pack_delta(base=b"", whole=bytes(self.machine.doc()))
-            self.states.publish(mark=epoch, data=packed, now_us=now_us)
-        return self.states.chunk(
-            least=ask.epoch, pinned=ask.pinned, offset=ask.offset, now_us=now_us
-        )
-
     @_perform.register
-    def _(self, effect: raft.FetchOffered) -> None:
+    def _perform_fetch_offered(self, effect: raft.FetchOffered) -> None:
         self._fetcher.offered(offer=effect)
 
-    def _snapshot_arrived(self, offer: raft.FetchOffered, snapshot: DiskSnapshot) -> None:
-        """Install it, if it still is ahead of what is committed here."""
+    def _on_snapshot_fetched(self, offer: raft.FetchOffered, snapshot: DiskSnapshot) -> None:
+        """Install a fetched snapshot, if it is still ahead of what is committed here."""
         if snapshot.index <= self.raft.commit_index:
             return
         self._fetched = snapshot
@@ -389,21 +308,14 @@
         self._fetched = None
 
     @_perform.register
-    def _(self, effect: raft.SaveSnapshot) -> None:
+    def _perform_save_snapshot(self, effect: raft.SaveSnapshot) -> None:
         snapshot = self._fetched
-        self._lose_proposals(start=0)
+        if snapshot is None:
+            raise RuntimeError("a snapshot is installed that was not fetched")
+        self._proposals.lose(start=0)
         self.machine = Machine(cluster=self.cluster, state=CoreState().parse(snapshot.state))
         self.applied = snapshot.index
-        self._publish_snapshot(snapshot=snapshot)
-        self._log_bytes = _data_bytes(entries=effect.tail)
+        self._chunks.publish_snapshot(snapshot=snapshot)
         self._journal.add(SnapshotInstalled(index=snapshot.index))
         self._on_applied(None, snapshot.index)
-        self._disk.inbox.put_nowait(
-            PersistRequest(
-                snapshot=snapshot,
-                tail=effect.tail,
-                term=effect.term,
-                vote=effect.vote,
-                number=effect.number,
-            )
-        )
+        self._snapshot_writer.write_installed(snapshot=snapshot, effect=effect)
--- a/kelpstage/core/snapshots.py
+++ b/kelpstage/core/snapshots.py
@@ -37,7 +37,7 @@
 
 
 class SnapshotPolicy:
-    """Says when the next snapshot is due.
+    """Decides when the next snapshot is due, from the length of the log.
 
     >>> policy = SnapshotPolicy()
     >>> size = LogSize(entries=SNAPSHOT_ENTRIES, data_bytes=0, snapshot_bytes=0)
@@ -80,7 +80,7 @@
         clock: Clock,
         journal: Journal,
         cluster: str,
-        spawn: Callable[[Awaitable], Any],
+        spawn: Callable[[Awaitable[None]], Any],
         on_fetched: Callable[[FetchOffered, DiskSnapshot], None],
     ) -> None:
         self._lines = lines
--- a/kelpstage/core/state/machine.py
+++ b/kelpstage/core/state/machine.py
@@ -24,6 +24,7 @@
 from kelpstage.core.state.outcomes import (
     MembershipSet,
     PutApplied,
+    PutOutcome,
     PutOutcomeUnknown,
     PutUnreadable,
     PutVersionTaken,
@@ -76,8 +77,8 @@
         self._taken = {record.digest: record for record in self.state.puts}
         self._superseded = dict(read_rows(rows=self.state.superseded))
 
-    def apply(self, *, data: bytes) -> object:
-        """Apply one committed command; its outcome."""
+    def apply(self, *, data: bytes) -> PutOutcome | MembershipSet:
+        """Apply one committed command, a serialized `Command`, and return its outcome."""
         command = Command().parse(data)
         kind, body = bp.which_one_of(command, "what")
         if kind == "put":
@@ -90,12 +91,12 @@
             return self._set_membership(names=set(self.state.membership) | {body.edge, *body.more})
         return self._set_membership(names=set(self.state.membership) - {body.edge})
 
-    def _put(self, *, put: PutConfiguration) -> object:
+    def _put(self, *, put: PutConfiguration) -> PutOutcome:
         digest = put_digest(document=put.document, expected=put.expected, version=put.version)
         decided = self.decided(put=put, digest=digest)
         return self._decide(put=put, digest=digest) if decided is None else decided
 
-    def _put_delta(self, *, put: PutDelta) -> object:
+    def _put_delta(self, *, put: PutDelta) -> PutOutcome:
         """Only a write that replaces the document in force needs its complete document."""
         decided = self.decided(put=put, digest=put.digest)
         if decided is not None:
@@ -121,7 +122,7 @@
         digest = put_digest(document=document, expected=put.expected, version=put.version)
         return document if digest == put.digest else None
 
-    def _decide(self, *, put: PutConfiguration, digest: bytes) -> object:
+    def _decide(self, *, put: PutConfiguration, digest: bytes) -> PutOutcome:
         record = self._record_of(put=put, digest=digest)
         version = version_of(put=put)
         if put.expected != self.state.version or version <= self.state.version:
@@ -130,7 +131,7 @@
             self._apply_write(record=record, version=version, document=put.document)
         return outcome_of(record=record)
 
-    def _refuse(self, *, put: RefusePut) -> object:
+    def _refuse(self, *, put: RefusePut) -> PutOutcome:
         decided = self.decided(put=put, digest=put.digest)
         if decided is not None:
             return decided
@@ -209,7 +210,7 @@
         """The applied-request record of a write, if it is still kept completely."""
         return self._records.get(put_id)
 
-    def decided(self, *, put: Put, digest: bytes) -> object | None:
+    def decided(self, *, put: Put, digest: bytes) -> PutOutcome | None:
         """The outcome of a write that was decided before, None of one that was not.
 
         A write is recognized by its id, or by its digest if the same content was applied
@@ -230,7 +231,7 @@
             return self._found_without_record(put=put, digest=digest)
         return None
 
-    def _found_without_record(self, *, put: Put, digest: bytes) -> object | None:
+    def _found_without_record(self, *, put: Put, digest: bytes) -> PutOutcome | None:
         """Only the write in force can be recognized by its content: others applied under
         its version or a lower one left no record here."""
         state = self.state
--- a/kelpstage/core/state/outcomes.py
+++ b/kelpstage/core/state/outcomes.py
@@ -61,6 +61,11 @@
     epoch: int
 
 
+PutOutcome = (
+    PutApplied | PutSuperseded | PutNotAbove | PutVersionTaken | PutOutcomeUnknown | PutUnreadable
+)
+
+
 def outcome_of(*, record: RequestRecord) -> PutApplied | PutSuperseded | PutNotAbove:
     """The outcome of a write that was decided, from its record.
 
--- a/kelpstage/core/waiters.py
+++ b/kelpstage/core/waiters.py
@@ -7,25 +7,25 @@
 
 
 class Waiters:
-    """Tokens and who waits for them."""
+    """Pending futures by token. Each token is settled or dropped once."""
 
     def __init__(self) -> None:
         self._next = 0
-        self._futures: dict[int, asyncio.Future] = {}
+        self._futures: dict[int, asyncio.Future[Any]] = {}
 
-    def open(self) -> tuple[int, asyncio.Future]:
+    def open(self) -> tuple[int, asyncio.Future[Any]]:
         """A new token, and the future that its outcome will settle."""
         self._next += 1
-        future: asyncio.Future = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self._futures[self._next] = future
         return self._next, future
 
     def settle(self, *, token: int, outcome: Any) -> None:
-        """Give the outcome to who waits for a token; nobody may wait any more."""
+        """Set the outcome of a token; without effect if nobody waits for it any more."""
         future = self._futures.pop(token, None)
         if future is not None and not future.done():
             future.set_result(outcome)
 
     def drop(self, *, token: int) -> None:
-        """Forget a token whose outcome nobody waits for."""
+        """Forget a token whose outcome nobody waits for any more."""
         self._futures.pop(token, None)
--- /dev/null
+++ b/kelpstage/core/web/call_validation.py
@@ -0,0 +1,108 @@
+"""Validation of operators' calls: headers, paths and limits.
+
+Any core refuses here what no leader is needed for.
+"""
+
+from __future__ import annotations
+
+from kelpstage.common.configuration.validation import DOCUMENT_LIMIT, VERSION_LIMIT
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.control import (
+    MissingIfMatchError,
+    VersionNotAboveError,
+)
+from kelpstage.common.errors.requests import (
+    BadRequestError,
+    BodyTooLargeError,
+    MethodNotAllowedError,
+    UnknownResourceError,
+)
+from kelpstage.common.ports.interfaces import HttpCall
+from kelpstage.common.transport.messages import ForwardOperatorCall
+
+DEFAULT_WAIT_US = 10_000_000
+LONGEST_WAIT_US = 120_000_000
+
+
+def read_request(*, call: HttpCall, path: str) -> ForwardOperatorCall | KelpstageError:
+    """The request of an operator's call, or why no leader would accept it."""
+    wait_us = _read_wait_us(call=call)
+    if isinstance(wait_us, KelpstageError):
+        return wait_us
+    version = _read_version(call=call)
+    if isinstance(version, KelpstageError):
+        return version
+    request = ForwardOperatorCall(
+        method=call.method,
+        url=path,
+        if_match=call.headers.get("if-match", ""),
+        put_id=call.headers.get("kelp-put-id", ""),
+        body=call.body,
+        wait_us=wait_us,
+        version=version,
+    )
+    return _refuse_early(request=request) or request
+
+
+def _read_wait_us(*, call: HttpCall) -> int | BadRequestError:
+    """How long the caller waits, in microseconds; the default if it does not say."""
+    given = call.headers.get("kelp-time-left-us")
+    if given is None:
+        return DEFAULT_WAIT_US
+    if not _is_digits(given) or not 0 < int(given) <= LONGEST_WAIT_US:
+        return BadRequestError(
+            part="Kelp-Time-Left-Us", why=f"whole microseconds, 1 to {LONGEST_WAIT_US}"
+        )
+    return int(given)
+
+
+def _is_digits(given: str) -> bool:
+    return given.isascii() and given.isdigit() and len(given) <= 19
+
+
+def _read_version(*, call: HttpCall) -> int | BadRequestError:
+    """The version that the operator gives a write; 0 if none is stated."""
+    given = call.headers.get("kelp-version", "").strip('"')
+    if not given:
+        return 0
+    if not _is_digits(given) or not 0 < int(given) <= VERSION_LIMIT:
+        return BadRequestError(part="Kelp-Version", why=f"a whole number, 1 to {VERSION_LIMIT}")
+    return int(given)
+
+
+def _refuse_early(*, request: ForwardOperatorCall) -> KelpstageError | None:
+    """The error of a call that no leader would accept, None for others."""
+    if request.url == "/v1/configuration":
+        if request.method == "GET":
+            return None
+        if request.method != "PUT":
+            return MethodNotAllowedError(method=request.method, allowed="GET, PUT")
+        return _refuse_put(request=request)
+    allowed = _allowed_method(path=request.url)
+    if allowed is None:
+        return UnknownResourceError(path=request.url)
+    if request.method != allowed:
+        return MethodNotAllowedError(method=request.method, allowed=allowed)
+    return None
+
+
+def _allowed_method(*, path: str) -> str | None:
+    """The one method of a resource other than the configuration; None if there is none."""
+    if path.startswith("/v1/puts/") or path == "/v1/roster":
+        return "GET"
+    return "DELETE" if path.startswith("/v1/roster/") else None
+
+
+def _refuse_put(*, request: ForwardOperatorCall) -> KelpstageError | None:
+    given = request.if_match.strip('"')
+    if not given:
+        return MissingIfMatchError(why="If-Match: the version that this put replaces, 0 for none")
+    if not _is_digits(given):
+        return BadRequestError(part="If-Match", why="a whole version number")
+    if request.version and request.version <= int(given):  # whatever version is in force
+        return VersionNotAboveError(version=request.version, current=int(given))
+    if not 0 < len(request.put_id) <= 64 or not request.put_id.isascii() or "/" in request.put_id:
+        return BadRequestError(part="Kelp-Put-Id", why="1 to 64 ASCII characters without a slash")
+    if len(request.body) > DOCUMENT_LIMIT:
+        return BodyTooLargeError(limit_bytes=DOCUMENT_LIMIT)
+    return None
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -27,7 +27,8 @@
 from kelpstage.core.raft.state import InvariantViolated
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot
-from kelpstage.core.store.store import Recovered, Store
+from kelpstage.core.store.recovery import Recovered
+from kelpstage.core.store.store import Store
 from kelpstage.testbed.simulation.loop import VirtualLoop
 from kelpstage.testbed.simulation.world import SimProcess, World
 
