--- a/kelpstage/core/graceful_leave.py
+++ b/kelpstage/core/graceful_leave.py
@@ -1,8 +1,8 @@
-"""A planned stop: how a core leaves its cluster by agreement.
+"""A planned stop: how a core leaves its cluster gracefully.
 
-Invariant: a member that was told to stop goes when its removal is committed; or, if nobody
+Invariant: a member that is to stop goes when its removal is committed; or, if nobody
 can replace it, when enough others hold all that it has ever acknowledged, and it has
-stopped acknowledging by then. It waits no longer than it is given; what was still missing
+stopped acknowledging by then. It waits no longer than its limit; what was still missing
 at the end is logged.
 """
 
@@ -18,7 +18,7 @@
 from kelpstage.core.raft.types import LeaveState, TransferLeadership
 from kelpstage.core.replica_task import ReplicaTask
 
-ASK_US = 100_000
+REQUEST_INTERVAL_US = 100_000
 ANSWER_US = 300_000
 NO_LEADER_US = 2_000_000  # longer than an election takes
 log = logger(name="core")
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LeaveOutcome:
-    """How it ended, and how many losses the others bear from now on."""
+    """How it ended, and how many losses of voters the others tolerate from now on."""
 
     state: LeaveState
     losses_borne: int = 0
@@ -34,52 +34,52 @@
 
 
 class Leaving:
-    """One core's leaving."""
+    """Asks the leader for the removal of this core until that is granted."""
 
     def __init__(self, *, task: ReplicaTask, lines: Lines, clock: Clock, limit_us: int) -> None:
-        """`limit_us` bounds the whole."""
+        """`limit_us` bounds the time of `run`, in microseconds."""
         self._task = task
         self._lines = lines
         self._clock = clock
         self._until_us = clock.now_us() + limit_us
-        self._heard_us = clock.now_us()
+        self._answered_us = clock.now_us()
 
     async def run(self) -> LeaveOutcome:
         """Leave, within the limit."""
         if not self._others():
             return LeaveOutcome(state=LeaveState.COPIED)
-        outcome = await self._ask_until_free()
+        outcome = await self._request_until_granted()
         if outcome.state == LeaveState.COPIED:
             # Nothing that is acknowledged from here on counts on this core's disk.
             self._task.stop()
-            outcome = await self._ask_until_free()
-        self._tell(outcome=outcome)
+            outcome = await self._request_until_granted()
+        self._log_outcome(outcome=outcome)
         return outcome
 
-    async def _ask_until_free(self) -> LeaveOutcome:
+    async def _request_until_granted(self) -> LeaveOutcome:
         outcome = LeaveOutcome(state=LeaveState.NOT_LEADER)
         while self._is_time_left():
             if self._task.is_leader:
                 self._task.inbox.put_nowait(TransferLeadership())
             else:
-                outcome = await self._ask() or outcome
+                outcome = await self._request() or outcome
             if outcome.state in (LeaveState.REPLACED, LeaveState.COPIED):
                 return outcome
-            await self._clock.sleep(us=ASK_US)
+            await self._clock.sleep(us=REQUEST_INTERVAL_US)
         return outcome
 
     def _is_time_left(self) -> bool:
         now_us = self._clock.now_us()
-        return now_us < self._until_us and now_us - self._heard_us < NO_LEADER_US
+        return now_us < self._until_us and now_us - self._answered_us < NO_LEADER_US
 
-    async def _ask(self) -> LeaveOutcome | None:
-        """What the leader says; none if none answers."""
+    async def _request(self) -> LeaveOutcome | None:
+        """The answer of the leader; None if none answers."""
         replies = await self._call(addresses=self._known_leader())
         if not replies:
             replies = await self._call(addresses=self._others())
         if not replies:
             return None
-        self._heard_us = self._clock.now_us()
+        self._answered_us = self._clock.now_us()
         return LeaveOutcome(
             state=LeaveState(replies[0].state),
             losses_borne=replies[0].losses_borne,
@@ -90,14 +90,14 @@
         """Answers of those that lead, in a term that is not over for this core."""
         raft = self._task.raft
         asked_term = raft.term
-        ask = LeaveCore(
+        request = LeaveCore(
             cluster=self._task.cluster,
             replica=self._task.me,
             term=asked_term,
             last_index=raft.log.last_index,
         )
         calls = [
-            self._lines.call(address=address, message=ask, wait_us=ANSWER_US)
+            self._lines.call(address=address, message=request, wait_us=ANSWER_US)
             for address in addresses
         ]
         replies = await asyncio.gather(*calls)
@@ -117,9 +117,9 @@
         members = self._task.raft.members.others(replica=self._task.me)
         return sorted({member.address for member in members})
 
-    def _tell(self, *, outcome: LeaveOutcome) -> None:
+    def _log_outcome(self, *, outcome: LeaveOutcome) -> None:
         if outcome.state not in (LeaveState.REPLACED, LeaveState.COPIED):
-            log.error("stops without agreement: {}", outcome.state.name)
+            log.error("stops before its removal was granted: {}", outcome.state.name)
         if outcome.losses_borne < outcome.losses_wanted:
-            text = "without this core the voters bear the loss of {} more, {} are wanted"
+            text = "without this core the voters tolerate the loss of {} more, {} are wanted"
             log.warning(text, outcome.losses_borne, outcome.losses_wanted)
--- a/kelpstage/core/leases/__init__.py
+++ b/kelpstage/core/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases of edges, and the orders that wait for them."""
+"""Leases of edges, and the writes of configurations that wait for them."""
--- a/kelpstage/core/raft/elections.py
+++ b/kelpstage/core/raft/elections.py
@@ -1,7 +1,7 @@
 """Leader election, with pre-vote (thesis, 9.6) and leader stickiness (4.2.3).
 
 Invariants: a replica votes once in a term, and only for a log at least as up to date as
-its own; term and vote are on disk before anybody hears of them, the candidate's own as
+its own; term and vote are on disk before they are sent to anybody, the candidate's own as
 well; a replica that hears a leader lets nobody disturb it, but for a transfer that the
 leader itself has asked for.
 """
--- a/kelpstage/core/raft/roles.py
+++ b/kelpstage/core/raft/roles.py
@@ -1,7 +1,7 @@
 """Which role a replica has, and whom it follows.
 
 Invariant: a higher term comes with a fresh vote, and both are being written before
-anything is said in that term. Whoever ceases to lead fails its pending reads, and
+anything is sent in that term. Whoever ceases to lead fails its pending reads, and
 leaves a transfer that it had begun.
 """
 
--- a/kelpstage/core/raft/snapshots.py
+++ b/kelpstage/core/raft/snapshots.py
@@ -2,7 +2,7 @@
 
 Invariant: a snapshot holds committed state only, so the log may begin behind it; and
 what this replica has acknowledged behind a snapshot's last entry stays in the log when
-that entry is in the log with the same term. A fetch takes its time, so it is judged by
+that entry is in the log with the same term. A fetch takes its time, so it is checked against
 what holds on its arrival, not by what held when it was offered.
 """
 
--- a/kelpstage/core/raft/state.py
+++ b/kelpstage/core/raft/state.py
@@ -1,4 +1,4 @@
-"""A replica's whole state, and the effects of the event that it is taking in.
+"""A replica's complete state, and the effects of the event that it is processing.
 
 The names are those of the paper's figure 2, with what this implementation adds. Each
 module beside this one changes a part of it, under the invariants that it states; here
@@ -103,7 +103,7 @@
 
     effects: list[Effect] = field(default_factory=list)
 
-    # --- what is asked in more than one module -----------------------------------------
+    # --- questions of more than one module -----------------------------------------
 
     @property
     def is_sync_stalled(self) -> bool:
@@ -120,10 +120,10 @@
         limit = self.timing.election_high_us
         if self.now_us - self.led_since_us < limit:
             return True
-        heard = {self.me} | {
+        reachable = {self.me} | {
             name for name, one in self.progress.items() if self.now_us - one.heard_us < limit
         }
-        return self.members.is_majority(names=heard)
+        return self.members.is_majority(names=reachable)
 
     def is_active(self, *, name: str) -> bool:
         """Was the replica heard within the shortest election timeout?"""
--- a/kelpstage/core/raft/transfer.py
+++ b/kelpstage/core/raft/transfer.py
@@ -1,7 +1,7 @@
 """Leadership transfer (thesis, 3.10).
 
 Invariant: while a transfer is under way nothing is proposed; the target is told to
-campaign only when it has the leader's whole log; a transfer that has not come to its end
+campaign only when it has the leader's complete log; a transfer that has not come to its end
 within the shortest election timeout is given up, and the leader goes on.
 """
 
--- a/kelpstage/core/store/reading.py
+++ b/kelpstage/core/store/reading.py
@@ -1,6 +1,6 @@
 """Reads a replica's snapshot, log segments and synced mark from its data folder.
 
-Nothing is written here; what was read is judged as a whole by `recovery.rebuild`.
+Nothing is written here; `recovery.rebuild` checks that the parts fit together.
 """
 
 from __future__ import annotations
--- a/kelpstage/core/store/records.py
+++ b/kelpstage/core/store/records.py
@@ -5,8 +5,8 @@
 
 A segment's record holds all that was written between two syncs. At most one record, the
 last, can be unsynced, so a bad record with a good one behind it is damage, while one with
-nothing behind it may be a write torn by a loss of power. The synced mark tells these two
-apart: it says how much of the log was synced for certain, and bytes before it that fail
+nothing behind it may be a write that a loss of power interrupted. The synced mark tells these two
+apart: it states how much of the log was synced for certain, and bytes before it that fail
 their check are damage.
 """
 
@@ -39,10 +39,10 @@
 
 @dataclass
 class DiskStep(bp.Message):
-    """One write of the replica's.
+    """One write of a replica: the changes to its log, term and vote.
 
     With `is_base` the log begins anew behind a snapshot at `base_index`, and what earlier
-    steps say no longer counts. Then the log is cut from `cut_from` on (0: it is not),
+    steps say no longer counts. Then the log is truncated from `cut_from` on (0: it is not),
     then `entries` are added, then `term` and `vote` are set if `has_vote`.
     """
 
@@ -115,7 +115,7 @@
 
     @property
     def begins_with_base(self) -> bool:
-        """Does it make all older segments needless?"""
+        """Does it supersede all older segments?"""
         steps = self.records[0].record.steps if self.records else []
         return bool(steps) and steps[0].is_base
 
@@ -164,8 +164,8 @@
         if isinstance(outcome, LogDamagedError):
             return outcome
         records, end = outcome.records, outcome.end
-    is_whole = end == len(data) and end > 0
-    if not is_whole and (not is_last or end < synced or has_sealed(data=data, start=end)):
+    is_complete = end == len(data) and end > 0
+    if not is_complete and (not is_last or end < synced or has_sealed(data=data, start=end)):
         other = other_format(path=path, data=data, magic=SEGMENT_MAGIC)
         return other or LogDamagedError(path=path, offset=end, why=_why_bad(end=end, synced=synced))
     if end < synced:
@@ -277,7 +277,7 @@
 
 
 def read_mark(*, data: bytes) -> SyncedMark | None:
-    """The reverse; `None` for a mark that a loss of power tore, which says nothing.
+    """The reverse; `None` for a mark whose write was interrupted, which states nothing.
 
     >>> read_mark(data=write_mark(mark=SyncedMark(segment=1, size=6)))
     SyncedMark(segment=1, size=6)
--- a/kelpstage/core/store/recovery.py
+++ b/kelpstage/core/store/recovery.py
@@ -1,7 +1,7 @@
-"""What a replica finds on its disk: from segments and a snapshot to its state.
+"""Rebuilds a replica's term, vote and log from segments and a snapshot that were read.
 
-Nothing here reads a file. The log counts from the newest segment on that begins with a
-base; older ones are leftovers, of which a loss of power may have kept any.
+No I/O. The log counts from the newest segment on that begins with a base; older ones are
+leftovers, any of which may have survived a loss of power.
 """
 
 from __future__ import annotations
@@ -93,7 +93,7 @@
     """Is a new segment to be begun, with all that a log behind this index has?
 
     So it is where the last one was not begun any more, and where the log on disk has
-    another base: a snapshot was kept, but not the segment behind it. Entries behind the
+    another base: a snapshot survived, but not the segment behind it. Entries behind the
     snapshot would then follow on ones that they do not fit.
 
     >>> is_to_begin_anew(segments=[], index=0), is_to_begin_anew(segments=[], index=4)
--- a/kelpstage/core/store/store.py
+++ b/kelpstage/core/store/store.py
@@ -1,7 +1,7 @@
 """The data folder: a log in segments, snapshots beside it, one identity.
 
 Every method gives a typed error or its result. Nothing is reported as done before file
-and folder are synced. What each order of syncs is for: docs/notes/control/disk.md.
+and folder are synced. The reasons for the order of syncs: docs/notes/control/disk.md.
 """
 
 from __future__ import annotations
@@ -110,8 +110,8 @@
     async def set_aside(self) -> KelpstageError | None:
         """Forget a damaged replica; the next `read_identity` finds an empty folder.
 
-        The identity goes first and for good. Cut off before that, the whole replica is
-        still there; after it, its files belong to no replica and are never read again.
+        The identity is deleted first and for good. Interrupted before that, the replica is
+        still complete; after it, its files belong to no replica and are never read again.
         """
         names = await self._disk.names(folder=ROOT)
         if isinstance(names, KelpstageError):
--- a/kelpstage/core/store/task.py
+++ b/kelpstage/core/store/task.py
@@ -1,4 +1,4 @@
-"""The disk task: owns the store, writes what it is given, reports what is synced."""
+"""The disk task: owner of the store; writes in order and reports what is synced."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PersistRequest:
-    """A snapshot to keep, with the log's entries behind it, term and vote.
+    """A snapshot to write, with the log's entries behind it, term and vote.
 
     `number` is reported as synced, like a `Persist`'s; 0 is not.
     """
@@ -30,7 +30,7 @@
 
 
 class DiskTask:
-    """Takes writes in order; one failure ends it, and the replica starts anew.
+    """Performs writes in order; one failure ends it, and the replica is to be rebuilt.
 
     What is put into `inbox` is written in that order, and reported only when it is synced:
     `on_synced` with the number up to which all is, `on_kept` with a snapshot's index.
@@ -50,13 +50,13 @@
         self._on_synced = on_synced
         self._on_kept = on_kept
         self._on_error = on_error
-        self._taken: PersistRequest | None = None  # out of the inbox, not written yet
+        self._next: PersistRequest | None = None  # out of the inbox, not written yet
 
     async def run(self) -> None:
         """Write until a write fails."""
         while True:
-            item = self._taken or await self.inbox.get()
-            self._taken = None
+            item = self._next or await self.inbox.get()
+            self._next = None
             outcome = await self._write(item)
             if isinstance(outcome, KelpstageError):
                 self._on_error(outcome)
@@ -68,13 +68,13 @@
         raise TypeError(type(item))
 
     @_write.register
-    async def _(self, item: Persist) -> KelpstageError | None:
-        """All writes that stand in the queue go into one record and one sync."""
+    async def _write_steps(self, item: Persist) -> KelpstageError | None:
+        """Group commit: all writes in the queue go into one record and one sync."""
         batch = [item]
         while not self.inbox.empty():
             following = self.inbox.get_nowait()
             if not isinstance(following, Persist):
-                self._taken = following
+                self._next = following
                 break
             batch.append(following)
         outcome = await self._store.append(steps=[step_of(write=write) for write in batch])
@@ -83,7 +83,7 @@
         return outcome
 
     @_write.register
-    async def _(self, item: PersistRequest) -> KelpstageError | None:
+    async def _write_snapshot(self, item: PersistRequest) -> KelpstageError | None:
         outcome = await self._store.save_snapshot(
             snapshot=item.snapshot, tail=item.tail, term=item.term, vote=item.vote
         )
