--- a/kelpstage/core/raft/log.py
+++ b/kelpstage/core/raft/log.py
@@ -11,7 +11,7 @@
     >>> log = MemoryLog(base_index=0, base_term=0)
     >>> log.add(LogEntry(index=1, term=1)); log.last_index, log.term_at(index=1)
     (1, 1)
-    >>> log.truncate(index=1); log.last_index
+    >>> log.cut(index=1); log.last_index
     0
     """
 
@@ -44,7 +44,7 @@
         """Append an entry; its index is the next."""
         self.entries.append(entry)
 
-    def truncate(self, *, index: int) -> None:
+    def cut(self, *, index: int) -> None:
         """Drop the entries from `index` on."""
         del self.entries[max(0, index - self.base_index - 1) :]
 
--- a/kelpstage/core/raft/members.py
+++ b/kelpstage/core/raft/members.py
@@ -70,7 +70,7 @@
         if entry.kind == MEMBERSHIP:
             self._steps.append((entry.index, read_members(data=entry.data)))
 
-    def truncate(self, *, index: int) -> None:
+    def cut(self, *, index: int) -> None:
         """Entries from `index` on are dropped, and so is what they changed."""
         self._steps = [self._steps[0]] + [s for s in self._steps[1:] if s[0] < index]
 
--- a/kelpstage/core/raft/replication.py
+++ b/kelpstage/core/raft/replication.py
@@ -273,8 +273,8 @@
 def _drop_from(state: RaftState, *, index: int) -> None:
     if index <= state.commit_index:
         raise InvariantViolated(f"entry {index} conflicts, {state.commit_index} is committed")
-    state.log.truncate(index=index)
-    state.members.truncate(index=index)
+    state.log.cut(index=index)
+    state.members.cut(index=index)
     state.writes.drop_behind(index=index - 1)
 
 
--- a/kelpstage/core/web/operators.py
+++ b/kelpstage/core/web/operators.py
@@ -81,7 +81,7 @@
     """
     clock = core.ports.clock
     began_us = clock.now_us()
-    until_us = began_us + _leader_wait_us(wait_us=wait_us)
+    until_us = began_us + _kept_us(wait_us=wait_us)
     while core.task is not None and not core.task.leader_address:
         if clock.now_us() >= until_us:
             break
@@ -89,7 +89,7 @@
     return clock.now_us() - began_us
 
 
-def _leader_wait_us(*, wait_us: int) -> int:
+def _kept_us(*, wait_us: int) -> int:
     """How long a call is held while no leader is known."""
     return min(LEADER_WAIT_US, wait_us // 2)
 
@@ -116,7 +116,7 @@
     *, core: OperatorContext, request: ForwardOperatorCall
 ) -> ForwardOperatorCallReply:
     """Answer as the leader; `NoLeaderError` (503) if this core does not lead."""
-    reply = await _answer(core=core, request=request)
+    reply = await _answer(core=core, ask=request)
     return ForwardOperatorCallReply(
         status=reply.status,
         body=reply.body,
@@ -127,40 +127,38 @@
     )
 
 
-async def _answer(*, core: OperatorContext, request: ForwardOperatorCall) -> HttpReply:
+async def _answer(*, core: OperatorContext, ask: ForwardOperatorCall) -> HttpReply:
     task, lease_service = core.task, core.lease_service
     if task is None or lease_service is None or not task.is_leader:
         no_leader = error_reply(error=NoLeaderError(why="this core does not lead"))
-        return _refusal_of(core=core, request=request) or no_leader
-    if request.method == "PUT":
+        return _refusal_of(core=core, request=ask) or no_leader
+    if ask.method == "PUT":
         outcome = await lease_service.puts.put(
-            document=request.body,
-            expected=int(request.if_match.strip('"')),
-            put_id=request.put_id,
-            wait_us=request.wait_us * 9 // 10,
-            version=request.version,
+            document=ask.body,
+            expected=int(ask.if_match.strip('"')),
+            put_id=ask.put_id,
+            wait_us=ask.wait_us * 9 // 10,
+            version=ask.version,
         )
-        return _put_reply(outcome=outcome, put_id=request.put_id)
-    if request.method == "DELETE":
-        names = unquote(request.url.removeprefix("/v1/roster/")).split(",")
+        return _put_reply(outcome=outcome, put_id=ask.put_id)
+    if ask.method == "DELETE":
+        names = unquote(ask.url.removeprefix("/v1/roster/")).split(",")
         removal = await lease_service.remove_edges(edges=names)
         if isinstance(removal, KelpstageError):
             return error_reply(error=removal)
         return json_reply(body={"epoch": removal.epoch, "roster": task.machine.state.membership})
-    error = await _confirm_read(core=core, task=task, wait_us=request.wait_us * 9 // 10)
+    error = await _confirm_read(core=core, task=task, wait_us=ask.wait_us * 9 // 10)
     if error is not None:
         return error_reply(error=error)
-    if request.url == "/v1/configuration":
+    if ask.url == "/v1/configuration":
         return _get_configuration(task=task)
-    if request.url == "/v1/roster":
+    if ask.url == "/v1/roster":
         return json_reply(
             body=membership_view(
                 task=task, lease_service=lease_service, now_us=core.ports.clock.now_us()
             )
         )
-    return _get_put(
-        lease_service=lease_service, put_id=unquote(request.url.removeprefix("/v1/puts/"))
-    )
+    return _get_put(lease_service=lease_service, put_id=unquote(ask.url.removeprefix("/v1/puts/")))
 
 
 def _put_reply(*, outcome: PutApplied | KelpstageError, put_id: str) -> HttpReply:
