--- a/kelpstage/core/replica_task.py
+++ b/kelpstage/core/replica_task.py
@@ -73,7 +73,6 @@
         voters: int = 3,
     ) -> None:
         self._ports = ports
-        self._lines = lines
         self._journal = journal
         self._own = own
         self._on_applied = on_applied
