--- a/kelpstage/core/raft/elections.py
+++ b/kelpstage/core/raft/elections.py
@@ -2,8 +2,8 @@
 
 Invariants: a replica votes once in a term, and only for a log at least as up to date as
 its own; term and vote are on disk before they are sent to anybody, the candidate's own as
-well; a replica that hears a leader lets nobody disturb it, but for a transfer that the
-leader itself has asked for.
+well; a replica in contact with a leader grants no vote against it, except in a transfer of
+leadership that the leader itself has requested.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 def tick_elections(state: RaftState) -> None:
     """After an election timeout without a leader: forget it, and campaign if allowed.
 
-    A learner forgets its leader too: it may have been removed without hearing of it, and
-    asks for its place again only when it knows of no leader.
+    A learner forgets its leader too: it may have been removed without being notified,
+    and requests membership again only when it knows of no leader.
     """
     if state.now_us < state.election_due_us:
         return
--- a/kelpstage/core/raft/leadership.py
+++ b/kelpstage/core/raft/leadership.py
@@ -1,6 +1,6 @@
-"""What a leader does: taking the lead, each tick, each answer, each sync.
+"""What a leader does: on its election, each tick, each reply, each sync.
 
-Invariant: a leader acts only while it hears a majority and its own disk answers
+Invariant: a leader acts only while it has contact to a majority and its own disk answers
 (check-quorum); it begins its term with an entry of its own, so that it can commit.
 """
 
--- a/kelpstage/core/raft/membership.py
+++ b/kelpstage/core/raft/membership.py
@@ -30,11 +30,11 @@
 )
 
 LOST_AFTER_US = 2_500_000
-LEAVE_REQUEST_KEPT_US = 1_000_000  # a member that leaves asks several times a second
+LEAVE_REQUEST_KEPT_US = 1_000_000  # a leaving member repeats its request more often
 
 
 def on_join_requested(state: RaftState, event: JoinRequested) -> None:
-    """Note who asks for a place, and give it as soon as a change may be made."""
+    """Note a request for membership; it is granted as soon as a change may be made."""
     if state.role != LEADER:
         return
     state.join_requests[event.member.replica] = event.member
@@ -228,7 +228,7 @@
 
 
 def _admit_next(state: RaftState) -> bool:
-    """Give the next one that asks its place, as a learner, or its new address."""
+    """Admit the next applicant as a learner, or record a member's new address."""
     while state.join_requests:
         _, applicant = state.join_requests.popitem()
         known = state.members.get(replica=applicant.replica)
@@ -246,7 +246,7 @@
 
 
 def carry_silence(state: RaftState) -> None:
-    """A new leader counts the silence of the one before from when it heard that one last,
+    """A new leader counts the silence of the one before from the last contact with it,
     but leaves it the shortest election timeout to answer."""
     progress = state.progress.get(state.heard_leader)
     if progress is not None:
@@ -281,9 +281,9 @@
 
 
 def _is_caught_up(state: RaftState, *, name: str) -> bool:
-    """Does a replica in reach have on its disk what was committed within the shortest
-    election timeout? What is committed this moment a distant one never has while changes
-    go on, so that cannot be asked of it."""
+    """Does a reachable replica have on its disk what was committed within the shortest
+    election timeout? A distant one never has the newest entries while changes go on, so
+    those are not required of it."""
     progress = state.progress[name]
     if not state.is_active(name=name) or progress.round_took_us is None:
         return False
--- a/kelpstage/core/raft/reads.py
+++ b/kelpstage/core/raft/reads.py
@@ -1,6 +1,6 @@
 """The read index (thesis, 6.4): linearizable reads without the log.
 
-Invariant: a read is answered at the commit index that the leader had when it was asked,
+Invariant: a read is answered at the commit index that the leader had when it was requested,
 after a majority of the voters has answered a heartbeat that was sent later than that; and
 never before an entry of the leader's own term is committed, since until then it does not
 know what is committed.
--- a/kelpstage/core/raft/replica.py
+++ b/kelpstage/core/raft/replica.py
@@ -217,7 +217,7 @@
 
     @property
     def leader_address(self) -> str:
-        """Where that leader said that it is."""
+        """The address that the leader has stated; empty if none is known."""
         return self.state.leader_address
 
     def leave_status(self, *, replica: str, term: int, last_index: int) -> LeaveStatus:
--- a/kelpstage/core/raft/roles.py
+++ b/kelpstage/core/raft/roles.py
@@ -55,9 +55,9 @@
 
 
 def reset_election_timeout(state: RaftState) -> None:
-    """When to campaign if no leader is heard until then: soon in a life that has heard
-    none yet. After a loss of all cores each would else wait as if for a leader; where
-    there is one, its heartbeat comes first, or the others refuse the pre-vote."""
+    """When to campaign without contact to a leader until then: soon in a process that has
+    had none yet. After a loss of all cores each would otherwise wait as if for a leader;
+    where there is one, its heartbeat comes first, or the others refuse the pre-vote."""
     timing = state.timing
     low, high = timing.election_low_us, timing.election_high_us
     if state.heard_leader_us < 0 and state.began_with_log:
--- a/kelpstage/core/raft/state.py
+++ b/kelpstage/core/raft/state.py
@@ -116,7 +116,7 @@
         return self.log.term_at(index=self.commit_index) == self.term
 
     def has_quorum_contact(self) -> bool:
-        """Check-quorum: a leader that hears no majority must not act as one."""
+        """Check-quorum: a leader without contact to a majority must not act as one."""
         limit = self.timing.election_high_us
         if self.now_us - self.led_since_us < limit:
             return True
@@ -126,7 +126,7 @@
         return self.members.is_majority(names=reachable)
 
     def is_active(self, *, name: str) -> bool:
-        """Was the replica heard within the shortest election timeout?"""
+        """Has the replica made contact within the shortest election timeout?"""
         progress = self.progress.get(name)
         if progress is None:
             return name == self.me
@@ -196,7 +196,7 @@
     def send(
         self, *, to: str, message: Message, is_promise: bool = False, address: str = ""
     ) -> None:
-        """Send to a member, or to one that this replica has not heard of yet; a promise
+        """Send to a member, or to one that this replica does not know yet; a promise
         only when all that was persisted so far is on disk."""
         member = self.members.get(replica=to)
         if member is None:
--- a/kelpstage/core/raft/types.py
+++ b/kelpstage/core/raft/types.py
@@ -35,12 +35,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Timing:
-    """Raft's spans."""
+    """Timeouts and limits of Raft; times in microseconds."""
 
     heartbeat_us: int = 100_000
     election_low_us: int = 800_000
     election_high_us: int = 1_600_000
-    wake_low_us: int = 150_000  # in a life that has heard no leader yet
+    wake_low_us: int = 150_000  # in a process that had no contact to a leader yet
     wake_high_us: int = 500_000
     sync_limit_us: int = 1_500_000
     batch_bytes: int = 256_000
@@ -113,14 +113,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class JoinRequested:
-    """A replica asks for a place, or tells its new address."""
+    """A replica requests membership, or states its new address."""
 
     member: CoreMember
 
 
 @dataclass(frozen=True, kw_only=True)
 class LeaveRequested:
-    """A member is about to stop; it asks again until it is told that it may."""
+    """A member is about to stop; it repeats the request until that is granted."""
 
     replica: str
 
