--- a/kelpstage/core/pending_proposals.py
+++ b/kelpstage/core/pending_proposals.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from kelpstage.common.errors.control import WriteUnresolvedError
 from kelpstage.common.transport.messages import LogEntry
@@ -11,30 +11,31 @@
 LEADERSHIP_LOST = "leadership was lost before the commit"
 
 
-@dataclass(frozen=True, slots=True)
-class _Proposal:
+class Proposal(NamedTuple):
+    """The waiter's token of a proposal, and the term of its entry."""
+
     token: int
     term: int
 
 
-class PendingProposals:
-    """Settles the waiter of each proposal, by log index.
+class PendingProposals(dict[int, Proposal]):
+    """Proposals by log index; settles the waiter of each.
 
     The entry that is applied at an index may come from another leader: then the outcome of
     the proposal is unknown here, since a third replica may still hold and commit it.
     """
 
     def __init__(self, *, waiters: Waiters) -> None:
+        super().__init__()
         self._waiters = waiters
-        self._by_index: dict[int, _Proposal] = {}
 
     def add(self, *, index: int, token: int, term: int) -> None:
         """Note that the proposal of `token` became the entry of this index and term."""
-        self._by_index[index] = _Proposal(token, term)
+        self[index] = Proposal(token, term)
 
     def settle(self, *, entry: LogEntry, outcome: object) -> None:
         """Give the outcome of an applied entry to the waiter of its proposal, if any."""
-        proposal = self._by_index.pop(entry.index, None)
+        proposal = self.pop(entry.index, None)
         if proposal is None:
             return
         if proposal.term != entry.term:
@@ -46,7 +47,7 @@
 
         Another replica may still hold such an entry and commit it: this is no refusal.
         """
-        for index in [index for index in self._by_index if index >= start]:
-            proposal = self._by_index.pop(index)
+        for index in [index for index in self if index >= start]:
+            proposal = self.pop(index)
             lost = WriteUnresolvedError(put_id="", why=LEADERSHIP_LOST)
             self._waiters.settle(token=proposal.token, outcome=lost)
--- a/kelpstage/core/replica_task.py
+++ b/kelpstage/core/replica_task.py
@@ -81,9 +81,9 @@
         self.cluster = recovered.identity.cluster
         self.me = recovered.identity.replica
         self.inbox: Queue[object] = Queue()
-        self._waiters = Waiters()
+        self.waiters = Waiters()
         self._outgoing = OutgoingMessages(ports=ports, lines=lines)
-        self._proposals = PendingProposals(waiters=self._waiters)
+        self._proposals = PendingProposals(waiters=self.waiters)
         self._fetched: DiskSnapshot | None = None
         self._fetcher = SnapshotFetcher(
             lines=lines,
@@ -174,12 +174,12 @@
         `WriteUnresolvedError` after `wait_us` microseconds, or if leadership is lost: it may
         still be committed. `NoLeaderError` if it was never in the log.
         """
-        token, future = self._waiters.open()
+        token, future = self.waiters.open()
         self.inbox.put_nowait(raft.Propose(kind=raft.COMMAND, data=data, token=token))
         outcome = await self._ports.clock.within(future, us=wait_us)
         if outcome is not None:
             return outcome
-        self._waiters.drop(token=token)
+        self.waiters.drop(token=token)
         return WriteUnresolvedError(put_id=put_id, why="not confirmed by a majority in time")
 
     async def confirm(self, *, wait_us: int) -> NoLeaderError | None:
@@ -188,10 +188,10 @@
         The read index of the Raft thesis, section 6.4. None if confirmed; `NoLeaderError` if
         not, or not within `wait_us` microseconds.
         """
-        token, future = self._waiters.open()
+        token, future = self.waiters.open()
         self.inbox.put_nowait(raft.ReadIndex(token=token))
         outcome = await self._ports.clock.within(future, us=wait_us)
-        self._waiters.drop(token=token)
+        self.waiters.drop(token=token)
         if outcome is True:
             return None
         return outcome or NoLeaderError(why="no majority of cores confirmed the leader in time")
@@ -255,15 +255,15 @@
 
     @_perform.register
     def _perform_not_leader(self, effect: raft.NotLeader) -> None:
-        self._waiters.settle(token=effect.token, outcome=NoLeaderError(why="not the leader"))
+        self.waiters.settle(token=effect.token, outcome=NoLeaderError(why="not the leader"))
 
     @_perform.register
     def _perform_read_ready(self, effect: raft.ReadReady) -> None:
-        self._waiters.settle(token=effect.token, outcome=True)
+        self.waiters.settle(token=effect.token, outcome=True)
 
     @_perform.register
     def _perform_read_lost(self, effect: raft.ReadLost) -> None:
-        self._waiters.settle(
+        self.waiters.settle(
             token=effect.token, outcome=NoLeaderError(why="not the leader, or not yet")
         )
 
