--- a/kelpstage/core/raft/state.py
+++ b/kelpstage/core/raft/state.py
@@ -1,4 +1,4 @@
-"""A replica's whole state, and the effects of the event that it is taking in.
+"""A replica's complete state, and the effects of the event that it is processing.
 
 The names are those of the paper's figure 2, with what this implementation adds. Each
 module beside this one changes a part of it, under the invariants that it states; here
@@ -103,7 +103,7 @@
 
     effects: list[Effect] = field(default_factory=list)
 
-    # --- what is asked in more than one module -----------------------------------------
+    # --- questions of more than one module -----------------------------------------
 
     @property
     def is_sync_stalled(self) -> bool:
@@ -116,17 +116,17 @@
         return self.log.term_at(index=self.commit_index) == self.term
 
     def has_quorum_contact(self) -> bool:
-        """Check-quorum: a leader that hears no majority must not act as one."""
+        """Check-quorum: a leader without contact to a majority must not act as one."""
         limit = self.timing.election_high_us
         if self.now_us - self.led_since_us < limit:
             return True
-        heard = {self.me} | {
+        reachable = {self.me} | {
             name for name, one in self.progress.items() if self.now_us - one.heard_us < limit
         }
-        return self.members.is_majority(names=heard)
+        return self.members.is_majority(names=reachable)
 
     def is_active(self, *, name: str) -> bool:
-        """Was the replica heard within the shortest election timeout?"""
+        """Has the replica made contact within the shortest election timeout?"""
         progress = self.progress.get(name)
         if progress is None:
             return name == self.me
@@ -196,7 +196,7 @@
     def send(
         self, *, to: str, message: Message, is_promise: bool = False, address: str = ""
     ) -> None:
-        """Send to a member, or to one that this replica has not heard of yet; a promise
+        """Send to a member, or to one that this replica does not know yet; a promise
         only when all that was persisted so far is on disk."""
         member = self.members.get(replica=to)
         if member is None:
