--- a/kelpstage/edge/handlers.py
+++ b/kelpstage/edge/handlers.py
@@ -79,7 +79,7 @@
     return ConfirmEpochReply(
         edge=lease_holder.me,
         incarnation=edge.incarnation,
-        vouches=lease_holder.vouches,
+        vouches=lease_holder.may_confirm_epochs,
         epoch=lease_holder.epoch,
         cluster=lease_holder.cluster,
         asker_version=edge.swim.served(name=message.edge),
@@ -96,7 +96,7 @@
 
 @handle.register
 async def _(message: Announce, edge: Any, source: str) -> None:
-    edge.leases.take_announced(announce=message)
+    edge.leases.on_announced(announce=message)
 
 
 @handle.register
--- a/kelpstage/edge/lease/__init__.py
+++ b/kelpstage/edge/lease/__init__.py
@@ -0,0 +1,1 @@
+"""An edge's lease: how it is kept, and what an edge may serve without one."""
--- a/kelpstage/edge/lease/lease_holder.py
+++ b/kelpstage/edge/lease/lease_holder.py
@@ -1,10 +1,12 @@
-"""What this edge may serve under: its lease, its peers' word, its configuration.
+"""An edge's right to serve: its leases, its peers' confirmations, its configuration.
 
-Plain. An edge serves while it holds a lease, or while it hears from a majority
-of the membership and none of them has a newer epoch installed. One that has had no lease
-in this life has forgotten what it knew: it may hear a majority, but is none of it.
-Time is the edge's own, on a clock that runs through a freeze, and a lease counts from
-when it was asked for.
+An edge may serve while it holds a lease for the epoch that it has installed, or while a
+majority of the membership has confirmed lately that none of them has a newer epoch
+installed. An edge that has had no lease since it started may have forgotten an epoch: it
+may count its peers' confirmations, but confirms nothing to them.
+
+Times are whole microseconds of the edge's own clock, which runs on through a freeze; a
+lease counts from when it was asked for. Source: docs/notes/serving-right.md.
 """
 
 from __future__ import annotations
@@ -14,19 +16,25 @@
 from kelpstage.common.configuration.types import EMPTY, Configuration
 from kelpstage.common.transport.messages import ConfirmEpochReply, LeaseReply, StateDoc
 
-WITNESS_US = 1_000_000
-MOVED_ON_US = 250_000
+CONFIRMATION_US = 1_000_000  # how long a peer's confirmation of its epoch counts
+PREVIOUS_CONFIGURATION_US = 250_000  # how long the one before may still be run under
+LEASES_KEPT = 4  # epochs whose leases are kept beside each other
 
 
 @dataclass(kw_only=True)
-class PeerEpoch:
+class ConfirmedEpoch:
+    """The epoch that a peer had installed, and when it was asked (microseconds)."""
+
     asked_us: int
     epoch: int
 
 
 @dataclass(kw_only=True)
 class LeaseHolder:
-    """One edge's right to serve.
+    """One edge's right to serve. Plain state: no clock, no connection.
+
+    Invariants: `epoch` and `configuration.version` never go down, and `cluster` is set
+    once. `refusal` is the only place that says whether this edge may serve.
 
     >>> lease_holder = LeaseHolder(me="a")
     >>> doc = StateDoc(cluster="c", epoch=1, version=1, membership=["a", "b", "c"])
@@ -48,17 +56,17 @@
     configuration: Configuration = EMPTY
     previous: Configuration | None = None
     installed_us: int = 0
-    doc_bytes: bytes = b""
+    state_bytes: bytes = b""
     newest_epoch: int = 0
-    newest_at: list[str] = field(default_factory=list)
+    newest_sources: list[str] = field(default_factory=list)
     leases: dict[int, int] = field(default_factory=dict)  # epoch -> until
     lease_asked_us: int = -(10**12)
-    vouched_epoch: int | None = None
-    served_version: int = 0  # before a restart, as peers remember it
-    heard: dict[str, PeerEpoch] = field(default_factory=dict)
+    first_leased_epoch: int | None = None
+    served_version: int = 0  # newest version served before a restart, as peers remember it
+    confirmed_epochs: dict[str, ConfirmedEpoch] = field(default_factory=dict)
 
     def install(self, *, doc: StateDoc, configuration: Configuration, now_us: int) -> bool:
-        """Take a state; only upward, only within one cluster."""
+        """Install a state; false unless it is newer and of this edge's cluster."""
         if self.cluster and doc.cluster != self.cluster:
             return False
         if doc.epoch <= self.epoch:
@@ -66,7 +74,7 @@
         self.cluster = doc.cluster
         self.epoch = doc.epoch
         self.membership = list(doc.membership)
-        self.doc_bytes = bytes(doc)
+        self.state_bytes = bytes(doc)
         self.newest_epoch = max(self.newest_epoch, doc.epoch)
         if doc.version > self.configuration.version:
             self.previous = self.configuration
@@ -75,46 +83,48 @@
         return True
 
     def note_epoch(self, *, epoch: int, source: str) -> bool:
-        """Somebody knows this epoch; true if it is to be fetched."""
+        """Note that `source` knows of this epoch; true if it is to be fetched."""
         if epoch > self.newest_epoch:
             self.newest_epoch = epoch
-            self.newest_at = []
-        if epoch == self.newest_epoch and source and source not in self.newest_at:
-            self.newest_at.append(source)
+            self.newest_sources = []
+        if epoch == self.newest_epoch and source and source not in self.newest_sources:
+            self.newest_sources.append(source)
         return self.newest_epoch > self.epoch
 
     def take_lease(self, *, reply: LeaseReply, sent_us: int) -> None:
+        """Count a granted lease from `sent_us`, when it was asked for."""
         if not reply.is_granted or self.cluster and reply.cluster != self.cluster:
             return
         until_us = sent_us + reply.span_us
         self.lease_asked_us = max(self.lease_asked_us, sent_us)
         self.leases[reply.epoch] = max(self.leases.get(reply.epoch, 0), until_us)
-        while len(self.leases) > 4:
+        while len(self.leases) > LEASES_KEPT:
             del self.leases[min(self.leases)]
         self.newest_epoch = max(self.newest_epoch, reply.epoch)
-        if self.vouched_epoch is None:
-            self.vouched_epoch = reply.epoch
+        if self.first_leased_epoch is None:
+            self.first_leased_epoch = reply.epoch
 
     @property
-    def vouches(self) -> bool:
-        """May this edge tell others what the newest epoch is that it knows of?
+    def may_confirm_epochs(self) -> bool:
+        """May this edge confirm its epoch to others?
 
-        Only after a lease in this life: before, it may have forgotten one.
+        Only after a lease since it started: before, it may have forgotten a newer one.
         """
-        return self.vouched_epoch is not None and self.epoch >= self.vouched_epoch
+        return self.first_leased_epoch is not None and self.epoch >= self.first_leased_epoch
 
     @property
-    def has_forgotten(self) -> bool:
+    def is_unleased(self) -> bool:
         """Has this edge had no lease since it started?"""
-        return self.vouched_epoch is None
+        return self.first_leased_epoch is None
 
     def on_epoch_confirmed(self, *, reply: ConfirmEpochReply, asked_us: int) -> None:
+        """Take a peer's reply; it counts from `asked_us`, when it was asked for."""
         self.served_version = max(self.served_version, reply.asker_version)
         if reply.cluster != self.cluster or not reply.vouches:
             return
-        known = self.heard.get(reply.edge)
+        known = self.confirmed_epochs.get(reply.edge)
         if known is None or known.asked_us < asked_us:
-            self.heard[reply.edge] = PeerEpoch(asked_us=asked_us, epoch=reply.epoch)
+            self.confirmed_epochs[reply.edge] = ConfirmedEpoch(asked_us=asked_us, epoch=reply.epoch)
 
     def lease_until_us(self) -> int:
         """Until when this edge may serve what it has installed. A lease of an
@@ -123,61 +133,66 @@
         return max((u for epoch, u in self.leases.items() if epoch <= self.epoch), default=-1)
 
     def has_lease(self, *, now_us: int) -> bool:
+        """Does a lease cover what is installed here?"""
         return now_us < self.lease_until_us()
 
-    def vouchers(self, *, now_us: int) -> list[str]:
-        """Members of the membership whose word is fresh, this edge among them."""
+    def confirming_members(self, *, now_us: int) -> list[str]:
+        """Members whose confirmation is fresh, this edge among them if it may confirm."""
         out = [
             name
             for name in self.membership
             if name != self.me
-            and name in self.heard
-            and now_us - self.heard[name].asked_us < WITNESS_US
+            and name in self.confirmed_epochs
+            and now_us - self.confirmed_epochs[name].asked_us < CONFIRMATION_US
         ]
-        return out + ([self.me] if self.vouches and self.me in self.membership else [])
+        return out + ([self.me] if self.may_confirm_epochs and self.me in self.membership else [])
 
     def has_majority(self, *, now_us: int) -> bool:
         """Does a majority vouch that nothing newer is acknowledged?
 
         What counts is what they have installed: an epoch that is acknowledged is
-        installed on a majority. One that is only heard of may be lost with the
+        installed on a majority. One that is only confirmed_epochs of may be lost with the
         cores that spoke of it, and must not stop the fleet for good.
         """
-        if self.has_forgotten:
+        if self.is_unleased:
             if self.me not in self.membership or self.configuration.version < self.served_version:
                 return False
-        elif not self.vouches:
+        elif not self.may_confirm_epochs:
             return False
-        names = self.vouchers(now_us=now_us)
-        if any(self.heard[n].epoch > self.epoch for n in names if n != self.me):
+        names = self.confirming_members(now_us=now_us)
+        if self._has_newer_peer(names=names):
             return False
         return len(names) * 2 > len(self.membership)
 
+    def _has_newer_peer(self, *, names: list[str]) -> bool:
+        confirmed = self.confirmed_epochs
+        return any(confirmed[name].epoch > self.epoch for name in names if name != self.me)
+
     def refusal(self, *, now_us: int) -> str:
         """Why this edge may not serve now; empty if it may."""
         if not self.configuration.version:
             return "no configuration"
         if self.has_lease(now_us=now_us) or self.has_majority(now_us=now_us):
             return ""
-        names = self.vouchers(now_us=now_us)
-        if any(self.heard[n].epoch > self.epoch for n in names if n != self.me):
+        names = self.confirming_members(now_us=now_us)
+        if self._has_newer_peer(names=names):
             return f"a peer has a newer epoch than {self.epoch}"
         return f"no lease, and {len(names)} of {len(self.membership)} peers vouch"
 
     def has_moved_on(self, *, version: int, now_us: int) -> bool:
-        """Is this version one that must not be handled here any more?"""
+        """Is this version one that must not be run here any more?"""
         if version == self.configuration.version:
             return False
         if version > self.configuration.version:
             return False
         is_last = self.previous is not None and version == self.previous.version
-        return not is_last or now_us - self.installed_us > MOVED_ON_US
+        return not is_last or now_us - self.installed_us > PREVIOUS_CONFIGURATION_US
 
     def configuration_for(self, *, version: int, now_us: int) -> Configuration | None:
         """The configuration to run a query of this version under, if there is one."""
         if version == self.configuration.version:
             return self.configuration
         is_previous = self.previous is not None and version == self.previous.version
-        if is_previous and now_us - self.installed_us <= MOVED_ON_US:
+        if is_previous and now_us - self.installed_us <= PREVIOUS_CONFIGURATION_US:
             return self.previous
         return None
--- /dev/null
+++ b/kelpstage/edge/lease/peer_discovery.py
@@ -0,0 +1,130 @@
+"""Finding the other edges: through the cores, then from the tables of peers."""
+
+from __future__ import annotations
+
+import asyncio
+
+from kelpstage.common.ports.interfaces import Ports
+from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.messages import (
+    EdgeContact,
+    FetchMembers,
+    Members,
+    RegisterEdge,
+    RegisterEdgeReply,
+)
+from kelpstage.edge.gossip.swim import Swim
+from kelpstage.edge.lease.core_directory import CoreDirectory
+from kelpstage.edge.lease.lease_holder import LeaseHolder
+from kelpstage.edge.lease.timing import RENEW_WAIT_US, RETRY_US, is_small
+
+ALONE_US = RETRY_US * 3  # registers again after so long while no peer is known
+REGISTER_US = 2_000_000
+SETTLED_REGISTER_US = 10_000_000
+MEMBERS_US = 1_000_000
+LONGEST_MEMBERS_US = 3_600_000_000
+
+
+class PeerDiscovery:
+    """Registers this edge with cores, which name peers, and fills its member table."""
+
+    def __init__(
+        self,
+        *,
+        ports: Ports,
+        lines: Lines,
+        lease_holder: LeaseHolder,
+        swim: Swim,
+        cores: CoreDirectory,
+        contact: EdgeContact,
+    ) -> None:
+        self._ports = ports
+        self._lines = lines
+        self._lease_holder = lease_holder
+        self._swim = swim
+        self._cores = cores
+        self._contact = contact
+
+    def register_peers(self, contacts: list[EdgeContact]) -> None:
+        """Take peers that a core names into the member table."""
+        now_us = self._ports.clock.now_us()
+        for contact in contacts:
+            self._swim.meet(
+                name=contact.name,
+                address=contact.address,
+                incarnation=contact.incarnation,
+                now_us=now_us,
+                zone=contact.zone,
+            )
+
+    # --- through the cores --------------------------------------------------------------
+
+    async def run_registration(self) -> None:
+        """Register with all cores and seeds, and now and again with one of them."""
+        while True:
+            known = list(dict.fromkeys(self._cores.seeds + self._cores.cores))
+            if self._knows_enough():
+                known = [self._ports.rand.choice(known)]
+            await asyncio.gather(*(self._register(address=address) for address in known))
+            await self._ports.clock.sleep(us=self._register_again_us())
+
+    def _knows_enough(self) -> bool:
+        """Is there a fresh lease, and is most of the membership known?"""
+        is_most_known = len(self._swim.live()) * 2 > len(self._lease_holder.membership)
+        lease_age_us = self._ports.clock.now_us() - self._lease_holder.lease_asked_us
+        return is_most_known and lease_age_us < REGISTER_US and bool(self._swim.members)
+
+    def _register_again_us(self) -> int:
+        if not self._swim.members:
+            return ALONE_US
+        if not self._knows_enough():
+            return REGISTER_US
+        return int(SETTLED_REGISTER_US * (0.75 + 0.5 * self._ports.rand.random()))
+
+    async def _register(self, *, address: str) -> None:
+        self._contact.incarnation = self._swim.me.incarnation
+        message = RegisterEdge(
+            edge=self._lease_holder.me, incarnation=self._contact.incarnation, contact=self._contact
+        )
+        reply = await self._lines.call(address=address, message=message, wait_us=RENEW_WAIT_US)
+        if not isinstance(reply, RegisterEdgeReply):
+            return
+        cluster = self._lease_holder.cluster
+        if cluster and reply.cluster and reply.cluster != cluster:
+            return
+        self.register_peers(reply.peers)
+
+    # --- from the tables of peers -------------------------------------------------------
+
+    async def run_member_table(self) -> None:
+        """While fewer edges are known than are on the membership, ask one that is known for
+        its whole table; rarely, if that brings nothing: some may be gone for good. Soon
+        again, once others have turned up by another way, as after a network partition."""
+        clock, wait_us, asked_us, known_count = self._ports.clock, MEMBERS_US, 0, 0
+        while True:
+            await clock.sleep(us=MEMBERS_US)
+            if known_count < self._swim.told_count():
+                wait_us = MEMBERS_US
+            known_count = self._swim.told_count()
+            membership_count = len(self._lease_holder.membership)
+            if is_small(count=membership_count) or known_count >= membership_count:
+                continue
+            if clock.now_us() - asked_us < wait_us:
+                continue
+            asked_us = clock.now_us()
+            if not await self._fetch_members():
+                wait_us = min(2 * wait_us, LONGEST_MEMBERS_US)
+
+    async def _fetch_members(self) -> int:
+        """Ask a peer for its table; how many edges became known by it."""
+        peer = self._swim.some_peer()
+        if peer is None:
+            return 0
+        address = self._swim.members[peer].info.address
+        message = FetchMembers(cluster=self._lease_holder.cluster)
+        reply = await self._lines.call(address=address, message=message, wait_us=RENEW_WAIT_US)
+        if not isinstance(reply, Members) or reply.cluster != self._lease_holder.cluster:
+            return 0
+        before = self._swim.told_count()
+        self._swim.take_table(table=reply.members, now_us=self._ports.clock.now_us())
+        return self._swim.told_count() - before
