--- a/kelpstage/edge/__init__.py
+++ b/kelpstage/edge/__init__.py
@@ -0,0 +1,1 @@
+"""The edge: the process that answers searches and forwards requests."""
--- /dev/null
+++ b/kelpstage/edge/composition.py
@@ -0,0 +1,94 @@
+"""Building an edge's plain parts from its settings: no task, no connection."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from kelpstage.common.event_journal import Journal
+from kelpstage.common.ports.interfaces import Ports
+from kelpstage.common.transport.messages import EdgeContact, MemberMsg
+from kelpstage.edge.backend.registry import BackendRegistry
+from kelpstage.edge.backend.zones import ZoneDistances
+from kelpstage.edge.gather.context import GatherContext
+from kelpstage.edge.gather.latency import LatencyEstimates
+from kelpstage.edge.gossip.swim import Swim
+from kelpstage.edge.lease.lease_holder import LeaseHolder
+from kelpstage.edge.retries.budget import SERVICE_SLACK, SPAN_US, Budget
+
+ATTEMPT_NUMBER_BITS = 40  # attempts are counted from a number by lot
+
+
+def build_zone_distances(*, settings: dict[str, Any]) -> ZoneDistances:
+    """How far this edge's zone is from the others."""
+    bounds = settings.get("bounds", {})
+    return ZoneDistances(
+        zone=settings["domain"], region=bounds.get("region", ""), zones=bounds.get("zones", {})
+    )
+
+
+def build_swim(*, settings: dict[str, Any], ports: Ports, incarnation: int) -> Swim:
+    """The gossip state of this edge, which knows nobody yet."""
+    return Swim(
+        me=MemberMsg(
+            name=settings["name"],
+            address=settings["own"],
+            incarnation=incarnation,
+            beat=1,
+            zone=settings["domain"],
+            http=settings["http"],
+        ),
+        rand=ports.rand,
+        backend_states=lambda: [],
+        on_backend_state=lambda backend_state: None,
+    )
+
+
+def build_contact(*, settings: dict[str, Any], incarnation: int) -> EdgeContact:
+    """Where this edge is reached, as cores tell it to other edges."""
+    return EdgeContact(
+        name=settings["name"],
+        address=settings["own"],
+        zone=settings["domain"],
+        http=settings["http"],
+        incarnation=incarnation,
+    )
+
+
+def build_budget(*, settings: dict[str, Any], ports: Ports) -> Budget:
+    """The budget out of which requests are sent a second time."""
+    bounds = settings.get("bounds", {})
+    return Budget(
+        ratio=bounds.get("retry_ratio"),
+        window_us=bounds.get("retry_window_us", SPAN_US),
+        slack=bounds.get("retry_slack", SERVICE_SLACK),
+        me=settings["name"],
+        born_us=ports.clock.now_us(),
+    )
+
+
+def build_gather_context(
+    *,
+    settings: dict[str, Any],
+    ports: Ports,
+    lease_holder: LeaseHolder,
+    swim: Swim,
+    registry: BackendRegistry,
+    journal: Journal,
+    trace: Journal,
+) -> GatherContext:
+    """What the stages of a request see of this edge."""
+    return GatherContext(
+        me=settings["name"],
+        zone=settings["domain"],
+        own=settings["own"],
+        rand=ports.rand,
+        lease_holder=lease_holder,
+        swim=swim,
+        registry=registry,
+        latencies=LatencyEstimates(),
+        budget=build_budget(settings=settings, ports=ports),
+        journal=journal,
+        trace=trace,
+        next_attempt=ports.rand.getrandbits(ATTEMPT_NUMBER_BITS),
+        regions=settings.get("bounds", {}).get("zones", {}),
+    )
--- a/kelpstage/edge/gather/__init__.py
+++ b/kelpstage/edge/gather/__init__.py
@@ -0,0 +1,1 @@
+"""Gathering: the stages of a request, its state, and the task that runs them."""
--- /dev/null
+++ b/kelpstage/edge/gather/child_queries.py
@@ -0,0 +1,105 @@
+"""Asking children of the gathering tree for their subtrees."""
+
+from __future__ import annotations
+
+from typing import Any, Callable
+
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.transport import ConnectError, ConnectionLostError
+from kelpstage.common.ports.interfaces import Ports
+from kelpstage.common.transport import frames
+from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.messages import Gather, Gathered
+from kelpstage.edge.forward.request import pack_headers
+from kelpstage.edge.gather.context import GatherContext
+from kelpstage.edge.gather.conversion import subtree_message
+from kelpstage.edge.gather.messages import ChildReplied, QueryChild
+from kelpstage.edge.gather.request_state import Child
+
+LEAST_WAIT_US = 1_000
+
+
+class ChildQueries:
+    """Performs `QueryChild`: one call to a peer, whose outcome becomes a `ChildReplied`."""
+
+    def __init__(
+        self,
+        *,
+        ports: Ports,
+        lines: Lines,
+        context: GatherContext,
+        on_reply: Callable[[ChildReplied], None],
+    ) -> None:
+        self._ports = ports
+        self._lines = lines
+        self._context = context
+        self._on_reply = on_reply
+
+    async def query(self, *, ask: QueryChild) -> None:
+        """Ask a child; its outcome goes to the gathering task as an event."""
+        sent_us = self._ports.clock.now_us()
+        message = self._message(ask=ask, sent_us=sent_us)
+        self._ports.point("edge.before_kid_send")
+        outcome = await self._call(ask=ask, message=message, sent_us=sent_us)
+        self._on_reply(
+            ChildReplied(
+                key=ask.record.key,
+                generation=ask.generation,
+                slot=ask.slot,
+                node=ask.node,
+                sent_us=sent_us,
+                outcome=outcome,
+            )
+        )
+
+    async def _call(self, *, ask: QueryChild, message: Gather, sent_us: int) -> Any:
+        if not ask.address:
+            return ConnectError(address="unknown")
+        outcome = await self._lines.call(
+            address=ask.address,
+            message=message,
+            wait_us=max(LEAST_WAIT_US, ask.record.due_us - sent_us),
+            lane=frames.GATHER,
+        )
+        if isinstance(outcome, (Gathered, KelpstageError)):
+            return outcome
+        return ConnectionLostError(address=ask.address, why="another message came")
+
+    def _message(self, *, ask: QueryChild, sent_us: int) -> Gather:
+        record, context = ask.record, self._context
+        child = next(one for one in record.children if one.slot == ask.slot)
+        subtree = child.subtree
+        margin_us = context.reply_margin_us(name=ask.node)
+        return Gather(
+            root=context.me,
+            query_id=ask.ask_id,
+            collection=record.collection,
+            version=record.version,
+            has_limit=record.limit is not None,
+            limit=record.limit or 0,
+            query=record.query if record.request is None else record.request.body,
+            content_type=record.content_type,
+            subtree=subtree_message(subtree=subtree, addresses=record.addresses),
+            wait_us=ask.wait_us,
+            due_us=max(LEAST_WAIT_US, record.due_us - sent_us - margin_us),
+            is_resumed=ask.is_resumed,
+            is_extra=any(record.is_sent_before(shard=s) for s in subtree.all_shards()),
+            cluster=context.lease_holder.cluster,
+            search=record.search,
+            **self._forwarded(ask=ask, child=child, sent_us=sent_us),
+        )
+
+    def _forwarded(self, *, ask: QueryChild, child: Child, sent_us: int) -> dict[str, Any]:
+        """The fields of a forwarded request; none for a search of our own."""
+        record, request = ask.record, ask.record.request
+        if request is None:
+            return {}
+        return {
+            "method": request.method,
+            "target": request.target,
+            "request_id": request.request_id,
+            "headers": pack_headers(headers=request.headers),
+            "attempts": child.attempts,
+            "is_far": self._context.is_far(name=ask.node),
+            "aim_us": max(0, record.arrived_us + record.aim_us - sent_us),
+        }
--- a/kelpstage/edge/gather/context.py
+++ b/kelpstage/edge/gather/context.py
@@ -1,4 +1,4 @@
-"""What the passes may see and do: this node's views, and a list of effects."""
+"""What the stages may see and do: this node's views, and a list of effects."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.retries.budget import Budget
 
-SHY_US = 1_000_000
+LATE_FOR_US = 1_000_000
 MARGIN_US = 4_000
-SHY_COUNT = 5
+LATE_COUNT = 5
 SILENT_COUNT = 3  # until it is probed again
 
 
@@ -28,7 +28,12 @@
 
 
 @dataclass(kw_only=True)
-class World:
+class GatherContext:
+    """This node's views of the cluster, shared by all requests, and the effects to perform.
+
+    `now_us` is set once before each run of the stages; the stages read no clock.
+    """
+
     me: str
     zone: str
     own: str
@@ -43,11 +48,12 @@
     now_us: int = 0
     effects: list[Any] = field(default_factory=list)
     late: dict[str, Lateness] = field(default_factory=dict)
-    next_round: int = 0
+    next_attempt: int = 0
     distances: dict[str, int] = field(default_factory=dict)
     regions: dict[str, str] = field(default_factory=dict)  # of zones
 
     def emit(self, effect: Any) -> None:
+        """Have an effect performed after this run of the stages."""
         self.effects.append(effect)
 
     def edges(self) -> int:
@@ -55,13 +61,14 @@
         return len(self.swim.live())
 
     def node_window_us(self, *, name: str, least_us: int) -> int:
+        """A peer's window: the least one, stretched by what was seen of it."""
         return self.latencies.window_us(name=f"node:{name}", least_us=least_us)
 
     def note_late(self, *, name: str) -> None:
-        """A peer let a window pass, or its line broke."""
+        """A peer let a window pass, or its connection broke."""
         known = self.late.get(name)
         count = 0 if known is None else known.count
-        self.late[name] = Lateness(since_us=self.now_us, count=min(count + 1, SHY_COUNT))
+        self.late[name] = Lateness(since_us=self.now_us, count=min(count + 1, LATE_COUNT))
 
     def note_silent(self, *, name: str) -> None:
         """Gossip had no direct ack from it: queries may not reach it either."""
@@ -83,25 +90,25 @@
         """What a peer must leave of our time, for the way there and back.
 
         >>> from types import SimpleNamespace as Some
-        >>> world = Some(distances={"k": 120_000})
-        >>> World.reply_margin_us(world, name="k"), World.reply_margin_us(world, name="j")
-        (124000, 4000)
+        >>> context = Some(distances={"k": 120_000})
+        >>> [GatherContext.reply_margin_us(context, name=name) for name in ("k", "j")]
+        [124000, 4000]
         """
         return MARGIN_US + self.distances.get(name, 0)
 
-    def is_shy(self, *, name: str) -> bool:
+    def is_late(self, *, name: str) -> bool:
         """Did this peer let a window pass a moment ago? The longer it has not
-        answered at all, the longer it is asked last: gossip may reach it round a
+        answered at all, the longer it is asked last: gossip may reach it attempt a
         line that is cut from here."""
         known = self.late.get(name)
-        return known is not None and self.now_us - known.since_us < SHY_US << max(
+        return known is not None and self.now_us - known.since_us < LATE_FOR_US << max(
             0, known.count - 1
         )
 
     def is_silent(self, *, name: str) -> bool:
         """Has it not answered this node at all, several times over?"""
         known = self.late.get(name)
-        return known is not None and known.count >= SILENT_COUNT and self.is_shy(name=name)
+        return known is not None and known.count >= SILENT_COUNT and self.is_late(name=name)
 
     def is_far(self, *, name: str) -> bool:
         """Is this peer in another region?"""
@@ -131,7 +138,7 @@
     def helpers(
         self, *, collection: str, rand: random.Random | None, is_near_only: bool = True
     ) -> list[str]:
-        """Partners that may merge, the best first: alive and not late a moment
+        """Peers that may merge, the best first: alive and not late a moment
         ago, own zone, little load, ties by lot. One that is silent towards this
         node is left out, and so is one whose round trip alone is longer than the
         route's window, while there are nearer ones: better that one stands in twice."""
@@ -146,7 +153,7 @@
                 continue
             lot = rand.random() if rand else 0.0
             ranked.append(
-                (self.is_shy(name=name), info.zone != self.zone, info.load // 4, lot, name)
+                (self.is_late(name=name), info.zone != self.zone, info.load // 4, lot, name)
             )
         names = [rank[-1] for rank in sorted(ranked)]
         if not is_near_only:
--- a/kelpstage/edge/gather/latency.py
+++ b/kelpstage/edge/gather/latency.py
@@ -24,6 +24,7 @@
     seen_us: int = 0
 
     def saw(self, *, took_us: int, now_us: int = 0) -> None:
+        """Take one measured time (microseconds)."""
         self.seen_us = now_us
         took_us = min(took_us, LONGEST_US)
         self.seen += 1
@@ -49,6 +50,7 @@
         self._latencies: dict[str, LatencyEstimate] = {}
 
     def saw(self, *, name: str, took_us: int, now_us: int = 0) -> None:
+        """Take one measured time of a name (microseconds)."""
         self._latencies.setdefault(name, LatencyEstimate()).saw(took_us=took_us, now_us=now_us)
 
     def window_us(self, *, name: str, least_us: int) -> int:
--- a/kelpstage/edge/gather/messages.py
+++ b/kelpstage/edge/gather/messages.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from kelpstage.common.errors.base import KelpstageError
-from kelpstage.edge.gather.request_state import Gathering
+from kelpstage.edge.gather.request_state import RequestState
 
 # --- events ---------------------------------------------------------------------
 
@@ -15,7 +15,7 @@
 class Arrived:
     """A request came in; its record is to be put in the table."""
 
-    record: Gathering
+    record: RequestState
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -27,6 +27,8 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BackendReplied:
+    """A backend's reply to one attempt, or the error that ended it."""
+
     key: int
     generation: int
     shard: str
@@ -38,6 +40,8 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ChildReplied:
+    """A child's reply, or the error that ended its query."""
+
     key: int
     generation: int
     slot: int
@@ -47,8 +51,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ClockEvent:
-    pass
+class TimerFired:
+    """The time has come at which a request wants to be looked at."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -61,7 +65,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class QueryBackend:
-    record: Gathering
+    """Send one attempt to a backend; `BackendReplied` follows."""
+
+    record: RequestState
     generation: int
     shard: str
     cut: str
@@ -74,7 +80,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class QueryChild:
-    record: Gathering
+    """Ask a child for its subtree; `ChildReplied` follows."""
+
+    record: RequestState
     generation: int
     slot: int
     node: str
@@ -88,7 +96,7 @@
 class PartlySettled:
     """A child's window is over: what it has goes up, the rest stays on its way."""
 
-    record: Gathering
+    record: RequestState
     outcome: Any
 
 
@@ -102,14 +110,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Settled:
-    record: Gathering
+    """A request has its outcome and has left the table."""
+
+    record: RequestState
 
 
 # --- outcomes ---------------------------------------------------------------------
 
 
 @dataclass(frozen=True, kw_only=True)
-class Verdict:
+class GatherResult:
     """A search's or a fetch's good end."""
 
     version: int
@@ -118,7 +128,7 @@
     body: bytes
     seals: tuple[str, ...] = ()
     missing: int = 0
-    whole: Any = None  # a backend's answer, to go back as it came
+    backend_reply: Any = None  # a backend's answer, to go back as it came
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -128,4 +138,4 @@
     message: Any
 
 
-Outcome = Verdict | ChildReply | KelpstageError
+Outcome = GatherResult | ChildReply | KelpstageError
--- /dev/null
+++ b/kelpstage/edge/gather/observation.py
@@ -0,0 +1,134 @@
+"""What replies show of backends and peers, beside their content."""
+
+from __future__ import annotations
+
+from typing import Any, Callable
+
+from kelpstage.common.errors.backends import InvalidReplyError, RequestNotRunError
+from kelpstage.common.errors.transport import ConnectError, ConnectionLostError, ReplyTimeoutError
+from kelpstage.common.ports.interfaces import HttpReply, Ports
+from kelpstage.common.transport.messages import Gathered
+from kelpstage.edge.backend import outlier_detection
+from kelpstage.edge.backend.registry import DRAINING, GONE
+from kelpstage.edge.backend.reply import SealedPart
+from kelpstage.edge.forward.sealed_answer import WholeReply
+from kelpstage.edge.gather.context import GatherContext
+from kelpstage.edge.gather.messages import BackendReplied, ChildReplied
+
+STATE_HEADER = "kelp-state"
+ANOTHER_INSTANCE = 421  # HTTP status of a backend that is not the instance expected
+
+
+class ReplyObserver:
+    """Feeds the registry, the latency estimates and the gossip state with every outcome."""
+
+    def __init__(
+        self,
+        *,
+        ports: Ports,
+        context: GatherContext,
+        on_backend_changed: Callable[[str], None],
+    ) -> None:
+        """`on_backend_changed` hears the name of a backend whose state changed."""
+        self._ports = ports
+        self._context = context
+        self._on_backend_changed = on_backend_changed
+
+    def on_backend_reply(self, *, event: BackendReplied) -> None:
+        """Note what a reply, or its absence, shows of the backend."""
+        context = self._context
+        now_us = self._ports.clock.now_us()
+        entry = context.registry.entries.get(event.backend)
+        if entry is not None:
+            entry.in_flight = max(0, entry.in_flight - 1)
+            if entry.is_discovered:
+                self._observe_instance(event=event, now_us=now_us)
+                return
+        outcome = event.outcome
+        if isinstance(outcome, ConnectError):
+            if context.registry.observe(
+                name=event.backend, state=GONE, why="connection refused", now_us=now_us
+            ):
+                self._on_backend_changed(event.backend)
+            return
+        if isinstance(outcome, (ReplyTimeoutError, ConnectionLostError)):
+            if context.registry.strike(name=event.backend, now_us=now_us):
+                self._on_backend_changed(event.backend)
+            if isinstance(outcome, ReplyTimeoutError):
+                context.latencies.saw(
+                    name=event.backend, took_us=now_us - event.sent_us, now_us=now_us
+                )
+            return
+        context.registry.heard_back(name=event.backend, now_us=now_us)
+        if isinstance(outcome, InvalidReplyError):
+            context.registry.lied(name=event.backend, now_us=now_us)
+            self._on_backend_changed(event.backend)
+        else:
+            context.registry.told_truth(name=event.backend)
+        context.latencies.saw(name=event.backend, took_us=now_us - event.sent_us, now_us=now_us)
+
+    def _observe_instance(self, *, event: BackendReplied, now_us: int) -> None:
+        """What the outcome of a request shows of the instance that it was sent to."""
+        registry, name, outcome = self._context.registry, event.backend, event.outcome
+        took_us = now_us - event.sent_us
+        if (
+            isinstance(outcome, SealedPart)
+            or isinstance(outcome, WholeReply)
+            and outcome.status < 500
+        ):
+            registry.note_answer(name=name, took_us=took_us, now_us=now_us)
+            self._context.latencies.saw(name=name, took_us=took_us, now_us=now_us)
+            return
+        if isinstance(outcome, RequestNotRunError) and outcome.answer != ANOTHER_INSTANCE:
+            registry.note_full(name=name, now_us=now_us)
+            return
+        if isinstance(outcome, ReplyTimeoutError) and not outcome.was_sent:
+            return  # it waited here for a connection
+        why = failure_of(outcome=outcome)
+        if isinstance(outcome, ReplyTimeoutError):
+            self._context.latencies.saw(name=name, took_us=took_us, now_us=now_us)
+        if registry.note_failure(name=name, why=why, now_us=now_us, waited_us=took_us):
+            self._on_backend_changed(name)
+
+    def on_child_reply(self, *, event: ChildReplied) -> None:
+        """Note what a reply, or its absence, shows of the peer."""
+        context = self._context
+        now_us = self._ports.clock.now_us()
+        if isinstance(event.outcome, Gathered):
+            context.note_reply(name=event.node)
+        if isinstance(event.outcome, Gathered) and not event.outcome.is_stale:
+            context.latencies.saw(
+                name=f"node:{event.node}", took_us=now_us - event.sent_us, now_us=now_us
+            )
+            return
+        if isinstance(event.outcome, (ConnectError, ConnectionLostError)):
+            context.swim.suspect(name=event.node, now_us=now_us, why=event.outcome.kind)
+
+    def note_draining(self, *, reply: HttpReply, backend: str) -> None:
+        """Heed a backend that says in its reply that it is draining."""
+        if reply.headers.get(STATE_HEADER) != "draining":
+            return
+        now_us = self._ports.clock.now_us()
+        if self._context.registry.observe(
+            name=backend, state=DRAINING, why="sign in a reply", now_us=now_us
+        ):
+            self._on_backend_changed(backend)
+
+
+def failure_of(*, outcome: Any) -> str:
+    """How a failure counts as evidence.
+
+    >>> failure_of(outcome=ConnectError(address="a"))
+    'refused'
+    """
+    if isinstance(outcome, (ConnectError, RequestNotRunError)):
+        return outlier_detection.REFUSED
+    if isinstance(outcome, ReplyTimeoutError):
+        return outlier_detection.SILENT
+    if isinstance(outcome, ConnectionLostError):
+        return outlier_detection.RESET
+    return (
+        outlier_detection.GARBLED
+        if isinstance(outcome, InvalidReplyError)
+        else outlier_detection.FAILED
+    )
--- a/kelpstage/edge/gather/record_order.py
+++ b/kelpstage/edge/gather/record_order.py
@@ -16,23 +16,23 @@
 HEAD = struct.Struct("!qI")
 
 
-def lowest_cut(*, limit: int | None) -> int | None:
+def lowest_limit(*, limit: int | None) -> int | None:
     """How many records a lowest node passes up: Scuba's max(5*limit, 100).
 
-    >>> lowest_cut(limit=5), lowest_cut(limit=50), lowest_cut(limit=None)
+    >>> lowest_limit(limit=5), lowest_limit(limit=50), lowest_limit(limit=None)
     (100, 250, None)
     """
     return None if limit is None else max(5 * limit, 100)
 
 
-def sort_and_cut(*, records: Iterable[Record], cut: int | None) -> list[Record]:
-    """Sort greatest first and keep the first `cut`.
+def sort_and_truncate(*, records: Iterable[Record], limit: int | None) -> list[Record]:
+    """Sort greatest first and keep the first `limit`.
 
-    >>> sort_and_cut(records=[(-1, b"a"), (-3, b"b"), (-3, b"a")], cut=2)
+    >>> sort_and_truncate(records=[(-1, b"a"), (-3, b"b"), (-3, b"a")], limit=2)
     [(-3, b'a'), (-3, b'b')]
     """
     ordered = sorted(records)
-    return ordered if cut is None else ordered[:cut]
+    return ordered if limit is None else ordered[:limit]
 
 
 def merge(*, runs: list[list[Record]], limit: int | None) -> list[Record]:
@@ -82,7 +82,7 @@
 class ValueOrder:
     """Records that carry a value: runs of (value turned negative, bytes)."""
 
-    sort_and_cut = staticmethod(sort_and_cut)
+    sort_and_truncate = staticmethod(sort_and_truncate)
     merge = staticmethod(merge)
     pack = staticmethod(pack_records)
     unpack = staticmethod(unpack_records)
@@ -99,11 +99,13 @@
     """
 
     @staticmethod
-    def sort_and_cut(*, records: list[bytes], cut: int | None) -> list[bytes]:
-        return sorted(records, reverse=True)[:cut]
+    def sort_and_truncate(*, records: list[bytes], limit: int | None) -> list[bytes]:
+        """Sort greatest first and keep the first `limit`."""
+        return sorted(records, reverse=True)[:limit]
 
     @staticmethod
     def merge(*, runs: list[list[bytes]], limit: int | None) -> list[bytes]:
+        """Merge sorted runs, keeping `limit` if there is one."""
         if len(runs) == 1:
             return runs[0][:limit]
         # Sorting finds the runs that are in it and merges them (CPython's list.sort).
@@ -111,10 +113,12 @@
 
     @staticmethod
     def pack(*, records: list[bytes]) -> bytes:
+        """Records as they travel between nodes."""
         return b"".join(records)
 
     @staticmethod
     def unpack(*, data: bytes) -> list[bytes] | None:
+        """The reverse of `pack`, or `None` if the last record is not complete."""
         if len(data) % RAW_SIZE:
             return None
         return [data[at : at + RAW_SIZE] for at in range(0, len(data), RAW_SIZE)]
--- a/kelpstage/edge/gather/request_state.py
+++ b/kelpstage/edge/gather/request_state.py
@@ -1,9 +1,10 @@
-"""The record of a request: what the passes run over."""
+"""The state of a request: what the stages run over."""
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Any
 
 from kelpstage.common.configuration.types import Configuration, Route
@@ -12,9 +13,36 @@
 from kelpstage.edge.gather.record_order import ORDERS, ValueOrder
 from kelpstage.edge.gather.tree import Subtree
 
-ROOT, CHILD, SINGLE = "root", "child", "single"
-NEW, AWAITS, GATHERS, DONE = "new", "awaits", "gathers", "done"
-WAITING, IN, MISSING = "waiting", "in", "missing"
+
+class RequestKind(StrEnum):
+    """Which part this node has in a request; the values stand in public timelines."""
+
+    ROOT = "root"  # gathers for a caller or client
+    CHILD = "child"  # gathers a subtree for the node above
+    SINGLE = "single"  # asks one backend: a single record, or a forwarded request
+
+
+class RequestPhase(StrEnum):
+    """How far a request has come; the values stand in errors' details."""
+
+    NEW = "new"
+    AWAITING = "awaits"  # a newer configuration has to be fetched first
+    GATHERING = "gathers"
+    DONE = "done"
+
+
+class ReplyState(StrEnum):
+    """What came of a shard or a child."""
+
+    WAITING = "waiting"
+    RECEIVED = "in"
+    MISSING = "missing"
+
+
+# Compared by `is`, as module constants: looking a member up on its enum costs a call.
+ROOT, CHILD, SINGLE = RequestKind
+NEW, AWAITING, GATHERING, DONE = RequestPhase
+WAITING, RECEIVED, MISSING = ReplyState
 
 
 @dataclass(kw_only=True)
@@ -29,31 +57,33 @@
 
 
 @dataclass(kw_only=True)
-class Cell:
+class ShardState:
     """A shard that this node asks a backend for itself."""
 
     shard: str
     is_extra: bool = False
     is_forced: bool = False
-    state: str = WAITING
-    wants_round: bool = True
+    state: ReplyState = WAITING
+    wants_attempt: bool = True
     was_hedged: bool = False
-    hedge_us: int = 0  # when a second round that was refused is tried again
-    rounds: list[Attempt] = field(default_factory=list)
+    hedge_us: int = 0  # when a second attempt that was refused is tried again
+    attempts: list[Attempt] = field(default_factory=list)
     cause: str = ""
     detail: str = ""
 
-    def has_open_round(self) -> bool:
-        return any(r.is_open for r in self.rounds)
+    def has_open_attempt(self) -> bool:
+        """Is an attempt still on its way?"""
+        return any(attempt.is_open for attempt in self.attempts)
 
     def miss(self, *, cause: str, detail: str = "") -> None:
         """Give the shard up.
 
-        >>> cell = Cell(shard="s"); cell.miss(cause="window"); cell.state
+        >>> shard_state = ShardState(shard="s")
+        >>> shard_state.miss(cause="window"); str(shard_state.state)
         'missing'
         """
         self.state, self.cause, self.detail = MISSING, cause, detail
-        self.wants_round = False
+        self.wants_attempt = False
 
 
 @dataclass(kw_only=True)
@@ -62,7 +92,7 @@
 
     slot: int
     subtree: Subtree
-    state: str = WAITING
+    state: ReplyState = WAITING
     is_sent: bool = False
     sent_us: int = 0
     soft_us: int = 0
@@ -77,11 +107,11 @@
 
 
 @dataclass(kw_only=True)
-class Gathering:
+class RequestState:
     """One request, at the root, at a child, or for a single record."""
 
     key: int
-    kind: str
+    kind: RequestKind
     collection: str
     arrived_us: int
     due_us: int
@@ -103,24 +133,24 @@
     attempts_left: dict[str, int] = field(default_factory=dict)
     is_far: bool = False  # does what it hands up cross regions?
     aim_us: int = 0  # when an answer is still worth most; 0: no such time
-    handed: frozenset = frozenset()
+    handed: frozenset[str] = frozenset()
     is_partly_settled: bool = False
     is_resumed: bool = False
     shard: str = ""
     record_name: str = ""
 
-    stage: str = NEW
+    phase: RequestPhase = NEW
     generation: int = 0
     configuration: Configuration | None = None
     route: Route | None = None
-    cells: dict[str, Cell] = field(default_factory=dict)
+    shard_states: dict[str, ShardState] = field(default_factory=dict)
     children: list[Child] = field(default_factory=list)
     parts: dict[str, PartMsg] = field(default_factory=dict)
-    runs: dict[str | int, list] = field(default_factory=dict)  # by shard, or child's slot
-    whole: Any = None  # a backend's answer that goes back as it came
+    runs: dict[str | int, list[Any]] = field(default_factory=dict)  # by shard, or child's slot
+    backend_reply: Any = None  # a backend's answer that goes back as it came
     has_run: bool = False  # may a backend have run it?
     missing: dict[str, tuple[str, str]] = field(default_factory=dict)
-    inbox: deque = field(default_factory=deque)
+    inbox: deque[Any] = field(default_factory=deque)
     omit_us: int = 0
     awaits_version: int = 0
     reached_backend: bool = False
@@ -132,7 +162,7 @@
     def begin_again(self) -> None:
         """Forget all that was gathered; replies to it no longer count.
 
-        >>> g = Gathering(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9)
+        >>> g = RequestState(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9)
         >>> g.begin_again(); g.generation
         1
         """
@@ -141,16 +171,16 @@
             self.sent_cut = self.cut_of(shard=min(self.sent_shards))
         self.sent_before |= self.sent_shards
         self.sent_shards = set()
-        self.stage = NEW
+        self.phase = NEW
         self.configuration = self.route = None
-        for cell in self.cells.values():
-            self._spend(cell=cell)
-        self.cells, self.children = {}, []
+        for shard_state in self.shard_states.values():
+            self._spend(shard_state=shard_state)
+        self.shard_states, self.children = {}, []
         self.parts, self.runs, self.missing = {}, {}, {}
-        self.whole = None
+        self.backend_reply = None
         self.inbox.clear()
         self.omit_us = 0
-        if self.kind == ROOT:
+        if self.kind is ROOT:
             self.subtree = None
 
     # --- attempts ---------------------------------------------------------------------
@@ -166,14 +196,14 @@
             return self.attempts
         return min(self.attempts, self.attempts_left.get(shard, self.attempts))
 
-    def has_attempt(self, *, cell: Cell) -> bool:
+    def has_attempt(self, *, shard_state: ShardState) -> bool:
         """May this node send the shard to one more backend?
 
-        >>> g = Gathering(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9, attempts=1)
-        >>> g.has_attempt(cell=Cell(shard="s"))
+        >>> g = RequestState(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9, attempts=1)
+        >>> g.has_attempt(shard_state=ShardState(shard="s"))
         True
         """
-        return len(cell.rounds) < self.left_of(shard=cell.shard)
+        return len(shard_state.attempts) < self.left_of(shard=shard_state.shard)
 
     def hand_over(self, *, child: Child, is_reserved: bool) -> None:
         """Give a helper the attempts for its shards. What becomes of them is unknown from
@@ -195,31 +225,31 @@
     def surely_left(self, *, shard: str) -> int:
         """Of the attempts for a shard that nothing is awaited for any more, those that this
         node never uses: what it tells the node above."""
-        cell = self.cells.get(shard)
-        used = len(cell.rounds) if cell else 0
+        shard_state = self.shard_states.get(shard)
+        used = len(shard_state.attempts) if shard_state else 0
         return max(0, self.left_of(shard=shard) - used)
 
-    def drop_cell(self, *, shard: str) -> None:
+    def drop_shard_state(self, *, shard: str) -> None:
         """Give way to a helper's answer for a shard that this node asked for as well."""
-        cell = self.cells.pop(shard, None)
-        if cell is not None:
-            self._spend(cell=cell)
+        shard_state = self.shard_states.pop(shard, None)
+        if shard_state is not None:
+            self._spend(shard_state=shard_state)
 
-    def _spend(self, *, cell: Cell) -> None:
-        if cell.rounds:
-            left = self.left_of(shard=cell.shard) - len(cell.rounds)
-            self.attempts_left[cell.shard] = max(0, left)
+    def _spend(self, *, shard_state: ShardState) -> None:
+        if shard_state.attempts:
+            left = self.left_of(shard=shard_state.shard) - len(shard_state.attempts)
+            self.attempts_left[shard_state.shard] = max(0, left)
 
     # --- what it has come to ------------------------------------------------------------
 
     def may_have_run(self) -> bool:
         """May a backend have run this request or a part of it, or run it yet?
 
-        >>> g = Gathering(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9)
+        >>> g = RequestState(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9)
         >>> g.may_have_run()
         False
         >>> first = Attempt(number=1, backend="b", sent_us=0, soft_us=1)
-        >>> g.cells["s"] = Cell(shard="s", rounds=[first])
+        >>> g.shard_states["s"] = ShardState(shard="s", attempts=[first])
         >>> g.may_have_run()
         True
         """
@@ -227,7 +257,7 @@
             self.has_run
             or bool(self.parts)
             or bool(self.sent_before)
-            or any(cell.has_open_round() for cell in self.cells.values())
+            or any(shard_state.has_open_attempt() for shard_state in self.shard_states.values())
             or any(child.is_sent and not child.has_sent_nothing for child in self.children)
         )
 
@@ -235,7 +265,7 @@
         """Did this search already send, or have sent, what it would now send again? A
         search that was sent under one cut and begins again under another did.
 
-        >>> g = Gathering(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9)
+        >>> g = RequestState(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9)
         >>> g.sent_shards.add("s1"); g.begin_again()
         >>> g.is_sent_before(shard="s1"), g.is_sent_before(shard="s2")
         (True, False)
@@ -252,15 +282,20 @@
         return ORDERS[self.configuration.collections[self.collection].codec]
 
     def cut_of(self, *, shard: str) -> str:
+        """The cut of a shard's index that the configuration names."""
         if self.configuration is None:
             return self.sent_cut
         return self.configuration.collections[self.collection].shards[shard].cut
 
     def waiting_shards(self) -> set[str]:
         """Shards that may still come in."""
-        out = {cell.shard for cell in self.cells.values() if cell.state == WAITING}
+        out = {
+            shard_state.shard
+            for shard_state in self.shard_states.values()
+            if shard_state.state is WAITING
+        }
         for child in self.children:
-            if child.state == WAITING:
+            if child.state is WAITING:
                 out |= set(child.subtree.all_shards())
         return out - set(self.parts)
 
--- a/kelpstage/edge/gather/stages/__init__.py
+++ b/kelpstage/edge/gather/stages/__init__.py
@@ -0,0 +1,1 @@
+"""The stages that each run of the gathering takes every touched request through."""
--- a/kelpstage/edge/gather/stages/admit.py
+++ b/kelpstage/edge/gather/stages/admit.py
@@ -1,4 +1,4 @@
-"""Pass one: may this request be run here, and under which configuration?"""
+"""Stage one: may this request be run here, and under which configuration?"""
 
 from __future__ import annotations
 
@@ -11,114 +11,124 @@
 from kelpstage.common.errors.serving import DeadlineExceededError, NotReadyError
 from kelpstage.common.transport.messages import Gathered
 from kelpstage.edge.events import Restarted, SearchRestarted
-from kelpstage.edge.gather.context import World
+from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.messages import ChildReply, WantState
 from kelpstage.edge.gather.request_state import (
-    AWAITS,
+    AWAITING,
     CHILD,
     DONE,
-    GATHERS,
+    GATHERING,
     NEW,
     ROOT,
     SINGLE,
-    Gathering,
+    RequestState,
 )
 
 RESTART_US = 200_000
 
 
-def admit(*, record: Gathering, world: World) -> None:
+def admit(*, record: RequestState, context: GatherContext) -> None:
     """Bind a new request to a configuration; begin a search again whose configuration
     has been replaced for a while."""
-    if record.stage == GATHERS:
-        _look_again(record=record, world=world)
-    is_awaiting = record.stage == AWAITS and record.kind == ROOT
-    if is_awaiting and world.lease_holder.configuration.version >= record.awaits_version:
+    if record.phase is GATHERING:
+        _look_again(record=record, context=context)
+    is_awaiting = record.phase is AWAITING and record.kind is ROOT
+    if is_awaiting and context.lease_holder.configuration.version >= record.awaits_version:
         record.begin_again()
-    if record.stage not in (NEW, AWAITS):
+    if record.phase not in (NEW, AWAITING):
         return
-    if world.now_us >= record.due_us:
-        _spent(record=record, world=world)
+    if context.now_us >= record.due_us:
+        _spent(record=record, context=context)
         return
-    if record.stage == AWAITS and record.kind == ROOT:
+    if record.phase is AWAITING and record.kind is ROOT:
         return
-    if record.kind == CHILD:
-        _admit_child(record=record, world=world)
+    if record.kind is CHILD:
+        _admit_child(record=record, context=context)
         return
-    _admit_own(record=record, world=world)
+    _admit_own(record=record, context=context)
 
 
-def end(*, record: Gathering, outcome: object) -> None:
+def settle_record(*, record: RequestState, outcome: object) -> None:
     """Settle a record; later events to it are ignored."""
-    record.stage = DONE
+    record.phase = DONE
     record.outcome = outcome
 
 
-def _spent(*, record: Gathering, world: World) -> None:
-    if record.kind == CHILD:
-        end(record=record, outcome=ChildReply(message=_stale(record=record, world=world)))
+def _spent(*, record: RequestState, context: GatherContext) -> None:
+    if record.kind is CHILD:
+        settle_record(
+            record=record, outcome=ChildReply(message=_stale(record=record, context=context))
+        )
         return
-    end(record=record, outcome=DeadlineExceededError(where=f"while it was {record.stage}"))
+    settle_record(
+        record=record, outcome=DeadlineExceededError(where=f"while it was {record.phase}")
+    )
 
 
-def _stale(*, record: Gathering, world: World) -> Gathered:
+def _stale(*, record: RequestState, context: GatherContext) -> Gathered:
     return Gathered(
         is_stale=True,
-        version=world.lease_holder.configuration.version,
+        version=context.lease_holder.configuration.version,
         has_sent_nothing=not record.sent_shards,
     )
 
 
-def _look_again(*, record: Gathering, world: World) -> None:
+def _look_again(*, record: RequestState, context: GatherContext) -> None:
     """A search ends under a newer configuration if it outlasts the older one."""
-    lease_holder = world.lease_holder
-    if record.version == lease_holder.configuration.version or record.kind == SINGLE:
+    lease_holder = context.lease_holder
+    if record.version == lease_holder.configuration.version or record.kind is SINGLE:
         return
-    if world.now_us - lease_holder.installed_us < RESTART_US:
+    if context.now_us - lease_holder.installed_us < RESTART_US:
         return
-    if record.kind == CHILD:
-        end(record=record, outcome=ChildReply(message=_stale(record=record, world=world)))
+    if record.kind is CHILD:
+        settle_record(
+            record=record, outcome=ChildReply(message=_stale(record=record, context=context))
+        )
         return
-    note_again(record=record, world=world, why="configuration moved on")
+    note_restart(record=record, context=context, why="configuration moved on")
     record.begin_again()
 
 
-def note_again(*, record: Gathering, world: World, why: str) -> None:
+def note_restart(*, record: RequestState, context: GatherContext, why: str) -> None:
     """A search begins again under a newer configuration."""
-    world.journal.add(Restarted(collection=record.collection, was=record.version, why=why))
-    world.trace.add(SearchRestarted(search=record.search, was=record.version, why=why))
+    context.journal.add(Restarted(collection=record.collection, was=record.version, why=why))
+    context.trace.add(SearchRestarted(search=record.search, was=record.version, why=why))
 
 
-def _admit_child(*, record: Gathering, world: World) -> None:
-    lease_holder = world.lease_holder
-    if lease_holder.has_moved_on(version=record.version, now_us=world.now_us):
-        end(record=record, outcome=ChildReply(message=_stale(record=record, world=world)))
+def _admit_child(*, record: RequestState, context: GatherContext) -> None:
+    lease_holder = context.lease_holder
+    if lease_holder.has_moved_on(version=record.version, now_us=context.now_us):
+        settle_record(
+            record=record, outcome=ChildReply(message=_stale(record=record, context=context))
+        )
         return
-    configuration = lease_holder.configuration_for(version=record.version, now_us=world.now_us)
+    configuration = lease_holder.configuration_for(version=record.version, now_us=context.now_us)
     if configuration is None:
-        if record.stage == NEW:
-            record.stage = AWAITS
-            world.emit(WantState(version=record.version, source=record.root))
+        if record.phase is NEW:
+            record.phase = AWAITING
+            context.emit(WantState(version=record.version, source=record.root))
         return
     route = configuration.route(collection=record.collection)
     if route is None:
-        end(record=record, outcome=ChildReply(message=_stale(record=record, world=world)))
+        settle_record(
+            record=record, outcome=ChildReply(message=_stale(record=record, context=context))
+        )
         return
     record.configuration, record.route = configuration, route
-    record.stage = GATHERS
+    record.phase = GATHERING
 
 
-def _bind_forward(*, record: Gathering, world: World) -> bool:
+def _bind_forward(*, record: RequestState, context: GatherContext) -> bool:
     """Find a forwarded request's route in the configuration now in force: it may begin
     again under one that names other shards for it, or none."""
     path = record.request.target.partition("?")[0]
     host = record.request.host
-    route = world.lease_holder.configuration.forward_for(host=host, path=path)
+    route = context.lease_holder.configuration.forward_for(host=host, path=path)
     if route is None:
-        end(record=record, outcome=UnknownRouteError(host=host[:200], path=path[:200]))
+        settle_record(record=record, outcome=UnknownRouteError(host=host[:200], path=path[:200]))
         return False
     if not route.is_repeatable and record.may_have_run():  # it was, when it was begun
-        end(
+        settle_record(
             record=record,
             outcome=BackendConnectionError(backend="", cause="configuration moved on"),
         )
@@ -126,7 +136,7 @@
     record.collection = route.name
     record.kind = ROOT if route.fan_out else SINGLE
     record.limit = route.limit if route.fan_out else None
-    record.shard = "" if route.fan_out else draw(weights=route.weights, lot=world.rand.random())
+    record.shard = "" if route.fan_out else draw(weights=route.weights, lot=context.rand.random())
     record.is_repeatable, record.attempts = route.is_repeatable, route.attempts
     if route.fan_out and not route.is_repeatable:
         record.attempts = 1  # a shard that is lost may have run it
@@ -150,25 +160,25 @@
     return next(service for service, weight in reversed(weights) if weight > 0)
 
 
-def _admit_own(*, record: Gathering, world: World) -> None:
-    lease_holder = world.lease_holder
-    refusal = lease_holder.refusal(now_us=world.now_us)
+def _admit_own(*, record: RequestState, context: GatherContext) -> None:
+    lease_holder = context.lease_holder
+    refusal = lease_holder.refusal(now_us=context.now_us)
     if refusal:
-        end(record=record, outcome=NotReadyError(why=refusal))
+        settle_record(record=record, outcome=NotReadyError(why=refusal))
         return
     configuration = lease_holder.configuration
-    if record.request is not None and not _bind_forward(record=record, world=world):
+    if record.request is not None and not _bind_forward(record=record, context=context):
         return
     route = configuration.route(collection=record.collection)
     if route is None:
-        end(record=record, outcome=UnknownCollectionError(collection=record.collection))
+        settle_record(record=record, outcome=UnknownCollectionError(collection=record.collection))
         return
-    if record.kind == SINGLE and record.shard not in route.fan_out:
-        end(
+    if record.kind is SINGLE and record.shard not in route.fan_out:
+        settle_record(
             record=record,
             outcome=UnknownShardError(collection=record.collection, shard=record.shard),
         )
         return
     record.configuration, record.route = configuration, route
     record.version = configuration.version
-    record.stage = GATHERS
+    record.phase = GATHERING
--- a/kelpstage/edge/gather/stages/merge.py
+++ b/kelpstage/edge/gather/stages/merge.py
@@ -1,4 +1,4 @@
-"""Pass three: replies come into the record, whole or not at all."""
+"""Stage three: replies come into the record, complete or not at all."""
 
 from __future__ import annotations
 
@@ -12,95 +12,97 @@
 from kelpstage.edge.backend.reply import SealedPart
 from kelpstage.edge.events import AttemptEnded, BadPart, ChildEnded
 from kelpstage.edge.forward.sealed_answer import WholeReply
-from kelpstage.edge.gather.context import World
+from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.messages import BackendReplied, ChildReplied, ChildReply, WantState
-from kelpstage.edge.gather.record_order import lowest_cut
+from kelpstage.edge.gather.record_order import lowest_limit
 from kelpstage.edge.gather.request_state import (
-    AWAITS,
+    AWAITING,
     CHILD,
-    GATHERS,
-    IN,
+    GATHERING,
     MISSING,
+    RECEIVED,
     ROOT,
     SINGLE,
     WAITING,
-    Cell,
     Child,
-    Gathering,
+    RequestState,
+    ShardState,
 )
-from kelpstage.edge.gather.stages.admit import end, note_again
+from kelpstage.edge.gather.stages.admit import note_restart, settle_record
 
 
-def merge(*, record: Gathering, world: World) -> None:
+def merge(*, record: RequestState, context: GatherContext) -> None:
     """Take what came since the last run."""
-    while record.inbox and record.stage == GATHERS:
-        said = record.inbox.popleft()
-        if said.generation == record.generation:
-            take(said, record, world)
+    while record.inbox and record.phase is GATHERING:
+        event = record.inbox.popleft()
+        if event.generation == record.generation:
+            take(event, record, context)
     record.inbox.clear()
 
 
 @singledispatch
-def take(said: Any, record: Gathering, world: World) -> None:
-    raise TypeError(type(said))
+def take(event: Any, record: RequestState, context: GatherContext) -> None:
+    """Take one reply into the request's state."""
+    raise TypeError(type(event))
 
 
 @take.register
-def _(said: BackendReplied, record: Gathering, world: World) -> None:
-    world.trace.add(
+def take_backend_reply(event: BackendReplied, record: RequestState, context: GatherContext) -> None:
+    """Take a backend's reply: its part, or how the attempt failed."""
+    context.trace.add(
         AttemptEnded(
             search=record.search,
-            shard=said.shard,
-            number=said.number,
-            backend=said.backend,
-            outcome=_name_of(outcome=said.outcome),
+            shard=event.shard,
+            number=event.number,
+            backend=event.backend,
+            outcome=_name_of(outcome=event.outcome),
         )
     )
-    cell = record.cells.get(said.shard)
-    if cell is None:
+    shard_state = record.shard_states.get(event.shard)
+    if shard_state is None:
         return
-    for one in cell.rounds:
-        if one.number == said.number:
-            one.is_open = False
-    if cell.state != WAITING or said.shard in record.parts:
+    for attempt in shard_state.attempts:
+        if attempt.number == event.number:
+            attempt.is_open = False
+    if shard_state.state is not WAITING or event.shard in record.parts:
         return
-    outcome = said.outcome
+    outcome = event.outcome
     if isinstance(outcome, SealedPart):
-        cell.state = IN
-        cell.wants_round = False
-        record.parts[said.shard] = PartMsg(
+        shard_state.state = RECEIVED
+        shard_state.wants_attempt = False
+        record.parts[event.shard] = PartMsg(
             shard=outcome.shard,
-            backend=said.backend,
+            backend=event.backend,
             stamp=outcome.stamp,
             count=outcome.count,
             cut=outcome.cut,
         )
-        record.runs[said.shard] = record.order.sort_and_cut(
-            records=outcome.records, cut=lowest_cut(limit=record.limit)
+        record.runs[event.shard] = record.order.sort_and_truncate(
+            records=outcome.records, limit=lowest_limit(limit=record.limit)
         )
         return
     if isinstance(outcome, WholeReply):
-        _take_whole(reply=outcome, cell=cell, record=record)
+        _take_whole_reply(reply=outcome, shard_state=shard_state, record=record)
         return
-    _backend_failed(said=said, cell=cell, record=record, world=world)
+    _backend_failed(event=event, shard_state=shard_state, record=record, context=context)
 
 
-def _take_whole(*, reply: WholeReply, cell: Cell, record: Gathering) -> None:
+def _take_whole_reply(*, reply: WholeReply, shard_state: ShardState, record: RequestState) -> None:
     """An answer that goes back as it came. A failure of the backend's own is tried again
     elsewhere where that is allowed, and goes back if nothing better comes."""
     record.has_run = True
-    record.whole = reply
+    record.backend_reply = reply
     if reply.is_success or reply.status < 500 or not record.is_repeatable:
-        cell.state = IN
-        cell.wants_round = False
+        shard_state.state = RECEIVED
+        shard_state.wants_attempt = False
         return
-    if cell.has_open_round():
+    if shard_state.has_open_attempt():
         return
-    cell.cause, cell.detail = "backend_failed", str(reply.status)
-    if not record.has_attempt(cell=cell):
-        cell.miss(cause=cell.cause, detail=cell.detail)
+    shard_state.cause, shard_state.detail = "backend_failed", str(reply.status)
+    if not record.has_attempt(shard_state=shard_state):
+        shard_state.miss(cause=shard_state.cause, detail=shard_state.detail)
         return
-    cell.wants_round = True
+    shard_state.wants_attempt = True
 
 
 def surely_not_run(*, outcome: Any) -> bool:
@@ -122,7 +124,9 @@
     return outcome.kind if isinstance(outcome, KelpstageError) else "in"
 
 
-def _note_child(*, child: Child, outcome: Any, record: Gathering, world: World) -> None:
+def _note_child(
+    *, child: Child, outcome: Any, record: RequestState, context: GatherContext
+) -> None:
     parts: tuple = ()
     missing: tuple = ()
     name = _name_of(outcome=outcome)
@@ -130,7 +134,7 @@
         name = "stale" if outcome.is_stale else "partly in" if outcome.is_open else "in"
         parts = tuple(part.shard for part in outcome.parts)
         missing = tuple((m.shard, m.cause, m.detail) for m in outcome.missing)
-    world.trace.add(
+    context.trace.add(
         ChildEnded(
             search=record.search,
             node=child.subtree.node,
@@ -141,52 +145,59 @@
     )
 
 
-def _backend_failed(*, said: BackendReplied, cell: Cell, record: Gathering, world: World) -> None:
-    outcome: KelpstageError = said.outcome
+def _backend_failed(
+    *, event: BackendReplied, shard_state: ShardState, record: RequestState, context: GatherContext
+) -> None:
+    outcome: KelpstageError = event.outcome
     detail = outcome.kind
     if isinstance(outcome, InvalidReplyError):
         detail = f"{outcome.part}: {outcome.why}"
-        world.journal.add(
-            BadPart(backend=said.backend, shard=said.shard, part=outcome.part, why=outcome.why)
+        context.journal.add(
+            BadPart(backend=event.backend, shard=event.shard, part=outcome.part, why=outcome.why)
         )
     if not surely_not_run(outcome=outcome):
         record.reached_backend = record.has_run = True
-    if cell.has_open_round():
+    if shard_state.has_open_attempt():
         return
     cause = "window" if isinstance(outcome, ReplyTimeoutError) else outcome.kind
     is_once = record.request is None or not record.is_repeatable
-    is_over = record.kind == SINGLE and record.reached_backend and is_once
-    if is_over or isinstance(outcome, ReplyTimeoutError) or not record.has_attempt(cell=cell):
-        cell.miss(cause=cause, detail=detail)
+    is_over = record.kind is SINGLE and record.reached_backend and is_once
+    if (
+        is_over
+        or isinstance(outcome, ReplyTimeoutError)
+        or not record.has_attempt(shard_state=shard_state)
+    ):
+        shard_state.miss(cause=cause, detail=detail)
         return
-    cell.cause, cell.detail = outcome.kind, detail
-    cell.wants_round = True
+    shard_state.cause, shard_state.detail = outcome.kind, detail
+    shard_state.wants_attempt = True
 
 
 @take.register
-def _(said: ChildReplied, record: Gathering, world: World) -> None:
-    child = record.children[said.slot]
-    outcome = said.outcome
-    _note_child(child=child, outcome=outcome, record=record, world=world)
-    if child.state != WAITING:
+def take_child_reply(event: ChildReplied, record: RequestState, context: GatherContext) -> None:
+    """Take a child's reply: its parts, or that it is lost."""
+    child = record.children[event.slot]
+    outcome = event.outcome
+    _note_child(child=child, outcome=outcome, record=record, context=context)
+    if child.state is not WAITING:
         return
     if isinstance(outcome, Gathered) and outcome.is_stale:
-        _child_is_elsewhere(reply=outcome, child=child, record=record, world=world)
+        _child_is_elsewhere(reply=outcome, child=child, record=record, context=context)
         return
     records = record.order.unpack(data=outcome.records) if isinstance(outcome, Gathered) else None
     if records is None or not _is_proper(reply=outcome, child=child, record=record):
         why = outcome.kind if isinstance(outcome, KelpstageError) else "improper reply"
         is_sent = not surely_not_run(outcome=outcome)
-        _child_lost(child=child, why=why, record=record, world=world, is_sent=is_sent)
+        _child_lost(child=child, why=why, record=record, context=context, is_sent=is_sent)
         return
-    child.state = IN
+    child.state = RECEIVED
     child.is_open = outcome.is_open
     for part in outcome.parts:
         # What was gathered again meanwhile gives way: the child's records of all its
         # parts are merged and can only be taken whole.
         record.runs.pop(part.shard, None)
         record.take_back(child=child, shard=part.shard, count=part.attempts_left)
-        record.drop_cell(shard=part.shard)
+        record.drop_shard_state(shard=part.shard)
         record.missing.pop(part.shard, None)
         record.parts[part.shard] = part
     for missing in outcome.missing:
@@ -197,7 +208,7 @@
     record.runs[child.slot] = records
 
 
-def _is_proper(*, reply: Gathered, child: Child, record: Gathering) -> bool:
+def _is_proper(*, reply: Gathered, child: Child, record: RequestState) -> bool:
     """Does the reply name each of the child's shards once, under our version and cut? The
     second one of a child may name more than what it was resumed for: all it has left."""
     if reply.version != record.version:
@@ -214,28 +225,30 @@
     return all(part.cut == shards[part.shard].cut for part in reply.parts)
 
 
-def _child_is_elsewhere(*, reply: Gathered, child: Child, record: Gathering, world: World) -> None:
+def _child_is_elsewhere(
+    *, reply: Gathered, child: Child, record: RequestState, context: GatherContext
+) -> None:
     """The child runs under another configuration: the whole query goes under the newer."""
     if reply.has_sent_nothing:
         _note_sent_nothing(child=child, record=record)
-        record.sent_shards -= set(child.subtree.all_shards()) - set(record.cells)
+        record.sent_shards -= set(child.subtree.all_shards()) - set(record.shard_states)
     if reply.version <= record.version:
-        _child_lost(child=child, why="behind", record=record, world=world)
+        _child_lost(child=child, why="behind", record=record, context=context)
         return
-    if record.kind == CHILD:
+    if record.kind is CHILD:
         stale = Gathered(is_stale=True, version=reply.version)
-        end(record=record, outcome=ChildReply(message=stale))
+        settle_record(record=record, outcome=ChildReply(message=stale))
         return
-    note_again(record=record, world=world, why="a peer moved on")
-    if world.lease_holder.configuration.version >= reply.version:
+    note_restart(record=record, context=context, why="a peer moved on")
+    if context.lease_holder.configuration.version >= reply.version:
         record.begin_again()
         return
-    record.stage = AWAITS
+    record.phase = AWAITING
     record.awaits_version = reply.version
-    world.emit(WantState(version=reply.version, source=child.subtree.node))
+    context.emit(WantState(version=reply.version, source=child.subtree.node))
 
 
-def _note_sent_nothing(*, child: Child, record: Gathering) -> None:
+def _note_sent_nothing(*, child: Child, record: RequestState) -> None:
     """A helper that was not reached, or says so itself, has used no attempt."""
     if child.has_sent_nothing or child.is_resumed:
         return
@@ -245,14 +258,14 @@
 
 
 def _child_lost(
-    *, child: Child, why: str, record: Gathering, world: World, is_sent: bool = True
+    *, child: Child, why: str, record: RequestState, context: GatherContext, is_sent: bool = True
 ) -> None:
     """The root gathers a lost child's shards again; a child passes the loss up."""
     child.state = MISSING
-    world.note_late(name=child.subtree.node)
+    context.note_late(name=child.subtree.node)
     if not is_sent:
         _note_sent_nothing(child=child, record=record)
-    if record.kind == ROOT:
+    if record.kind is ROOT:
         regather(child=child, record=record, cause="partner_lost", why=why, is_extra=is_sent)
         return
     for shard in child.subtree.all_shards():
@@ -260,21 +273,21 @@
 
 
 def regather(
-    *, child: Child, record: Gathering, cause: str, why: str, is_extra: bool = True
+    *, child: Child, record: RequestState, cause: str, why: str, is_extra: bool = True
 ) -> None:
-    """Ask for a child's shards from here, each as an extra round; as a first one if the
+    """Ask for a child's shards from here, each as an extra attempt; as a first one if the
     child was never reached, and so sent nothing."""
     if child.is_regathered:
         return
     child.is_regathered = True
     for shard in child.subtree.all_shards():
-        if shard in record.parts or shard in record.cells:
+        if shard in record.parts or shard in record.shard_states:
             continue
         if record.left_of(shard=shard) <= 0:  # it may have been sent as often as it may be
-            if child.state == MISSING:
+            if child.state is MISSING:
                 record.missing[shard] = (cause, why)
             continue
-        record.cells[shard] = Cell(
+        record.shard_states[shard] = ShardState(
             shard=shard,
             is_extra=is_extra or record.is_sent_before(shard=shard),
             cause=cause,
--- a/kelpstage/edge/gather/stages/plan.py
+++ b/kelpstage/edge/gather/stages/plan.py
@@ -1,33 +1,40 @@
-"""Pass two: the tree, and the cells and children that this node has in it."""
+"""Stage two: the tree, and the shards and children that this node has in it."""
 
 from __future__ import annotations
 
 from kelpstage.edge.backend.selection import options
 from kelpstage.edge.events import Planned
-from kelpstage.edge.gather.context import World
-from kelpstage.edge.gather.request_state import GATHERS, ROOT, SINGLE, Cell, Child, Gathering
+from kelpstage.edge.gather.context import GatherContext
+from kelpstage.edge.gather.request_state import (
+    GATHERING,
+    ROOT,
+    SINGLE,
+    Child,
+    RequestState,
+    ShardState,
+)
 from kelpstage.edge.gather.tree import Subtree, grow, grow_by_zone
 
 
-def plan(*, record: Gathering, world: World) -> None:
+def plan(*, record: RequestState, context: GatherContext) -> None:
     """Plan a request that has no plan yet."""
-    if record.stage != GATHERS or record.cells or record.children:
+    if record.phase is not GATHERING or record.shard_states or record.children:
         return
-    if record.kind == SINGLE:
-        world.trace.add(Planned(search=record.search, version=record.version, subtree=None))
-        record.cells = {record.shard: Cell(shard=record.shard)}
+    if record.kind is SINGLE:
+        context.trace.add(Planned(search=record.search, version=record.version, subtree=None))
+        record.shard_states = {record.shard: ShardState(shard=record.shard)}
         record.omit_us = record.due_us
         return
-    if record.kind == ROOT:
-        record.subtree = root_subtree(record=record, world=world)
+    if record.kind is ROOT:
+        record.subtree = root_subtree(record=record, context=context)
         record.addresses = {
-            name: world.swim.members[name].info.address
-            for name in record.subtree.nodes() - {world.me}
+            name: context.swim.members[name].info.address
+            for name in record.subtree.nodes() - {context.me}
         }
     subtree = record.subtree
-    world.trace.add(Planned(search=record.search, version=record.version, subtree=subtree))
-    record.cells = {
-        shard: Cell(shard=shard, is_extra=is_again, is_forced=is_again)
+    context.trace.add(Planned(search=record.search, version=record.version, subtree=subtree))
+    record.shard_states = {
+        shard: ShardState(shard=shard, is_extra=is_again, is_forced=is_again)
         for shard, is_again in (
             (shard, record.is_sent_before(shard=shard)) for shard in subtree.shards
         )
@@ -37,19 +44,19 @@
     ]
 
 
-def root_subtree(*, record: Gathering, world: World) -> Subtree:
+def root_subtree(*, record: RequestState, context: GatherContext) -> Subtree:
     """The whole tree of a query, with this node as its root."""
     if record.request is not None:
-        return forward_subtree(record=record, world=world)
+        return forward_subtree(record=record, context=context)
     return grow(
-        root=world.me,
+        root=context.me,
         shards=record.route.fan_out,
-        helpers=world.helpers(collection=record.collection, rand=world.rand),
+        helpers=context.helpers(collection=record.collection, rand=context.rand),
         fan_out=record.route.tree_fan_out,
     )
 
 
-def forward_subtree(*, record: Gathering, world: World) -> Subtree:
+def forward_subtree(*, record: RequestState, context: GatherContext) -> Subtree:
     """The tree of a forwarded search: levels inside the zones of the backends. Each shard
     goes to the nearest zone that has a backend for it which may be asked; among zones as
     far as each other one is taken by lot for the whole search, so that as much as can be
@@ -57,30 +64,30 @@
     shards = record.route.fan_out
     if record.attempts_left and any(record.left_of(shard=s) < record.attempts for s in shards):
         # Begun again: what is left of the attempts differs by shard, so no helper has any.
-        return Subtree(node=world.me, shards=shards)
-    helpers = world.helpers_by_zone(collection=record.collection)
-    order = world.zones_by_distance()
+        return Subtree(node=context.me, shards=shards)
+    helpers = context.helpers_by_zone(collection=record.collection)
+    order = context.zones_by_distance()
     groups: dict[str, list[str]] = {}
     for shard in record.route.fan_out:
         zones = {
-            world.registry.entry(name=option.backend).zone
+            context.registry.entry(name=option.backend).zone
             for option in options(
                 configuration=record.configuration,
-                registry=world.registry,
-                latencies=world.latencies,
+                registry=context.registry,
+                latencies=context.latencies,
                 collection=record.collection,
                 shard=shard,
-                zone=world.zone,
-                now_us=world.now_us,
+                zone=context.zone,
+                now_us=context.now_us,
                 rand=None,
             )
             if not option.refusal and not option.is_distrusted
         }
-        zone = next((name for name in order if name in zones), world.zone)
+        zone = next((name for name in order if name in zones), context.zone)
         groups.setdefault(zone, []).append(shard)
     return grow_by_zone(
-        root=world.me,
-        zone=world.zone,
+        root=context.me,
+        zone=context.zone,
         groups=[(zone, tuple(shards)) for zone, shards in groups.items()],
         helpers=helpers,
         fan_out=record.route.tree_fan_out,
--- a/kelpstage/edge/gather/stages/settle.py
+++ b/kelpstage/edge/gather/stages/settle.py
@@ -1,4 +1,4 @@
-"""Pass five: is the request at its end, and how?"""
+"""Stage five: is the request at its end, and how?"""
 
 from __future__ import annotations
 
@@ -14,57 +14,64 @@
 )
 from kelpstage.common.transport.messages import Gathered, MissingMsg, PartMsg
 from kelpstage.edge.events import SearchEnded
-from kelpstage.edge.gather.context import World
-from kelpstage.edge.gather.messages import ChildReply, PartlySettled, Verdict
-from kelpstage.edge.gather.record_order import lowest_cut
-from kelpstage.edge.gather.request_state import CHILD, GATHERS, IN, SINGLE, WAITING, Gathering
-from kelpstage.edge.gather.stages.admit import end
+from kelpstage.edge.gather.context import GatherContext
+from kelpstage.edge.gather.messages import ChildReply, GatherResult, PartlySettled
+from kelpstage.edge.gather.record_order import lowest_limit
+from kelpstage.edge.gather.request_state import (
+    CHILD,
+    GATHERING,
+    RECEIVED,
+    SINGLE,
+    WAITING,
+    RequestState,
+)
+from kelpstage.edge.gather.stages.admit import settle_record
 
 FLAG_AT = 0.995
 
 
-def settle(*, record: Gathering, world: World) -> None:
+def settle(*, record: RequestState, context: GatherContext) -> None:
     """Give the outcome as soon as it is certain, and never later than due."""
-    if record.stage != GATHERS:
+    if record.phase is not GATHERING:
         return
-    if record.kind == SINGLE:
-        _settle_single(record=record, world=world)
-    elif record.kind == CHILD:
-        _settle_child(record=record, world=world)
+    if record.kind is SINGLE:
+        _settle_single(record=record, context=context)
+    elif record.kind is CHILD:
+        _settle_child(record=record, context=context)
     else:
-        _settle_root(record=record, world=world)
+        _settle_root(record=record, context=context)
 
 
 # --- children ------------------------------------------------------------------------
 
 
-def _settle_child(*, record: Gathering, world: World) -> None:
-    is_whole = record.is_settled() or world.now_us >= record.due_us
+def _settle_child(*, record: RequestState, context: GatherContext) -> None:
+    is_complete = record.is_settled() or context.now_us >= record.due_us
     if record.is_partly_settled:
-        if is_whole and (record.is_resumed or world.now_us >= record.due_us):
-            end(record=record, outcome=ChildReply(message=_child_reply(record=record)))
+        if is_complete and (record.is_resumed or context.now_us >= record.due_us):
+            settle_record(record=record, outcome=ChildReply(message=_child_reply(record=record)))
         return
-    if is_whole:
-        end(record=record, outcome=ChildReply(message=_child_reply(record=record)))
+    if is_complete:
+        settle_record(record=record, outcome=ChildReply(message=_child_reply(record=record)))
         return
-    if world.now_us < record.omit_us:
+    if context.now_us < record.omit_us:
         return
     reply = _child_reply(record=record)
     reply.is_open = True
     record.is_partly_settled = True
     record.handed = frozenset(record.parts)
     record.runs = {}
-    world.emit(PartlySettled(record=record, outcome=ChildReply(message=reply)))
+    context.emit(PartlySettled(record=record, outcome=ChildReply(message=reply)))
 
 
-def _child_reply(*, record: Gathering) -> Gathered:
+def _child_reply(*, record: RequestState) -> Gathered:
     """What a child has and has not handed up yet."""
     missing = missing_of(record=record)
     waiting = record.waiting_shards()
-    # Each run was cut where it came in; what is handed up is cut again, and across regions
+    # Each run was truncated where it came in; what is handed up is so again, and across regions
     # at the limit itself: nothing beyond it can be in the answer, and bytes are dear there.
-    cut = record.limit if record.is_far else lowest_cut(limit=record.limit)
-    runs = record.order.merge(runs=list(record.runs.values()), limit=cut)
+    limit = record.limit if record.is_far else lowest_limit(limit=record.limit)
+    runs = record.order.merge(runs=list(record.runs.values()), limit=limit)
     return Gathered(
         version=record.version,
         parts=[
@@ -85,23 +92,25 @@
     )
 
 
-def _part_for_above(*, record: Gathering, shard: str) -> PartMsg:
+def _part_for_above(*, record: RequestState, shard: str) -> PartMsg:
     part = record.parts[shard]
     part.attempts_left = record.surely_left(shard=shard)
     return part
 
 
-def missing_of(*, record: Gathering, still_waiting: str = "window") -> list[tuple[str, str, str]]:
-    """Every shard of the branch that is not in, with its cause."""
+def missing_of(
+    *, record: RequestState, still_waiting: str = "window"
+) -> list[tuple[str, str, str]]:
+    """Every shard of the subtree that is not in, with its cause."""
     out = []
     for shard in sorted(record.subtree.all_shards()):
         if shard in record.parts:
             continue
-        cell = record.cells.get(shard)
-        if cell is not None and cell.state != WAITING:
-            out.append((shard, cell.cause or still_waiting, cell.detail))
-        elif cell is not None and cell.cause:
-            out.append((shard, cell.cause, cell.detail))
+        shard_state = record.shard_states.get(shard)
+        if shard_state is not None and shard_state.state is not WAITING:
+            out.append((shard, shard_state.cause or still_waiting, shard_state.detail))
+        elif shard_state is not None and shard_state.cause:
+            out.append((shard, shard_state.cause, shard_state.detail))
         else:
             cause, detail = record.missing.get(shard, (still_waiting, ""))
             out.append((shard, cause, detail))
@@ -111,25 +120,25 @@
 # --- the root --------------------------------------------------------------------------
 
 
-def _settle_root(*, record: Gathering, world: World) -> None:
+def _settle_root(*, record: RequestState, context: GatherContext) -> None:
     quorum = record.route.quorum
     shards_in = len(record.parts)
     waiting = record.waiting_shards()
     if shards_in + len(waiting) < quorum:
-        _fail(record=record, world=world)
+        _fail(record=record, context=context)
         return
-    is_past = world.now_us >= record.omit_us and shards_in >= quorum
-    if waiting and not is_past and world.now_us < record.due_us:
+    is_past = context.now_us >= record.omit_us and shards_in >= quorum
+    if waiting and not is_past and context.now_us < record.due_us:
         return
     if shards_in < quorum:
-        _fail(record=record, world=world)
+        _fail(record=record, context=context)
         return
-    _succeed(record=record, world=world)
+    _succeed(record=record, context=context)
 
 
-def _fail(*, record: Gathering, world: World) -> None:
-    _note(record=record, world=world, outcome="quorum_not_met")
-    end(
+def _fail(*, record: RequestState, context: GatherContext) -> None:
+    _note(record=record, context=context, outcome="quorum_not_met")
+    settle_record(
         record=record,
         outcome=QuorumNotMetError(
             collection=record.collection,
@@ -138,56 +147,56 @@
             quorum=record.route.quorum,
             missing=_missing_json(
                 record=record,
-                still_waiting="window" if world.now_us >= record.due_us else "given_up",
+                still_waiting="window" if context.now_us >= record.due_us else "given_up",
             ),
         ),
     )
 
 
-def _missing_json(*, record: Gathering, still_waiting: str = "window") -> list[dict]:
+def _missing_json(*, record: RequestState, still_waiting: str = "window") -> list[dict]:
     return [
         {"shard": shard, "cause": cause, "detail": detail}
         for shard, cause, detail in missing_of(record=record, still_waiting=still_waiting)
     ]
 
 
-def _note(*, record: Gathering, world: World, outcome: str) -> None:
-    world.journal.add(
+def _note(*, record: RequestState, context: GatherContext, outcome: str) -> None:
+    context.journal.add(
         SearchEnded(
             collection=record.collection,
             version=record.version,
             outcome=outcome,
             shards_in=len(record.parts),
             shards=len(record.route.fan_out),
-            took_us=world.now_us - record.arrived_us,
+            took_us=context.now_us - record.arrived_us,
         )
     )
 
 
-def _may_still_serve(*, record: Gathering, world: World) -> bool:
+def _may_still_serve(*, record: RequestState, context: GatherContext) -> bool:
     """A process that slept past its lease must not speak as if it had it."""
-    refusal = world.lease_holder.refusal(now_us=world.now_us)
+    refusal = context.lease_holder.refusal(now_us=context.now_us)
     if refusal:
-        end(record=record, outcome=NotReadyError(why=refusal))
+        settle_record(record=record, outcome=NotReadyError(why=refusal))
         return False
     return True
 
 
-def _succeed(*, record: Gathering, world: World) -> None:
-    if not _may_still_serve(record=record, world=world):
+def _succeed(*, record: RequestState, context: GatherContext) -> None:
+    if not _may_still_serve(record=record, context=context):
         return
     records = record.order.merge(runs=list(record.runs.values()), limit=record.limit)
     coverage = len(record.parts) / len(record.route.fan_out)
-    _note(record=record, world=world, outcome="complete" if coverage == 1 else "partial")
+    _note(record=record, context=context, outcome="complete" if coverage == 1 else "partial")
     seals: tuple[str, ...] = ()
     if record.request is not None:
         body = record.order.pack(records=records)
         seals = tuple(record.parts[s].stamp for s in record.route.fan_out if s in record.parts)
     else:
-        body = verdict_body(record=record, coverage=coverage, records=[data for _, data in records])
-    end(
+        body = result_body(record=record, coverage=coverage, records=[data for _, data in records])
+    settle_record(
         record=record,
-        outcome=Verdict(
+        outcome=GatherResult(
             version=record.version,
             coverage=coverage,
             shards=len(record.parts),
@@ -198,8 +207,8 @@
     )
 
 
-def verdict_body(*, record: Gathering, coverage: float, records: list[bytes]) -> bytes:
-    """The verdict's JSON; records stand in it byte for byte as they came."""
+def result_body(*, record: RequestState, coverage: float, records: list[bytes]) -> bytes:
+    """The result's JSON; records stand in it byte for byte as they came."""
     head = {
         "search": record.search,
         "collection": record.collection,
@@ -236,58 +245,70 @@
 # --- single records ------------------------------------------------------------------------
 
 
-def _settle_single(*, record: Gathering, world: World) -> None:
-    cell = record.cells[record.shard]
-    if cell.state == WAITING:
-        if world.now_us >= record.due_us:
-            end(record=record, outcome=DeadlineExceededError(where="at the backend"))
+def _settle_single(*, record: RequestState, context: GatherContext) -> None:
+    shard_state = record.shard_states[record.shard]
+    if shard_state.state is WAITING:
+        if context.now_us >= record.due_us:
+            settle_record(record=record, outcome=DeadlineExceededError(where="at the backend"))
         return
-    if cell.state == IN or cell.state != WAITING and record.whole is not None:
-        _give_single(record=record, world=world)
+    if (
+        shard_state.state is RECEIVED
+        or shard_state.state is not WAITING
+        and record.backend_reply is not None
+    ):
+        _give_single(record=record, context=context)
         return
-    if not cell.rounds:
-        end(record=record, outcome=NoBackendError(shard=cell.shard, why=cell.detail))
+    if not shard_state.attempts:
+        settle_record(
+            record=record, outcome=NoBackendError(shard=shard_state.shard, why=shard_state.detail)
+        )
         return
-    backend = cell.rounds[-1].backend
-    if cell.cause == "bad_reply":
-        part, _, why = cell.detail.partition(": ")
-        end(record=record, outcome=InvalidReplyError(backend=backend, part=part, why=why))
+    backend = shard_state.attempts[-1].backend
+    if shard_state.cause == "bad_reply":
+        part, _, why = shard_state.detail.partition(": ")
+        settle_record(record=record, outcome=InvalidReplyError(backend=backend, part=part, why=why))
         return
-    if cell.cause == "window":
-        end(record=record, outcome=DeadlineExceededError(where="at the backend"))
+    if shard_state.cause == "window":
+        settle_record(record=record, outcome=DeadlineExceededError(where="at the backend"))
         return
-    end(
+    settle_record(
         record=record,
-        outcome=BackendConnectionError(backend=backend, cause=cell.detail or cell.cause),
+        outcome=BackendConnectionError(
+            backend=backend, cause=shard_state.detail or shard_state.cause
+        ),
     )
 
 
-def _give_single(*, record: Gathering, world: World) -> None:
-    if not _may_still_serve(record=record, world=world):
+def _give_single(*, record: RequestState, context: GatherContext) -> None:
+    if not _may_still_serve(record=record, context=context):
         return
-    if record.whole is not None:
-        end(
+    if record.backend_reply is not None:
+        settle_record(
             record=record,
-            outcome=Verdict(
-                version=record.version, coverage=1.0, shards=1, body=b"", whole=record.whole
+            outcome=GatherResult(
+                version=record.version,
+                coverage=1.0,
+                shards=1,
+                body=b"",
+                backend_reply=record.backend_reply,
             ),
         )
         return
     records = [data for run in record.runs.values() for _, data in run]
     if not records:
-        end(
+        settle_record(
             record=record,
             outcome=RecordNotFoundError(
                 collection=record.collection, shard=record.shard, record=record.record_name
             ),
         )
         return
-    end(
+    settle_record(
         record=record,
-        outcome=Verdict(
+        outcome=GatherResult(
             version=record.version,
             coverage=1.0,
             shards=1,
-            body=verdict_body(record=record, coverage=1.0, records=records),
+            body=result_body(record=record, coverage=1.0, records=records),
         ),
     )
--- a/kelpstage/edge/gather/table.py
+++ b/kelpstage/edge/gather/table.py
@@ -1,26 +1,26 @@
-"""The table of requests, and the run of all passes over those that were touched."""
+"""The table of requests, and the run of all stages over those that were touched."""
 
 from __future__ import annotations
 
 from sortedcontainers import SortedSet
 
-from kelpstage.edge.gather.context import World
+from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.messages import Settled
-from kelpstage.edge.gather.request_state import DONE, GATHERS, NEW, SINGLE, WAITING, Gathering
+from kelpstage.edge.gather.request_state import DONE, GATHERING, NEW, SINGLE, WAITING, RequestState
 from kelpstage.edge.gather.stages.admit import RESTART_US, admit
 from kelpstage.edge.gather.stages.merge import merge
 from kelpstage.edge.gather.stages.plan import plan
 from kelpstage.edge.gather.stages.send import LOOK_AGAIN_US, send
 from kelpstage.edge.gather.stages.settle import settle
 
-PASSES = (admit, plan, merge, send, settle)
+STAGES = (admit, plan, merge, send, settle)
 
 
 class Table:
     """Requests in work, with the times at which each wants to be looked at."""
 
     def __init__(self) -> None:
-        self.records: dict[int, Gathering] = {}
+        self.records: dict[int, RequestState] = {}
         self._touched: dict[int, None] = {}
         self._wakes: SortedSet = SortedSet()
         self._wake_of: dict[int, int] = {}
@@ -28,15 +28,18 @@
     def __len__(self) -> int:
         return len(self.records)
 
-    def put(self, *, record: Gathering) -> None:
+    def put(self, *, record: RequestState) -> None:
+        """Take in a new request."""
         self.records[record.key] = record
         self.touch(key=record.key)
 
     def touch(self, *, key: int) -> None:
+        """Have a request looked at in the next run."""
         if key in self.records:
             self._touched[key] = None
 
     def touch_all(self) -> None:
+        """Have every request looked at in the next run."""
         for key in self.records:
             self._touched[key] = None
 
@@ -48,32 +51,33 @@
             self.touch(key=key)
 
     def next_wake_us(self) -> int | None:
+        """When the next request wants to be looked at, if any does."""
         return self._wakes[0][0] if self._wakes else None
 
-    def run(self, *, world: World) -> None:
-        """Run the passes over what was touched; settled records leave the table."""
+    def run(self, *, context: GatherContext) -> None:
+        """Run the stages over what was touched; settled records leave the table."""
         while self._touched:
             keys, self._touched = list(self._touched), {}
-            for pass_ in PASSES:
+            for stage in STAGES:
                 for key in keys:
                     record = self.records.get(key)
                     if record is not None:
-                        pass_(record=record, world=world)
+                        stage(record=record, context=context)
             for key in keys:
-                self._finish(key=key, world=world)
+                self._finish(key=key, context=context)
 
-    def _finish(self, *, key: int, world: World) -> None:
+    def _finish(self, *, key: int, context: GatherContext) -> None:
         record = self.records.get(key)
         if record is None:
             return
-        if record.stage == DONE:
+        if record.phase is DONE:
             del self.records[key]
             self._set_wake(key=key, at_us=None)
-            world.emit(Settled(record=record))
+            context.emit(Settled(record=record))
             return
-        if record.stage == NEW:
+        if record.phase is NEW:
             self.touch(key=key)  # it began again within this run
-        self._set_wake(key=key, at_us=next_look_us(record=record, world=world))
+        self._set_wake(key=key, at_us=next_look_us(record=record, context=context))
 
     def _set_wake(self, *, key: int, at_us: int | None) -> None:
         old = self._wake_of.pop(key, None)
@@ -84,24 +88,26 @@
             self._wakes.add((at_us, key))
 
 
-def next_look_us(*, record: Gathering, world: World) -> int:
+def next_look_us(*, record: RequestState, context: GatherContext) -> int:
     """When a record is to be looked at again if nothing else happens before."""
-    now_us = world.now_us
+    now_us = context.now_us
     times = [record.due_us]
-    if record.stage != GATHERS:
+    if record.phase is not GATHERING:
         return record.due_us
     if record.omit_us > now_us:
         times.append(record.omit_us)
-    if record.kind != SINGLE:
-        if record.version != world.lease_holder.configuration.version:
-            times.append(max(now_us + 1_000, world.lease_holder.installed_us + RESTART_US))
-        for cell in record.cells.values():
-            if not cell.was_hedged:
-                times += [one.soft_us for one in cell.rounds if one.soft_us > now_us]
-                if cell.hedge_us > now_us:
-                    times.append(cell.hedge_us)
+    if record.kind is not SINGLE:
+        if record.version != context.lease_holder.configuration.version:
+            times.append(max(now_us + 1_000, context.lease_holder.installed_us + RESTART_US))
+        for shard_state in record.shard_states.values():
+            if not shard_state.was_hedged:
+                times += [
+                    attempt.soft_us for attempt in shard_state.attempts if attempt.soft_us > now_us
+                ]
+                if shard_state.hedge_us > now_us:
+                    times.append(shard_state.hedge_us)
         if any(
-            child.was_late and child.state == WAITING and not child.is_regathered
+            child.was_late and child.state is WAITING and not child.is_regathered
             for child in record.children
         ):
             times.append(now_us + LOOK_AGAIN_US)  # the budget may have room by then
--- a/kelpstage/edge/gather/tree.py
+++ b/kelpstage/edge/gather/tree.py
@@ -62,7 +62,8 @@
     >>> last_fan_out(shard_count=8, fan_out=5)
     1.6
     """
-    return shard_count / fan_out ** (levels(shard_count=shard_count, fan_out=fan_out) - 1)
+    lowest_nodes: int = fan_out ** (levels(shard_count=shard_count, fan_out=fan_out) - 1)
+    return shard_count / lowest_nodes
 
 
 def split(*, shards: tuple[str, ...], groups: int) -> list[tuple[str, ...]]:
--- a/kelpstage/edge/handlers.py
+++ b/kelpstage/edge/handlers.py
@@ -1,12 +1,15 @@
-"""What an edge does with each message that comes by its own lines."""
+"""What an edge does with each message that other processes of the cluster send it."""
 
 from __future__ import annotations
 
 import json
+from collections import Counter
 from functools import singledispatch
-from typing import Any
+from typing import Any, Protocol
 
 from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.ports.interfaces import Ports
+from kelpstage.common.transport.connections import Lines
 from kelpstage.common.transport.messages import (
     Announce,
     Chunk,
@@ -25,21 +28,44 @@
     RelayRenew,
     Trace,
 )
-from kelpstage.edge.gather.task import child_record, reply_of
-from kelpstage.edge.timelines import as_json
-
-RELAY_US = 380_000
+from kelpstage.edge.backend.discovery import DiscoveryTask
+from kelpstage.edge.gather.conversion import child_record, reply_of
+from kelpstage.edge.gather.task import GatherTask
+from kelpstage.edge.gossip.swim import Swim
+from kelpstage.edge.lease.lease_holder import LeaseHolder
+from kelpstage.edge.lease.task import LeaseTask
+from kelpstage.edge.timelines import Timelines, as_json
+
+RELAY_WAIT_US = 380_000
 LONGEST_GATHER_US = 120_000_000
 
 
+class HandlingEdge(Protocol):
+    """What the handlers need of the edge."""
+
+    own: str
+    incarnation: int
+    ports: Ports
+    counts: Counter[str]
+    lines: Lines
+    lease_holder: LeaseHolder
+    swim: Swim
+    gather: GatherTask
+    leases: LeaseTask
+    timelines: Timelines
+    discovery: DiscoveryTask | None
+
+
 @singledispatch
-async def handle(message: Any, edge: Any, source: str) -> Any:
+async def handle(message: Any, edge: HandlingEdge, source: str) -> Any:
+    """Handle a message from the address `source`; gives the reply, if there is one."""
     edge.counts["line_unexpected_message"] += 1
     return None
 
 
 @handle.register
-async def _(message: Gather, edge: Any, source: str) -> Gathered:
+async def handle_gather(message: Gather, edge: HandlingEdge, source: str) -> Gathered:
+    """Gather a subtree for the node above, or hand up what was left out before."""
     lease_holder = edge.lease_holder
     if lease_holder.cluster and message.cluster != lease_holder.cluster:
         return Gathered(is_stale=True, version=0)
@@ -61,15 +87,19 @@
 
 
 @handle.register
-async def _(message: FetchTrace, edge: Any, source: str) -> Trace:
-    line = edge.timelines.find(search=message.search)
-    if line is None:
+async def handle_fetch_trace(message: FetchTrace, edge: HandlingEdge, source: str) -> Trace:
+    """Show what became of a search at this node."""
+    timeline = edge.timelines.find(search=message.search)
+    if timeline is None:
         return Trace(is_found=False)
-    return Trace(is_found=True, body=json.dumps(as_json(line=line)).encode())
+    return Trace(is_found=True, body=json.dumps(as_json(timeline=timeline)).encode())
 
 
 @handle.register
-async def _(message: ConfirmEpoch, edge: Any, source: str) -> ConfirmEpochReply:
+async def handle_confirm_epoch(
+    message: ConfirmEpoch, edge: HandlingEdge, source: str
+) -> ConfirmEpochReply:
+    """Say which epoch is installed here, and learn of a newer one."""
     lease_holder = edge.lease_holder
     if message.cluster == lease_holder.cluster:
         member = edge.swim.members.get(message.edge)
@@ -87,7 +117,8 @@
 
 
 @handle.register
-async def _(message: FetchMembers, edge: Any, source: str) -> Members:
+async def handle_fetch_members(message: FetchMembers, edge: HandlingEdge, source: str) -> Members:
+    """Give the member table to an edge of this cluster."""
     cluster = edge.lease_holder.cluster
     if message.cluster and cluster and message.cluster != cluster:
         return Members(cluster=cluster)
@@ -95,35 +126,43 @@
 
 
 @handle.register
-async def _(message: Announce, edge: Any, source: str) -> None:
+async def handle_announce(message: Announce, edge: HandlingEdge, source: str) -> None:
+    """Install a state that a core announces."""
     edge.leases.on_announced(announce=message)
 
 
 @handle.register
-async def _(message: FetchState, edge: Any, source: str) -> Chunk:
+async def handle_fetch_state(message: FetchState, edge: HandlingEdge, source: str) -> Chunk:
+    """Give a piece of the installed state."""
     return edge.leases.state_chunk(ask=message)
 
 
 @handle.register
-async def _(message: EndpointUpdate, edge: Any, source: str) -> None:
+async def handle_endpoint_update(message: EndpointUpdate, edge: HandlingEdge, source: str) -> None:
+    """Take what another edge read of the list of backends."""
     if edge.discovery is not None:
         edge.discovery.take(news=message)
 
 
 @handle.register
-async def _(message: FetchEndpoints, edge: Any, source: str) -> EndpointUpdate:
+async def handle_fetch_endpoints(
+    message: FetchEndpoints, edge: HandlingEdge, source: str
+) -> EndpointUpdate:
+    """Give what is known of the list of backends."""
     if edge.discovery is None:
         return EndpointUpdate()
     return edge.discovery.answer(ask=message)
 
 
 @handle.register
-async def _(message: RelayRenew, edge: Any, source: str) -> LeaseReply:
+async def handle_relay_renew(message: RelayRenew, edge: HandlingEdge, source: str) -> LeaseReply:
+    """Pass a renewal on to the leader, for an edge that can't reach it."""
     # This node may know a newer leader than the one that the asker could not reach.
     message.renew.relayed_by = edge.own
     reply = await edge.lines.call(
-        address=edge.leases.leader or message.target, message=message.renew, wait_us=RELAY_US
+        address=edge.leases.leader or message.target, message=message.renew, wait_us=RELAY_WAIT_US
     )
     if isinstance(reply, KelpstageError):
         return LeaseReply(why=f"relay: {reply.kind}")
-    return reply
+    lease_reply: LeaseReply = reply
+    return lease_reply
--- a/kelpstage/edge/main.py
+++ b/kelpstage/edge/main.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import List, Optional
+from typing import Any, List, Optional
 
 import typer
 
@@ -36,7 +36,7 @@
 ) -> None:
     """Run an edge node: it answers searches by gathering every shard in a tree."""
 
-    def read_settings() -> dict:
+    def read_settings() -> dict[str, Any]:
         return settings_or_exit(
             outcome=read_settings_file(
                 file=settings,
@@ -64,6 +64,7 @@
 
 
 def run() -> None:
+    """The entry point of the command `kelpstage-edge`."""
     app()
 
 
--- a/kelpstage/edge/timelines.py
+++ b/kelpstage/edge/timelines.py
@@ -57,37 +57,39 @@
         self._marked: OrderedDict[str, Timeline] = OrderedDict()
 
     def fold(self, at_us: int, event: Event) -> None:
+        """Take an event of the trace."""
         if not isinstance(event, SearchEvent):
             return
         known = self._newest.get(event.search)
         if isinstance(event, Began) and known is None:
-            line = Timeline(search=event.search, began=event, began_us=at_us)
-            _keep(kept=self._newest, line=line, limit=KEPT)
+            begun = Timeline(search=event.search, began=event, began_us=at_us)
+            _keep(kept=self._newest, timeline=begun, limit=KEPT)
             return
-        line = self.find(search=event.search)
-        if line is None:
+        timeline = self.find(search=event.search)
+        if timeline is None:
             return
-        if len(line.events) < EVENTS_AT_MOST:
-            line.events.append((at_us, event))
+        if len(timeline.events) < EVENTS_AT_MOST:
+            timeline.events.append((at_us, event))
         else:
-            line.left_out += 1
+            timeline.left_out += 1
         if isinstance(event, Ended):
-            line.ended, line.took_us = event, at_us - line.began_us
-            if line.is_marked:
-                _keep(kept=self._marked, line=line, limit=MARKED_KEPT)
+            timeline.ended, timeline.took_us = event, at_us - timeline.began_us
+            if timeline.is_marked:
+                _keep(kept=self._marked, timeline=timeline, limit=MARKED_KEPT)
 
     def find(self, *, search: str) -> Timeline | None:
+        """The timeline of a search, if it is still known."""
         return self._newest.get(search) or self._marked.get(search)
 
     def rows(
         self, *, only: str = "", collection: str = "", slower_than_us: int = 0, limit: int = 50
     ) -> list[dict[str, Any]]:
         """Searches of which this node was the root, the newest first."""
-        lines = {**self._marked, **self._newest}
+        timelines = {**self._marked, **self._newest}
         out = []
-        for line in sorted(lines.values(), key=lambda line: -line.began_us):
-            row = _row(line=line)
-            if line.began.part == "child" or collection not in ("", row["collection"]):
+        for timeline in sorted(timelines.values(), key=lambda timeline: -timeline.began_us):
+            row = _row(timeline=timeline)
+            if timeline.began.part == "child" or collection not in ("", row["collection"]):
                 continue
             if row["took_us"] < slower_than_us or only == "partial" != row["outcome"]:
                 continue
@@ -99,38 +101,38 @@
         return out
 
 
-def _keep(*, kept: OrderedDict[str, Timeline], line: Timeline, limit: int) -> None:
-    kept[line.search] = line
-    kept.move_to_end(line.search)
+def _keep(*, kept: OrderedDict[str, Timeline], timeline: Timeline, limit: int) -> None:
+    kept[timeline.search] = timeline
+    kept.move_to_end(timeline.search)
     if len(kept) > limit:
         kept.popitem(last=False)
 
 
-def _row(*, line: Timeline) -> dict[str, Any]:
-    ended = line.ended
+def _row(*, timeline: Timeline) -> dict[str, Any]:
+    ended = timeline.ended
     return {
-        "search": line.search,
-        "part": line.began.part,
-        "collection": line.began.collection,
-        "began_us": line.began_us,
-        "took_us": line.took_us,
+        "search": timeline.search,
+        "part": timeline.began.part,
+        "collection": timeline.began.collection,
+        "began_us": timeline.began_us,
+        "took_us": timeline.took_us,
         "outcome": ended.outcome if ended else "running",
         "shards_in": ended.shards_in if ended else 0,
         "shards": ended.shards if ended else 0,
     }
 
 
-def as_json(*, line: Timeline) -> dict[str, Any]:
+def as_json(*, timeline: Timeline) -> dict[str, Any]:
     """A whole timeline; times count from its beginning."""
     return {
-        **_row(line=line),
-        "limit": line.began.limit,
-        "time_left_us": line.began.time_left_us,
-        "detail": line.ended.detail if line.ended else "",
-        "left_out": line.left_out,
+        **_row(timeline=timeline),
+        "limit": timeline.began.limit,
+        "time_left_us": timeline.began.time_left_us,
+        "detail": timeline.ended.detail if timeline.ended else "",
+        "left_out": timeline.left_out,
         "timeline": [
-            {"at_us": at_us - line.began_us, "event": event.kind, **_fields(event=event)}
-            for at_us, event in line.events
+            {"at_us": at_us - timeline.began_us, "event": event.kind, **_fields(event=event)}
+            for at_us, event in timeline.events
         ],
     }
 
--- a/kelpstage/edge/views.py
+++ b/kelpstage/edge/views.py
@@ -8,7 +8,7 @@
 from kelpstage.common.event_journal import Event
 from kelpstage.edge.events import SearchEnded
 
-TIMES_KEPT = 500
+TIMES_KEPT = 500  # of the newest searches of a collection
 
 
 class Searches:
@@ -22,10 +22,11 @@
     """
 
     def __init__(self) -> None:
-        self._ends: dict[str, Counter] = {}
+        self._ends: dict[str, Counter[str]] = {}
         self._times: dict[str, deque[int]] = {}
 
     def fold(self, at_us: int, event: Event) -> None:
+        """Take an event of the journal."""
         if not isinstance(event, SearchEnded):
             return
         self._ends.setdefault(event.collection, Counter())[event.outcome] += 1
@@ -33,6 +34,7 @@
         times.append(event.took_us)
 
     def as_json(self) -> dict[str, Any]:
+        """By collection: counts of ends, and percentiles (microseconds)."""
         out: dict[str, Any] = {}
         for collection, ends in sorted(self._ends.items()):
             times = sorted(self._times[collection])
--- a/kelpstage/edge/web/__init__.py
+++ b/kelpstage/edge/web/__init__.py
@@ -0,0 +1,1 @@
+"""The HTTP interfaces of an edge: callers, forwarded requests, explanations."""
--- a/kelpstage/edge/web/callers.py
+++ b/kelpstage/edge/web/callers.py
@@ -4,7 +4,7 @@
 
 import base64
 import re
-from typing import TYPE_CHECKING, Any
+from typing import Any
 from urllib.parse import parse_qsl, urlsplit
 
 from kelpstage.common.errors.base import KelpstageError
@@ -21,12 +21,10 @@
 from kelpstage.common.errors.serving import NotReadyError, OverloadedError
 from kelpstage.common.http.replies import JSON_TYPE, error_reply, json_reply
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
-from kelpstage.edge.gather.messages import Verdict
-from kelpstage.edge.gather.request_state import ROOT, SINGLE, Gathering
+from kelpstage.edge.gather.messages import GatherResult
+from kelpstage.edge.gather.request_state import ROOT, SINGLE, RequestState
 from kelpstage.edge.web.explain import plan_view, search_view, status_view
-
-if TYPE_CHECKING:
-    from kelpstage.edge.app import Edge
+from kelpstage.edge.web.interfaces import CallerEdge
 
 TIME_LEFT = "Kelp-Time-Left-Us"
 LONGEST_TIME_LEFT_US = 120_000_000
@@ -43,12 +41,12 @@
 SEARCH_ID = "Kelp-Search"
 
 
-def read_time_left(*, headers: dict[str, str]) -> int | KelpstageError:
-    """The caller's time left in whole microseconds.
+def read_deadline(*, headers: dict[str, str]) -> int | KelpstageError:
+    """The time that the caller gives, in whole microseconds.
 
-    >>> read_time_left(headers={"kelp-time-left-us": "250000"})
+    >>> read_deadline(headers={"kelp-time-left-us": "250000"})
     250000
-    >>> read_time_left(headers={}).kind, read_time_left(headers={"kelp-time-left-us": "0"}).kind
+    >>> read_deadline(headers={}).kind, read_deadline(headers={"kelp-time-left-us": "0"}).kind
     ('missing_time_left', 'bad_time_left')
     """
     given = headers.get(TIME_LEFT.lower())
@@ -66,7 +64,7 @@
 
 
 def read_limit(*, query: str) -> int | None | KelpstageError:
-    """The limit of a search; none means no cut.
+    """The limit of a search; none means all records.
 
     >>> read_limit(query="limit=5"), read_limit(query="")
     (5, None)
@@ -90,7 +88,7 @@
 
 
 def reserve_us(*, time_left_us: int) -> int:
-    """What is kept of the time left for the reply's own way.
+    """What is kept of the caller's time for the reply's own way (microseconds).
 
     >>> reserve_us(time_left_us=1_000_000), reserve_us(time_left_us=10_000)
     (50000, 1000)
@@ -98,7 +96,7 @@
     return min(50_000, time_left_us // 10)
 
 
-async def serve_callers(*, edge: "Edge", call: HttpCall) -> HttpReply:
+async def serve_callers(*, edge: CallerEdge, call: HttpCall) -> HttpReply:
     """Answer one caller's request."""
     url = urlsplit(call.url)
     simple = {"/ready": _ready, "/health": _health, "/v1/status": _status}.get(url.path)
@@ -125,7 +123,7 @@
     return error_reply(error=UnknownResourceError(path=url.path[:200]))
 
 
-async def _search(edge: "Edge", call: HttpCall, query: str, collection: str) -> HttpReply:
+async def _search(edge: CallerEdge, call: HttpCall, query: str, collection: str) -> HttpReply:
     limit = read_limit(query=query)
     if isinstance(limit, KelpstageError):
         return error_reply(error=limit)
@@ -141,7 +139,7 @@
 
 
 async def _record(
-    edge: "Edge", call: HttpCall, query: str, collection: str, shard: str, record: str
+    edge: CallerEdge, call: HttpCall, query: str, collection: str, shard: str, record: str
 ) -> HttpReply:
     return await _gather(
         edge=edge,
@@ -153,8 +151,8 @@
     )
 
 
-async def _gather(*, edge: "Edge", call: HttpCall, **fields: Any) -> HttpReply:
-    time_left_us = read_time_left(headers=call.headers)
+async def _gather(*, edge: CallerEdge, call: HttpCall, **fields: Any) -> HttpReply:
+    time_left_us = read_deadline(headers=call.headers)
     if isinstance(time_left_us, KelpstageError):
         return error_reply(error=time_left_us)
     in_flight = len(edge.gather.table)
@@ -165,7 +163,7 @@
     now_us = edge.ports.clock.now_us()
     key = edge.gather.next_key()
     search = f"{edge.name}-{edge.incarnation:x}-{key}"
-    record = Gathering(
+    record = RequestState(
         key=key,
         search=search,
         arrived_us=now_us,
@@ -176,7 +174,7 @@
     edge.ports.point("edge.before_verdict")
     # A caller that keeps its connection is told to take another when we leave.
     last = {SEARCH_ID: search} | ({"Connection": "close"} if edge.is_leaving else {})
-    if not isinstance(outcome, Verdict):
+    if not isinstance(outcome, GatherResult):
         return error_reply(error=outcome, headers=last, search=search)
     return HttpReply(
         status=200,
@@ -206,14 +204,14 @@
     }
 
 
-async def _plan(edge: "Edge", call: HttpCall, query: str, collection: str) -> HttpReply:
+async def _plan(edge: CallerEdge, call: HttpCall, query: str, collection: str) -> HttpReply:
     view = plan_view(edge=edge, collection=collection)
     if view is None:
         return error_reply(error=UnknownCollectionError(collection=collection))
     return json_reply(body=view)
 
 
-async def _searches(edge: "Edge", call: HttpCall, query: str) -> HttpReply:
+async def _searches(edge: CallerEdge, call: HttpCall, query: str) -> HttpReply:
     asked = read_filters(query=query)
     if isinstance(asked, KelpstageError):
         return error_reply(error=asked)
@@ -244,23 +242,23 @@
     return out
 
 
-async def _one_search(edge: "Edge", call: HttpCall, query: str, search: str) -> HttpReply:
+async def _one_search(edge: CallerEdge, call: HttpCall, query: str, search: str) -> HttpReply:
     view = await search_view(edge=edge, search=search)
     if view is None:
         return error_reply(error=UnknownSearchError(search=search))
     return json_reply(body=view)
 
 
-def _ready(edge: "Edge") -> HttpReply:
+def _ready(edge: CallerEdge) -> HttpReply:
     refusal = edge.refusal()
     if refusal:
         return error_reply(error=NotReadyError(why=refusal))
     return json_reply(body={"is_ready": True, "version": edge.lease_holder.configuration.version})
 
 
-def _health(edge: "Edge") -> HttpReply:
+def _health(edge: CallerEdge) -> HttpReply:
     return json_reply(body={"is_up": True})
 
 
-def _status(edge: "Edge") -> HttpReply:
+def _status(edge: CallerEdge) -> HttpReply:
     return json_reply(body=status_view(edge=edge))
--- a/kelpstage/edge/web/explain.py
+++ b/kelpstage/edge/web/explain.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import json
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.transport.messages import FetchTrace, Trace
@@ -13,22 +13,20 @@
 from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
 from kelpstage.edge.gossip.swim import STATUS_NAMES
 from kelpstage.edge.timelines import as_json
-
-if TYPE_CHECKING:
-    from kelpstage.edge.app import Edge
+from kelpstage.edge.web.interfaces import ReportingEdge
 
 TRACE_WAIT_US = 400_000
 
 
-def plan_view(*, edge: "Edge", collection: str) -> dict[str, Any] | None:
+def plan_view(*, edge: ReportingEdge, collection: str) -> dict[str, Any] | None:
     """The gathering plan as it would be chosen now, lots aside."""
-    world = edge.world
-    world.now_us = edge.ports.clock.now_us()
+    context = edge.gather_context
+    context.now_us = edge.ports.clock.now_us()
     configuration = edge.lease_holder.configuration
     route = configuration.route(collection=collection)
     if route is None:
         return None
-    helpers = world.helpers(collection=collection, rand=None)
+    helpers = context.helpers(collection=collection, rand=None)
     tree = grow(root=edge.name, shards=route.fan_out, helpers=helpers, fan_out=route.tree_fan_out)
     count = len(route.fan_out)
     return {
@@ -46,20 +44,20 @@
     }
 
 
-async def search_view(*, edge: "Edge", search: str) -> dict[str, Any] | None:
+async def search_view(*, edge: ReportingEdge, search: str) -> dict[str, Any] | None:
     """What was chosen for a search and what became of it: this node's part, and the
     parts of the peers that it asked, as far as they still know them."""
-    line = edge.timelines.find(search=search)
-    if line is None:
+    timeline = edge.timelines.find(search=search)
+    if timeline is None:
         return None
-    view = {"node": edge.name, **as_json(line=line)}
+    view = {"node": edge.name, **as_json(timeline=timeline)}
     asked = dict.fromkeys(row["node"] for row in view["timeline"] if row["event"] == "ChildQueried")
     parts = await asyncio.gather(*(_part_of(edge=edge, node=n, search=search) for n in asked))
     view["partners"] = dict(zip(asked, parts, strict=True))
     return view
 
 
-async def _part_of(*, edge: "Edge", node: str, search: str) -> dict[str, Any]:
+async def _part_of(*, edge: ReportingEdge, node: str, search: str) -> dict[str, Any]:
     member = edge.swim.members.get(node)
     if member is None:
         return {"why_not": "no longer a peer"}
@@ -71,7 +69,7 @@
     return {"why_not": reply.kind if isinstance(reply, KelpstageError) else "an odd reply"}
 
 
-def _subtree_view(*, edge: "Edge", subtree: Subtree, collection: str) -> dict[str, Any]:
+def _subtree_view(*, edge: ReportingEdge, subtree: Subtree, collection: str) -> dict[str, Any]:
     zone = _zone_of(edge=edge, name=subtree.node)
     return {
         "node": subtree.node,
@@ -87,18 +85,18 @@
     }
 
 
-def _zone_of(*, edge: "Edge", name: str) -> str:
+def _zone_of(*, edge: ReportingEdge, name: str) -> str:
     if name == edge.name:
         return edge.zone
     member = edge.swim.members.get(name)
     return member.info.zone if member else ""
 
 
-def _shard_view(*, edge: "Edge", collection: str, shard: str, zone: str) -> dict[str, Any]:
+def _shard_view(*, edge: ReportingEdge, collection: str, shard: str, zone: str) -> dict[str, Any]:
     ranked = options(
         configuration=edge.lease_holder.configuration,
         registry=edge.registry,
-        latencies=edge.world.latencies,
+        latencies=edge.gather_context.latencies,
         collection=collection,
         shard=shard,
         zone=zone,
@@ -121,7 +119,9 @@
     }
 
 
-def _node_views(*, edge: "Edge", collection: str, helpers: list[str]) -> list[dict[str, Any]]:
+def _node_views(
+    *, edge: ReportingEdge, collection: str, helpers: list[str]
+) -> list[dict[str, Any]]:
     rows = []
     for name, member in sorted(edge.swim.members.items()):
         info = member.info
@@ -144,13 +144,13 @@
                 "why_not": why_not,
                 "is_own_domain": info.zone == edge.zone,
                 "load": info.load,
-                "was_late": edge.world.is_shy(name=name),
+                "was_late": edge.gather_context.is_late(name=name),
             }
         )
     return sorted(rows, key=lambda row: (row["rank"] is None, row["rank"] or 0, row["node"]))
 
 
-def status_view(*, edge: "Edge") -> dict[str, Any]:
+def status_view(*, edge: ReportingEdge) -> dict[str, Any]:
     """All that this edge knows: itself, peers, backends, budget, events."""
     now_us = edge.ports.clock.now_us()
     lease_holder = edge.lease_holder
@@ -200,7 +200,7 @@
             for name, entry in sorted(edge.registry.entries.items())
         ],
         "searches": edge.searches.as_json(),
-        "budget": edge.world.budget.spent(now_us=now_us),
+        "budget": edge.gather_context.budget.spent(now_us=now_us),
         "counts": dict(sorted((edge.counts + edge.journal.counts).items())),
         "events": edge.journal.tail(limit=30),
     }
--- a/kelpstage/edge/web/forward.py
+++ b/kelpstage/edge/web/forward.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from kelpstage.common.configuration.types import ForwardRoute
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.errors.requests import MissingRequestIdError, UnknownRouteError
@@ -13,12 +11,10 @@
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.forward.request import read_request
-from kelpstage.edge.gather.messages import Verdict
-from kelpstage.edge.gather.request_state import ROOT, SINGLE, Gathering
+from kelpstage.edge.gather.messages import GatherResult
+from kelpstage.edge.gather.request_state import ROOT, SINGLE, RequestState
 from kelpstage.edge.retries.load_shedding import may_enter
-
-if TYPE_CHECKING:
-    from kelpstage.edge.app import Edge
+from kelpstage.edge.web.interfaces import GatheringEdge, ReplyingEdge
 
 BODY_TYPE = "application/octet-stream"
 GATEWAY_FAILED, NOT_SERVED, GATEWAY_TIMEOUT = 502, 503, 504
@@ -27,7 +23,7 @@
 
 
 def deadline_us(*, headers: dict[str, str], names: HeaderNames, route: ForwardRoute) -> int:
-    """How long the request may take here: the client's word, at most the route's.
+    """How long the request may take here: what the client gives, at most the route's.
 
     >>> route = ForwardRoute(name="r", host="h", prefix="/", is_repeatable=True, attempts=1,
     ...     deadline_us=500_000, aim_us=1, rank=0)
@@ -53,7 +49,7 @@
     return min(15_000, left_us // 20)
 
 
-async def serve_forwarded(*, edge: "Edge", call: HttpCall) -> HttpReply:
+async def serve_forwarded(*, edge: GatheringEdge, call: HttpCall) -> HttpReply:
     """Answer one client's request by the routes in force."""
     now_us = edge.ports.clock.now_us()
     arrived_us = now_us - call.waited_us
@@ -63,6 +59,7 @@
     path = call.url.partition("?")[0]
     host = call.headers.get("host", "")
     route = edge.lease_holder.configuration.forward_for(host=host, path=path)
+    failure: KelpstageError
     if route is None:
         failure = UnknownRouteError(host=host[:200], path=path[:200])
         return failure_reply(failure=failure, has_run=False, edge=edge)
@@ -76,7 +73,7 @@
         return failure_reply(failure=failure, has_run=False, edge=edge)
     left_us = deadline_us(headers=call.headers, names=edge.names, route=route)
     key = edge.gather.next_key()
-    record = Gathering(
+    record = RequestState(
         key=key,
         search=f"{edge.name}-{edge.incarnation:x}-{key}",
         kind=ROOT if route.fan_out else SINGLE,
@@ -87,30 +84,30 @@
     )
     outcome = await edge.gather.settle(record=record)
     edge.ports.point("edge.before_verdict")
-    if isinstance(outcome, Verdict):
-        return success_reply(verdict=outcome, edge=edge)
+    if isinstance(outcome, GatherResult):
+        return success_reply(result=outcome, edge=edge)
     return failure_reply(failure=outcome, has_run=record.may_have_run(), edge=edge)
 
 
-def success_reply(*, verdict: Verdict, edge: "Edge") -> HttpReply:
+def success_reply(*, result: GatherResult, edge: ReplyingEdge) -> HttpReply:
     """A backend's answer as it came, or the records of the parts that the headers name."""
     leaving = {"Connection": "close"} if edge.is_leaving else {}
-    if verdict.whole is not None:
-        whole = verdict.whole
+    if result.backend_reply is not None:
+        reply = result.backend_reply
         return HttpReply(
-            status=whole.status, headers={**dict(whole.headers), **leaving}, body=whole.body
+            status=reply.status, headers={**dict(reply.headers), **leaving}, body=reply.body
         )
     headers = {
         "Content-Type": BODY_TYPE,
-        edge.names.part_seals: ", ".join(verdict.seals),
+        edge.names.part_seals: ", ".join(result.seals),
         **leaving,
     }
-    if verdict.missing:
-        headers[edge.names.missing_parts] = str(verdict.missing)
-    return HttpReply(status=200, headers=headers, body=verdict.body)
+    if result.missing:
+        headers[edge.names.missing_parts] = str(result.missing)
+    return HttpReply(status=200, headers=headers, body=result.body)
 
 
-def failure_reply(*, failure: KelpstageError, has_run: bool, edge: "Edge") -> HttpReply:
+def failure_reply(*, failure: KelpstageError, has_run: bool, edge: ReplyingEdge) -> HttpReply:
     """The final answer to a request that is given up. 503 promises that it has not run
     and never will, and says when to come back; what may have run is 502 or 504. It never
     bears a backend's seal."""
