--- a/kelpstage/edge/gather/stages/send.py
+++ b/kelpstage/edge/gather/stages/send.py
@@ -2,35 +2,27 @@
 
 from __future__ import annotations
 
-from kelpstage.edge.backend.selection import Option, options
 from kelpstage.edge.events import (
-    AttemptRefused,
-    AttemptSent,
     ChildLate,
     ChildQueried,
-    OmissionSet,
 )
 from kelpstage.edge.gather.context import GatherContext
-from kelpstage.edge.gather.messages import QueryBackend, QueryChild
+from kelpstage.edge.gather.messages import QueryChild
 from kelpstage.edge.gather.request_state import (
     GATHERING,
     ROOT,
     SINGLE,
     WAITING,
-    Attempt,
     Child,
     RequestState,
     ShardState,
 )
+from kelpstage.edge.gather.stages.attempts import send_attempt, send_wanted
 from kelpstage.edge.gather.stages.merge import regather
+from kelpstage.edge.gather.stages.windows import child_window_us, latest_us, set_omission
 from kelpstage.edge.gather.tree import Subtree
 
 LOOK_AGAIN_US = 100_000
-LAST_SEND_US = 3_000
-WINDOW_SHARE = 40  # per cent of the time left
-CHILD_SHARE = 45  # per cent of the aim, until a child counts as late
-OMIT_SHARE = 85  # per cent of the aim, when a search that need not be whole is answered
-CLIENT_US = 4_000  # of the aim, for the client's own way to this node and back
 
 
 def send(*, record: RequestState, context: GatherContext) -> None:
@@ -38,9 +30,9 @@
     if record.phase is not GATHERING:
         return
     unsent = [child for child in record.children if not child.is_sent]
-    _send_wanted(record=record, context=context)
+    send_wanted(record=record, context=context)
     if record.kind is ROOT and not record.omit_us:
-        _set_omission(record=record, context=context)
+        set_omission(record=record, context=context)
     for child in unsent:
         _send_child(child=child, record=record, context=context)
     _hedge(record=record, context=context)
@@ -49,202 +41,11 @@
         _regather_missing(record=record, context=context)
 
 
-# --- windows ----------------------------------------------------------------------
-
-
-def _child_window_us(*, child: Child, record: RequestState, context: GatherContext) -> int:
-    """A child's least window leaves room for its own children's."""
-    least_us = record.route.window_us * (child.subtree.height() + 1)
-    if record.aim_us:
-        least_us = max(least_us, record.aim_us * CHILD_SHARE // 100)
-    return context.node_window_us(name=child.subtree.node, least_us=least_us)
-
-
-def _latest_us(*, record: RequestState, context: GatherContext) -> int:
-    """However far a window was stretched, a second attempt must still have its time."""
-    left_us = record.due_us - context.now_us
-    if record.aim_us:  # an answer after the aim is worth little
-        left_us = min(
-            left_us, max(record.arrived_us + record.aim_us - context.now_us, 0) or left_us
-        )
-    return context.now_us + max(record.route.window_us, left_us * WINDOW_SHARE // 100)
-
-
-def _set_omission(*, record: RequestState, context: GatherContext) -> None:
-    """When the root stops waiting for what is late: never, while every shard is
-    wanted; else after twice the longest window, room for one more attempt."""
-    if record.route.is_strict:
-        record.omit_us = record.due_us
-        return
-    if record.aim_us:
-        after_us = record.aim_us * OMIT_SHARE // 100 - CLIENT_US
-        record.omit_us = min(record.due_us, max(record.arrived_us + after_us, context.now_us))
-        context.trace.add(
-            OmissionSet(search=record.search, after_us=record.omit_us - context.now_us)
-        )
-        return
-    windows = [
-        attempt.soft_us - attempt.sent_us
-        for shard_state in record.shard_states.values()
-        for attempt in shard_state.attempts
-    ] + [_child_window_us(child=child, record=record, context=context) for child in record.children]
-    longest = max(windows, default=record.route.window_us)
-    record.omit_us = min(record.due_us, context.now_us + 2 * longest)
-    context.trace.add(OmissionSet(search=record.search, after_us=record.omit_us - context.now_us))
-
-
-# --- sends --------------------------------------------------------------------------
-
-
-def _send_attempt(
-    *, shard_state: ShardState, record: RequestState, context: GatherContext, is_hedge: bool
-) -> bool:
-    """Send an attempt to the best backend that is left; true if the budget refused it."""
-    ranked = _ranked(shard_state=shard_state, record=record, context=context)
-    tried = {attempt.backend for attempt in shard_state.attempts}
-    choices = [option for option in ranked if not option.refusal and option.backend not in tried]
-    shard_state.wants_attempt = False
-    is_again = shard_state.attempts or shard_state.is_extra
-    if is_again and record.due_us - context.now_us < LAST_SEND_US:
-        choices = []  # no answer could be in time
-    is_used_up = record.is_bounded and not record.has_attempt(shard_state=shard_state)
-    if is_used_up or not choices:
-        why = "no other backend may be asked" if tried else "no backend may be asked"
-        why = "its attempts are used up" if is_used_up else why
-        _refuse(shard_state=shard_state, record=record, context=context, why=why, ranked=ranked)
-        if not is_hedge:
-            detail = shard_state.detail or "none may be asked"
-            shard_state.miss(cause=shard_state.cause or "no_backend", detail=detail)
-        return False
-    why = _why_of(shard_state=shard_state, is_hedge=is_hedge)
-    if not _may_send(shard_state=shard_state, record=record, context=context):
-        why = f"{why}: the budget is spent"
-        _refuse(shard_state=shard_state, record=record, context=context, why=why, ranked=ranked)
-        if not is_hedge:
-            detail = _spent(detail=shard_state.detail)
-            shard_state.miss(cause=shard_state.cause or "budget", detail=detail)
-        return True
-    _begin_attempt(
-        backend=choices[0].backend,
-        shard_state=shard_state,
-        record=record,
-        context=context,
-        why=why,
-        ranked=ranked,
-    )
-    return False
-
-
-def _ranked(
-    *, shard_state: ShardState, record: RequestState, context: GatherContext
-) -> tuple[Option, ...]:
-    """All backends of the shard, the best first."""
-    return tuple(
-        options(
-            configuration=record.configuration,
-            registry=context.registry,
-            latencies=context.latencies,
-            collection=record.collection,
-            shard=shard_state.shard,
-            zone=context.zone,
-            now_us=context.now_us,
-            rand=context.rand,
-        )
-    )
-
-
-def _refuse(
-    *,
-    shard_state: ShardState,
-    record: RequestState,
-    context: GatherContext,
-    why: str,
-    ranked: tuple[Option, ...],
-) -> None:
-    context.trace.add(
-        AttemptRefused(search=record.search, shard=shard_state.shard, why=why, ranked=ranked)
-    )
-
-
-def _begin_attempt(
-    *,
-    backend: str,
-    shard_state: ShardState,
-    record: RequestState,
-    context: GatherContext,
-    why: str,
-    ranked: tuple[Option, ...],
-) -> None:
-    """Note an attempt at a backend, and have it sent."""
-    context.next_attempt += 1
-    window_us = context.latencies.window_us(name=backend, least_us=record.route.window_us)
-    shard_state.attempts.append(
-        Attempt(
-            number=context.next_attempt,
-            backend=backend,
-            sent_us=context.now_us,
-            soft_us=min(context.now_us + window_us, _latest_us(record=record, context=context)),
-        )
-    )
-    context.trace.add(
-        AttemptSent(
-            search=record.search,
-            shard=shard_state.shard,
-            number=context.next_attempt,
-            backend=backend,
-            window_us=window_us,
-            why=why,
-            ranked=ranked,
-        )
-    )
-    record.sent_shards.add(shard_state.shard)
-    entry = context.registry.entry(name=backend)
-    entry.in_flight += 1
-    context.emit(
-        QueryBackend(
-            record=record,
-            generation=record.generation,
-            shard=shard_state.shard,
-            cut=record.configuration.collections[record.collection].shards[shard_state.shard].cut,
-            number=context.next_attempt,
-            backend=backend,
-            address=entry.address,
-            wait_us=max(1_000, record.due_us - context.now_us),
-            line_limit=entry.line_limit,
-        )
-    )
-
-
-def _why_of(*, shard_state: ShardState, is_hedge: bool) -> str:
-    if is_hedge:
-        return "past its window: a rival"
-    if shard_state.attempts:
-        return f"again after {shard_state.cause}"
-    if shard_state.is_forced:
-        return "begun again"
-    return f"instead of a peer ({shard_state.detail})" if shard_state.cause else "first"
-
-
-def _spent(*, detail: str) -> str:
-    mark = "(budget spent)"
-    return detail if detail.endswith(mark) else f"{detail} {mark}".strip()
-
-
-def _may_send(*, shard_state: ShardState, record: RequestState, context: GatherContext) -> bool:
-    """A first send is free, the rest is budgeted; a search begun again has more room."""
-    count = {"service": record.collection, "shard": shard_state.shard, "now_us": context.now_us}
-    if shard_state.attempts or shard_state.is_extra:
-        is_again = shard_state.is_forced and not shard_state.attempts
-        return context.budget.take(edges=context.edges(), is_again=is_again, **count)
-    context.budget.first(**count)
-    return True
-
-
 def _send_child(*, child: Child, record: RequestState, context: GatherContext) -> None:
     child.is_sent = True
     child.sent_us = context.now_us
-    child.soft_us = context.now_us + _child_window_us(child=child, record=record, context=context)
-    child.soft_us = min(child.soft_us, _latest_us(record=record, context=context))
+    child.soft_us = context.now_us + child_window_us(child=child, record=record, context=context)
+    child.soft_us = min(child.soft_us, latest_us(record=record, context=context))
     until_us = record.omit_us
     if child.is_resumed:
         child.soft_us = until_us = record.due_us
@@ -298,7 +99,7 @@
         for attempt in shard_state.attempts:
             if attempt.is_open:
                 context.registry.note_overdue(name=attempt.backend, now_us=context.now_us)
-        if _send_attempt(shard_state=shard_state, record=record, context=context, is_hedge=True):
+        if send_attempt(shard_state=shard_state, record=record, context=context, is_hedge=True):
             shard_state.was_hedged, shard_state.hedge_us = False, context.now_us + LOOK_AGAIN_US
 
 
@@ -332,7 +133,7 @@
         return  # it would not be enough: better to wait, and leave it to others
     for child in late:
         regather(child=child, record=record, cause="window", why=f"{child.subtree.node} is late")
-    _send_wanted(record=record, context=context)
+    send_wanted(record=record, context=context)
 
 
 def _may_ask_for(*, child: Child, record: RequestState) -> bool:
@@ -354,7 +155,7 @@
             record.shard_states[shard] = ShardState(
                 shard=shard, is_extra=True, cause=cause, detail=detail
             )
-    _send_wanted(record=record, context=context)
+    send_wanted(record=record, context=context)
 
 
 def _resume_children(*, record: RequestState, context: GatherContext) -> None:
@@ -380,17 +181,3 @@
         )
         record.children.append(rest)
         _send_child(child=rest, record=record, context=context)
-
-
-def _send_wanted(*, record: RequestState, context: GatherContext) -> None:
-    """Attempts that are wanted. A shard of a child's that the budget has no attempt
-    for stays the child's: it may still come."""
-    for shard_state in list(record.shard_states.values()):
-        if shard_state.state is not WAITING or not shard_state.wants_attempt:
-            continue
-        _send_attempt(shard_state=shard_state, record=record, context=context, is_hedge=False)
-        if shard_state.is_extra and not shard_state.is_forced and not shard_state.attempts:
-            del record.shard_states[shard_state.shard]
-            record.missing[shard_state.shard] = (shard_state.cause, shard_state.detail)
-            for child in record.children:  # to be tried again when the budget has room
-                child.is_regathered &= shard_state.shard not in child.subtree.all_shards()
--- a/kelpstage/edge/gather/stages/settle.py
+++ b/kelpstage/edge/gather/stages/settle.py
@@ -12,11 +12,9 @@
     NotReadyError,
     QuorumNotMetError,
 )
-from kelpstage.common.transport.messages import Gathered, MissingMsg, PartMsg
 from kelpstage.edge.events import SearchEnded
 from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.messages import ChildReply, GatherResult, PartlySettled
-from kelpstage.edge.gather.record_order import lowest_limit
 from kelpstage.edge.gather.request_state import (
     CHILD,
     GATHERING,
@@ -26,6 +24,7 @@
     RequestState,
 )
 from kelpstage.edge.gather.stages.admit import settle_record
+from kelpstage.edge.gather.stages.child_reply import child_reply, missing_of
 
 FLAG_AT = 0.995
 
@@ -49,14 +48,14 @@
     is_complete = record.is_settled() or context.now_us >= record.due_us
     if record.is_partly_settled:
         if is_complete and (record.is_resumed or context.now_us >= record.due_us):
-            settle_record(record=record, outcome=ChildReply(message=_child_reply(record=record)))
+            settle_record(record=record, outcome=ChildReply(message=child_reply(record=record)))
         return
     if is_complete:
-        settle_record(record=record, outcome=ChildReply(message=_child_reply(record=record)))
+        settle_record(record=record, outcome=ChildReply(message=child_reply(record=record)))
         return
     if context.now_us < record.omit_us:
         return
-    reply = _child_reply(record=record)
+    reply = child_reply(record=record)
     reply.is_open = True
     record.is_partly_settled = True
     record.handed = frozenset(record.parts)
@@ -64,59 +63,6 @@
     context.emit(PartlySettled(record=record, outcome=ChildReply(message=reply)))
 
 
-def _child_reply(*, record: RequestState) -> Gathered:
-    """What a child has and has not handed up yet."""
-    missing = missing_of(record=record)
-    waiting = record.waiting_shards()
-    # Each run was truncated where it came in; what is handed up is so again, and across regions
-    # at the limit itself: nothing beyond it can be in the answer, and bytes are dear there.
-    limit = record.limit if record.is_far else lowest_limit(limit=record.limit)
-    runs = record.order.merge(runs=list(record.runs.values()), limit=limit)
-    return Gathered(
-        version=record.version,
-        parts=[
-            _part_for_above(record=record, shard=shard)
-            for shard in sorted(record.parts)
-            if shard not in record.handed
-        ],
-        missing=[
-            MissingMsg(
-                shard=shard,
-                cause=cause,
-                detail=detail,
-                attempts_left=0 if shard in waiting else record.surely_left(shard=shard),
-            )
-            for shard, cause, detail in missing
-        ],
-        records=record.order.pack(records=runs),
-    )
-
-
-def _part_for_above(*, record: RequestState, shard: str) -> PartMsg:
-    part = record.parts[shard]
-    part.attempts_left = record.surely_left(shard=shard)
-    return part
-
-
-def missing_of(
-    *, record: RequestState, still_waiting: str = "window"
-) -> list[tuple[str, str, str]]:
-    """Every shard of the subtree that is not in, with its cause."""
-    out = []
-    for shard in sorted(record.subtree.all_shards()):
-        if shard in record.parts:
-            continue
-        shard_state = record.shard_states.get(shard)
-        if shard_state is not None and shard_state.state is not WAITING:
-            out.append((shard, shard_state.cause or still_waiting, shard_state.detail))
-        elif shard_state is not None and shard_state.cause:
-            out.append((shard, shard_state.cause, shard_state.detail))
-        else:
-            cause, detail = record.missing.get(shard, (still_waiting, ""))
-            out.append((shard, cause, detail))
-    return out
-
-
 # --- the root --------------------------------------------------------------------------
 
 
