--- a/kelpstage/cli/offline/plan.py
+++ b/kelpstage/cli/offline/plan.py
@@ -7,7 +7,8 @@
 
 from kelpstage.common.configuration.types import Configuration
 from kelpstage.common.configuration.validation import RECORDS
-from kelpstage.edge.backend.registry import GONE, BackendRegistry
+from kelpstage.edge.backend.backend_state import BackendState
+from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.backend.selection import options
 from kelpstage.edge.gather.latency import LatencyEstimates
 from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -11,11 +11,12 @@
 from kelpstage.common.recording.writer import DayWriter
 from kelpstage.common.transport.connections import Lines, LineServer
 from kelpstage.common.transport.messages import EdgeContact, MemberMsg
-from kelpstage.edge.backend.address_poll import PlatformTask
+from kelpstage.edge.backend.address_poll import AddressPollTask
+from kelpstage.edge.backend.backend_state import STATE_NAMES
 from kelpstage.edge.backend.discovery import DiscoveryTask
-from kelpstage.edge.backend.ejected_check import SuspectTask
-from kelpstage.edge.backend.health_check import ProbeTask
-from kelpstage.edge.backend.registry import STATE_NAMES, BackendRegistry
+from kelpstage.edge.backend.ejected_check import EjectedCheckTask
+from kelpstage.edge.backend.health_check import HealthCheckTask
+from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.backend.zones import ZoneDistances
 from kelpstage.edge.events import BackendChanged, Leaving, ServingChanged
 from kelpstage.edge.forward.headers import HeaderNames
--- a/kelpstage/edge/backend/__init__.py
+++ b/kelpstage/edge/backend/__init__.py
@@ -0,0 +1,1 @@
+"""The registry of backends: discovery, health, gossip of states, and selection."""
--- a/kelpstage/edge/backend/address_poll.py
+++ b/kelpstage/edge/backend/address_poll.py
@@ -2,7 +2,7 @@
 
 A backend that the list calls stopping is not asked while it says so: the platform
 knows before the backend does. All else counts only when it changes from one reading
-to the next, and only as a reason to look: a list that lost its rows must not drain
+to the next, and only as a reason to check it: a list that lost its rows must not drain
 the fleet.
 """
 
@@ -14,10 +14,11 @@
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, Ports
 from kelpstage.common.transport.address import is_address
-from kelpstage.edge.backend.registry import DRAINING, BackendRegistry
+from kelpstage.edge.backend.backend_state import BackendState
+from kelpstage.edge.backend.registry import BackendRegistry
 
-POLL_US = 1_000_000
-POLL_WAIT_US = 1_500_000
+POLL_INTERVAL_US = 1_000_000
+POLL_TIMEOUT_US = 1_500_000
 
 
 def read_list(*, body: bytes) -> dict[str, tuple[str, str]] | None:
@@ -39,8 +40,12 @@
         return None
 
 
-class PlatformTask:
-    """Polls the list and tells the book what changed in it."""
+class AddressPollTask:
+    """Polls the list and passes what changed in it to the registry.
+
+    `on_addresses` is called when an address has changed, `check_soon` with each backend
+    that is to be checked, and whether it runs anew.
+    """
 
     def __init__(
         self,
@@ -48,38 +53,39 @@
         ports: Ports,
         url: str,
         registry: BackendRegistry,
-        on_news: Callable[[str], None],
+        on_changed: Callable[[str], None],
         on_addresses: Callable[[], None],
-        look_soon: Callable[[str, bool], None],
+        check_soon: Callable[[str, bool], None],
     ) -> None:
         self._ports = ports
         self._url = url
         self._registry = registry
-        self._on_news = on_news
+        self._on_changed = on_changed
         self._on_addresses = on_addresses
-        self._look_soon = look_soon
+        self._check_soon = check_soon
         self.listed: dict[str, tuple[str, str]] = {}
         self.is_read = False
         ports.keep(self._run())
 
     def addresses(self) -> dict[str, str]:
+        """The addresses of the latest reading, by backend name."""
         return {name: address for name, (address, _) in self.listed.items()}
 
     async def _run(self) -> None:
         while True:
             reply = await self._ports.net.fetch(
-                call=HttpCall(method="GET", url=self._url, wait_us=POLL_WAIT_US)
+                call=HttpCall(method="GET", url=self._url, wait_us=POLL_TIMEOUT_US)
             )
             if not isinstance(reply, KelpstageError) and reply.status == 200:
                 listed = read_list(body=reply.body)
                 if listed is not None:
                     self._follow(listed=listed)
-            await self._ports.clock.sleep(us=POLL_US)
+            await self._ports.clock.sleep(us=POLL_INTERVAL_US)
 
     def _follow(self, *, listed: dict[str, tuple[str, str]]) -> None:
         now_us = self._ports.clock.now_us()
         states = {name: state for name, (_, state) in listed.items()}
-        self._registry.follow_list(states=states, now_us=now_us)
+        self._registry.set_platform_states(states=states, now_us=now_us)
         before, self.listed = self.listed, listed
         was_read, self.is_read = self.is_read, True
         if self.addresses() != {name: a for name, (a, _) in before.items()}:
@@ -94,10 +100,10 @@
             if new == "stopping":
                 if self._registry.observe(
                     name=name,
-                    state=DRAINING,
+                    state=BackendState.DRAINING,
                     why="stopping on the platform's list",
                     now_us=now_us,
                 ):
-                    self._on_news(name)
+                    self._on_changed(name)
                 continue
-            self._look_soon(name, new == "running")
+            self._check_soon(name, new == "running")
--- a/kelpstage/edge/backend/ejected_check.py
+++ b/kelpstage/edge/backend/ejected_check.py
@@ -1,8 +1,9 @@
-"""Probes of lives that are shunned: about one a second for each, in the whole fleet.
+"""Health checks of ejected instances: about one a second for each, in the whole fleet.
 
-A probe is priced and takes a slot, and a health answer may be false either way. So
-lives that answer requests are never probed, and a good answer only ends a shunning
-early, at the edge that probed: the life is then tried with one request at a time.
+A health check is priced and takes a slot, and its answer may be false either way. So
+instances that answer requests are never checked, and a good answer only ends an
+ejection early, at the edge that checked: the instance is then tried with one request
+at a time.
 """
 
 from __future__ import annotations
@@ -13,30 +14,31 @@
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
-from kelpstage.edge.backend.registry import BackendRegistry, Entry
+from kelpstage.edge.backend.entry import BackendEntry
+from kelpstage.edge.backend.registry import BackendRegistry
 
-PROBE_US = 1_000_000
-PROBE_WAIT_US = 700_000
+CHECK_INTERVAL_US = 1_000_000
+CHECK_TIMEOUT_US = 700_000
 
 
-def prober_of(*, instance_id: str, zone: str, edges: dict[str, str]) -> str:
-    """The one edge that probes a life: in its zone, if there is one.
+def checker_of(*, instance_id: str, zone: str, edges: dict[str, str]) -> str:
+    """The one edge that checks an instance: in its zone, if there is one.
 
-    >>> prober_of(instance_id="i", zone="z", edges={"n1": "z", "n2": "y"})
+    >>> checker_of(instance_id="i", zone="z", edges={"n1": "z", "n2": "y"})
     'n1'
-    >>> prober_of(instance_id="i", zone="x", edges={"n2": "y"})
+    >>> checker_of(instance_id="i", zone="x", edges={"n2": "y"})
     'n2'
     """
-    near = [name for name, place in edges.items() if place == zone] or list(edges)
+    near = [name for name, edge_zone in edges.items() if edge_zone == zone] or list(edges)
     return min(near, key=lambda name: (zlib.crc32(f"{instance_id}|{name}".encode()), name))
 
 
-class SuspectTask:
-    """Probes the suspected lives that fall to this edge.
+class EjectedCheckTask:
+    """Checks the suspected instances that fall to this edge.
 
     `edges` gives the live edges with their zones, this one among them; `health_path`
-    that of a service (empty: it is not probed); `instance_header` the header in which a
-    life names itself.
+    that of a service (empty: it is not checked); `instance_header` the header in which an
+    instance names itself.
     """
 
     def __init__(
@@ -48,7 +50,7 @@
         edges: Callable[[], dict[str, str]],
         health_path: Callable[[str], str],
         instance_header: str,
-        counts: Counter,
+        counts: Counter[str],
     ) -> None:
         self._ports = ports
         self._registry = registry
@@ -61,16 +63,16 @@
 
     async def _run(self) -> None:
         while True:
-            await self._ports.clock.sleep(us=PROBE_US)
-            suspects = self._registry.suspects(now_us=self._ports.clock.now_us())
-            if not suspects:
+            await self._ports.clock.sleep(us=CHECK_INTERVAL_US)
+            suspected = self._registry.suspected_instances(now_us=self._ports.clock.now_us())
+            if not suspected:
                 continue
             edges = self._edges()
-            for entry in suspects:
-                if self._me == prober_of(instance_id=entry.name, zone=entry.zone, edges=edges):
-                    self._ports.spawn(self._probe(entry=entry))
+            for entry in suspected:
+                if self._me == checker_of(instance_id=entry.name, zone=entry.zone, edges=edges):
+                    self._ports.spawn(self._health_check(entry=entry))
 
-    async def _probe(self, *, entry: Entry) -> None:
+    async def _health_check(self, *, entry: BackendEntry) -> None:
         path = self._health_path(entry.service)
         if not path:
             return
@@ -79,14 +81,14 @@
             call=HttpCall(
                 method="GET",
                 url=f"http://{entry.address}{path}",
-                wait_us=PROBE_WAIT_US,
+                wait_us=CHECK_TIMEOUT_US,
                 line_limit=entry.line_limit,
             )
         )
         if isinstance(reply, KelpstageError) or not self._is_good(reply=reply, entry=entry):
             return
-        self._registry.note_probed(name=entry.name, now_us=self._ports.clock.now_us())
+        self._registry.note_healthy(name=entry.name, now_us=self._ports.clock.now_us())
 
-    def _is_good(self, *, reply: HttpReply, entry: Entry) -> bool:
-        """Is it well, and is it the life that was meant?"""
+    def _is_good(self, *, reply: HttpReply, entry: BackendEntry) -> bool:
+        """Is it well, and is it the instance that was meant?"""
         return reply.status == 200 and reply.headers.get(self._instance_header) == entry.name
--- a/kelpstage/edge/backend/endpoint_list.py
+++ b/kelpstage/edge/backend/endpoint_list.py
@@ -1,44 +1,52 @@
-"""The list of lives as one node has it, and what of it travels.
+"""The endpoint list as one edge has it, and the updates that travel.
 
-Plain: readings and news go in, news comes out, with the time as an argument. News
-names what changed in the last seconds and the digest of the whole: whoever gets
-another digest after the changes lacks something and asks for all of it. So news of
-any reader fits on what was heard from any other, and a lost message costs nothing as
+Plain: readings and updates go in, updates come out, with the time as an argument. An
+update names what changed in the last seconds and the digest of the complete list:
+whoever gets another digest after the changes lacks something and asks for all of it. So
+the updates of any reader fit on those of any other, and a lost message costs nothing as
 long as a later one comes in time. How fresh a list is travels as an age. An age says
-nothing of how long a message lay in a link, so readings are numbered as well: each reader
-counts on from the highest number it has heard, and news of a lower number than a node
-knows changes nothing there.
+nothing of how long a message lay in a connection, so readings are numbered as well: each
+reader counts on from the highest number it has received, and an update of a lower number
+than an edge knows changes nothing there.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import replace
+from enum import StrEnum
 from typing import Iterable
 
 from kelpstage.common.transport.messages import EndpointUpdate
 from kelpstage.edge.backend.instance import Instance, digest_of, hash_of, instance_of, message_of
 
-CHANGES_KEPT_US = 5_000_000
-CHANGES_TOLD = 1_000
-STALE_US = 50_000
+CHANGES_KEPT_US = 5_000_000  # changes are repeated in updates for so long
+CHANGES_PER_UPDATE = 1_000  # with more of them, peers ask for the complete list
+STALE_US = 50_000  # an update may be older than the list by so much
 
-TAKEN, SAME, STALE, GAP = "taken", "same", "stale", "gap"
+
+class Outcome(StrEnum):
+    """What became of a reading or an update."""
+
+    TAKEN = "taken"  # the list has changed
+    SAME = "same"  # it is what was known
+    STALE = "stale"  # older than what is known, or not believed
+    GAP = "gap"  # not enough to have the complete list
 
 
 class EndpointList:
-    """Lives by instance, the digest of them all, and how fresh they are.
+    """Instances by id, the digest of them all, and how fresh they are.
 
     >>> a, b = EndpointList(me="a", own="a:1"), EndpointList(me="b", own="b:1")
     >>> instance = Instance(instance_id="i", service="s", address="127.0.0.1:1")
-    >>> a.take_reading(instances=[instance], read_us=1_000, now_us=2_000)
-    'taken'
-    >>> b.take_news(news=a.news(now_us=2_000), now_us=70_000)
-    'taken'
+    >>> a.apply_listing(instances=[instance], read_us=1_000, now_us=2_000)
+    <Outcome.TAKEN: 'taken'>
+    >>> b.apply_update(update=a.update(now_us=2_000), now_us=70_000)
+    <Outcome.TAKEN: 'taken'>
     >>> b.instances == a.instances, b.fresh_us
     (True, 69000)
-    >>> a.take_reading(instances=[], read_us=9_000_000, now_us=9_000_000)
-    'stale'
+    >>> a.apply_listing(instances=[], read_us=9_000_000, now_us=9_000_000)
+    <Outcome.STALE: 'stale'>
     """
 
     def __init__(self, *, me: str, own: str) -> None:
@@ -48,20 +56,20 @@
         self.digest = 0
         self.is_known = False
         self.fresh_us = 0
-        self.heard_us = 0
+        self.updated_us = 0
         self.reader = ""
-        self.reading = 0  # the highest number of a reading that was made or heard of
-        self._cold: dict[str, int] = {}
+        self.reading = 0  # the highest number of a reading that is known
+        self._warming_up_until_us: dict[str, int] = {}
         self._changes: deque[tuple[int, str]] = deque()
 
     # --- what comes in ------------------------------------------------------------------
 
-    def take_reading(self, *, instances: Iterable[Instance], read_us: int, now_us: int) -> str:
-        """A whole list that this node read itself, begun at `read_us`. An empty one is
+    def apply_listing(self, *, instances: Iterable[Instance], read_us: int, now_us: int) -> Outcome:
+        """A complete list that this edge read itself, begun at `read_us`. An empty one is
         not believed: a list that lost its rows must not empty the fleet."""
         found = {instance.instance_id: instance for instance in instances}
         if not found and self.instances:
-            return STALE
+            return Outcome.STALE
         plain = {name: _plain(instance=instance) for name, instance in found.items()}
         changed = [
             instance for name, instance in found.items() if self.instances.get(name) != plain[name]
@@ -70,44 +78,43 @@
         self.reading += 1
         self._note_fresh(fresh_us=read_us, now_us=now_us, reader=self._me)
         if not changed and not gone and self.is_known:
-            return SAME
+            return Outcome.SAME
         self._change(changed=changed, gone=gone, now_us=now_us)
-        return TAKEN
-
-    def take_news(self, *, news: EndpointUpdate, now_us: int) -> str:
-        """What a peer tells: taken, the same as known, older than what is known, or
-        not enough to have the whole."""
-        if not news.is_known:
-            return STALE
-        fresh_us = now_us - news.age_us
-        is_superseded = news.reading < self.reading
-        self.reading = max(self.reading, news.reading)
-        if self.is_known and news.digest == self.digest:
+        return Outcome.TAKEN
+
+    def apply_update(self, *, update: EndpointUpdate, now_us: int) -> Outcome:
+        """An update that a peer sent."""
+        if not update.is_known:
+            return Outcome.STALE
+        fresh_us = now_us - update.age_us
+        is_superseded = update.reading < self.reading
+        self.reading = max(self.reading, update.reading)
+        if self.is_known and update.digest == self.digest:
             if fresh_us >= self.fresh_us and not is_superseded:
-                self._note_fresh(fresh_us=fresh_us, now_us=now_us, reader=news.reader)
-            return SAME
+                self._note_fresh(fresh_us=fresh_us, now_us=now_us, reader=update.reader)
+            return Outcome.SAME
         if self.is_known and (is_superseded or fresh_us < self.fresh_us - STALE_US):
-            return STALE
-        changed = [instance_of(message=message) for message in news.changed]
-        gone = [name for name in news.gone if name in self.instances]
-        if news.is_whole:
-            if digest_of(instances=changed) != news.digest:
-                return GAP
-            told = {instance.instance_id for instance in changed}
-            gone = [name for name in self.instances if name not in told]
-        elif self._digest_after(changed=changed, gone=gone) != news.digest:
-            return GAP
+            return Outcome.STALE
+        changed = [instance_of(message=message) for message in update.changed]
+        gone = [name for name in update.gone if name in self.instances]
+        if update.is_whole:
+            if digest_of(instances=changed) != update.digest:
+                return Outcome.GAP
+            listed = {instance.instance_id for instance in changed}
+            gone = [name for name in self.instances if name not in listed]
+        elif self._digest_after(changed=changed, gone=gone) != update.digest:
+            return Outcome.GAP
         changed = [
             instance
             for instance in changed
             if self.instances.get(instance.instance_id) != _plain(instance=instance)
         ]
         self._change(changed=changed, gone=gone, now_us=now_us)
-        self._note_fresh(fresh_us=fresh_us, now_us=now_us, reader=news.reader)
-        return TAKEN
+        self._note_fresh(fresh_us=fresh_us, now_us=now_us, reader=update.reader)
+        return Outcome.TAKEN
 
     def _note_fresh(self, *, fresh_us: int, now_us: int, reader: str) -> None:
-        self.fresh_us, self.heard_us, self.reader = max(fresh_us, self.fresh_us), now_us, reader
+        self.fresh_us, self.updated_us, self.reader = max(fresh_us, self.fresh_us), now_us, reader
 
     def _digest_after(self, *, changed: list[Instance], gone: list[str]) -> int:
         digest = self.digest
@@ -125,24 +132,24 @@
         for instance in changed:
             self.instances[instance.instance_id] = _plain(instance=instance)
             if instance.cold_us > 0:
-                self._cold[instance.instance_id] = now_us + instance.cold_us
+                self._warming_up_until_us[instance.instance_id] = now_us + instance.cold_us
             self._changes.append((now_us, instance.instance_id))
         for name in gone:
             del self.instances[name]
-            self._cold.pop(name, None)
+            self._warming_up_until_us.pop(name, None)
             self._changes.append((now_us, name))
 
     # --- what goes out ------------------------------------------------------------------
 
-    def news(
+    def update(
         self, *, now_us: int, is_whole: bool = False, tell: Iterable[str] = ()
     ) -> EndpointUpdate:
-        """The changes of the last seconds, or all lives, under the digest of the whole."""
+        """The changes of the last seconds, or all instances, under the digest of them all."""
         while self._changes and now_us - self._changes[0][0] > CHANGES_KEPT_US:
             self._changes.popleft()
         names = set(self.instances) if is_whole else {name for _, name in self._changes}
-        if not is_whole and len(names) > CHANGES_TOLD:
-            names = set()  # they will ask for the whole
+        if not is_whole and len(names) > CHANGES_PER_UPDATE:
+            names = set()  # they will ask for the complete list
         return EndpointUpdate(
             reader=self.reader,
             sender=self._own,
@@ -163,14 +170,14 @@
         )
 
     def cold_us(self, *, name: str, now_us: int) -> int:
-        """How much longer a life is slow from its start."""
-        return max(0, self._cold.get(name, 0) - now_us)
+        """How much longer an instance is slow from its start."""
+        return max(0, self._warming_up_until_us.get(name, 0) - now_us)
 
     def as_of(self, *, now_us: int) -> list[Instance]:
-        """All lives, with what is left of their cold time."""
+        """All instances, each with what is left of its slow start."""
         return [
             replace(instance, cold_us=self.cold_us(name=name, now_us=now_us))
-            if name in self._cold
+            if name in self._warming_up_until_us
             else instance
             for name, instance in self.instances.items()
         ]
--- a/kelpstage/edge/backend/instance.py
+++ b/kelpstage/edge/backend/instance.py
@@ -1,8 +1,8 @@
-"""Lives of backends: every start of a backend is a life of its own.
+"""Instances of backends: every start of a backend is an instance of its own.
 
-The list of lives comes from outside (`lists.py`); this module knows what a life is
-and how two lists are compared. A list's digest is the XOR of its lives' hashes, so
-that a change costs no walk over the rest.
+The endpoint list comes from outside (`discovery.py`); this module knows what an instance
+is and how two lists are compared. A list's digest is the XOR of its instances' hashes,
+so that a change costs no walk over the rest.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from kelpstage.common.transport.messages import InstanceMsg
 
-TEXT_BYTES = 1_024
-MOST_SLOTS = 1_000_000
-MOST_COLD_US = 3_600_000_000
+TEXT_BYTES_LIMIT = 1_024
+SLOTS_LIMIT = 1_000_000
+WARMING_UP_LIMIT_US = 3_600_000_000
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -23,7 +23,7 @@
     """One start of a backend.
 
     `slots` is how many requests it works on at a time, `cold_us` how much longer it
-    is slow from its start; that one is not part of a life's identity.
+    is slow from its start (warming up); that one is not part of its identity.
     """
 
     instance_id: str
@@ -37,7 +37,7 @@
 
 
 def bounded(*, instance: Instance) -> Instance | None:
-    """The life with its numbers inside what a message carries, or `None` if a text of it
+    """The instance with its numbers inside what a message carries, or `None` if a text of it
     can't be sent on.
 
     >>> bounded(instance=Instance(instance_id="i", service="s", address="a:1", slots=2**70)).slots
@@ -53,18 +53,18 @@
         instance.revision,
     )
     try:
-        if max(len(text.encode()) for text in texts) > TEXT_BYTES:
+        if max(len(text.encode()) for text in texts) > TEXT_BYTES_LIMIT:
             return None
     except UnicodeEncodeError:
         return None
-    slots, cold_us = min(instance.slots, MOST_SLOTS), min(instance.cold_us, MOST_COLD_US)
+    slots, cold_us = min(instance.slots, SLOTS_LIMIT), min(instance.cold_us, WARMING_UP_LIMIT_US)
     if (slots, cold_us) == (instance.slots, instance.cold_us):
         return instance
     return replace(instance, slots=slots, cold_us=cold_us)
 
 
 def hash_of(*, instance: Instance) -> int:
-    """64 bits of everything but the cold time.
+    """64 bits of everything but `cold_us`.
 
     >>> instance = Instance(instance_id="i", service="s", address="127.0.0.1:1")
     >>> from dataclasses import replace
@@ -88,7 +88,7 @@
 
 
 def digest_of(*, instances: Iterable[Instance]) -> int:
-    """The digest of a whole list, whatever its order.
+    """The digest of a complete list, whatever its order.
 
     >>> digest_of(instances=[])
     0
@@ -100,7 +100,7 @@
 
 
 def message_of(*, instance: Instance, cold_us: int) -> InstanceMsg:
-    """A life as it travels; its cold time counts from now.
+    """An instance as it travels; its `cold_us` counts from now.
 
     >>> instance = Instance(instance_id="i", service="s", address="127.0.0.1:1", slots=2)
     >>> instance_of(message=message_of(instance=instance, cold_us=0)) == instance
@@ -119,7 +119,7 @@
 
 
 def instance_of(*, message: InstanceMsg) -> Instance:
-    """The life that a message tells of."""
+    """The instance that a message describes."""
     return Instance(
         instance_id=message.instance_id,
         service=message.service,
--- a/kelpstage/edge/backend/reply.py
+++ b/kelpstage/edge/backend/reply.py
@@ -1,4 +1,4 @@
-"""Reading and checking of a backend's reply: the one place that knows its form.
+"""Reading and checking of a backend's reply: the only module that knows its form.
 
 A reply is a JSON object: `shard`, `cut`, `count`, `stamp`, `records`. The stamp
 is the SHA-256, in hex, over each record's exact bytes as they stand in the
@@ -13,21 +13,23 @@
 import re
 import struct
 from dataclasses import dataclass
-from json.decoder import scanstring
+from json.decoder import scanstring  # type: ignore[attr-defined]
+from typing import Any
 
 from kelpstage.common.errors.backends import InvalidReplyError
 from kelpstage.common.ports.interfaces import HttpReply
 
 SPACE = re.compile(r"[ \t\n\r]*")
-LOW, HIGH = -(2**63) + 1, 2**63 - 1
-REPLY_LIMIT = 16 * 1024 * 1024
+RANK_MIN, RANK_MAX = -(2**63) + 1, 2**63 - 1
+REPLY_LIMIT = 16 * 1024 * 1024  # bytes of a body
 
 
 def _no_constants(name: str) -> object:
     raise ValueError(f"{name} is not JSON")
 
 
-_decoder = json.JSONDecoder(parse_constant=_no_constants)
+# `scan_once` gives a value and where it ends; the typed stubs leave it out.
+_decoder: Any = json.JSONDecoder(parse_constant=_no_constants)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -77,11 +79,12 @@
         place = _skip(text=text, place=place + 1)
 
 
-def _scan_reply(*, text: str) -> dict:
+def _scan_reply(*, text: str) -> dict[str, Any]:
+    """The fields of a reply, its records with their exact texts."""
     place = _skip(text=text, place=0)
     if text[place] != "{":
         raise ValueError("not an object")
-    fields: dict = {}
+    fields: dict[str, Any] = {}
     place = _skip(text=text, place=place + 1)
     while text[place] != "}":
         if text[place] != '"':
@@ -110,7 +113,7 @@
 
 
 def _check_head(*, backend: str, reply: HttpReply) -> InvalidReplyError | None:
-    """The first fault of the status line, the headers or the body's length, if any."""
+    """The first error of the status line, the headers or the body's length, if any."""
 
     def bad(part: str, why: str) -> InvalidReplyError:
         return InvalidReplyError(backend=backend, part=part, why=why)
@@ -133,7 +136,7 @@
 def read_reply(
     *, backend: str, reply: HttpReply, shard: str, cut: str, order_by: str
 ) -> SealedPart | InvalidReplyError:
-    """Check a reply whole: status, type, encoding, form, shard, cut, count, stamp.
+    """Check a complete reply: status, type, encoding, form, shard, cut, count, stamp.
 
     >>> record = b'{"score":3}'
     >>> body = (b'{"shard":"s","cut":"c","count":1,"stamp":"'
@@ -150,9 +153,9 @@
     def bad(part: str, why: str) -> InvalidReplyError:
         return InvalidReplyError(backend=backend, part=part, why=why)
 
-    head_fault = _check_head(backend=backend, reply=reply)
-    if head_fault is not None:
-        return head_fault
+    head_error = _check_head(backend=backend, reply=reply)
+    if head_error is not None:
+        return head_error
     try:
         fields = _scan_reply(text=reply.body.decode("utf-8"))
     except UnicodeDecodeError:
@@ -174,7 +177,7 @@
     records: list[tuple[int, bytes]] = []
     for (value, _), data in zip(scanned, raw, strict=False):
         rank = value.get(order_by) if isinstance(value, dict) else None
-        if type(rank) is not int or not LOW <= rank <= HIGH:
+        if type(rank) is not int or not RANK_MIN <= rank <= RANK_MAX:
             return bad("record", f"{order_by} is not a whole number of 64 bits")
         records.append((-rank, data))
     return SealedPart(
--- a/kelpstage/edge/backend/selection.py
+++ b/kelpstage/edge/backend/selection.py
@@ -1,8 +1,9 @@
 """Choosing the backend for a shard.
 
-Declared backends are chosen by pace and zone, as declared. Lives are chosen by the
-time an answer is expected to take, with a lot: every edge shares their few slots and
-none sees what the others have sent, so that the best must not draw everybody.
+Declared backends are chosen by latency and zone, as declared. Discovered instances are
+chosen by the time that an answer is expected to take, weighted at random: all edges share
+their few slots and none sees what the others have sent, so that the best must not draw
+everybody.
 """
 
 from __future__ import annotations
@@ -12,28 +13,42 @@
 from math import log
 
 from kelpstage.common.configuration.types import Configuration
-from kelpstage.edge.backend.registry import DARK_KEPT_US, DARK_VOICES, BackendRegistry, Entry
+from kelpstage.edge.backend.entry import BackendEntry
+from kelpstage.edge.backend.registry import BackendRegistry
+from kelpstage.edge.backend.suspected_instances import (
+    UNREACHABLE_REPORT_QUORUM,
+    UNREACHABLE_REPORT_TTL_US,
+)
 from kelpstage.edge.gather.latency import LatencyEstimates
 
-LEAST_US = 2_000
-FAR_US = 30_000
-COLD_TIMES = 1.6
-LOT_POWER = 10  # a life of 1.3 times the cost is drawn once in 15 times, of twice once in 1,000
-MIDDLE_LOT = 1.0
+LATENCY_STEP_US = 2_000  # latencies of declared backends are compared in such steps
+FAR_US = 30_000  # added to the cost of a declared backend in another zone
+WARMING_UP_FACTOR = 1.6  # of the expected time, during the slow start
+# An instance of 1.3 times the cost is drawn once in 15 times, of twice once in 1,000.
+RANDOM_CHOICE_POWER = 10
+MEAN_RANDOM_WEIGHT = 1.0  # of all, where nothing is drawn at random
+
+
+# Refused, suspected, overdue, cost, a random number, name.
+Rank = tuple[bool, bool, bool, float, float, str]
 
 
 @dataclass(slots=True)
 class Option:
-    """One backend as the choice saw it; the least rank is chosen."""
+    """One backend as the choice saw it; the lowest rank is chosen.
+
+    `refusal` says why it may not be asked, and is empty if it may; `mean_us` is its
+    latency estimate.
+    """
 
     backend: str
     refusal: str
     is_near: bool
     in_flight: int
     mean_us: int
-    is_distrusted: bool
+    is_suspected: bool
     is_overdue: bool
-    rank: tuple
+    rank: Rank
 
 
 def options(
@@ -49,13 +64,12 @@
 ) -> list[Option]:
     """All backends of a shard, best first, the refused ones last with the reason.
 
-    A shard whose service is on the list of lives has its lives; any other has the
-    backends that the configuration's selector picks.
+    A shard whose service has discovered instances has those; any other has the backends
+    that the configuration's selector picks.
 
-    Those that lied a moment ago come after the others, and those that let a window
-    pass and are silent still. The least cost is chosen:
-    what is in flight, weighed by the backend's pace, and a charge for another
-    zone; ties by lot.
+    Suspected ones come after the others, and those that missed a window and are silent
+    still. The lowest cost is chosen: what is in flight, weighted by the backend's latency
+    estimate, and a charge for another zone; ties at random.
     """
     instances = registry.instances_of(shard)
     if instances and not configuration.backends_of(collection=collection, shard=shard):
@@ -68,11 +82,12 @@
         refusal = registry.refusal(name=name, configuration=configuration, now_us=now_us)
         is_near = configuration.backends[name].labels.get("domain") == zone
         mean_us = latencies.mean_us(name=name, now_us=now_us)
-        cost = (entry.in_flight + 1) * (max(mean_us, LEAST_US) // LEAST_US * LEAST_US)
+        latency_steps = max(mean_us, LATENCY_STEP_US) // LATENCY_STEP_US
+        cost = (entry.in_flight + 1) * latency_steps * LATENCY_STEP_US
         cost += 0 if is_near else FAR_US
-        is_distrusted = registry.is_distrusted(name=name, now_us=now_us)
+        is_suspected = registry.is_suspected(name=name, now_us=now_us)
         is_overdue = registry.is_overdue(name=name, now_us=now_us)
-        lot = rand.random() if rand else 0.0
+        random_part = rand.random() if rand else 0.0
         out.append(
             Option(
                 backend=name,
@@ -80,9 +95,9 @@
                 is_near=is_near,
                 in_flight=entry.in_flight,
                 mean_us=mean_us,
-                is_distrusted=is_distrusted,
+                is_suspected=is_suspected,
                 is_overdue=is_overdue,
-                rank=(bool(refusal), is_distrusted, is_overdue, cost, lot, name),
+                rank=(bool(refusal), is_suspected, is_overdue, cost, random_part, name),
             )
         )
     return sorted(out, key=lambda option: option.rank)
@@ -96,16 +111,15 @@
     now_us: int,
     rand: random.Random | None,
 ) -> list[Option]:
-    """Lives by the time an answer is expected to take, drawn by lot.
+    """Instances by the time that an answer is expected to take, weighted at random.
 
-    That time is the life's own pace (the service's median where nothing is known),
-    longer for what is in flight over its slots, while it is cold and after failures,
-    and the way to its zone. Of two lives, the one that costs 1.3 times as much is drawn
-    once in 15 times; so speed, queues and distance weigh, and equals share alike.
+    That time is the instance's own latency (the service's median where nothing is known),
+    longer for what is in flight over its slots, while it warms up and after failures,
+    and the way to its zone. So speed, queues and distance weigh, and equals share alike.
 
-    If every one that the list gives is shunned, the least bad one is offered still.
+    If every one that the list gives is ejected, the least bad one is offered still.
     """
-    entries, own_zone = registry.entries, registry.places.zone
+    entries, own_zone = registry.entries, registry.zone_distances.zone
     median_us = registry.median_us(service=service, now_us=now_us)
     draw = rand.random if rand else None
     out = []
@@ -113,13 +127,18 @@
     for name in instances:
         entry = entries[name]
         refusal = (
-            "" if _is_plain(entry) else registry.refusal_of_instance(entry=entry, now_us=now_us)
+            ""
+            if _is_unimpaired(entry)
+            else registry.refusal_of_instance(entry=entry, now_us=now_us)
         )
         seen = entry.seen
         mean_us = seen.latency_us(median_us=median_us, now_us=now_us)
         cost = expected_us(entry=entry, mean_us=mean_us, now_us=now_us)
-        is_doubted = bool(entry.dark_by) and _is_doubted(entry=entry, now_us=now_us)
-        lot = -log(1.0 - draw()) if draw else MIDDLE_LOT
+        is_suspected = bool(entry.unreachable_by) and _is_reported_ejected(
+            entry=entry, now_us=now_us
+        )
+        random_part = -log(1.0 - draw()) if draw else MEAN_RANDOM_WEIGHT
+        weight = cost**RANDOM_CHOICE_POWER * random_part
         if not refusal:
             is_any_free = True
         out.append(
@@ -129,9 +148,9 @@
                 entry.zone == own_zone,
                 entry.in_flight,
                 int(mean_us),
-                is_doubted,
-                now_us < seen.full_until_us,
-                (refusal != "", is_doubted, False, cost**LOT_POWER * lot, 0.0, name),
+                is_suspected,
+                now_us < seen.overloaded_until_us,
+                (refusal != "", is_suspected, False, weight, 0.0, name),
             )
         )
     out.sort(key=_rank)
@@ -140,54 +159,55 @@
     return out
 
 
-def _rank(option: Option) -> tuple:
+def _rank(option: Option) -> Rank:
     return option.rank
 
 
-def _is_plain(entry: Entry) -> bool:
-    """Nothing speaks against it; the common case, looked at without a call."""
+def _is_unimpaired(entry: BackendEntry) -> bool:
+    """Nothing speaks against it: the common case, found without a call."""
     return (
         not entry.state
-        and not entry.seen.shunned_until_us
+        and not entry.seen.ejected_until_us
         and not entry.gone_us
         and not 0 < entry.line_limit <= entry.in_flight
     )
 
 
-def expected_us(*, entry: Entry, mean_us: float, now_us: int) -> float:
-    """How long an answer of this life is expected to take, and what its way costs."""
+def expected_us(*, entry: BackendEntry, mean_us: float, now_us: int) -> float:
+    """How long an answer is expected to take, with the charge of its zone, in microseconds."""
     seen = entry.seen
     load = entry.in_flight + 1
-    if now_us < seen.full_until_us:
+    if now_us < seen.overloaded_until_us:
         load += entry.slots
     cost = mean_us
     if load > 1:
         cost += mean_us * (load - 1) / entry.slots
-    if now_us < entry.cold_until_us:
-        cost *= COLD_TIMES
-    if seen.fail_share:
+    if now_us < entry.warming_up_until_us:
+        cost *= WARMING_UP_FACTOR
+    if seen.failure_share:
         cost = seen.with_failures(cost_us=cost, now_us=now_us)
     return cost + entry.distance_us + entry.charge_us
 
 
-def _is_doubted(*, entry: Entry, now_us: int) -> bool:
-    """Do two peers or more shun it, and did this node have no answer since?"""
-    voices = sum(
-        now_us - at < DARK_KEPT_US and at > entry.heard_us for at in entry.dark_by.values()
+def _is_reported_ejected(*, entry: BackendEntry, now_us: int) -> bool:
+    """Have several peers ejected it, and did this edge have no answer since?"""
+    reports = sum(
+        now_us - at_us < UNREACHABLE_REPORT_TTL_US and at_us > entry.responded_us
+        for at_us in entry.unreachable_by.values()
     )
-    return voices >= DARK_VOICES
+    return reports >= UNREACHABLE_REPORT_QUORUM
 
 
 def _offer_least_bad(*, options: list[Option], registry: BackendRegistry, now_us: int) -> None:
-    """Lives that are only shunned are better than none: the one whose time is nearest."""
-    shunned = [option for option in options if option.refusal in ("shunned", "on trial")]
-    if not shunned:
+    """Ejected instances are better than none: the one that may be tried soonest."""
+    ejected = [option for option in options if option.refusal in ("shunned", "on trial")]
+    if not ejected:
         return
     best = min(
-        shunned,
+        ejected,
         key=lambda option: (
             registry.entries[option.backend].in_flight,
-            registry.entries[option.backend].seen.shunned_until_us,
+            registry.entries[option.backend].seen.ejected_until_us,
             option.backend,
         ),
     )
--- a/kelpstage/edge/backend/zones.py
+++ b/kelpstage/edge/backend/zones.py
@@ -1,11 +1,11 @@
-"""How far the zones are from this node, and what it costs to cross between them."""
+"""How far the zones are from this edge, and what it costs to cross between them."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-SAME_ZONE_US, SAME_REGION_US, FAR_US = 1_000, 3_000, 22_000
-REGION_CHARGE_US = 25_000  # bytes between regions are dear
+SAME_ZONE_US, SAME_REGION_US, FAR_US = 1_000, 3_000, 22_000  # round trips, as guessed
+REGION_CHARGE_US = 25_000  # bytes between regions are expensive
 ZONE_CHARGE_US = 3_000
 
 
@@ -13,11 +13,12 @@
 class ZoneDistances:
     """Zones and their regions; a round trip is guessed until one was measured.
 
-    >>> places = ZoneDistances(zone="a1", region="a", zones={"a1": "a", "a2": "a", "b1": "b"})
-    >>> [places.distance_us(zone=zone) for zone in ("a1", "a2", "b1")]
+    >>> regions = {"a1": "a", "a2": "a", "b1": "b"}
+    >>> zone_distances = ZoneDistances(zone="a1", region="a", zones=regions)
+    >>> [zone_distances.distance_us(zone=zone) for zone in ("a1", "a2", "b1")]
     [1000, 3000, 22000]
-    >>> places.note_round_trip(zone="b1", took_us=16_400)
-    >>> places.distance_us(zone="b1")
+    >>> zone_distances.note_round_trip(zone="b1", took_us=16_400)
+    >>> zone_distances.distance_us(zone="b1")
     16400
     """
 
@@ -27,15 +28,16 @@
     measured: dict[str, int] = field(default_factory=dict)
 
     def is_same_region(self, *, zone: str) -> bool:
-        """A zone of no known region is far, unless it is this node's own."""
+        """A zone of no known region is far, unless it is this edge's own."""
         region = self.zones.get(zone)
         return zone == self.zone or region is not None and region == self.own_region()
 
     def own_region(self) -> str | None:
+        """The region of this edge; `None` if it is not known."""
         return self.region or self.zones.get(self.zone)
 
     def distance_us(self, *, zone: str) -> int:
-        """A round trip to a zone."""
+        """A round trip to a zone, in microseconds."""
         if zone in self.measured:
             return self.measured[zone]
         if zone == self.zone:
@@ -43,12 +45,12 @@
         return SAME_REGION_US if self.is_same_region(zone=zone) else FAR_US
 
     def charge_us(self, *, zone: str) -> int:
-        """What bytes to a zone are worth in time."""
+        """The price of bytes to a zone, expressed as time in microseconds."""
         if zone == self.zone:
             return 0
         return ZONE_CHARGE_US if self.is_same_region(zone=zone) else REGION_CHARGE_US
 
     def note_round_trip(self, *, zone: str, took_us: int) -> None:
-        """A round trip to somebody in that zone was measured: the short ones count."""
+        """A round trip to a node in that zone was measured: the short ones count."""
         known = self.measured.get(zone, took_us)
         self.measured[zone] = min(took_us, known + (took_us - known) // 16)
--- a/kelpstage/edge/gather/task.py
+++ b/kelpstage/edge/gather/task.py
@@ -17,7 +17,7 @@
 from kelpstage.common.transport.connections import Lines
 from kelpstage.common.transport.messages import Gather, Gathered, SubtreeMsg
 from kelpstage.edge.backend import outlier_detection
-from kelpstage.edge.backend.registry import DRAINING, GONE
+from kelpstage.edge.backend.backend_state import BackendState
 from kelpstage.edge.backend.reply import SealedPart, read_reply
 from kelpstage.edge.events import Began, Ended
 from kelpstage.edge.forward.request import ClientRequest, pack_headers, unpack_headers
--- a/kelpstage/edge/gossip/__init__.py
+++ b/kelpstage/edge/gossip/__init__.py
@@ -0,0 +1,1 @@
+"""Membership of edges after SWIM, and its datagrams."""
--- a/kelpstage/edge/gossip/task.py
+++ b/kelpstage/edge/gossip/task.py
@@ -8,7 +8,8 @@
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import Ports
 from kelpstage.common.transport.messages import BackendStateMsg, GossipMsg
-from kelpstage.edge.backend.registry import STATE_NAMES, BackendRegistry
+from kelpstage.edge.backend.backend_state import STATE_NAMES
+from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.events import BackendChanged, PeerChanged
 from kelpstage.edge.gossip.swim import STATUS_NAMES, TICK_US, Sends, Swim
 
--- a/kelpstage/edge/retries/__init__.py
+++ b/kelpstage/edge/retries/__init__.py
@@ -0,0 +1,1 @@
+"""The retry budget and load shedding."""
--- a/kelpstage/edge/web/explain.py
+++ b/kelpstage/edge/web/explain.py
@@ -8,7 +8,7 @@
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.transport.messages import FetchTrace, Trace
-from kelpstage.edge.backend.registry import STATE_NAMES
+from kelpstage.edge.backend.backend_state import STATE_NAMES
 from kelpstage.edge.backend.selection import options
 from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
 from kelpstage.edge.gossip.swim import STATUS_NAMES
--- a/kelpstage/testbed/hollow/fleet.py
+++ b/kelpstage/testbed/hollow/fleet.py
@@ -201,7 +201,7 @@
     def _make_edge(self, *, process: HollowProcess, settings: dict) -> Edge:
         if not self.options.backends and not self.options.shards:
             return Edge(ports=process.ports, settings=settings)
-        from kelpstage.edge.backend.discovery import OwnListSource
+        from kelpstage.edge.backend.endpoint_source import HttpEndpointSource
 
         return Edge(
             ports=process.ports,
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -24,11 +24,13 @@
 )
 from kelpstage.edge.app import Edge
 from kelpstage.edge.backend import outlier_detection
-from kelpstage.edge.backend.discovery import DiscoveryTask, OwnListSource
-from kelpstage.edge.backend.ejected_check import SuspectTask
+from kelpstage.edge.backend.backend_state import BackendState
+from kelpstage.edge.backend.discovery import DiscoveryTask
+from kelpstage.edge.backend.ejected_check import EjectedCheckTask
 from kelpstage.edge.backend.endpoint_list import EndpointList
+from kelpstage.edge.backend.endpoint_source import HttpEndpointSource
 from kelpstage.edge.backend.instance import Instance
-from kelpstage.edge.backend.registry import DARK, DRAINING, GONE, UP, BackendRegistry
+from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.backend.selection import Option, options
 from kelpstage.edge.backend.zones import ZoneDistances
 from kelpstage.edge.gather.latency import LatencyEstimates
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -17,7 +17,8 @@
     PartMsg,
     StateDoc,
 )
-from kelpstage.edge.backend.registry import DARK, LYING, BackendRegistry
+from kelpstage.edge.backend.backend_state import BackendState
+from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.backend.reply import SealedPart
 from kelpstage.edge.backend.selection import options
 from kelpstage.edge.gather.context import World
