--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -25,7 +25,8 @@
 from kelpstage.edge.gather.latency import LatencyEstimates
 from kelpstage.edge.gather.messages import ConfigurationMoved, WantState
 from kelpstage.edge.gather.task import GatherTask
-from kelpstage.edge.gossip.swim import LEAVING, Swim
+from kelpstage.edge.gossip.members import LEAVING
+from kelpstage.edge.gossip.swim import Swim
 from kelpstage.edge.gossip.task import GossipTask
 from kelpstage.edge.handlers import handle
 from kelpstage.edge.lease.lease_holder import LeaseHolder
--- a/kelpstage/edge/backend/discovery.py
+++ b/kelpstage/edge/backend/discovery.py
@@ -29,7 +29,8 @@
 from kelpstage.edge.backend.endpoint_source import EndpointSource
 from kelpstage.edge.backend.listing import ListingReader
 from kelpstage.edge.backend.registry import BackendRegistry
-from kelpstage.edge.gossip.swim import ALIVE, LEAVING, SUSPECT, Swim
+from kelpstage.edge.gossip.members import ALIVE, LEAVING, SUSPECT
+from kelpstage.edge.gossip.swim import Swim
 
 READ_INTERVAL_US = 1_000_000
 READ_TIMEOUT_US = 2_500_000  # a reading asks for no further page after that
--- a/kelpstage/edge/backend/reply.py
+++ b/kelpstage/edge/backend/reply.py
@@ -57,7 +57,7 @@
 
 
 def _skip(*, text: str, place: int) -> int:
-    return SPACE.match(text, place).end()
+    return SPACE.match(text, place).end()  # type: ignore[union-attr]  # matches no text too
 
 
 def _scan_records(*, text: str, place: int) -> tuple[list[tuple[object, str]], int]:
--- a/kelpstage/edge/gather/context.py
+++ b/kelpstage/edge/gather/context.py
@@ -9,7 +9,8 @@
 from kelpstage.common.event_journal import Journal
 from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.gather.latency import LatencyEstimates
-from kelpstage.edge.gossip.swim import ALIVE, Swim
+from kelpstage.edge.gossip.members import ALIVE
+from kelpstage.edge.gossip.swim import Swim
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.retries.budget import Budget
 
--- a/kelpstage/edge/gossip/task.py
+++ b/kelpstage/edge/gossip/task.py
@@ -1,7 +1,8 @@
-"""The gossip task: owns the datagrams, ticks the table of edges."""
+"""The gossip task: owns the datagram socket, and drives the protocol by the clock."""
 
 from __future__ import annotations
 
+from collections import Counter
 from typing import Any, Callable
 
 from kelpstage.common.errors.base import KelpstageError
@@ -11,14 +12,19 @@
 from kelpstage.edge.backend.backend_state import STATE_NAMES
 from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.events import BackendChanged, PeerChanged
-from kelpstage.edge.gossip.swim import STATUS_NAMES, TICK_US, Sends, Swim
+from kelpstage.edge.gossip.members import STATUS_NAMES
+from kelpstage.edge.gossip.swim import TICK_US, Sends, Swim
 
-MAGIC = b"KG\x01"
-DATAGRAM_LIMIT = 60_000
+MAGIC = b"KG\x01"  # what every datagram begins with
+DATAGRAM_LIMIT = 60_000  # bytes
 
 
 class GossipTask:
-    """Ticks the table and carries its datagrams."""
+    """Ticks the protocol and carries its datagrams.
+
+    `refresh` is called before each tick, to bring this edge's own record up to date;
+    `has_backends` tells whether there are backend states to send.
+    """
 
     def __init__(
         self,
@@ -28,7 +34,7 @@
         swim: Swim,
         registry: BackendRegistry,
         address: str,
-        counts: Any,
+        counts: Counter[str],
         refresh: Callable[[], None],
         has_backends: Callable[[], bool] = lambda: True,
     ) -> None:
@@ -40,12 +46,13 @@
         self._counts = counts
         self._refresh = refresh
         self._has_backends = has_backends
-        self._kept_states: list[BackendStateMsg] | None = None  # till the next tick
+        self._states_cache: list[BackendStateMsg] | None = None  # until the next tick
         self._datagrams: Any = None
         swim.backend_states = self._backend_states
         swim.on_backend_state = self._on_backend_state
 
     async def open(self) -> KelpstageError | None:
+        """Bind the datagram socket and begin to tick; the error if it can't be bound."""
         outcome = await self._ports.net.datagrams(
             address=self._address, on_datagram=self._on_datagram
         )
@@ -58,14 +65,14 @@
     async def _tick(self) -> None:
         while True:
             await self._ports.clock.sleep(us=TICK_US)
-            self._kept_states = None
+            self._states_cache = None
             self._refresh()
             self._send(sends=self._swim.tick(now_us=self._ports.clock.now_us()))
             self._note_changes()
 
     def spread(self) -> None:
-        """Tell peers now."""
-        self._kept_states = None
+        """Send updates to peers now."""
+        self._states_cache = None
         self._refresh()
         self._send(sends=self._swim.spread())
 
@@ -84,7 +91,8 @@
             self._counts["gossip_foreign"] += 1
             return
         try:
-            message = GossipMsg().parse(data[len(MAGIC) :])
+            message = GossipMsg()
+            message.parse(data[len(MAGIC) :])
         except Exception:  # betterproto raises many kinds on garbage
             self._counts["gossip_unreadable"] += 1
             return
@@ -95,26 +103,25 @@
         self._note_changes()
 
     def _note_changes(self) -> None:
-        changes, self._swim.changes = self._swim.changes, []
-        for change in changes:
+        for change in self._swim.take_changes():
             self._journal.add(
                 PeerChanged(peer=change.name, status=STATUS_NAMES[change.status], why=change.why)
             )
 
     def _backend_states(self) -> list[BackendStateMsg]:
-        if self._kept_states is None:
-            self._kept_states = (
+        if self._states_cache is None:
+            self._states_cache = (
                 self._registry.backend_states(now_us=self._ports.clock.now_us())
                 if self._has_backends()
                 else []
             )
-        return self._kept_states
+        return self._states_cache
 
     def _on_backend_state(self, backend_state: BackendStateMsg) -> None:
         if self._registry.on_backend_state_received(
             backend_state=backend_state, now_us=self._ports.clock.now_us()
         ):
-            self._kept_states = None
+            self._states_cache = None
             self._journal.add(
                 BackendChanged(
                     backend=backend_state.backend,
@@ -125,5 +132,6 @@
             )
 
     def close(self) -> None:
+        """Close the datagram socket."""
         if self._datagrams is not None:
             self._datagrams.close()
--- a/kelpstage/edge/lease/task.py
+++ b/kelpstage/edge/lease/task.py
@@ -31,7 +31,8 @@
     StateDoc,
 )
 from kelpstage.edge.events import Installed, StateRefused
-from kelpstage.edge.gossip.swim import ALIVE, SUSPECT, Swim
+from kelpstage.edge.gossip.members import ALIVE, SUSPECT
+from kelpstage.edge.gossip.swim import Swim
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 
 RENEW_US = 500_000
--- a/kelpstage/edge/web/explain.py
+++ b/kelpstage/edge/web/explain.py
@@ -11,7 +11,7 @@
 from kelpstage.edge.backend.backend_state import STATE_NAMES
 from kelpstage.edge.backend.selection import options
 from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
-from kelpstage.edge.gossip.swim import STATUS_NAMES
+from kelpstage.edge.gossip.members import STATUS_NAMES
 from kelpstage.edge.timelines import as_json
 
 if TYPE_CHECKING:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -37,7 +37,8 @@
 from kelpstage.edge.gather.messages import ConfigurationMoved, Verdict
 from kelpstage.edge.gather.request_state import ROOT, Gathering
 from kelpstage.edge.gather.task import GatherTask
-from kelpstage.edge.gossip.swim import ALIVE, Member, Swim
+from kelpstage.edge.gossip.members import ALIVE, Member
+from kelpstage.edge.gossip.swim import Swim
 from kelpstage.edge.handlers import handle
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.retries.budget import Budget
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -34,7 +34,8 @@
 from kelpstage.edge.backend.selection import Option, options
 from kelpstage.edge.backend.zones import ZoneDistances
 from kelpstage.edge.gather.latency import LatencyEstimates
-from kelpstage.edge.gossip.swim import LEAVING, Swim
+from kelpstage.edge.gossip.members import LEAVING
+from kelpstage.edge.gossip.swim import Swim
 from kelpstage.edge.gossip.task import GossipTask
 from kelpstage.edge.retries.budget import Budget
 from kelpstage.testbed.simulation.loop import VirtualLoop
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -16,7 +16,8 @@
 from kelpstage.common.transport.delta import apply_delta, pack_delta
 from kelpstage.common.transport.messages import EdgeContact, MemberMsg
 from kelpstage.core.leases.lease_table import LeaseTable
-from kelpstage.edge.gossip.swim import ALIVE, DEAD, PING, SUSPECT, TICK_US, Swim
+from kelpstage.edge.gossip.members import ALIVE, DEAD, SUSPECT
+from kelpstage.edge.gossip.swim import PING, TICK_US, Swim
 from kelpstage.edge.lease.task import LARGE_RENEW_WAIT_US, renew_period_us
 from kelpstage.testbed.hollow.fleet import SECOND, HollowFleet, HollowStuck, document
 from kelpstage.testbed.hollow.metered_network import HollowWorld, metered_loop
