--- a/kelpstage/edge/forward/headers.py
+++ b/kelpstage/edge/forward/headers.py
@@ -1,4 +1,4 @@
-"""Names of the headers by which clients, this node and backends understand each other.
+"""Names of the headers between clients, this edge and backends.
 
 The product's own names are the defaults; settings may give others, so that a
 deployment's wire can be spoken without a word of it in the product.
@@ -30,7 +30,7 @@
 
 
 def read_names(*, raw: dict[str, str]) -> HeaderNames | InvalidSettingsError:
-    """Names from settings; one that is not known is a fault.
+    """Names from settings; one that is not known is an error.
 
     >>> read_names(raw={"seal": "Stamp"}).seal
     'Stamp'
--- a/kelpstage/edge/forward/request.py
+++ b/kelpstage/edge/forward/request.py
@@ -42,7 +42,7 @@
 
     @property
     def host(self) -> str:
-        """The host that it names."""
+        """The host that the request names; empty if it names none."""
         return next((value for name, value in self.headers if name.lower() == "host"), "")
 
 
@@ -77,7 +77,7 @@
 
 
 def pack_headers(*, headers: tuple[tuple[str, str], ...]) -> list[str]:
-    """Headers as they travel between nodes: names and values by turns.
+    """Headers as they travel between edges: names and values alternate.
 
     >>> unpack_headers(texts=pack_headers(headers=(("A", "1"),)))
     (('A', '1'),)
--- a/kelpstage/edge/forward/sealed_answer.py
+++ b/kelpstage/edge/forward/sealed_answer.py
@@ -20,7 +20,7 @@
 from kelpstage.edge.backend.reply import SealedPart
 from kelpstage.edge.forward.headers import HeaderNames
 
-RECORD_SIZE = 16
+RECORD_SIZE = 16  # bytes
 NOT_RUN_STATUS = 421
 # Statuses by which a caller may take it that the request has not run and never will
 # (PROTOCOL, "Answers"): of a backend's they mean that only with its `not run` header.
@@ -49,11 +49,12 @@
 
     @property
     def is_success(self) -> bool:
+        """Is the status one of success (2xx)?"""
         return 200 <= self.status < 300
 
 
 class SealedCodec:
-    """Calls to backends, and what their answers are worth.
+    """Makes the calls to backends, and checks their answers.
 
     >>> codec = SealedCodec(names=HeaderNames())
     >>> headers = {"kelp-seal": "a.1", "kelp-request-id": "r"}
@@ -72,7 +73,7 @@
         self._instance = names.instance.lower()
 
     def call(self, *, ask: Any) -> HttpCall:
-        """The call to one backend life, named in it so that no other runs it."""
+        """The call to one instance, named in it so that no other one runs it."""
         request = ask.record.request
         headers = dict(request.headers)
         if len(headers) < len(request.headers):  # some stand more than once
@@ -97,7 +98,9 @@
             return Owner.UNNAMED
         return Owner.OURS if named == request_id else Owner.OTHERS
 
-    def _refused(self, *, reply: HttpReply, backend: str, request_id: str) -> Any:
+    def _refused(
+        self, *, reply: HttpReply, backend: str, request_id: str
+    ) -> RequestNotRunError | InvalidReplyError | None:
         """Why the answer is none to this request, or says that it did not run."""
         if self._owner_of(reply=reply, request_id=request_id) != Owner.OURS:
             return InvalidReplyError(
--- a/kelpstage/edge/retries/budget.py
+++ b/kelpstage/edge/retries/budget.py
@@ -1,15 +1,17 @@
-"""The budget of extra rounds: what a node may send beyond its first sends.
+"""The retry budget: what an edge may send beyond its first sends.
 
-Counted where the sends happen, over a sliding window. Two rules, by the settings:
+A retry here is every send after the first one of a request to a shard, hedges among
+them. Sends are counted where they happen, over a sliding window. Two rules, by the
+settings:
 
-- *Own rule* (no ratio set): at most one in seven of the node's first sends to a
+- *Own rule* (no ratio set): at most one in seven of the edge's first sends to a
   service, and one in eight for each of its shards, plus a slack that the live edges
   share. A search that begins again under a new configuration may go a little further: it
   can't end under the old one.
 - *Stated bound* (a ratio is set): the deployment bounds what a service gets beyond
-  the first arrival of each request, summed over all nodes. Here a shard *is* a service,
-  whichever route or collection asks it. Each node spends 0.8 of the ratio of its own
-  first sends, and its share of 0.7 of the slack; a share under one is saved up.
+  the first arrival of each request, summed over all edges. Here a shard *is* a service,
+  whichever route or collection asks it. Each edge spends 0.8 of the ratio of its own
+  first sends, and its share of 0.7 of the slack; a share under one is bucket up.
   `docs/notes/retry-budget.md` says why the sum holds.
 """
 
@@ -20,26 +22,29 @@
 from dataclasses import dataclass
 from typing import Collection
 
-SPAN_US = 10_000_000
-SERVICE_SHARE, SERVICE_SLACK = 7, 20
+SPAN_US = 10_000_000  # the window
+SERVICE_SHARE, SERVICE_SLACK = 7, 20  # one retry in so many first sends, and so many more
 SHARD_SHARE, SHARD_SLACK = 8, 20
-SHARD_SLACK_LEAST = 2
-AGAIN_SHARE = 6.5
-RATIO_PART = 0.8
-SLACK_PART, SAVED_PART = 0.7, 0.25
-EDGES_KEPT_US = 120_000_000
+SHARD_SLACK_MIN = 2  # of one edge, however many there are
+RESTART_SHARE = 6.5  # as `SERVICE_SHARE`, for a search that begins again
+RATIO_SHARE = 0.8  # of the stated ratio
+SLACK_SHARE, SAVED_SHARE = 0.7, 0.25  # of the stated slack, spent at once and saved up
+EDGE_COUNT_WINDOW_US = 120_000_000  # the highest number of edges of so long counts
+
+# Sends are counted by service, and by service and shard.
+Key = str | tuple[str, str]
 
 
 @dataclass(kw_only=True, slots=True)
 class TokenBucket:
-    """What a node with less than one extra send in a window has put by, up to one."""
+    """What an edge with less than one retry in a window has saved up, up to one."""
 
     credit: float = 0.0
     since_us: int = 0
 
 
 class Budget:
-    """Sends of one node by service and shard.
+    """Sends of one edge by service and shard.
 
     >>> budget = Budget()
     >>> for n in range(10): budget.first(service="c", shard="s", now_us=n)
@@ -48,7 +53,7 @@
     >>> budget.take(service="c", shard="s", now_us=20 + SPAN_US, edges=10)
     True
 
-    With a stated bound, and no slack in the first window of a node's life:
+    With a stated bound, and no slack in the first window after an edge's start:
 
     >>> budget = Budget(ratio=0.2, slack=60)
     >>> for n in range(50): budget.first(service="s", shard="", now_us=n)
@@ -67,30 +72,30 @@
         me: str = "",
         born_us: int | None = None,
     ) -> None:
-        """`born_us`: when this life of the node began; its first send, if not given."""
+        """`born_us`: when this edge was started; its first send, if not given."""
         self._ratio = ratio
         self._window_us = window_us
         self._slack = slack
         self._me = me
         self._born_us = born_us
         self._sends: deque[tuple[int, bool, str, str]] = deque()
-        self._firsts: Counter = Counter()
-        self._extras: Counter = Counter()
-        self._savings: dict[str, TokenBucket] = {}
-        self._edges: deque[tuple[int, int]] = deque()
-        self.taken: Counter = Counter()
-        self.refused: Counter = Counter()
+        self._firsts: Counter[Key] = Counter()
+        self._retries: Counter[Key] = Counter()
+        self._buckets: dict[str, TokenBucket] = {}
+        self._edge_counts: deque[tuple[int, int]] = deque()
+        self.taken: Counter[str] = Counter()
+        self.refused: Counter[str] = Counter()
 
     def _expire(self, *, now_us: int) -> None:
         while self._sends and self._sends[0][0] <= now_us - self._window_us:
-            _, is_extra, service, shard = self._sends.popleft()
-            counts = self._extras if is_extra else self._firsts
+            _, is_retry, service, shard = self._sends.popleft()
+            counts = self._retries if is_retry else self._firsts
             counts[service] -= 1
             counts[(service, shard)] -= 1
 
-    def _note(self, *, is_extra: bool, service: str, shard: str, now_us: int) -> None:
-        self._sends.append((now_us, is_extra, service, shard))
-        counts = self._extras if is_extra else self._firsts
+    def _note(self, *, is_retry: bool, service: str, shard: str, now_us: int) -> None:
+        self._sends.append((now_us, is_retry, service, shard))
+        counts = self._retries if is_retry else self._firsts
         counts[service] += 1
         counts[(service, shard)] += 1
 
@@ -98,32 +103,34 @@
         """Count a first send."""
         if self._born_us is None:
             self._born_us = now_us
-        service = self._bounded(service=service, shard=shard)
+        service = self._bound_key(service=service, shard=shard)
         self._expire(now_us=now_us)
         if self._ratio is not None:
-            self._save(service=service, now_us=now_us)
-        self._note(is_extra=False, service=service, shard=shard, now_us=now_us)
+            self._refill(service=service, now_us=now_us)
+        self._note(is_retry=False, service=service, shard=shard, now_us=now_us)
 
     def take(
         self, *, service: str, shard: str, now_us: int, edges: int, is_again: bool = False
     ) -> bool:
-        """May an extra send go out now? If so it is counted."""
-        service = self._bounded(service=service, shard=shard)
+        """May a retry go out now? If so it is counted; `is_again` if its search begins again."""
+        service = self._bound_key(service=service, shard=shard)
         is_free = self.room(service=service, now_us=now_us, edges=edges, is_again=is_again) >= 1
         # What begins again asks every shard once: the service's limit is the shards' too.
         if self._ratio is None and not is_again:
-            is_free = is_free and self._has_shard_room(service=service, shard=shard, edges=edges)
+            is_free = is_free and self._has_room_for_shard(
+                service=service, shard=shard, edges=edges
+            )
         if not is_free:
             self.refused[service] += 1
             return False
         self.taken[service] += 1
-        self._note(is_extra=True, service=service, shard=shard, now_us=now_us)
-        if service in self._savings:
-            self._savings[service].credit = 0.0
+        self._note(is_retry=True, service=service, shard=shard, now_us=now_us)
+        if service in self._buckets:
+            self._buckets[service].credit = 0.0
         return True
 
     def give_back(self, *, service: str, shard: str, now_us: int) -> None:
-        """The newest extra send to a service never arrived: it does not count.
+        """The newest retry to a service never arrived: it does not count.
 
         >>> budget = Budget(slack=1)
         >>> budget.take(service="c", shard="s", now_us=1, edges=1)
@@ -132,16 +139,16 @@
         >>> budget.room(service="c", now_us=3, edges=1)
         1
         """
-        service = self._bounded(service=service, shard=shard)
+        service = self._bound_key(service=service, shard=shard)
         self._expire(now_us=now_us)
         for at in range(len(self._sends) - 1, -1, -1):
             if self._sends[at][1:] == (True, service, shard):
                 del self._sends[at]
-                self._extras[service] -= 1
-                self._extras[(service, shard)] -= 1
+                self._retries[service] -= 1
+                self._retries[(service, shard)] -= 1
                 return
 
-    def _bounded(self, *, service: str, shard: str) -> str:
+    def _bound_key(self, *, service: str, shard: str) -> str:
         """What the bound is for: the service, or under a stated bound the shard."""
         return service if self._ratio is None else shard or service
 
@@ -154,7 +161,7 @@
         is_again: bool = False,
         shards: Collection[str] = (),
     ) -> int:
-        """How many extra sends to a service are left now; under a stated bound, to how
+        """How many retries to a service are left now; under a stated bound, to how
         many of these shards one may go.
 
         >>> Budget().room(service="c", now_us=0, edges=4)
@@ -166,88 +173,90 @@
         self._expire(now_us=now_us)
         if self._ratio is not None and shards:
             return sum(
-                self._stated_room(service=shard, now_us=now_us, edges=edges) >= 1
+                self._room_under_ratio(service=shard, now_us=now_us, edges=edges) >= 1
                 for shard in shards
             )
         if self._ratio is not None:
-            return self._stated_room(service=service, now_us=now_us, edges=edges)
-        share = AGAIN_SHARE if is_again else SERVICE_SHARE
+            return self._room_under_ratio(service=service, now_us=now_us, edges=edges)
+        share = RESTART_SHARE if is_again else SERVICE_SHARE
         limit = self._firsts[service] / share + max(1, self._slack // max(1, edges))
-        return int(limit - self._extras[service])
+        return int(limit - self._retries[service])
 
-    def _has_shard_room(self, *, service: str, shard: str, edges: int) -> bool:
-        slack = max(SHARD_SLACK_LEAST, SHARD_SLACK // max(1, edges))
+    def _has_room_for_shard(self, *, service: str, shard: str, edges: int) -> bool:
+        slack = max(SHARD_SLACK_MIN, SHARD_SLACK // max(1, edges))
         limit = self._firsts[(service, shard)] / SHARD_SHARE + slack
-        return self._extras[(service, shard)] + 1 <= limit
+        return self._retries[(service, shard)] + 1 <= limit
 
     # --- a stated bound ---------------------------------------------------------------
 
-    def _stated_room(self, *, service: str, now_us: int, edges: int) -> int:
+    def _room_under_ratio(self, *, service: str, now_us: int, edges: int) -> int:
         if self._born_us is None:
             self._born_us = now_us
         self.note_edges(edges=edges, now_us=now_us)
         limit = self._limit(service=service, now_us=now_us)
-        extras = self._extras[service]
-        room = int(limit - extras + 1e-9)
-        if room >= 1 or extras or limit >= 1:
+        retries = self._retries[service]
+        room = int(limit - retries + 1e-9)
+        if room >= 1 or retries or limit >= 1:
             return room
-        return int(self._save(service=service, now_us=now_us) >= 1.0)
+        return int(self._refill(service=service, now_us=now_us) >= 1.0)
 
     def _limit(self, *, service: str, now_us: int) -> float:
-        """Extra sends of this node that a window may hold now, as a fraction."""
-        limit = RATIO_PART * self._ratio * self._firsts[service]
+        """Retries of this edge that a window may hold now, as a fraction."""
+        assert self._ratio is not None and self._born_us is not None  # a stated bound
+        limit = RATIO_SHARE * self._ratio * self._firsts[service]
         if now_us - self._born_us >= self._window_us:
-            # A life before this one may have spent the share just before it ended.
-            limit += SLACK_PART * self._slack / self._most_edges()
+            # The process before this one may have spent the share just before it ended.
+            limit += SLACK_SHARE * self._slack / self._highest_edges()
         return limit
 
-    def _save(self, *, service: str, now_us: int) -> float:
-        """Put by what the limit gave since the last look; what it comes to."""
-        saved = self._savings.get(service)
-        if saved is None:
-            saved = self._savings[service] = TokenBucket(since_us=now_us)
-        if not self._edges:
-            saved.since_us = now_us  # how many share is not known yet
-            return saved.credit
+    def _refill(self, *, service: str, now_us: int) -> float:
+        """Add what the limit has given since the last call; the credit that there is now."""
+        bucket = self._buckets.get(service)
+        if bucket is None:
+            bucket = self._buckets[service] = TokenBucket(since_us=now_us)
+        if not self._edge_counts:
+            bucket.since_us = now_us  # how many edges share is not known yet
+            return bucket.credit
         limit = self._limit(service=service, now_us=now_us)
-        gap_us, saved.since_us = now_us - saved.since_us, now_us
-        if self._may_save(service=service):
-            saved.credit = min(1.0, saved.credit + min(1.0, limit) * gap_us / self._window_us)
-        return saved.credit
+        gap_us, bucket.since_us = now_us - bucket.since_us, now_us
+        if self._may_refill(service=service):
+            bucket.credit = min(1.0, bucket.credit + min(1.0, limit) * gap_us / self._window_us)
+        return bucket.credit
 
-    def _may_save(self, *, service: str) -> bool:
-        """Are there few enough edges for each to save, or is this one of those that may?
+    def _may_refill(self, *, service: str) -> bool:
+        """Are there few enough edges for each to save up, or is this one of those that may?
 
         What all of them could spend in one window is 0.95 of the slack at most.
         """
-        edges = self._most_edges()
-        rest = 1.0 - SLACK_PART * self._slack / edges
+        edges = self._highest_edges()
+        rest = 1.0 - SLACK_SHARE * self._slack / edges
         if rest <= 0:
             return True
-        most = SAVED_PART * self._slack / rest
+        most = SAVED_SHARE * self._slack / rest
         if most >= edges:
             return True
         return zlib.crc32(f"{service}|{self._me}".encode()) / 2**32 < most / edges
 
     def note_edges(self, *, edges: int, now_us: int) -> None:
-        """How many edges live now; to be told from time to time, for a node to save.
+        """Note how many edges live now; called from time to time, for an edge to save up.
 
-        The most of the last two minutes counts: both sides of a cut would else share
-        the whole slack among themselves."""
-        while self._edges and self._edges[-1][1] <= edges:
-            self._edges.pop()
-        self._edges.append((now_us, max(1, edges)))
-        while now_us - self._edges[0][0] > EDGES_KEPT_US:
-            self._edges.popleft()
+        The highest number of the last two minutes counts: both sides of a network
+        partition would otherwise share all of the slack among themselves.
+        """
+        while self._edge_counts and self._edge_counts[-1][1] <= edges:
+            self._edge_counts.pop()
+        self._edge_counts.append((now_us, max(1, edges)))
+        while now_us - self._edge_counts[0][0] > EDGE_COUNT_WINDOW_US:
+            self._edge_counts.popleft()
 
-    def _most_edges(self) -> int:
-        return self._edges[0][1] if self._edges else 1
+    def _highest_edges(self) -> int:
+        return self._edge_counts[0][1] if self._edge_counts else 1
 
     def spent(self, *, now_us: int) -> dict[str, dict[str, int]]:
-        """First and extra sends in the last window, by service."""
+        """First sends and retries in the last window, by service."""
         self._expire(now_us=now_us)
-        services = sorted({s for s in self._firsts | self._extras if isinstance(s, str)})
+        services = sorted({s for s in self._firsts | self._retries if isinstance(s, str)})
         return {
-            s: {"first": self._firsts[s], "extra": self._extras[s], "refused": self.refused[s]}
+            s: {"first": self._firsts[s], "extra": self._retries[s], "refused": self.refused[s]}
             for s in services
         }
--- a/kelpstage/edge/retries/load_shedding.py
+++ b/kelpstage/edge/retries/load_shedding.py
@@ -1,9 +1,9 @@
-"""Load shedding at the door: what enters while much is in work already, by rank."""
+"""Load shedding at admission: which requests are taken up under load, by rank."""
 
 from __future__ import annotations
 
-IN_FLIGHT_AT_MOST = 384
-SHARE_OF_RANK = (1.0, 0.85, 0.7, 0.55)
+IN_FLIGHT_AT_MOST = 384  # requests of this edge
+SHARE_OF_RANK = (1.0, 0.85, 0.7, 0.55)  # of them, up to which a rank is taken up
 
 
 def may_enter(*, in_flight: int, rank: int) -> bool:
