--- a/kelpstage/edge/web/explain.py
+++ b/kelpstage/edge/web/explain.py
@@ -8,10 +8,10 @@
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.transport.messages import FetchTrace, Trace
-from kelpstage.edge.backend.registry import STATE_NAMES
+from kelpstage.edge.backend.backend_state import STATE_NAMES
 from kelpstage.edge.backend.selection import options
 from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
-from kelpstage.edge.gossip.swim import STATUS_NAMES
+from kelpstage.edge.gossip.members import STATUS_NAMES
 from kelpstage.edge.timelines import as_json
 from kelpstage.edge.web.interfaces import ReportingEdge
 
