--- a/kelpstage/common/http/client.py
+++ b/kelpstage/common/http/client.py
@@ -178,7 +178,7 @@
         else:
             self._become(SENDING)
             self._socket.write(data[sent:])
-        entry = self._client.deadlines.at(when=deadline, verb=self._time_over)
+        entry = self._client.deadlines.at(when=deadline, callback=self._time_over)
         try:
             return await future
         except asyncio.CancelledError:
@@ -521,7 +521,7 @@
                     ReplyTimeoutError(address=address, after_us=call.wait_us, was_sent=False)
                 )
 
-        entry = self.deadlines.at(when=deadline, verb=time_over)
+        entry = self.deadlines.at(when=deadline, callback=time_over)
         try:
             return await future
         except asyncio.CancelledError:
@@ -572,7 +572,7 @@
                 future.set_result(is_open)
 
         loop.add_writer(sock.fileno(), note, True)
-        entry = self.deadlines.at(when=deadline, verb=lambda: note(False))
+        entry = self.deadlines.at(when=deadline, callback=lambda: note(False))
         try:
             return await future
         finally:
--- a/kelpstage/common/http/deadlines.py
+++ b/kelpstage/common/http/deadlines.py
@@ -19,10 +19,10 @@
         self._timer: asyncio.TimerHandle | None = None
         self._armed = 0.0
 
-    def at(self, *, when: float, verb: Callable[[], None]) -> list:
-        """Have `verb` called at `when` (the loop's time). The entry that comes back
+    def at(self, *, when: float, callback: Callable[[], None]) -> list:
+        """Have `callback` called at `when` (the loop's time). The entry that comes back
         is for `cancel`."""
-        entry: list[Any] = [when, next(self._serial), verb]
+        entry: list[Any] = [when, next(self._serial), callback]
         heapq.heappush(self._heap, entry)
         if self._timer is None or when < self._armed - SLACK_S:
             self._arm(when=when)
@@ -42,8 +42,8 @@
         heap = self._heap
         due = asyncio.get_running_loop().time() + SLACK_S
         while heap and (heap[0][2] is None or heap[0][0] <= due):
-            verb = heapq.heappop(heap)[2]
-            if verb is not None:
-                verb()
+            callback = heapq.heappop(heap)[2]
+            if callback is not None:
+                callback()
         if heap and self._timer is None:
             self._arm(when=heap[0][0])
--- a/kelpstage/common/ports/live.py
+++ b/kelpstage/common/ports/live.py
@@ -45,8 +45,8 @@
     async def sleep(self, *, us: int) -> None:
         await gen.sleep(max(0, us) / 1_000_000)
 
-    def later(self, *, us: int, verb: Callable[[], None]) -> None:
-        ioloop.IOLoop.current().call_later(max(0, us) / 1_000_000, verb)
+    def later(self, *, us: int, callback: Callable[[], None]) -> None:
+        ioloop.IOLoop.current().call_later(max(0, us) / 1_000_000, callback)
 
     async def within(self, awaitable: Awaitable, *, us: int) -> Any:
         """The awaitable's result, or `None` when the time is over."""
--- a/kelpstage/common/transport/chunks.py
+++ b/kelpstage/common/transport/chunks.py
@@ -1,4 +1,4 @@
-"""Values of any size in chunks, on a lane of their own.
+"""Values of any size in chunks, on a channel of their own.
 
 The sender (`ChunkSource`) serves its newest value. A value whose transfer has begun stays
 pinned when a newer one replaces it, so that a receiver that is slower than the changes
@@ -15,24 +15,24 @@
 import hashlib
 from collections import Counter
 from dataclasses import dataclass
-from typing import Any, Callable
+from typing import Callable
 
 from kelpstage.common.ports.interfaces import Clock
 from kelpstage.common.transport import frames
-from kelpstage.common.transport.connections import Lines
-from kelpstage.common.transport.messages import Chunk
+from kelpstage.common.transport.connections import Transport
+from kelpstage.common.transport.messages import Chunk, FetchSnapshot, FetchState
 
 CHUNK_BYTES = 128 * 1024
-CHUNK_WAIT_US = 2_000_000
-CHUNK_TRIES = 4
-FETCH_BYTES_LIMIT = 64 * 1024 * 1024
+CHUNK_WAIT_US = 2_000_000  # for the answer to one request
+CHUNK_TRIES = 4  # requests without an answer in a row, then the transfer has failed
+FETCH_BYTES_LIMIT = 64 * 1024 * 1024  # a receiver refuses larger values
 RETRY_FIRST_US = 100_000
 RETRY_LONGEST_US = 2_000_000
 
 PINS_LIMIT = 4
 PINNED_BYTES_LIMIT = 8 * 1024 * 1024
-PIN_IDLE_US = 10_000_000
-PIN_LONGEST_US = 120_000_000
+PIN_IDLE_US = 10_000_000  # without a request for so long, a transfer has ended
+PIN_LONGEST_US = 120_000_000  # a transfer that takes longer is given up
 
 
 def backoff_us(*, failures: int) -> int:
@@ -76,7 +76,7 @@
     """
 
     def __init__(self) -> None:
-        self.counts: Counter = Counter()
+        self.counts: Counter[str] = Counter()
         self._newest: _Value | None = None
         self._pinned: dict[int, _Value] = {}
 
@@ -109,7 +109,8 @@
         return is_newest or bool(self._pinned)
 
     def chunk(self, *, least: int, pinned: int, offset: int, now_us: int) -> Chunk:
-        """A piece of the value `pinned`, or, if that is 0, of the newest from `least` on."""
+        """A part of the value `pinned`, or, if that is 0, of the newest if it is at least `least`;
+        `is_found` is false if there is no such value."""
         self._drop_ended(now_us=now_us)
         value = self._find(least=least, pinned=pinned)
         if value is None or offset > len(value.data):
@@ -142,9 +143,9 @@
         """The transfers that began last give way: the oldest gets to its end."""
         by_age = sorted(self._pinned.values(), key=lambda value: (value.began_us, value.mark))
         held_bytes = 0
-        for place, value in enumerate(by_age):
+        for rank, value in enumerate(by_age):
             held_bytes += len(value.data)
-            if place and (place >= PINS_LIMIT or held_bytes > PINNED_BYTES_LIMIT):
+            if rank and (rank >= PINS_LIMIT or held_bytes > PINNED_BYTES_LIMIT):
                 del self._pinned[value.mark]
                 self.counts["pin_refused"] += 1
 
@@ -158,8 +159,8 @@
     total: int = 0
     digest: bytes = b""
 
-    def take(self, *, chunk: Chunk) -> bool:
-        """Add the next piece; false if it does not belong here."""
+    def add(self, *, chunk: Chunk) -> bool:
+        """Add the next chunk; false if it is not the one that comes next."""
         if not chunk.is_found or chunk.offset != len(self.data) or chunk.total > FETCH_BYTES_LIMIT:
             return False
         if not self.data:
@@ -170,39 +171,40 @@
         return len(self.data) <= self.total
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         return bool(self.data) and len(self.data) == self.total
 
     def value(self) -> bytes | None:
+        """The complete value, or nothing if its digest differs."""
         data = bytes(self.data)
         return data if hashlib.sha256(data).digest() == self.digest else None
 
 
 async def fetch_chunks(
     *,
-    lines: Lines,
+    transport: Transport,
     clock: Clock,
     address: str,
-    ask: Callable[[int, int], Any],
+    ask: Callable[[int, int], FetchSnapshot | FetchState],
     is_wanted: Callable[[], bool] = lambda: True,
 ) -> bytes | None:
-    """Fetch a whole value piece by piece, or nothing if it failed.
+    """Fetch a value chunk by chunk, or nothing if it failed.
 
     `ask(pinned, offset)` makes the request. Once a transfer has begun, a chunk without an
     answer is asked for again, `CHUNK_TRIES` times at most, as long as `is_wanted` holds.
     """
     transfer = _Transfer(data=bytearray())
     failures = 0
-    while not transfer.is_whole:
-        chunk = await lines.call(
+    while not transfer.is_complete:
+        chunk = await transport.call(
             address=address,
             message=ask(transfer.mark, len(transfer.data)),
             wait_us=CHUNK_WAIT_US,
-            lane=frames.BULK,
+            channel=frames.BULK,
         )
         if isinstance(chunk, Chunk):
             failures = 0
-            if not transfer.take(chunk=chunk):
+            if not transfer.add(chunk=chunk):
                 return None
             continue
         failures += 1
--- a/kelpstage/common/transport/codec.py
+++ b/kelpstage/common/transport/codec.py
@@ -8,35 +8,40 @@
 from __future__ import annotations
 
 import dataclasses
-from typing import Any, Callable, NamedTuple
+from typing import Any, Callable, NamedTuple, Self
 
 import betterproto as bp
 
+# Wire types of protocol buffers (encoding.html, "Message Structure").
 VARINT, FIXED_64, SIZED, FIXED_32 = 0, 1, 2, 5
-SKIPS = {FIXED_64: 8, FIXED_32: 4}
+FIXED_BYTES = {FIXED_64: 8, FIXED_32: 4}  # no field here has these; they are skipped
 VARINT_BITS = 64
 
 
 class Field(NamedTuple):
-    """How one field travels."""
+    """How one field travels.
+
+    `key` is the varint of its number and wire type, `kind` its type as betterproto names it,
+    and `message` the class of a nested message.
+    """
 
     name: str
     key: bytes
     is_list: bool
     kind: str
     default: Callable[[], Any]
-    message: type | None
+    message: type["Message"] | None
 
 
 class Table(NamedTuple):
-    """All fields of a class, and the same by number."""
+    """All fields of a message class in order, and the same by number."""
 
     fields: tuple[Field, ...]
     by_number: dict[int, Field]
 
 
 class Message(bp.Message):
-    """What every message here derives from.
+    """The base of all messages: fields are set, written and read by the class's table.
 
     >>> @dataclasses.dataclass
     ... class Pair(Message):
@@ -48,7 +53,7 @@
     300
     """
 
-    __setattr__ = object.__setattr__
+    __setattr__ = object.__setattr__  # type: ignore[assignment]  # nothing to keep track of
 
     def __post_init__(self) -> None:
         state = self.__dict__
@@ -67,39 +72,40 @@
         write(message=self, out=out)
         return bytes(out)
 
-    def parse(self, data: bytes) -> "Message":
+    def parse(self, data: bytes) -> Self:
+        """Set the fields from a message's bytes; any exception on bytes that are none."""
         read(message=self, data=data)
         return self
 
 
-_TABLES: dict[type, Table] = {}
+_TABLES: dict[type[Message], Table] = {}
 
 
-def table_of(*, kind: type) -> Table:
+def table_of(*, kind: type[Message]) -> Table:
     """The table of a message class, made once."""
     table = _TABLES.get(kind)
     if table is None:
         fields = {
-            bp.FieldMetadata.get(one).number: _field(kind=kind, one=one)
-            for one in dataclasses.fields(kind)
+            bp.FieldMetadata.get(declared).number: _field(kind=kind, declared=declared)
+            for declared in dataclasses.fields(kind)
         }
         table = _TABLES[kind] = Table(fields=tuple(fields.values()), by_number=fields)
     return table
 
 
-def _field(*, kind: type, one: dataclasses.Field) -> Field:
-    meta = bp.FieldMetadata.get(one)
-    default = kind._get_field_default_gen(one, meta)
+def _field(*, kind: type[Message], declared: dataclasses.Field[Any]) -> Field:
+    meta = bp.FieldMetadata.get(declared)
+    default = kind._get_field_default_gen(declared, meta)
     wire = SIZED if meta.proto_type in (bp.TYPE_STRING, bp.TYPE_BYTES, bp.TYPE_MESSAGE) else VARINT
     key = bytearray()
     _write_varint(value=meta.number << 3 | wire, out=key)
     return Field(
-        name=one.name,
+        name=declared.name,
         key=bytes(key),
         is_list=default is list,
         kind=meta.proto_type,
         default=default,
-        message=kind._cls_for(one) if meta.proto_type == bp.TYPE_MESSAGE else None,
+        message=kind._cls_for(declared) if meta.proto_type == bp.TYPE_MESSAGE else None,
     )
 
 
@@ -140,21 +146,21 @@
     out += value
 
 
-def _read_varint(*, data: bytes, place: int) -> tuple[int, int]:
+def _read_varint(*, data: bytes, position: int) -> tuple[int, int]:
     value = shift = 0
     while True:
-        byte = data[place]
-        place += 1
+        byte = data[position]
+        position += 1
         value |= (byte & 0x7F) << shift
         if byte < 0x80:
-            return value, place
+            return value, position
         shift += 7
         if shift >= VARINT_BITS + 7:
             raise ValueError("a number of too many bytes")
 
 
 def read(*, message: Message, data: bytes) -> None:
-    """Take a message's bytes; fields that are not known are passed over.
+    """Take a message's bytes; fields that are not known are skipped.
 
     >>> from kelpstage.common.transport.messages import RegisterEdge
     >>> read(message=RegisterEdge(), data=b"\\x0a\\x7f")
@@ -163,33 +169,34 @@
     """
     state = message.__dict__
     by_number = table_of(kind=type(message)).by_number
-    place, end = 0, len(data)
-    while place < end:
-        key, place = _read_varint(data=data, place=place)
+    value: Any
+    position, end = 0, len(data)
+    while position < end:
+        key, position = _read_varint(data=data, position=position)
         wire = key & 7
         if wire == VARINT:
-            value, place = _read_varint(data=data, place=place)
+            value, position = _read_varint(data=data, position=position)
         elif wire == SIZED:
-            size = data[place]  # most are short: the number is this one byte
+            size = data[position]  # most are short: the number is this one byte
             if size < 0x80:
-                place += 1
+                position += 1
             else:
-                size, place = _read_varint(data=data, place=place)
-            value = data[place : place + size]
-            place += size
-        elif wire in SKIPS:
+                size, position = _read_varint(data=data, position=position)
+            value = data[position : position + size]
+            position += size
+        elif wire in FIXED_BYTES:
             value = None
-            place += SKIPS[wire]
+            position += FIXED_BYTES[wire]
         else:
             raise ValueError(f"wire type {wire}")
-        if place > end:
+        if position > end:
             raise ValueError("cut short")
         field = by_number.get(key >> 3)
         if field is not None:
-            _keep(field=field, wire=wire, value=value, state=state)
+            _set_field(field=field, wire=wire, value=value, state=state)
 
 
-def _keep(*, field: Field, wire: int, value: Any, state: dict[str, Any]) -> None:
+def _set_field(*, field: Field, wire: int, value: Any, state: dict[str, Any]) -> None:
     if wire != field.key[0] & 7:
         raise ValueError(f"{field.name} has wire type {wire}")
     if field.kind == bp.TYPE_STRING:
--- a/kelpstage/core/app.py
+++ b/kelpstage/core/app.py
@@ -12,7 +12,7 @@
 from kelpstage.common.log.ring import logger
 from kelpstage.common.ports.interfaces import Ports
 from kelpstage.common.settings.bounds import bounds_of, voters_of
-from kelpstage.common.transport.connections import Lines, LineServer
+from kelpstage.common.transport.connections import Lines
 from kelpstage.common.transport.messages import (
     CoreMember,
     EdgeContact,
@@ -20,6 +20,7 @@
     SeedProbe,
     SeedState,
 )
+from kelpstage.common.transport.server import LineServer
 from kelpstage.core.bootstrap import (
     FOUNDING_TERM,
     Join,
--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -9,8 +9,9 @@
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import HttpLimits, Ports
 from kelpstage.common.recording.writer import DayWriter
-from kelpstage.common.transport.connections import Lines, LineServer
+from kelpstage.common.transport.connections import Lines
 from kelpstage.common.transport.messages import EdgeContact, MemberMsg
+from kelpstage.common.transport.server import LineServer
 from kelpstage.edge.backend.address_poll import PlatformTask
 from kelpstage.edge.backend.discovery import DiscoveryTask
 from kelpstage.edge.backend.ejected_check import SuspectTask
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -15,13 +15,14 @@
 from kelpstage.common.configuration.types import EMPTY
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
-from kelpstage.common.transport.connections import Lines, LineServer
+from kelpstage.common.transport.connections import Lines
 from kelpstage.common.transport.messages import (
     BackendStateMsg,
     EndpointUpdate,
     FetchEndpoints,
     MemberMsg,
 )
+from kelpstage.common.transport.server import LineServer
 from kelpstage.edge.app import Edge
 from kelpstage.edge.backend import outlier_detection
 from kelpstage.edge.backend.discovery import DiscoveryTask, OwnListSource
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -22,7 +22,7 @@
 )
 from kelpstage.common.transport import frames
 from kelpstage.common.transport.codec import Message, table_of
-from kelpstage.common.transport.connections import IN_WORK_LIMIT, Lines, LineServer
+from kelpstage.common.transport.connections import Lines
 from kelpstage.common.transport.messages import (
     TYPES,
     Done,
@@ -31,6 +31,7 @@
     RegisterEdge,
     RegisterEdgeReply,
 )
+from kelpstage.common.transport.server import IN_WORK_LIMIT, LineServer
 from kelpstage.testbed.simulation.loop import VirtualLoop
 from kelpstage.testbed.simulation.world import SimProcess, World
 
