--- a/kelpstage/common/ports/interfaces.py
+++ b/kelpstage/common/ports/interfaces.py
@@ -38,7 +38,7 @@
     lower case, `raw_headers` has them in the order and case of the sender, and
     `waited_us` is how long it has waited for its turn behind others of its connection.
 
-    Sent by us: with `line_limit` 0 the call has a connection of its own; above that it
+    Sent by us: with `connection_limit` 0 the call has a connection of its own; above that it
     goes over a kept one, of which there are at most so many to the address. `owner_of`
     tells whose a reply is; without it every reply is taken as the call's own.
 
@@ -51,7 +51,7 @@
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
     wait_us: int = 1_000_000
-    line_limit: int = 0
+    connection_limit: int = 0
     owner_of: Callable[[HttpReply], Owner] | None = None
     raw_headers: tuple[tuple[str, str], ...] = ()
     waited_us: int = 0
--- a/tests/test_connection_walks.py
+++ b/tests/test_connection_walks.py
@@ -18,8 +18,9 @@
 from typing import Any, Iterator
 
 from kelpstage.common.errors.base import KelpstageError
-from kelpstage.common.http import client as client_module
-from kelpstage.common.http.client import (
+from kelpstage.common.http import client_connection as client_module
+from kelpstage.common.http.client import HttpClient
+from kelpstage.common.http.client_connection import (
     CLOSED,
     IDLE,
     LEASED,
@@ -28,7 +29,6 @@
     SENDING,
     SENT,
     ClientConnection,
-    HttpClient,
     IllegalTransition,
     State,
 )
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -12,7 +12,7 @@
 from typing import Any, Awaitable, Callable
 
 from kelpstage.common.errors.transport import ConnectError, ConnectionLostError, ReplyTimeoutError
-from kelpstage.common.http import client as client_module
+from kelpstage.common.http import client_connection as client_module
 from kelpstage.common.http.client import HttpClient
 from kelpstage.common.http.server import HttpServer
 from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply, Owner
