--- a/kelpstage/common/__init__.py
+++ b/kelpstage/common/__init__.py
@@ -0,0 +1,1 @@
+"""What edges, cores and tools share."""
--- a/kelpstage/common/configuration/__init__.py
+++ b/kelpstage/common/configuration/__init__.py
@@ -0,0 +1,1 @@
+"""Configurations: their types, reading and validation."""
--- a/kelpstage/common/configuration/types.py
+++ b/kelpstage/common/configuration/types.py
@@ -21,17 +21,22 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Backend:
+    """A backend named by the configuration; `address` is `None` where it is learned elsewhere."""
+
     name: str
     address: str | None
     labels: dict[str, str]
 
     @property
     def is_draining(self) -> bool:
+        """Is it to get no new requests?"""
         return self.labels.get("drain") == "true"
 
 
 @dataclass(frozen=True, kw_only=True)
 class Shard:
+    """One shard of a collection, and the backends that serve it by their labels."""
+
     name: str
     cut: str
     selector: Selector
@@ -39,6 +44,8 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Collection:
+    """What can be searched: its shards, and the nodes that may gather it."""
+
     name: str
     order_by: str
     gatherers: Selector
@@ -48,6 +55,8 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Route:
+    """How a collection is searched: its shards in order, the least number of them in a success."""
+
     collection: str
     fan_out: tuple[str, ...]
     quorum: int
@@ -93,6 +102,7 @@
 
     @property
     def services(self) -> tuple[str, ...]:
+        """The services that it goes to."""
         return self.fan_out or tuple(service for service, _ in self.weights)
 
 
@@ -180,6 +190,7 @@
         return self.forward_table.find(host=host, path=path)
 
     def route(self, *, collection: str) -> Route | None:
+        """The route of a collection, if there is one."""
         return self.routes.get(collection)
 
     def backends_of(self, *, collection: str, shard: str) -> tuple[str, ...]:
@@ -187,6 +198,7 @@
         return self.shard_backends.get((collection, shard), ())
 
     def node_labels(self, *, name: str, zone: str) -> dict[str, str]:
+        """A node's labels, with its zone and name among them."""
         return {"domain": zone, **self.nodes.get(name, {}), "name": name}
 
     def is_gatherer(self, *, collection: str, name: str, zone: str) -> bool:
--- a/kelpstage/common/event_journal.py
+++ b/kelpstage/common/event_journal.py
@@ -21,6 +21,7 @@
 
     @property
     def kind(self) -> str:
+        """The name of its class."""
         return type(self).__name__
 
 
@@ -40,6 +41,7 @@
         self.counts: Counter = Counter()
 
     def add(self, event: Event) -> None:
+        """Append an event and fold it into every view."""
         at_us = self._now()
         self._events.append((at_us, event))
         self.counts[event.kind] += 1
--- a/kelpstage/common/http/__init__.py
+++ b/kelpstage/common/http/__init__.py
@@ -0,0 +1,1 @@
+"""HTTP/1.1: client, server, and the shaping of replies."""
--- a/kelpstage/common/http/client.py
+++ b/kelpstage/common/http/client.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any
+from typing import Any, Awaitable
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.errors.transport import ConnectionLostError, ReplyTimeoutError
@@ -47,9 +47,7 @@
             if connection is None:
                 connection = await self._lease_new(call=call, address=address, deadline=deadline)
         else:
-            connection = await open_connection(
-                deadlines=self.deadlines, call=call, address=address, deadline=deadline
-            )
+            connection = await self._open(call=call, address=address, deadline=deadline)
         if isinstance(connection, KelpstageError):
             return connection
         if loop.time() >= deadline:  # the process was frozen or busy while it was opened
@@ -102,13 +100,18 @@
                 break
         return await self._open_in(pool=pool, call=call, address=address, deadline=deadline)
 
+    def _open(
+        self, *, call: HttpCall, address: str, deadline: float
+    ) -> Awaitable[ClientConnection | KelpstageError]:
+        return open_connection(
+            deadlines=self.deadlines, call=call, address=address, deadline=deadline
+        )
+
     async def _open_in(
         self, *, pool: Pool, call: HttpCall, address: str, deadline: float
     ) -> ClientConnection | KelpstageError:
         try:
-            connection = await open_connection(
-                deadlines=self.deadlines, call=call, address=address, deadline=deadline
-            )
+            connection = await self._open(call=call, address=address, deadline=deadline)
         except BaseException:
             pool.free_place()
             raise
--- a/kelpstage/common/http/connection.py
+++ b/kelpstage/common/http/connection.py
@@ -59,6 +59,7 @@
         return len(self._unsent)
 
     def is_full(self) -> bool:
+        """Should the owner write no more for now?"""
         return len(self._unsent) > HIGH
 
     def write(self, data: bytes) -> None:
@@ -102,11 +103,13 @@
         self._end(None)
 
     def pause_reading(self) -> None:
+        """Read nothing until `resume_reading`."""
         if self._is_reading:
             self._is_reading = False
             self._loop.remove_reader(self._fd)
 
     def resume_reading(self) -> None:
+        """Read again, unless it is about to end."""
         if not self._is_reading and self.is_open():
             self._is_reading = True
             self._loop.add_reader(self._fd, self._read)
--- a/kelpstage/common/http/deadlines.py
+++ b/kelpstage/common/http/deadlines.py
@@ -29,6 +29,7 @@
         return entry
 
     def cancel(self, *, entry: list) -> None:
+        """Have a deadline's callback not be called."""
         entry[2] = None
 
     def _arm(self, *, when: float) -> None:
--- a/kelpstage/common/log/__init__.py
+++ b/kelpstage/common/log/__init__.py
@@ -0,0 +1,1 @@
+"""Logs of a process, and checksummed records."""
--- a/kelpstage/common/ports/interfaces.py
+++ b/kelpstage/common/ports/interfaces.py
@@ -87,27 +87,55 @@
 
 
 class Clock(Protocol):
-    def now_us(self) -> int: ...
-    def wall_us(self) -> int: ...
-    async def sleep(self, *, us: int) -> None: ...
-    def later(self, *, us: int, callback: Callable[[], None]) -> None: ...
-    async def within(self, awaitable: Awaitable, *, us: int) -> Any: ...
+    """Time in whole microseconds, and waiting."""
+
+    def now_us(self) -> int:
+        """A time that only grows, also while the machine sleeps."""
+
+    def wall_us(self) -> int:
+        """Time since the Unix epoch; it may jump."""
+
+    async def sleep(self, *, us: int) -> None:
+        """Wait for so long."""
+
+    def later(self, *, us: int, callback: Callable[[], None]) -> None:
+        """Call `callback` after so long; it cannot be cancelled."""
+
+    async def within(self, awaitable: Awaitable[Any], *, us: int) -> Any:
+        """The awaitable's result, or `None` when the time is over."""
 
 
 class Stream(Protocol):
-    async def read(self, *, size: int) -> bytes | KelpstageError: ...
-    def write(self, *, data: bytes) -> None: ...
-    def backlog(self) -> int: ...
-    def close(self) -> None: ...
+    """One connection as a stream of bytes."""
+
+    async def read(self, *, size: int) -> bytes | KelpstageError:
+        """Exactly `size` bytes, or the error that ended the connection."""
+
+    def write(self, *, data: bytes) -> None:
+        """Send, without waiting; on a closed stream nothing happens."""
+
+    def backlog(self) -> int:
+        """Bytes that were written and have not left yet."""
+
+    def close(self) -> None:
+        """End it."""
 
 
 class Datagrams(Protocol):
-    def send(self, *, address: str, data: bytes) -> None: ...
-    def close(self) -> None: ...
+    """A socket for datagrams."""
+
+    def send(self, *, address: str, data: bytes) -> None:
+        """Send one datagram; it may be lost."""
+
+    def close(self) -> None:
+        """End it."""
 
 
 class Listener(Protocol):
-    def close(self) -> None: ...
+    """Something that listens until it is closed."""
+
+    def close(self) -> None:
+        """End it."""
 
 
 class Net(Protocol):
@@ -118,14 +146,20 @@
 
     async def connect(
         self, *, address: str, wait_us: int, lost_after_us: int = 0
-    ) -> Stream | KelpstageError: ...
+    ) -> Stream | KelpstageError:
+        """Connect within `wait_us`."""
+
     async def listen(
         self, *, address: str, on_stream: Callable, lost_after_us: int = 0
-    ) -> Listener | KelpstageError: ...
-    async def datagrams(
-        self, *, address: str, on_datagram: Callable
-    ) -> Datagrams | KelpstageError: ...
-    async def fetch(self, *, call: HttpCall) -> HttpReply | KelpstageError: ...
+    ) -> Listener | KelpstageError:
+        """Listen for connections; `on_stream` gets each one's stream and source."""
+
+    async def datagrams(self, *, address: str, on_datagram: Callable) -> Datagrams | KelpstageError:
+        """Bind a socket for datagrams; `on_datagram` gets each one's bytes and source."""
+
+    async def fetch(self, *, call: HttpCall) -> HttpReply | KelpstageError:
+        """Send an HTTP call and wait for its reply."""
+
     async def serve_http(
         self,
         *,
@@ -133,20 +167,36 @@
         on_call: Callable,
         body_limit: int,
         limits: Callable[[], HttpLimits] | None = None,
-    ) -> Listener | KelpstageError: ...
+    ) -> Listener | KelpstageError:
+        """Serve HTTP until the listener is closed; `on_call` gets each request."""
 
 
 class Disk(Protocol):
-    """Every verb gives its outcome, never an exception; paths are relative."""
+    """Every method returns its outcome and raises nothing; paths are relative."""
+
+    async def names(self, *, folder: str) -> list[str] | KelpstageError:
+        """The sorted names in a folder, which is made if it is missing."""
+
+    async def read(self, *, path: str) -> bytes | None | KelpstageError:
+        """A file's bytes; `None` if there is no such file."""
+
+    async def append(self, *, path: str, data: bytes, at: int) -> KelpstageError | None:
+        """Write from offset `at` on; the file ends behind what is written."""
+
+    async def sync(self, *, path: str) -> KelpstageError | None:
+        """Make a file's bytes durable."""
+
+    async def sync_folder(self, *, folder: str) -> KelpstageError | None:
+        """Make a folder's entries durable."""
+
+    async def write(self, *, path: str, data: bytes) -> KelpstageError | None:
+        """Write a file anew; it is not synced."""
+
+    async def rename(self, *, path: str, to: str) -> KelpstageError | None:
+        """Rename a file, replacing what has the new name."""
 
-    async def names(self, *, folder: str) -> list[str] | KelpstageError: ...
-    async def read(self, *, path: str) -> bytes | None | KelpstageError: ...
-    async def append(self, *, path: str, data: bytes, at: int) -> KelpstageError | None: ...
-    async def sync(self, *, path: str) -> KelpstageError | None: ...
-    async def sync_folder(self, *, folder: str) -> KelpstageError | None: ...
-    async def write(self, *, path: str, data: bytes) -> KelpstageError | None: ...
-    async def rename(self, *, path: str, to: str) -> KelpstageError | None: ...
-    async def delete(self, *, path: str) -> KelpstageError | None: ...
+    async def delete(self, *, path: str) -> KelpstageError | None:
+        """Delete a file."""
 
 
 @dataclass(kw_only=True)
@@ -157,11 +207,11 @@
     net: Net
     disk: Disk
     rand: random.Random
-    spawn: Callable[[Awaitable], Any]
+    spawn: Callable[[Awaitable[Any]], Any]
     failpoint: Callable[[str], None] = lambda name: None
     on_broken: Callable[[BaseException], None] = lambda error: None
 
-    def keep(self, work: Awaitable) -> Any:
+    def keep(self, work: Awaitable[Any]) -> Any:
         """Start a task without which the daemon is of no use: if it breaks, the
         process ends rather than go on as if it were whole."""
         task = self.spawn(work)
--- a/kelpstage/common/ports/live.py
+++ b/kelpstage/common/ports/live.py
@@ -37,15 +37,19 @@
     """
 
     def now_us(self) -> int:
+        """Microseconds since boot, counted on through a suspend."""
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
     def wall_us(self) -> int:
+        """Microseconds since the Unix epoch."""
         return time.time_ns() // 1000
 
     async def sleep(self, *, us: int) -> None:
+        """Wait for so long."""
         await gen.sleep(max(0, us) / 1_000_000)
 
     def later(self, *, us: int, callback: Callable[[], None]) -> None:
+        """Call `callback` after so long."""
         ioloop.IOLoop.current().call_later(max(0, us) / 1_000_000, callback)
 
     async def within(self, awaitable: Awaitable, *, us: int) -> Any:
@@ -59,6 +63,8 @@
 
 
 class LiveStream:
+    """A TCP connection."""
+
     def __init__(self, *, stream: iostream.IOStream, address: str) -> None:
         self._stream = stream
         self._address = address
@@ -66,6 +72,7 @@
         stream.set_nodelay(True)
 
     async def read(self, *, size: int) -> bytes | KelpstageError:
+        """Exactly `size` bytes, or `ConnectionLostError`."""
         try:
             return await self._stream.read_bytes(size)
         except iostream.StreamClosedError as error:
@@ -74,6 +81,7 @@
             return ConnectionLostError(address=self._address, why="unsatisfiable read")
 
     def write(self, *, data: bytes) -> None:
+        """Send, without waiting."""
         if self._stream.closed():
             return
         size = len(data)
@@ -85,9 +93,11 @@
         self._pending -= size
 
     def backlog(self) -> int:
+        """Bytes that were written and have not left yet."""
         return self._pending
 
     def close(self) -> None:
+        """End it."""
         self._stream.close()
 
 
@@ -109,6 +119,8 @@
 
 
 class LiveDatagrams:
+    """A UDP socket."""
+
     def __init__(self, *, sock: socket.socket, on_datagram: Callable) -> None:
         self._sock = sock
         self._on_datagram = on_datagram
@@ -123,12 +135,14 @@
             self._on_datagram(data, f"{source[0]}:{source[1]}")
 
     def send(self, *, address: str, data: bytes) -> None:
+        """Send one datagram; what cannot leave is lost."""
         try:
             self._sock.sendto(data, split_address(address=address))
         except OSError:
             return  # a datagram that could not leave is a datagram lost
 
     def close(self) -> None:
+        """End it."""
         ioloop.IOLoop.current().remove_handler(self._sock.fileno())
         self._sock.close()
 
@@ -143,6 +157,7 @@
     async def connect(
         self, *, address: str, wait_us: int, lost_after_us: int = 0
     ) -> LiveStream | KelpstageError:
+        """Connect within `wait_us`: `ReplyTimeoutError` or `ConnectError` if that fails."""
         try:
             host, port = split_address(address=address)
             stream = await self._tcp.connect(
@@ -157,6 +172,7 @@
         return LiveStream(stream=stream, address=address)
 
     async def listen(self, *, address: str, on_stream: Callable, lost_after_us: int = 0) -> Any:
+        """Listen for connections; `AddressInUseError` if that fails."""
         host, port = split_address(address=address)
         server = _StreamServer(on_stream=on_stream)
         try:
@@ -170,6 +186,7 @@
         return _Closer(close=server.stop)
 
     async def datagrams(self, *, address: str, on_datagram: Callable) -> Any:
+        """Bind a UDP socket; `AddressInUseError` if that fails."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         try:
@@ -180,6 +197,7 @@
         return LiveDatagrams(sock=sock, on_datagram=on_datagram)
 
     async def fetch(self, *, call: HttpCall) -> HttpReply | KelpstageError:
+        """Send an HTTP call; see `HttpClient.fetch`."""
         return await self._client.fetch(call=call)
 
     async def serve_http(
@@ -224,6 +242,8 @@
         return await asyncio.get_running_loop().run_in_executor(self._thread, run)
 
     async def names(self, *, folder: str) -> list[str] | KelpstageError:
+        """The sorted names in a folder, which is made if it is missing."""
+
         def work(path: str) -> list[str]:
             os.makedirs(path, exist_ok=True)
             return sorted(os.listdir(path))
@@ -231,6 +251,8 @@
         return await self._off_loop(op="names", path=folder, work=work)
 
     async def read(self, *, path: str) -> bytes | None | KelpstageError:
+        """A file's bytes; `None` if there is no such file."""
+
         def work(full: str) -> bytes | None:
             if not os.path.exists(full):
                 return None
@@ -240,6 +262,8 @@
         return await self._off_loop(op="read", path=path, work=work)
 
     async def append(self, *, path: str, data: bytes, at: int) -> KelpstageError | None:
+        """Write from offset `at` on; the file ends behind what is written."""
+
         def work(full: str) -> None:
             with open(full, "r+b" if os.path.exists(full) else "w+b") as file:
                 # Written over before the rest is cut off: a torn write of the same bytes
@@ -251,6 +275,8 @@
         return await self._off_loop(op="append", path=path, work=work)
 
     async def sync(self, *, path: str) -> KelpstageError | None:
+        """Make a file's bytes durable."""
+
         def work(full: str) -> None:
             handle = os.open(full, os.O_RDWR)
             try:
@@ -261,6 +287,8 @@
         return await self._off_loop(op="sync", path=path, work=work)
 
     async def sync_folder(self, *, folder: str) -> KelpstageError | None:
+        """Make a folder's entries durable."""
+
         def work(full: str) -> None:
             handle = os.open(full, os.O_RDONLY)
             try:
@@ -271,6 +299,8 @@
         return await self._off_loop(op="sync_folder", path=folder, work=work)
 
     async def write(self, *, path: str, data: bytes) -> KelpstageError | None:
+        """Write a file anew; it is not synced."""
+
         def work(full: str) -> None:
             with open(full, "wb") as file:
                 file.write(data)
@@ -278,12 +308,15 @@
         return await self._off_loop(op="write", path=path, work=work)
 
     async def rename(self, *, path: str, to: str) -> KelpstageError | None:
+        """Rename a file, replacing what has the new name."""
+
         def work(full: str) -> None:
             os.replace(full, os.path.join(self._root, to))
 
         return await self._off_loop(op="rename", path=path, work=work)
 
     async def delete(self, *, path: str) -> KelpstageError | None:
+        """Delete a file."""
         return await self._off_loop(op="delete", path=path, work=os.unlink)
 
 
--- a/kelpstage/common/process.py
+++ b/kelpstage/common/process.py
@@ -61,6 +61,7 @@
         return () if found is None else (found.st_mtime_ns, found.st_size, found.st_ino)
 
     def reread(self) -> None:
+        """Read the settings now; broken ones change nothing."""
         self._stamp = self._look()
         try:
             self._daemon.reread(settings=self._read())
@@ -68,6 +69,7 @@
             log.error("the settings can't be read again; those before stay")
 
     async def run(self) -> None:
+        """Look at the file once a second, until cancelled."""
         while self._path:
             await asyncio.sleep(WATCH_S)
             if self._look() != self._stamp:
--- a/kelpstage/common/settings/__init__.py
+++ b/kelpstage/common/settings/__init__.py
@@ -0,0 +1,1 @@
+"""Settings of the daemons: loading, validation and bounds."""
--- a/kelpstage/common/transport/__init__.py
+++ b/kelpstage/common/transport/__init__.py
@@ -0,0 +1,1 @@
+"""The transport between own processes: messages, frames, connections, large values."""
