--- a/kelpstage/common/event_journal.py
+++ b/kelpstage/common/event_journal.py
@@ -38,7 +38,7 @@
         self._now = now
         self._events: deque[tuple[int, Event]] = deque(maxlen=limit)
         self._folds: list[Callable[[int, Event], None]] = []
-        self.counts: Counter = Counter()
+        self.counts: Counter[str] = Counter()
 
     def add(self, event: Event) -> None:
         """Append an event and fold it into every view."""
--- a/kelpstage/common/http/deadlines.py
+++ b/kelpstage/common/http/deadlines.py
@@ -14,12 +14,12 @@
     """A heap of deadlines; the loop holds one timer, for the earliest of them."""
 
     def __init__(self) -> None:
-        self._heap: list[list] = []
+        self._heap: list[list[Any]] = []
         self._serial = itertools.count()
         self._timer: asyncio.TimerHandle | None = None
         self._armed = 0.0
 
-    def at(self, *, when: float, callback: Callable[[], None]) -> list:
+    def at(self, *, when: float, callback: Callable[[], None]) -> list[Any]:
         """Have `callback` called at `when` (the loop's time). The entry that comes back
         is for `cancel`."""
         entry: list[Any] = [when, next(self._serial), callback]
@@ -28,7 +28,7 @@
             self._arm(when=when)
         return entry
 
-    def cancel(self, *, entry: list) -> None:
+    def cancel(self, *, entry: list[Any]) -> None:
         """Have a deadline's callback not be called."""
         entry[2] = None
 
--- a/kelpstage/common/http/replies.py
+++ b/kelpstage/common/http/replies.py
@@ -11,7 +11,9 @@
 JSON_TYPE = "application/json"
 
 
-def json_reply(*, status: int = 200, body: object, headers: dict | None = None) -> HttpReply:
+def json_reply(
+    *, status: int = 200, body: object, headers: dict[str, str] | None = None
+) -> HttpReply:
     """A JSON reply.
 
     >>> json_reply(body={"a": 1}).body
@@ -25,7 +27,7 @@
 
 
 def error_reply(
-    *, error: KelpstageError, headers: dict | None = None, search: str = ""
+    *, error: KelpstageError, headers: dict[str, str] | None = None, search: str = ""
 ) -> HttpReply:
     """The reply that an error asks for, with `Retry-After` where coming back helps, and
     the id of the search that came to it.
--- a/kelpstage/common/ports/interfaces.py
+++ b/kelpstage/common/ports/interfaces.py
@@ -150,7 +150,7 @@
         """Connect within `wait_us`."""
 
     async def listen(
-        self, *, address: str, on_stream: Callable, lost_after_us: int = 0
+        self, *, address: str, on_stream: Callable[..., Any], lost_after_us: int = 0
     ) -> Listener | KelpstageError:
         """Listen for connections; `on_stream` gets each one's stream and source."""
 
@@ -164,7 +164,7 @@
         self,
         *,
         address: str,
-        on_call: Callable,
+        on_call: Callable[..., Any],
         body_limit: int,
         limits: Callable[[], HttpLimits] | None = None,
     ) -> Listener | KelpstageError:
--- a/kelpstage/common/recording/writer.py
+++ b/kelpstage/common/recording/writer.py
@@ -16,7 +16,7 @@
 class DayWriter:
     """Appends to one day's file through the disk port."""
 
-    def __init__(self, *, ports: Ports, path: str, counts: Counter) -> None:
+    def __init__(self, *, ports: Ports, path: str, counts: Counter[str]) -> None:
         self._ports = ports
         self._path = path
         self._counts = counts
