--- a/kelpstage/common/event_journal.py
+++ b/kelpstage/common/event_journal.py
@@ -21,6 +21,7 @@
 
     @property
     def kind(self) -> str:
+        """The name of its class."""
         return type(self).__name__
 
 
@@ -37,9 +38,10 @@
         self._now = now
         self._events: deque[tuple[int, Event]] = deque(maxlen=limit)
         self._folds: list[Callable[[int, Event], None]] = []
-        self.counts: Counter = Counter()
+        self.counts: Counter[str] = Counter()
 
     def add(self, event: Event) -> None:
+        """Append an event and fold it into every view."""
         at_us = self._now()
         self._events.append((at_us, event))
         self.counts[event.kind] += 1
--- a/kelpstage/common/http/deadlines.py
+++ b/kelpstage/common/http/deadlines.py
@@ -14,21 +14,22 @@
     """A heap of deadlines; the loop holds one timer, for the earliest of them."""
 
     def __init__(self) -> None:
-        self._heap: list[list] = []
+        self._heap: list[list[Any]] = []
         self._serial = itertools.count()
         self._timer: asyncio.TimerHandle | None = None
         self._armed = 0.0
 
-    def at(self, *, when: float, verb: Callable[[], None]) -> list:
-        """Have `verb` called at `when` (the loop's time). The entry that comes back
+    def at(self, *, when: float, callback: Callable[[], None]) -> list[Any]:
+        """Have `callback` called at `when` (the loop's time). The entry that comes back
         is for `cancel`."""
-        entry: list[Any] = [when, next(self._serial), verb]
+        entry: list[Any] = [when, next(self._serial), callback]
         heapq.heappush(self._heap, entry)
         if self._timer is None or when < self._armed - SLACK_S:
             self._arm(when=when)
         return entry
 
-    def cancel(self, *, entry: list) -> None:
+    def cancel(self, *, entry: list[Any]) -> None:
+        """Have a deadline's callback not be called."""
         entry[2] = None
 
     def _arm(self, *, when: float) -> None:
@@ -42,8 +43,8 @@
         heap = self._heap
         due = asyncio.get_running_loop().time() + SLACK_S
         while heap and (heap[0][2] is None or heap[0][0] <= due):
-            verb = heapq.heappop(heap)[2]
-            if verb is not None:
-                verb()
+            callback = heapq.heappop(heap)[2]
+            if callback is not None:
+                callback()
         if heap and self._timer is None:
             self._arm(when=heap[0][0])
