--- a/kelpstage/testbed/hollow/fleet.py
+++ b/kelpstage/testbed/hollow/fleet.py
@@ -138,7 +138,7 @@
                 world.homes[self.address(n=n, port=port)] = machine
         outside = world.add_machine(name="outside", zone="outside")
         world.homes["10.255.0.1:9500"] = outside
-        self.outside = self._process(name="outside", machine=outside)
+        self.outside = self.add_process(name="outside", machine=outside)
         self.load = Load(fleet=self)
         self.seeds = [self.address(n=n, port=7100) for n in range(min(3, options.cores))]
 
@@ -146,7 +146,7 @@
     def address(*, n: int, port: int) -> str:
         return f"10.{n // 62500}.{n // 250 % 250}.{n % 250 + 1}:{port}"
 
-    def _process(self, *, name: str, machine: Machine) -> HollowProcess:
+    def add_process(self, *, name: str, machine: Machine) -> HollowProcess:
         self.instances[name] = self.instances.get(name, 0) + 1
         process = HollowProcess(
             world=self.world, name=name, machine=machine, instance=self.instances[name]
@@ -165,7 +165,7 @@
             await self.sleep(us=step_us)
 
     async def _start_core(self, *, n: int) -> None:
-        process = self._process(name=f"core/{n}", machine=self.machines[n])
+        process = self.add_process(name=f"core/{n}", machine=self.machines[n])
         settings = {
             "domain": self.machines[n].zone,
             "own": self.address(n=n, port=7100),
@@ -179,7 +179,7 @@
 
     async def start_edge(self, *, n: int) -> None:
         machine = self.machines[n]
-        process = self._process(name=machine.name, machine=machine)
+        process = self.add_process(name=machine.name, machine=machine)
         settings = {
             "name": machine.name,
             "domain": machine.zone,
--- a/kelpstage/testbed/hollow/load.py
+++ b/kelpstage/testbed/hollow/load.py
@@ -10,13 +10,13 @@
 
 import random
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
-
-if TYPE_CHECKING:
-    from kelpstage.testbed.hollow.fleet import HollowFleet
+from kelpstage.testbed.hollow.metered_network import HollowProcess, HollowWorld
+from kelpstage.testbed.hollow.options import Options
+from kelpstage.testbed.simulation.world import Machine
 
 SECOND = 1_000_000
 WORK_US = (4_000, 12_000)
@@ -28,11 +28,31 @@
 PORT, FRONT_PORT = 9000, 8200
 
 
+class LoadedFleet(Protocol):
+    """What the load needs of the fleet that it is put on."""
+
+    world: HollowWorld
+    options: Options
+    regions: dict[str, str]
+    processes: dict[str, HollowProcess]
+    outside: HollowProcess
+
+    @staticmethod
+    def address(*, n: int, port: int) -> str:
+        """The address of a node's port."""
+
+    def add_process(self, *, name: str, machine: Machine) -> HollowProcess:
+        """Start a process on a machine."""
+
+    async def sleep(self, *, us: int) -> None:
+        """Let virtual time pass."""
+
+
 @dataclass(kw_only=True)
 class Load:
     """The backends of the shards and the searches."""
 
-    fleet: "HollowFleet"
+    fleet: LoadedFleet
     rand: random.Random = field(default_factory=lambda: random.Random(5))
     asked: int = 0
     receipts: int = 0
@@ -41,7 +61,7 @@
     failed: int = 0
 
     def rows(self) -> list[dict]:
-        """The lives of the backends, as the list has them."""
+        """The instances of the backends, as the list has them."""
         fleet, out = self.fleet, []
         for n in range(fleet.options.shards * BACKENDS_A_SHARD):
             zone = f"z{n % fleet.options.zones:02d}"
@@ -65,7 +85,7 @@
         fleet, world = self.fleet, self.fleet.world
         for zone in sorted(fleet.regions):
             machine = world.add_machine(name=f"backends-{zone}", zone=zone)
-            fleet._process(name=f"backends-{zone}", machine=machine)
+            fleet.add_process(name=f"backends-{zone}", machine=machine)
         for row in self.rows():
             process = fleet.processes[f"backends-{row['zone']}"]
             world.homes[row["address"]] = process.machine
--- a/kelpstage/testbed/main.py
+++ b/kelpstage/testbed/main.py
@@ -23,6 +23,7 @@
 from kelpstage.testbed.measure.choices import CHOICES, run_variant, summarize
 from kelpstage.testbed.measure.http import measure_http
 from kelpstage.testbed.model.main import app as model_app
+from kelpstage.testbed.number_lists import read_counts, read_seeds
 from kelpstage.testbed.platform_model.main import app as platform_app
 from kelpstage.testbed.simulation.faults import FAULTS
 from kelpstage.testbed.simulation.figures import figures, summary
@@ -98,19 +99,6 @@
     raise SystemExit(2)
 
 
-def read_seeds(*, text: str) -> list[int]:
-    """Seeds as `7`, `1-40` or `3,5,8-9`.
-
-    >>> read_seeds(text="3,5,8-9")
-    [3, 5, 8, 9]
-    """
-    out: list[int] = []
-    for piece in text.split(","):
-        low, _, high = piece.partition("-")
-        out += range(int(low), int(high or low) + 1)
-    return out
-
-
 def _job(job: tuple) -> tuple[bool, str, dict]:
     seed, deployment, plan, rate, far_us = job
     outcome, fleet = run_plan(seed=seed, deployment=deployment, plan=plan, rate=rate, far_us=far_us)
@@ -256,15 +244,6 @@
         print(f"{variant}: {json.dumps(row)}")
 
 
-def read_counts(*, text: str) -> list[int]:
-    """Counts of nodes as `50,100,200`.
-
-    >>> read_counts(text="50,100")
-    [50, 100]
-    """
-    return [int(piece) for piece in text.split(",")]
-
-
 @app.command()
 def hollow(
     nodes: str = typer.Option("50", help="Nodes; several runs as 50,100,200, one at a time."),
--- a/kelpstage/testbed/model/checks.py
+++ b/kelpstage/testbed/model/checks.py
@@ -4,14 +4,11 @@
 
 import hashlib
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from typing import Any, Mapping, Protocol
 
 from kelpstage.testbed.model import adapter as core
-
-if TYPE_CHECKING:
-    from kelpstage.testbed.model.node import Node
-    from kelpstage.testbed.model.sessions import Edge, Order
-    from kelpstage.testbed.model.system import World
+from kelpstage.testbed.model.calls import Edge, Order
+from kelpstage.testbed.model.interfaces import NodeView
 
 STATE_COMPARED_EVERY = 64
 COMPLETENESS_TAIL = 120
@@ -78,11 +75,31 @@
     return {(member.replica, member.is_voter) for member in members}
 
 
+class EdgeHolder(Protocol):
+    """Whoever holds the edges of the modelled system."""
+
+    edges: dict[str, Edge]
+
+
+class CheckedSystem(Protocol):
+    """What the invariants need of the modelled system."""
+
+    now_us: int
+
+    @property
+    def nodes(self) -> Mapping[str, NodeView]:
+        """The machines by address."""
+
+    @property
+    def sessions(self) -> EdgeHolder:
+        """The edges, by name."""
+
+
 @dataclass(kw_only=True, eq=False)
 class Checks:
     """What was seen of the whole system, by an observer who sees everything."""
 
-    world: "World"
+    world: CheckedSystem
     leaders: dict[int, str] = field(default_factory=dict)
     committed: dict[int, CommittedEntry] = field(default_factory=dict)
     newest_committed: int = core.FOUNDING_INDEX
@@ -107,11 +124,11 @@
 
     # --- Raft -----------------------------------------------------------------------
 
-    def started(self, *, node: "Node") -> None:
+    def started(self, *, node: NodeView) -> None:
         """A replica was made from its disk."""
         self.commit_seen[(node.identity, node.starts)] = core.commit_index_of(node.replica)
 
-    def elected(self, *, node: "Node", term: int) -> None:
+    def elected(self, *, node: NodeView, term: int) -> None:
         """A replica takes the lead of a term."""
         if self.leaders.setdefault(term, node.identity) != node.identity:
             self.fail(ELECTION_SAFETY, f"{self.leaders[term]} and {node.identity} lead term {term}")
@@ -131,7 +148,7 @@
                     f"of term {entry.term}, committed in term {entry.committed_in}",
                 )
 
-    def appended(self, *, node: "Node", entries: list[core.LogEntry]) -> None:
+    def appended(self, *, node: NodeView, entries: list[core.LogEntry]) -> None:
         """Entries were put into a log: an entry's term and index stand for all before it."""
         log = node.replica.log
         for entry in entries:
@@ -146,7 +163,7 @@
                     "or another one before it",
                 )
 
-    def committed_by(self, *, node: "Node", entries: list[core.LogEntry]) -> None:
+    def committed_by(self, *, node: NodeView, entries: list[core.LogEntry]) -> None:
         """A replica learned that these entries are committed."""
         term = core.term_of(node.replica)
         if entries and entries[0].index != node.applied + 1:
@@ -175,7 +192,7 @@
             self.commit_members = list(core.members_of(node.replica))
         self.disks_changed()
 
-    def applied_by(self, *, node: "Node", entry: core.LogEntry, outcome: Any) -> None:
+    def applied_by(self, *, node: NodeView, entry: core.LogEntry, outcome: Any) -> None:
         """A state machine applied an entry."""
         shown = repr(outcome)
         if self.outcomes.setdefault(entry.index, shown) != shown:
@@ -187,7 +204,7 @@
         if entry.index % STATE_COMPARED_EVERY == 0:
             self.compare_state(node=node)
 
-    def compare_state(self, *, node: "Node") -> None:
+    def compare_state(self, *, node: NodeView) -> None:
         """State machines that applied the same entries are in the same state."""
         state = hashlib.sha1(bytes(node.machine.state)).digest()
         if self.states.setdefault(node.applied, state) != state:
@@ -196,7 +213,7 @@
                 f"{node.identity} has another state after entry {node.applied}",
             )
 
-    def installed_snapshot(self, *, node: "Node", snapshot: core.DiskSnapshot) -> None:
+    def installed_snapshot(self, *, node: NodeView, snapshot: core.DiskSnapshot) -> None:
         """A replica took another one's snapshot."""
         self.snapshots_installed += 1
         entry = self.committed.get(snapshot.index)
@@ -215,7 +232,7 @@
                 f"{node.identity} has other members behind the snapshot at {snapshot.index}",
             )
 
-    def stepped(self, *, node: "Node") -> None:
+    def stepped(self, *, node: NodeView) -> None:
         """After each event: the commit index rose or stayed, and the log holds it."""
         key = (node.identity, node.starts)
         commit = core.commit_index_of(node.replica)
@@ -255,13 +272,13 @@
 
     # --- orders, reads, leases ---------------------------------------------------------------
 
-    def order_took_effect(self, *, order: "Order") -> None:
+    def order_took_effect(self, *, order: Order) -> None:
         """The state machine took an order into force (or had done so before)."""
         if order.digest in self.refused:
             self.fail(NO_EFFECT_AFTER_REFUSAL, f"{order} was refused before")
         self.took_effect.add(order.digest)
 
-    def acknowledged_order(self, *, order: "Order", version: int, epoch: int) -> None:
+    def acknowledged_order(self, *, order: Order, version: int, epoch: int) -> None:
         """An operator is told that the order is in force everywhere."""
         known = self.acknowledged.setdefault(order.expected, order.digest)
         if known != order.digest:
@@ -271,20 +288,20 @@
         for edge in self.world.sessions.edges.values():
             self.edge_changed(edge=edge)
 
-    def refused_order(self, *, order: "Order") -> None:
+    def refused_order(self, *, order: Order) -> None:
         """An operator is told that the order was refused for good."""
         if order.digest in self.took_effect:
             self.fail(NO_LATE_REFUSAL, f"{order} is refused on repeat")
         self.refused.add(order.digest)
 
-    def read_done(self, *, node: "Node", floor: int, version: int) -> None:
+    def read_done(self, *, node: NodeView, floor: int, version: int) -> None:
         """A configuration was read; `floor` was acknowledged before the read began."""
         if version < floor:
             self.fail(
                 READ_FRESHNESS, f"{node.identity} answers {version}, {floor} was acknowledged"
             )
 
-    def edge_changed(self, *, edge: "Edge") -> None:
+    def edge_changed(self, *, edge: Edge) -> None:
         """An edge holds no lease under an epoch older than one that is settled."""
         if not core.has_lease(edge.lease_holder, now_us=self.world.now_us):
             return
--- a/kelpstage/testbed/model/node.py
+++ b/kelpstage/testbed/model/node.py
@@ -9,14 +9,13 @@
 import random
 from dataclasses import dataclass, field
 from functools import singledispatchmethod
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 from kelpstage.testbed.model import adapter as core
-from kelpstage.testbed.model.checks import OWN_ASSERTIONS
+from kelpstage.testbed.model.checks import OWN_ASSERTIONS, Checks
 from kelpstage.testbed.model.disk import Disk, SnapshotWrite
-
-if TYPE_CHECKING:
-    from kelpstage.testbed.model.system import World
+from kelpstage.testbed.model.scope import Scope
+from kelpstage.testbed.model.sessions import Sessions
 
 SNAPSHOT_ENTRIES = 40
 JOIN_AGAIN_US = 500_000
@@ -49,12 +48,40 @@
         return snapshot
 
 
+class NodeHost(Protocol):
+    """What a node needs of the modelled system around it."""
+
+    now_us: int
+    scope: Scope
+    hooks: Hooks
+    checks: Checks
+    sessions: Sessions
+
+    def random_for(self, *, name: str) -> random.Random:
+        """The generator of one instance of one replica."""
+
+    def make_lease_table(self) -> core.LeaseTable:
+        """The lease table of a leader that was elected now."""
+
+    def send(self, *, source: str, to: str, body: Any) -> None:
+        """Put a message on its way."""
+
+    def ask_place(self, *, node: "Node") -> None:
+        """Ask every other machine for this replica's place."""
+
+    def ask_to_leave(self, *, node: "Node") -> None:
+        """Ask whether this replica may stop for good."""
+
+    def snapshot_at(self, *, reader: "Node", address: str, index: int) -> core.DiskSnapshot | None:
+        """What a machine gives to one that fetches the snapshot at this index."""
+
+
 @dataclass(kw_only=True, eq=False)
 class Node:
     """A machine of the control side."""
 
     address: str
-    world: "World"
+    world: NodeHost
     identity: str
     disk: Disk = field(default_factory=Disk)
     generation: int = 0
--- a/kelpstage/testbed/model/search.py
+++ b/kelpstage/testbed/model/search.py
@@ -99,10 +99,7 @@
     copy = object.__new__(type(value))
     known[id(value)] = copy
     for name, one in vars(value).items():
-        if not name.startswith("_actions"):
-            object.__setattr__(copy, name, _fork(one, known))
-    if isinstance(copy, World):
-        copy.bind_actions()
+        object.__setattr__(copy, name, _fork(one, known))
     return copy
 
 
--- a/kelpstage/testbed/model/sessions.py
+++ b/kelpstage/testbed/model/sessions.py
@@ -1,145 +1,43 @@
-"""Operators with their orders, and edges with their leases, as the leader serves them.
+"""How the leader serves operators' orders and edges' leases.
 
-An order is looked up under a read index, judged, proposed, and acknowledged when no edge
+An order is looked up under a read index, checked, proposed, and acknowledged when no edge
 can serve an older epoch; a lease is given under a read index. The calls may be lost,
 late, doubled or sent again; an operator without a clear answer repeats its order.
 """
 
 from __future__ import annotations
 
-import functools
-from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from dataclasses import dataclass
+from typing import Any, Protocol
 
 from kelpstage.testbed.model import adapter as core
-
-if TYPE_CHECKING:
-    from kelpstage.testbed.model.node import Node
-    from kelpstage.testbed.model.system import World
+from kelpstage.testbed.model.calls import (
+    Edge,
+    LeaseAnswer,
+    Operator,
+    Order,
+    OrderAnswer,
+    OrderCall,
+    ReadCall,
+    RenewCall,
+    StateAnswer,
+)
+from kelpstage.testbed.model.checks import Checks
+from kelpstage.testbed.model.interfaces import NodeView
 
 ORDER_WAIT_US = 10_000_000
-ACKNOWLEDGED_KEPT = 40
-PADDING = 200  # each second document is long enough to travel as a difference
 
 LOOK_UP, TURN, PROPOSED, SETTLE = "look-up", "turn", "proposed", "settle"
 
 
-@dataclass(frozen=True, kw_only=True)
-class Order:
-    """One order of an operator's: compare-and-set on the version that it builds on."""
-
-    operator: str
-    expected: int
-    version: int
-    document: bytes
-    put_id: str
-
-    @functools.cached_property
-    def digest(self) -> bytes:
-        """What tells a repeat from another order."""
-        return core.order_digest(
-            expected=self.expected, version=self.version, document=self.document
-        )
-
-
-# --- what travels ---------------------------------------------------------------------
-
-
-@dataclass(frozen=True, kw_only=True)
-class OrderCall:
-    """An operator sends an order."""
-
-    order: Order
-
-
-@dataclass(frozen=True, kw_only=True)
-class ReadCall:
-    """An operator reads the configuration; `floor` is what was acknowledged before."""
-
-    floor: int
-
-
-@dataclass(frozen=True, kw_only=True)
-class OrderAnswer:
-    """What the operator hears of an order."""
-
-    order: Order
-    is_refused: bool
-    version: int  # in force
-
-
-@dataclass(frozen=True, kw_only=True)
-class RenewCall:
-    """An edge asks for a lease."""
+class SessionHost(Protocol):
+    """What the sessions need of the modelled system."""
 
-    edge: str
-    incarnation: int
-    epoch: int
-    sent_us: int
-
-
-@dataclass(frozen=True, kw_only=True)
-class LeaseAnswer:
-    """A lease, for the incarnation that asked."""
-
-    incarnation: int
-    reply: Any
-    sent_us: int
-
-
-@dataclass(frozen=True, kw_only=True)
-class StateAnswer:
-    """The state that an edge is to install."""
-
-    doc: Any
-
-
-# --- who holds state --------------------------------------------------------------------
-
-
-@dataclass(kw_only=True, eq=False)
-class Operator:
-    """Knows a version; has one order under way at the most."""
-
-    name: str
-    known: int = 0
-    count: int = 0
-    pending: Order | None = None
-    acknowledged: list[Order] = field(default_factory=list)
-
-    def order(self) -> Order:
-        """The order under way, or a new one with the next number."""
-        if self.pending is None:
-            self.count += 1
-            mark = f"{self.name}-{self.count}"
-            self.pending = Order(
-                operator=self.name,
-                expected=self.known,
-                version=self.known + 1,
-                document=mark.encode() * (1 + self.count % 2 * PADDING),
-                put_id=mark,
-            )
-        return self.pending
-
-    def hear(self, *, answer: OrderAnswer) -> None:
-        """Take an answer; one that belongs to no order under way is old."""
-        self.known = max(self.known, answer.version)
-        if self.pending is None or self.pending.digest != answer.order.digest:
-            return
-        if not answer.is_refused:
-            self.acknowledged.append(self.pending)
-            del self.acknowledged[:-ACKNOWLEDGED_KEPT]
-        self.pending = None
-
-
-@dataclass(kw_only=True, eq=False)
-class Edge:
-    """An edge with what it has installed and its leases."""
+    now_us: int
+    checks: Checks
 
-    name: str
-    lease_holder: core.LeaseHolder
-    incarnation: int = 1
-    renewed_us: int = -(10**9)
+    def send(self, *, source: str, to: str, body: Any) -> None:
+        """Put a message on its way."""
 
 
 @dataclass(kw_only=True, eq=False)
@@ -160,7 +58,7 @@
 class Sessions:
     """All operators and edges, and their calls under way."""
 
-    def __init__(self, *, world: "World", operators: int, edges: int) -> None:
+    def __init__(self, *, world: SessionHost, operators: int, edges: int) -> None:
         self.world = world
         self.operators = {f"op{i}": Operator(name=f"op{i}") for i in range(operators)}
         self.edges: dict[str, Edge] = {}
@@ -174,7 +72,7 @@
 
     # --- calls arrive at a node --------------------------------------------------------
 
-    def arrive(self, *, node: "Node", source: str, call: Any) -> None:
+    def arrive(self, *, node: NodeView, source: str, call: Any) -> None:
         """A call of an operator's or an edge's; one that is not the leader gives no
         clear answer."""
         if core.role_of(node.replica) != core.LEADER:
@@ -194,7 +92,7 @@
         )
         node.take(core.ReadIndexRequest(token=self._token))
 
-    def _is_at_work(self, *, node: "Node", order: Order) -> bool:
+    def _is_at_work(self, *, node: NodeView, order: Order) -> bool:
         return any(
             work.lease_table is node.lease_table
             and isinstance(work.call, OrderCall)
@@ -202,7 +100,7 @@
             for work in self._work.values()
         )
 
-    def _note_edge(self, *, node: "Node", call: RenewCall) -> None:
+    def _note_edge(self, *, node: NodeView, call: RenewCall) -> None:
         core.lease_table_hears(
             node.lease_table,
             edge=call.edge,
@@ -221,7 +119,7 @@
         """Nobody knows what becomes of the entry: no clear answer."""
         self._work.pop(token, None)
 
-    def read_ready(self, *, node: "Node", token: int, index: int) -> None:
+    def read_ready(self, *, node: NodeView, token: int, index: int) -> None:
         """The read index is confirmed by a majority."""
         work = self._work.get(token)
         if work is None:
@@ -237,7 +135,7 @@
         if isinstance(work.call, RenewCall):
             self._give_lease(node=node, work=work)
 
-    def _give_lease(self, *, node: "Node", work: Work) -> None:
+    def _give_lease(self, *, node: NodeView, work: Work) -> None:
         if work.lease_table is not node.lease_table:
             return
         call, epoch = work.call, node.machine.state.epoch
@@ -256,7 +154,7 @@
 
     # --- orders -------------------------------------------------------------------------------
 
-    def _look_up(self, *, node: "Node", token: int, work: Work) -> None:
+    def _look_up(self, *, node: NodeView, token: int, work: Work) -> None:
         order = work.call.order
         outcome = core.decided(machine=node.machine, order=order)
         if outcome is not None:
@@ -275,7 +173,7 @@
         work.stage = TURN
         self._propose(node=node, token=token, work=work)
 
-    def _propose(self, *, node: "Node", token: int, work: Work) -> None:
+    def _propose(self, *, node: NodeView, token: int, work: Work) -> None:
         """Propose the order when the change before it is settled; the state machine
         judges it once more, by what is in force at its place in the log."""
         order, state = work.call.order, node.machine.state
@@ -293,7 +191,7 @@
         )
         node.take(core.Propose(kind=core.COMMAND, data=data, token=token))
 
-    def _refuse_by_log(self, *, node: "Node", token: int, work: Work) -> None:
+    def _refuse_by_log(self, *, node: NodeView, token: int, work: Work) -> None:
         """Have the state machine refuse an order on a version to come."""
         order = work.call.order
         work.stage = PROPOSED
@@ -305,13 +203,13 @@
         )
         node.take(core.Propose(kind=core.COMMAND, data=data, token=token))
 
-    def applied(self, *, node: "Node", token: int, outcome: Any) -> None:
+    def applied(self, *, node: NodeView, token: int, outcome: Any) -> None:
         """The state machine decided an order that was proposed here."""
         work = self._work.get(token)
         if work is not None:
             self._decided(node=node, token=token, work=work, outcome=outcome)
 
-    def _decided(self, *, node: "Node", token: int, work: Work, outcome: Any) -> None:
+    def _decided(self, *, node: NodeView, token: int, work: Work, outcome: Any) -> None:
         if core.is_unclear(outcome):
             del self._work[token]
             return
@@ -322,12 +220,12 @@
         work.stage, work.epoch, work.version = SETTLE, outcome.epoch, outcome.version
         self._settle(node=node, token=token, work=work)
 
-    def _refuse(self, *, node: "Node", token: int, work: Work) -> None:
+    def _refuse(self, *, node: NodeView, token: int, work: Work) -> None:
         del self._work[token]
         self.world.checks.refused_order(order=work.call.order)
         self._answer(node=node, work=work, is_refused=True, version=node.machine.state.version)
 
-    def _settle(self, *, node: "Node", token: int, work: Work) -> None:
+    def _settle(self, *, node: NodeView, token: int, work: Work) -> None:
         """Acknowledge when no edge can serve an older epoch."""
         state = node.machine.state
         if not core.lease_table_settled(
@@ -339,11 +237,11 @@
         self.world.checks.acknowledged_order(order=order, version=work.version, epoch=work.epoch)
         self._answer(node=node, work=work, is_refused=False, version=work.version)
 
-    def _answer(self, *, node: "Node", work: Work, is_refused: bool, version: int) -> None:
+    def _answer(self, *, node: NodeView, work: Work, is_refused: bool, version: int) -> None:
         answer = OrderAnswer(order=work.call.order, is_refused=is_refused, version=version)
         self.world.send(source=node.address, to=work.source, body=answer)
 
-    def tick(self, *, node: "Node") -> None:
+    def tick(self, *, node: NodeView) -> None:
         """Orders that wait for a settled epoch are looked at again."""
         waiting = [
             (token, work)
@@ -360,7 +258,7 @@
             else:
                 self._propose(node=node, token=token, work=work)
 
-    def node_ended(self, *, node: "Node") -> None:
+    def node_ended(self, *, node: NodeView) -> None:
         """The calls at a process that ended hear nothing."""
         self._work = {t: w for t, w in self._work.items() if w.address != node.address}
 
--- a/kelpstage/testbed/platform_model/main.py
+++ b/kelpstage/testbed/platform_model/main.py
@@ -9,6 +9,7 @@
 
 import typer
 
+from kelpstage.testbed.number_lists import read_seeds
 from kelpstage.testbed.platform_model.faults import CLOSINGS, TROUBLES
 from kelpstage.testbed.platform_model.scenario import Outcome, Plan, as_text, play_day
 from kelpstage.testbed.platform_model.shape import SHAPES
@@ -69,8 +70,6 @@
     only_bad: bool = typer.Option(False, help="Print only days that broke a rule."),
 ) -> None:
     """Play seeded days; print what broke, with its seed, and the worth by kind."""
-    from kelpstage.testbed.main import read_seeds
-
     try:
         numbers = read_seeds(text=seeds)
     except ValueError:
