--- /dev/null
+++ b/kelpstage/replay/files.py
@@ -0,0 +1,39 @@
+"""Recordings and results as files of the command line."""
+
+from __future__ import annotations
+
+import pathlib
+import sys
+from typing import NoReturn
+
+from kelpstage.cli.client import write_whole
+from kelpstage.common.errors.base import KelpstageError
+from kelpstage.common.errors.storage import InvalidRecordingError
+from kelpstage.common.recording.format import HEAD, Row, pack_row, read_day
+
+BAD_INPUT = 2
+TORN_TAIL_HINT = "the file ends within a record; --torn-tail reads what is whole"
+
+
+def exit_bad_input(text: str) -> NoReturn:
+    """Say on stderr what is wrong with the input, and end with its code."""
+    print(text, file=sys.stderr)
+    raise SystemExit(BAD_INPUT)
+
+
+def load(*, path: str, is_torn_tail_fine: bool) -> list[Row]:
+    """A recording's rows, or an end with the error and its place."""
+    try:
+        data = pathlib.Path(path).read_bytes()
+    except OSError as error:
+        exit_bad_input(f"unreadable: {path}: {error.strerror}")
+    rows = read_day(path=path, data=data, is_torn_tail_fine=is_torn_tail_fine)
+    if isinstance(rows, KelpstageError):
+        why = rows.why if isinstance(rows, InvalidRecordingError) else TORN_TAIL_HINT
+        exit_bad_input(f"{rows.kind}: {path} at offset {rows.offset}: {why}")
+    return rows
+
+
+def save(*, path: str, rows: list[Row]) -> None:
+    """Write rows whole or not at all: beside, then renamed."""
+    write_whole(path=path, data=HEAD + b"".join(pack_row(row=row) for row in rows))
--- a/kelpstage/replay/show.py
+++ b/kelpstage/replay/summary.py
@@ -1,4 +1,4 @@
-"""What a day holds."""
+"""What a recording holds."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 def summary_of(*, rows: list[Row]) -> dict[str, Any]:
-    """Counts, span and rates of a day.
+    """Counts, span and rates of a recording, as JSON.
 
-    >>> day = [{"what": "call", "at_us": 0, "path": "/a?x"}, {"what": "call", "at_us": 2_000_000,
-    ...        "path": "/a"}]
-    >>> summary_of(rows=day)["calls_by_path"], summary_of(rows=day)["calls_per_second"]
+    >>> rows = [{"what": "call", "at_us": 0, "path": "/a?x"}, {"what": "call", "at_us": 2_000_000,
+    ...         "path": "/a"}]
+    >>> summary_of(rows=rows)["calls_by_path"], summary_of(rows=rows)["calls_per_second"]
     ({'/a': 2}, 1.0)
     """
     span_us = max((row["at_us"] for row in rows), default=0)
