--- a/kelpstage/cli/__init__.py
+++ b/kelpstage/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' command line."""
--- a/kelpstage/cli/client.py
+++ b/kelpstage/cli/client.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import json
-import pathlib
 from typing import Any
 
 from kelpstage.cli.output import BAD_INPUT, REFUSED, UNREACHED, UNRESOLVED, fail
@@ -15,25 +14,8 @@
 from kelpstage.common.ports.live import LiveNet
 from kelpstage.common.transport.address import is_address
 
-
-def read_file(*, path: str) -> bytes:
-    """A file's bytes, or a typed end with exit code 2."""
-    try:
-        return pathlib.Path(path).read_bytes()
-    except OSError as error:
-        fail(error=InvalidField(path=path, why=error.strerror or "unreadable"), code=BAD_INPUT)
-
-
-def write_whole(*, path: str, data: bytes) -> None:
-    """Write a file whole or not at all: beside, then renamed."""
-    beside = pathlib.Path(f"{path}.new")
-    try:
-        beside.write_bytes(data)
-        beside.replace(path)
-    except OSError as error:
-        fail(
-            error=InvalidField(path=path, why=error.strerror or "can't be written"), code=BAD_INPUT
-        )
+DEFAULT_WAIT_US = 10_000_000
+EXTRA_WAIT_US = 1_000_000  # the caller waits longer than the time that it leaves
 
 
 def need_addresses(*, given: list[str], what: str) -> list[str]:
@@ -70,38 +52,41 @@
     path: str,
     headers: dict[str, str] | None = None,
     body: bytes = b"",
-    wait_us: int = 10_000_000,
+    wait_us: int = DEFAULT_WAIT_US,
 ) -> HttpReply:
     """Ask the first address that answers; a put that may have arrived is not
     sent elsewhere by itself."""
-    last: KelpstageError | None = None
+    last: HttpReply | KelpstageError | None = None
     for address in addresses:
         call = HttpCall(
             method=method,
             url=f"http://{address}{path}",
             headers={"Kelp-Time-Left-Us": str(wait_us), **(headers or {})},
             body=body,
-            wait_us=wait_us + 1_000_000,
+            wait_us=wait_us + EXTRA_WAIT_US,
         )
-        reply = ask_once(call=call)
-        if isinstance(reply, HttpReply):
-            if reply.status == 503 and error_of(reply=reply).get("kind") == "no_leader":
-                last = None
-                kept = reply
+        last = ask_once(call=call)
+        if isinstance(last, HttpReply):
+            if _knows_no_leader(reply=last):
                 continue
-            return reply
-        last = reply
-        if method != "GET" and isinstance(reply, (ReplyTimeoutError, ConnectionLostError)):
+            return last
+        if method != "GET" and isinstance(last, (ReplyTimeoutError, ConnectionLostError)):
             fail(
-                error={"kind": "unresolved", "why": f"{address}: {reply.kind}; ask again"},
+                error={"kind": "unresolved", "why": f"{address}: {last.kind}; ask again"},
                 code=UNRESOLVED,
             )
-    if last is None:
-        return kept
+    if isinstance(last, HttpReply):
+        return last
+    assert last is not None, "no address was given"
     fail(error=last, code=UNREACHED)
 
 
-def error_of(*, reply: HttpReply) -> dict:
+def _knows_no_leader(*, reply: HttpReply) -> bool:
+    """Is this a core that can't say who leads, so that another one is worth asking?"""
+    return reply.status == 503 and error_of(reply=reply).get("kind") == "no_leader"
+
+
+def error_of(*, reply: HttpReply) -> dict[str, Any]:
     """The typed error in a reply, or what stands for it.
 
     >>> error_of(reply=HttpReply(status=500, body=b"x"))
--- a/kelpstage/cli/commands/__init__.py
+++ b/kelpstage/cli/commands/__init__.py
@@ -0,0 +1,1 @@
+"""The commands, by subject."""
--- a/kelpstage/cli/offline/__init__.py
+++ b/kelpstage/cli/offline/__init__.py
@@ -0,0 +1,1 @@
+"""What can be told from files alone, without a fleet."""
--- a/kelpstage/cli/offline/diff.py
+++ b/kelpstage/cli/offline/diff.py
@@ -3,14 +3,16 @@
 from __future__ import annotations
 
 from dataclasses import asdict
-from typing import Any
+from typing import Any, Iterable, Mapping
 
 from kelpstage.common.configuration.types import Configuration
 
+Change = dict[str, Any]  # a row of the JSON output: path, was, will
 
-def diff_of(*, old: Configuration, new: Configuration) -> list[dict[str, Any]]:
-    """Changes, each with its path, what was and what will be."""
-    rows: list[dict[str, Any]] = []
+
+def diff_of(*, old: Configuration, new: Configuration) -> list[Change]:
+    """The changes, each with its path, what was and what will be."""
+    rows: list[Change] = []
     for name in sorted(set(old.backends) | set(new.backends)):
         _note(
             rows=rows,
@@ -33,9 +35,9 @@
     return rows + _forward_rows(old=old, new=new)
 
 
-def _forward_rows(*, old: Configuration, new: Configuration) -> list[dict[str, Any]]:
+def _forward_rows(*, old: Configuration, new: Configuration) -> list[Change]:
     """Services and forward routes, field by field; limits, version, source."""
-    rows: list[dict[str, Any]] = []
+    rows: list[Change] = []
     for section in ("services", "forward"):
         before, after = getattr(old, section), getattr(new, section)
         for name in sorted(set(before) | set(after)):
@@ -67,17 +69,17 @@
     return fields
 
 
-def _note(*, rows: list, path: str, was: Any, will: Any) -> None:
+def _note(*, rows: list[Change], path: str, was: Any, will: Any) -> None:
     if was != will:
         rows.append({"path": path, "was": was, "will": will})
 
 
-def _backend(*, configuration: Configuration, name: str) -> dict | None:
+def _backend(*, configuration: Configuration, name: str) -> dict[str, Any] | None:
     backend = configuration.backends.get(name)
     return {"address": backend.address, "labels": backend.labels} if backend else None
 
 
-def _route(*, configuration: Configuration, name: str) -> dict | None:
+def _route(*, configuration: Configuration, name: str) -> dict[str, Any] | None:
     route = configuration.routes.get(name)
     if route is None:
         return None
@@ -89,7 +91,9 @@
     }
 
 
-def _note_collection(*, rows: list, old: Configuration, new: Configuration, name: str) -> None:
+def _note_collection(
+    *, rows: list[Change], old: Configuration, new: Configuration, name: str
+) -> None:
     before, after = old.collections.get(name), new.collections.get(name)
     if before is None or after is None:
         _note(
@@ -118,5 +122,5 @@
         )
 
 
-def _plain(*, selector: dict) -> dict:
+def _plain(*, selector: Mapping[str, Iterable[str]]) -> dict[str, list[str]]:
     return {name: list(values) for name, values in sorted(selector.items())}
--- a/kelpstage/cli/offline/plan.py
+++ b/kelpstage/cli/offline/plan.py
@@ -22,27 +22,8 @@
     plan names services; where no nodes are declared, it is drawn over nameless ones.
     """
     route = configuration.routes[collection]
-    zone = configuration.nodes.get(root, {}).get("domain", "")
-    helpers = [
-        name
-        for _, name in sorted(
-            (labels.get("domain", "") != zone, name)
-            for name, labels in configuration.nodes.items()
-            if name != root
-            and name not in gone
-            and configuration.is_gatherer(
-                collection=collection, name=name, zone=labels.get("domain", "")
-            )
-        )
-    ]
-    if not configuration.nodes and collection in configuration.forward:
-        helpers = [f"edge {place + 2}" for place in range(len(route.fan_out))]
-    registry = BackendRegistry(me=root)
-    for name in configuration.backends:
-        entry = registry.entry(name=name)
-        entry.address = configuration.backends[name].address or "0.0.0.0:1"
-        if name in gone:
-            entry.state, entry.why = GONE, "named as gone"
+    helpers = _helpers(configuration=configuration, collection=collection, root=root, gone=gone)
+    registry = _registry(configuration=configuration, root=root, gone=gone)
     tree = grow(root=root, shards=route.fan_out, helpers=helpers, fan_out=route.tree_fan_out)
     count = len(route.fan_out)
     placed = _placed(
@@ -66,6 +47,40 @@
     } | _shares(configuration=configuration, name=collection)
 
 
+def _helpers(
+    *, configuration: Configuration, collection: str, root: str, gone: frozenset[str]
+) -> list[str]:
+    """The nodes that may gather beside the root, those of its own zone first."""
+    zone = configuration.nodes.get(root, {}).get("domain", "")
+    names = [
+        name
+        for _, name in sorted(
+            (labels.get("domain", "") != zone, name)
+            for name, labels in configuration.nodes.items()
+            if name != root
+            and name not in gone
+            and configuration.is_gatherer(
+                collection=collection, name=name, zone=labels.get("domain", "")
+            )
+        )
+    ]
+    if not configuration.nodes and collection in configuration.forward:
+        fan_out = configuration.routes[collection].fan_out
+        names = [f"edge {place + 2}" for place in range(len(fan_out))]
+    return names
+
+
+def _registry(*, configuration: Configuration, root: str, gone: frozenset[str]) -> BackendRegistry:
+    """The registry of an edge that knows of nothing but what is gone."""
+    registry = BackendRegistry(me=root)
+    for name in configuration.backends:
+        entry = registry.entry(name=name)
+        entry.address = configuration.backends[name].address or "0.0.0.0:1"
+        if name in gone:
+            entry.state, entry.why = GONE, "named as gone"
+    return registry
+
+
 def _shares(*, configuration: Configuration, name: str) -> dict[str, Any]:
     """What part of a forward route's requests each service gets, if it is split."""
     route = configuration.forward.get(name)
--- a/kelpstage/cli/offline/routes.py
+++ b/kelpstage/cli/offline/routes.py
@@ -10,7 +10,7 @@
 
 import re
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, cast
 
 import yaml
 from openapi_pydantic import OpenAPI, Operation, PathItem, parse_obj
@@ -30,7 +30,7 @@
 
 
 @dataclass(kw_only=True)
-class Imported:
+class ImportedRoutes:
     """Routes found, and what was found beside them."""
 
     routes: dict[str, dict[str, Any]] = field(default_factory=dict)
@@ -52,7 +52,7 @@
     if not isinstance(raw, dict):
         return [InvalidField(path="(whole)", why="not an object")]
     try:
-        return parse_obj(raw)
+        return cast(OpenAPI, parse_obj(raw))  # 3.0 has the same fields, as far as they are read
     except ValidationError as error:
         return [
             # the library puts the file's version before each place
@@ -63,7 +63,7 @@
         return [InvalidField(path="openapi", why=str(error)[:200])]
 
 
-def routes_of(*, openapi: OpenAPI, shards: dict[str, list[str]]) -> Imported:
+def routes_of(*, openapi: OpenAPI, shards: dict[str, list[str]]) -> ImportedRoutes:
     """The routes in a file, for the collections whose shards are known.
 
     >>> text = (b'{"openapi":"3.1.0","info":{"title":"t","version":"1"},"paths":'
@@ -72,7 +72,7 @@
     >>> got.routes, [fault.path for fault in got.unsupported]
     ({'c': {'FanOut': ['s1'], 'Quorum': 1}}, ['paths./other.get'])
     """
-    out = Imported()
+    out = ImportedRoutes()
     for name in ("servers", "security", "webhooks", "externalDocs"):
         if name in openapi.model_fields_set:
             out.unsupported.append(InvalidField(path=name, why="has no place in a configuration"))
@@ -85,13 +85,18 @@
     return out
 
 
-def _note_rest(*, path: str, item: PathItem, out: Imported) -> None:
+def _note_rest(*, path: str, item: PathItem, out: ImportedRoutes) -> None:
     for name in sorted(item.model_fields_set - set(METHODS) - {"summary", "description"}):
         out.unsupported.append(InvalidField(path=f"paths.{path}.{name}", why="not taken over"))
 
 
 def _take(
-    *, path: str, method: str, operation: Operation, shards: dict[str, list[str]], out: Imported
+    *,
+    path: str,
+    method: str,
+    operation: Operation,
+    shards: dict[str, list[str]],
+    out: ImportedRoutes,
 ) -> None:
     at = f"paths.{path}.{method}"
     found = SEARCH.fullmatch(path)
--- a/kelpstage/cli/offline/warnings.py
+++ b/kelpstage/cli/offline/warnings.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections import Counter
+from typing import Any
 
 from kelpstage.common.configuration.types import Collection, Configuration, Route, is_match
 from kelpstage.common.errors.validation import InvalidField
@@ -71,10 +72,15 @@
 def _route_warnings(
     *, configuration: Configuration, collection: Collection, route: Route
 ) -> list[InvalidField]:
-    path = f"routes.{route.collection}"
-    out = []
-    by_backend: Counter = Counter()
-    by_zone: Counter = Counter()
+    return _single_loss_warnings(configuration=configuration, route=route) + _gatherer_warnings(
+        configuration=configuration, collection=collection, route=route
+    )
+
+
+def _single_loss_warnings(*, configuration: Configuration, route: Route) -> list[InvalidField]:
+    """Backends and zones whose loss alone takes more shards than the quorum lets miss."""
+    by_backend: Counter[str] = Counter()
+    by_zone: Counter[str | None] = Counter()
     for shard in route.fan_out:
         names = usable(configuration=configuration, collection=route.collection, shard=shard)
         if len(names) == 1:
@@ -83,27 +89,28 @@
         if len(zones) == 1:
             by_zone[zones.pop()] += 1
     spare = len(route.fan_out) - route.quorum
-    for what, losses in (("backend", by_backend), ("domain", by_zone)):
-        for name, count in sorted(losses.items(), key=str):
-            if count > spare:
-                out.append(
-                    InvalidField(
-                        path=f"{path}.Quorum",
-                        why=f"the loss of {what} {name} alone takes {count} shards; "
-                        f"{spare} may be missing",
-                    )
-                )
+    losses: tuple[tuple[str, Counter[Any]], ...] = (("backend", by_backend), ("domain", by_zone))
+    return [
+        InvalidField(
+            path=f"routes.{route.collection}.Quorum",
+            why=f"the loss of {what} {name} alone takes {count} shards; {spare} may be missing",
+        )
+        for what, counts in losses
+        for name, count in sorted(counts.items(), key=str)
+        if count > spare
+    ]
+
+
+def _gatherer_warnings(
+    *, configuration: Configuration, collection: Collection, route: Route
+) -> list[InvalidField]:
     gatherers = [
         name
         for name, labels in configuration.nodes.items()
         if labels.get("drain") != "true"
         and is_match(selector=collection.gatherers, labels={**labels, "name": name})
     ]
-    if configuration.nodes and len(gatherers) < route.tree_fan_out:
-        out.append(
-            InvalidField(
-                path=f"collections.{collection.name}.gatherers",
-                why=f"{len(gatherers)} nodes may gather, the fan-out is {route.tree_fan_out}",
-            )
-        )
-    return out
+    if not configuration.nodes or len(gatherers) >= route.tree_fan_out:
+        return []
+    why = f"{len(gatherers)} nodes may gather, the fan-out is {route.tree_fan_out}"
+    return [InvalidField(path=f"collections.{collection.name}.gatherers", why=why)]
--- a/kelpstage/cli/output.py
+++ b/kelpstage/cli/output.py
@@ -20,7 +20,7 @@
     print(json.dumps(body, indent=1, ensure_ascii=False) if is_json or text is None else text)
 
 
-def fail(*, error: KelpstageError | dict, code: int, is_json: bool = False) -> NoReturn:
+def fail(*, error: KelpstageError | dict[str, Any], code: int, is_json: bool = False) -> NoReturn:
     """Say what went wrong on stderr and leave with the code.
 
     >>> from kelpstage.common.errors.control import NoLeaderError
--- /dev/null
+++ b/kelpstage/cli/views/__init__.py
@@ -0,0 +1,1 @@
+"""What cores and edges answer, as text."""
--- a/kelpstage/cli/commands/searches.py
+++ b/kelpstage/cli/views/searches.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, Callable
 
 from kelpstage.cli.output import table
 
+Row = dict[str, Any]  # an event of the JSON timeline
+
 
 def searches_text(*, view: dict[str, Any]) -> str:
     """The newest searches as a table.
@@ -60,36 +62,50 @@
     >>> event_text(row={"event": "ChildLate", "node": "n2"})
     'n2 let its window pass'
     """
-    said = {
-        "Began": lambda: "asked once more",
-        "Planned": lambda: (
-            f"planned under configuration {row['version']}: " + _tree(row["subtree"])
-        ),
-        "OmissionSet": lambda: f"what is not in after {row['after_us']} us may be left out",
-        "AttemptSent": lambda: (
-            f"{row['shard']} -> {row['backend']} ({row['why']}; window {row['window_us']} us; "
-            + _rivals(ranked=row["ranked"], chosen=row["backend"])
-            + ")"
-        ),
-        "AttemptRefused": lambda: f"{row['shard']} not asked: {row['why']}",
-        "AttemptEnded": lambda: f"{row['shard']} <- {row['backend']}: {row['outcome']}",
-        "ChildQueried": lambda: (
-            f"{'the rest of ' if row['is_resumed'] else ''}{', '.join(row['shards'])} -> "
-            f"{row['node']} (window {row['window_us']} us)"
-        ),
-        "ChildLate": lambda: f"{row['node']} let its window pass",
-        "ChildEnded": lambda: (
-            f"{row['node']}: {row['outcome']}; in: {', '.join(row['shards_in']) or 'none'}"
-            + "".join(
-                f"; {shard} missing: {why} {more}".rstrip() for shard, why, more in row["missing"]
-            )
-        ),
-        "SearchRestarted": lambda: (
-            f"begun again, was under configuration {row['was']}: {row['why']}"
-        ),
-        "Ended": lambda: f"{row['outcome']}, {row['shards_in']} of {row['shards']} shards",
-    }
-    return said[row["event"]]() if row["event"] in said else row["event"]
+    text_of = EVENT_TEXTS.get(row["event"])
+    return text_of(row) if text_of else str(row["event"])
+
+
+def _planned(row: Row) -> str:
+    return f"planned under configuration {row['version']}: {_tree(row['subtree'])}"
+
+
+def _attempt_sent(row: Row) -> str:
+    rivals = _rivals(ranked=row["ranked"], chosen=row["backend"])
+    return (
+        f"{row['shard']} -> {row['backend']} ({row['why']}; window {row['window_us']} us; {rivals})"
+    )
+
+
+def _child_queried(row: Row) -> str:
+    rest = "the rest of " if row["is_resumed"] else ""
+    shards = ", ".join(row["shards"])
+    return f"{rest}{shards} -> {row['node']} (window {row['window_us']} us)"
+
+
+def _child_ended(row: Row) -> str:
+    shards = ", ".join(row["shards_in"]) or "none"
+    missing = "".join(
+        f"; {shard} missing: {why} {more}".rstrip() for shard, why, more in row["missing"]
+    )
+    return f"{row['node']}: {row['outcome']}; in: {shards}{missing}"
+
+
+EVENT_TEXTS: dict[str, Callable[[Row], str]] = {
+    "Began": lambda row: "asked once more",
+    "Planned": _planned,
+    "OmissionSet": lambda row: f"what is not in after {row['after_us']} us may be left out",
+    "AttemptSent": _attempt_sent,
+    "AttemptRefused": lambda row: f"{row['shard']} not asked: {row['why']}",
+    "AttemptEnded": lambda row: f"{row['shard']} <- {row['backend']}: {row['outcome']}",
+    "ChildQueried": _child_queried,
+    "ChildLate": lambda row: f"{row['node']} let its window pass",
+    "ChildEnded": _child_ended,
+    "SearchRestarted": lambda row: (
+        f"begun again, was under configuration {row['was']}: {row['why']}"
+    ),
+    "Ended": lambda row: f"{row['outcome']}, {row['shards_in']} of {row['shards']} shards",
+}
 
 
 def _tree(subtree: dict[str, Any] | None) -> str:
@@ -112,6 +128,6 @@
 
 def _cost(*, one: dict[str, Any]) -> str:
     where = "own zone" if one["is_near"] else "another zone"
-    doubt = ", distrusted" if one["is_distrusted"] else ""
-    doubt += ", overdue" if one["is_overdue"] else ""
-    return f"{where}, {one['in_flight']} in flight, mean {one['mean_us']} us{doubt}"
+    penalties = ", distrusted" if one["is_distrusted"] else ""
+    penalties += ", overdue" if one["is_overdue"] else ""
+    return f"{where}, {one['in_flight']} in flight, mean {one['mean_us']} us{penalties}"
--- a/kelpstage/cli/commands/views.py
+++ b/kelpstage/cli/views/status.py
@@ -1,4 +1,4 @@
-"""Views of cores and edges as text."""
+"""Status and membership of cores and edges as text."""
 
 from __future__ import annotations
 
@@ -7,34 +7,6 @@
 from kelpstage.cli.output import table
 
 
-def plan_text(*, view: dict[str, Any]) -> str:
-    """A plan as an indented tree."""
-    lines = [
-        f"{view['collection']} under configuration {view['configuration']}, from {view['root']}: "
-        f"{view['shards']} shards, quorum {view['quorum']}, fan-out {view['fan_out']}, "
-        f"{view['levels']} levels, last fan-out {view['last_fan_out']}, "
-        f"window {view['window_us']} us"
-    ]
-    _subtree(view=view["tree"], depth=1, lines=lines)
-    left_out = [row for row in view["nodes"] if row["why_not"]]
-    for row in left_out:
-        lines.append(f"  not chosen: {row['node']} ({row['why_not']})")
-    return "\n".join(lines)
-
-
-def _subtree(*, view: dict[str, Any], depth: int, lines: list[str]) -> None:
-    pad = "  " * depth
-    lines.append(f"{pad}{view['node']} ({view['domain'] or 'domain unknown'})")
-    for row in view["shards"]:
-        why = "own zone" if row["options"] and row["options"][0]["is_near"] else "another zone"
-        refused = [o for o in row["options"] if o["why_not"]]
-        note = "".join(f"; not {o['backend']}: {o['why_not']}" for o in refused)
-        chosen = f"{row['backend']} ({why})" if row["backend"] else "no backend"
-        lines.append(f"{pad}  {row['shard']} <- {chosen}{note}")
-    for child in view["children"]:
-        _subtree(view=child, depth=depth + 1, lines=lines)
-
-
 def membership_text(*, view: dict[str, Any]) -> str:
     """The membership as a table.
 
@@ -68,23 +40,8 @@
         lines.append(f"  waits for: {view['waits_for']}")
     if "role" not in view:
         return "\n".join(lines)
-    log = view["log"]
-    lines.append(
-        f"  {view['role']} in term {view['term']}, leader {view['leader'] or 'unknown'}; "
-        f"configuration {view['version']}, epoch {view['epoch']}"
-    )
-    lines.append(
-        f"  log {log['first']}..{log['last']}, durable {log['durable']}, "
-        f"committed {log['commit']}, applied {log['applied']}"
-    )
-    for member in view["members"]:
-        kind = "voter" if member["is_voter"] else "learner"
-        more = (
-            f", has {member['match']}, heard {member['heard_us_ago']} us ago"
-            if "match" in member
-            else ""
-        )
-        lines.append(f"  {kind} {member['address']}{more}")
+    lines += _log_lines(view=view)
+    lines += [_member_line(member=member) for member in view["members"]]
     margin = view.get("margin")
     if margin is not None and margin["losses_borne"] < margin["losses_wanted"]:
         lines.append(
@@ -97,6 +54,24 @@
     return "\n".join(lines)
 
 
+def _log_lines(*, view: dict[str, Any]) -> list[str]:
+    log = view["log"]
+    return [
+        f"  {view['role']} in term {view['term']}, leader {view['leader'] or 'unknown'}; "
+        f"configuration {view['version']}, epoch {view['epoch']}",
+        f"  log {log['first']}..{log['last']}, durable {log['durable']}, "
+        f"committed {log['commit']}, applied {log['applied']}",
+    ]
+
+
+def _member_line(*, member: dict[str, Any]) -> str:
+    kind = "voter" if member["is_voter"] else "learner"
+    line = f"  {kind} {member['address']}"
+    if "match" in member:
+        line += f", has {member['match']}, heard {member['heard_us_ago']} us ago"
+    return line
+
+
 def _edge_text(*, view: dict[str, Any]) -> str:
     lease = view["lease"]
     lines = [
@@ -108,13 +83,29 @@
         + f", leader {lease['leader'] or 'unknown'}, {len(lease['vouchers'])} of "
         f"{len(lease['roster'])} vouch",
     ]
-    for row in view["partners"]:
-        if row["status"] != "alive":
-            lines.append(f"  peer {row['name']}: {row['status']}")
+    lines += [
+        f"  peer {row['name']}: {row['status']}"
+        for row in view["partners"]
+        if row["status"] != "alive"
+    ]
+    lines += _backend_lines(view=view)
+    lines += _search_lines(view=view)
+    return "\n".join(lines)
+
+
+def _backend_lines(*, view: dict[str, Any]) -> list[str]:
+    """The backends that are not simply up."""
+    lines = []
     for row in view["backends"]:
         if row["state"] != "up" or row["is_dark"]:
             state = "dark" if row["is_dark"] else row["state"]
             lines.append(f"  backend {row['name']}: {state} ({row['why']})")
+    return lines
+
+
+def _search_lines(*, view: dict[str, Any]) -> list[str]:
+    """How searches ended, and what was sent beside the first sends."""
+    lines = []
     for collection, row in view["searches"].items():
         ends = ", ".join(f"{count} {end}" for end, count in row["ends"].items())
         times = f"half within {row['p50_us']} us, 99 % within {row['p99_us']} us"
@@ -124,4 +115,4 @@
             f"  {service}, last 10 s: {row['first']} first sends, {row['extra']} extra; "
             f"{row['refused']} extra refused so far"
         )
-    return "\n".join(lines)
+    return lines
--- a/kelpstage/replay/files.py
+++ b/kelpstage/replay/files.py
@@ -6,7 +6,7 @@
 import sys
 from typing import NoReturn
 
-from kelpstage.cli.client import write_whole
+from kelpstage.cli.files import write_whole
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.errors.storage import InvalidRecordingError
 from kelpstage.common.recording.format import HEAD, Row, pack_row, read_day
