--- /dev/null
+++ b/kelpstage/testbed/simulation/faults/targets.py
@@ -0,0 +1,40 @@
+"""What a fault strikes, and for how long: draws by the seed."""
+
+from __future__ import annotations
+
+import random
+
+from kelpstage.testbed.simulation.fleet import SimFleet
+
+SECOND = 1_000_000
+
+
+def span_us(*, rand: random.Random, low_s: float, high_s: float) -> int:
+    """A random span between two bounds in seconds, in microseconds."""
+    return int((low_s + rand.random() * (high_s - low_s)) * SECOND)
+
+
+def random_backend(*, fleet: SimFleet, rand: random.Random) -> str:
+    """Some backend, by lot."""
+    return rand.choice(sorted(fleet.backends))
+
+
+def running_edges(*, fleet: SimFleet) -> list[str]:
+    """The edges whose process runs, in the deployment's order."""
+    return [n.name for n in fleet.deployment.nodes if fleet.processes[f"edge/{n.name}"].is_alive]
+
+
+def core_to_lose(*, fleet: SimFleet, rand: random.Random) -> str | None:
+    """Some core that is up; the leader half of the time."""
+    up = sorted(n for n in fleet.core_address if fleet.processes[f"core/{n}"].is_alive)
+    leader = fleet.leader()
+    if not fleet.is_core_whole():
+        return None  # one core at a time may be lost: the deployments promise no more
+    if leader in up and rand.random() < 0.5:
+        return leader
+    return rand.choice(up) if len(up) == len(fleet.core_address) else None
+
+
+def backends_of_shard(*, fleet: SimFleet, shard: str) -> list[str]:
+    """The backends of one shard, by the first cut."""
+    return [b.name for b in fleet.deployment.backends if b.shard == shard]
