--- /dev/null
+++ b/kelpstage/testbed/platform_model/faults/__init__.py
@@ -0,0 +1,71 @@
+"""The faults of a scenario by name: what happens to backends, machines, disks, the operator."""
+
+from __future__ import annotations
+
+import random
+from typing import Any, Awaitable, Callable
+
+from kelpstage.testbed.platform_model.faults import (
+    backends,
+    clients,
+    closing,
+    configuration,
+    disks,
+    machines,
+    network,
+    write_races,
+)
+
+Fault = Callable[[Any, random.Random], Awaitable[None]]
+
+# Seeds draw from these tables: a new fault goes to its end, none is moved.
+_REGISTERED: tuple[Fault, ...] = (
+    backends.srv_crash,
+    backends.srv_slow,
+    backends.garble,
+    backends.srv_reset,
+    backends.srv_drain,
+    backends.srv_dark,
+    backends.srv_grey,
+    backends.srv_lying_health,
+    backends.srv_flap,
+    backends.idle_race,
+    backends.shard_down,
+    backends.many_slow,
+    backends.many_dark,
+    backends.srv_desk,
+    clients.burst,
+    clients.retry_abuse,
+    machines.node_kill,
+    machines.core_kill,
+    machines.power_loss,
+    machines.node_freeze,
+    machines.roll_term,
+    machines.herd_kill,
+    machines.core_herd,
+    machines.replace_core,
+    machines.seed_turnover,
+    machines.after_ack_kill,
+    machines.after_ack_wipe,
+    disks.disk_slow,
+    disks.disk_full,
+    disks.disk_stall,
+    network.core_cut,
+    configuration.config_change,
+    configuration.config_changes,
+    configuration.config_race,
+    configuration.config_invalid,
+    configuration.big_config,
+    configuration.reshard,
+    write_races.ack_lost,
+    write_races.one_number,
+    write_races.race_in_cut,
+    write_races.order_repeated,
+)
+_REGISTERED_CLOSING: tuple[Fault, ...] = (
+    closing.closing_power,
+    closing.closing_kill,
+    closing.closing_wipe,
+)
+PLATFORM_FAULTS: dict[str, Fault] = {work.__name__: work for work in _REGISTERED}
+CLOSING_FAULTS: dict[str, Fault] = {work.__name__: work for work in _REGISTERED_CLOSING}
--- /dev/null
+++ b/kelpstage/testbed/platform_model/faults/backends.py
@@ -0,0 +1,177 @@
+"""Faults of backends: crashes, slowness, invalid replies, drains."""
+
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from kelpstage.testbed.platform_model.faults.timing import sleep
+
+
+def pick_backends(
+    play: Any, rand: random.Random, *, count: int, gathered: bool | None = None
+) -> list:
+    """Some backends that do not drain, by lot; `gathered` asks for one kind of service."""
+    found = [
+        b
+        for b in play.park.live.values()
+        if not b.is_draining and (gathered is None or bool(b.service.pause_us) == gathered)
+    ]
+    return rand.sample(found, min(count, len(found)))
+
+
+async def _start_again(play: Any, *, backend: Any, after_s: float) -> None:
+    """Another instance of the service comes up."""
+    await sleep(s=after_s)
+    play.park.start(service=backend.service, zone=backend.zone)
+
+
+async def srv_crash(play: Any, rand: random.Random) -> None:
+    """Backends crash one after another; most come back as new instances."""
+    for backend in pick_backends(play, rand, count=4):
+        play.park.crash(backend=backend)
+        if rand.random() < 0.75:
+            play.later(_start_again(play, backend=backend, after_s=1 + rand.random() * 4))
+        await sleep(s=0.5 + rand.random() * 2)
+
+
+async def srv_slow(play: Any, rand: random.Random) -> None:
+    """Backends work more slowly for a while."""
+    chosen = pick_backends(play, rand, count=3)
+    for backend in chosen:
+        backend.mood.slow = rand.choice((4.0, 10.0))
+    await sleep(s=8)
+    for backend in chosen:
+        backend.mood.slow = 1.0
+
+
+async def garble(play: Any, rand: random.Random) -> None:
+    """Answers cut off, without form, doubled, late, encoded."""
+    chosen = pick_backends(play, rand, count=4)
+    for backend in chosen:
+        backend.mood.bad_share = rand.choice((0.1, 0.5))
+    await sleep(s=10)
+    for backend in chosen:
+        backend.mood.bad_share = 0.0
+
+
+async def srv_reset(play: Any, rand: random.Random) -> None:
+    """Backends break connections off."""
+    chosen = pick_backends(play, rand, count=4)
+    for backend in chosen:
+        backend.mood.reset_share = rand.choice((0.1, 0.4))
+    await sleep(s=8)
+    for backend in chosen:
+        backend.mood.reset_share = 0.0
+
+
+async def srv_drain(play: Any, rand: random.Random) -> None:
+    """Backends leave in order, each after its successor has come; addresses come round."""
+    for backend in pick_backends(play, rand, count=6):
+        play.park.start(service=backend.service, zone=backend.zone)
+        await sleep(s=1.5)
+        play.park.drain(backend=backend)
+        await sleep(s=rand.random())
+
+
+async def srv_dark(play: Any, rand: random.Random) -> None:
+    """Backends fall silent, and take everything."""
+    chosen = pick_backends(play, rand, count=2)
+    for backend in chosen:
+        play.park.go_dark(backend=backend)
+    await sleep(s=6)
+    for backend in chosen:
+        play.park.wake(backend=backend)
+
+
+async def srv_grey(play: Any, rand: random.Random) -> None:
+    """They fail part of their requests while their health answer is good."""
+    chosen = pick_backends(play, rand, count=4)
+    for backend in chosen:
+        backend.mood.fail_share, backend.mood.health_lie = rand.choice((0.2, 0.8)), "good"
+    await sleep(s=9)
+    for backend in chosen:
+        backend.mood.fail_share, backend.mood.health_lie = 0.0, ""
+
+
+async def srv_lying_health(play: Any, rand: random.Random) -> None:
+    """Backends' health answers say nothing of how they are."""
+    chosen = pick_backends(play, rand, count=8)
+    for backend in chosen:
+        backend.mood.health_lie = rand.choice(("good", "bad"))
+    await sleep(s=10)
+    for backend in chosen:
+        backend.mood.health_lie = ""
+
+
+async def srv_flap(play: Any, rand: random.Random) -> None:
+    """Down and up by turns, each time as a new instance."""
+    for backend in pick_backends(play, rand, count=2):
+        for _ in range(3):
+            play.park.crash(backend=backend)
+            await sleep(s=1.5)
+            backend = play.park.start(service=backend.service, zone=backend.zone)
+            await sleep(s=1.5)
+
+
+async def idle_race(play: Any, rand: random.Random) -> None:
+    """Idle connections are forgotten without a word."""
+    chosen = pick_backends(play, rand, count=12)
+    for backend in chosen:
+        backend.mood.forgets_idle = True
+    await sleep(s=12)
+    for backend in chosen:
+        backend.mood.forgets_idle = False
+
+
+async def shard_down(play: Any, rand: random.Random) -> None:
+    """All backends of a shard are down, then new ones come."""
+    service = rand.choice(play.shape.index)
+    gone = play.park.of(service=service)
+    for backend in gone:
+        play.park.crash(backend=backend)
+    await sleep(s=6)
+    for backend in gone:
+        play.park.start(service=backend.service, zone=backend.zone)
+
+
+async def many_slow(play: Any, rand: random.Random) -> None:
+    """Backends of many shards work more slowly."""
+    chosen = pick_backends(play, rand, count=len(play.shape.index), gathered=True)
+    for backend in chosen:
+        backend.mood.slow = 6.0
+    await sleep(s=8)
+    for backend in chosen:
+        backend.mood.slow = 1.0
+
+
+async def many_dark(play: Any, rand: random.Random) -> None:
+    """Backends of many shards crash or fall silent."""
+    chosen = pick_backends(play, rand, count=len(play.shape.index) // 2, gathered=True)
+    dark = []
+    for backend in chosen:
+        if rand.random() < 0.5:
+            play.park.crash(backend=backend)
+            play.later(_start_again(play, backend=backend, after_s=6))
+        else:
+            play.park.go_dark(backend=backend)
+            dark.append(backend)
+    await sleep(s=7)
+    for backend in dark:
+        play.park.wake(backend=backend)
+
+
+async def srv_desk(play: Any, rand: random.Random) -> None:
+    """Every backend that runs what may run once only: slow, breaking off, answering badly."""
+    chosen = play.park.of(service=play.shape.other)
+    for backend in chosen:
+        backend.mood.slow = rand.choice((1.0, 3.0, 8.0))
+        backend.mood.bad_share, backend.mood.reset_share = 0.2, 0.15
+        backend.mood.forgets_idle = rand.random() < 0.5
+    await sleep(s=7)
+    play.park.crash(backend=chosen[0])
+    play.later(_start_again(play, backend=chosen[0], after_s=2))
+    await sleep(s=3)
+    for backend in chosen:
+        backend.mood.slow, backend.mood.bad_share, backend.mood.reset_share = 1.0, 0.0, 0.0
+        backend.mood.forgets_idle = False
--- /dev/null
+++ b/kelpstage/testbed/platform_model/faults/machines.py
@@ -0,0 +1,117 @@
+"""Faults of machines and their processes: kills, power, replacement."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from typing import Any
+
+from kelpstage.testbed.platform_model.faults.configuration import config_change
+from kelpstage.testbed.platform_model.faults.timing import sleep
+
+
+def _machines_without_disk(play: Any) -> list:
+    """The machines without a disk."""
+    return [node for node in play.fleet.there() if not node.has_disk]
+
+
+async def node_kill(play: Any, rand: random.Random) -> None:
+    """Machines that take clients are killed, one after another."""
+    for node in rand.sample(_machines_without_disk(play), 2):
+        play.later(play.fleet.kill(node=node, for_us=rand.choice((250_000, 3_000_000))))
+        await sleep(s=rand.random() * 4)
+
+
+async def core_kill(play: Any, rand: random.Random) -> None:
+    """Both processes of a machine of the core are killed."""
+    async with play.loss(node=None):
+        node = rand.choice(play.fleet.core())
+        await play.fleet.kill(node=node, for_us=rand.choice((250_000, 4_000_000)))
+
+
+async def power_loss(play: Any, rand: random.Random) -> None:
+    """A machine loses power."""
+    node = rand.choice(play.fleet.there())
+    async with play.loss(node=node):
+        await play.fleet.cut_power(node=node, for_us=rand.choice((2_000_000, 6_000_000)))
+
+
+async def node_freeze(play: Any, rand: random.Random) -> None:
+    """A machine stands still."""
+    node = rand.choice(play.fleet.there())
+    async with play.loss(node=node):
+        await play.fleet.freeze(node=node, for_us=rand.choice((800_000, 3_000_000, 7_000_000)))
+
+
+async def roll_term(play: Any, rand: random.Random) -> None:
+    """Machines are stopped and started in turn."""
+    nodes = play.fleet.there()
+    for node in nodes if len(nodes) < 8 else rand.sample(nodes, 4):
+        async with play.loss(node=node):
+            await play.fleet.stop(node=node)
+        await sleep(s=1)
+
+
+async def herd_kill(play: Any, rand: random.Random) -> None:
+    """Many processes are killed at the same moment; most of the core stays."""
+    async with play.loss(node=None):
+        nodes = play.fleet.there()
+        chosen = rand.sample(nodes, len(nodes) // 2)
+        core = [node for node in chosen if node.has_disk]
+        await asyncio.gather(
+            *(play.fleet.kill(node=node) for node in chosen if node not in core[1:])
+        )
+
+
+async def core_herd(play: Any, rand: random.Random) -> None:
+    """Every process of the core is killed at once and back within a second."""
+    for node in play.fleet.core():
+        play.later(play.fleet.kill(node=node, roles=("core",), for_us=0))
+
+
+async def replace_core(play: Any, rand: random.Random) -> None:
+    """A machine of the core is replaced by another one."""
+    async with play.loss(node=None):
+        node = rand.choice(play.fleet.core())
+        fresh = await play.fleet.replace_core(node=node, is_told=rand.random() < 0.5)
+        play.front.remove(name=node.name)
+        play.add_front(node=fresh)
+
+
+async def seed_turnover(play: Any, rand: random.Random) -> None:
+    """The seeds are exchanged; the settings files change, with a signal or without."""
+    core = play.fleet.core()
+    play.fleet.seeds = [node.control for node in rand.sample(core, min(3, len(core)))]
+    play.fleet.reread_all()
+
+
+async def _after_ack(play: Any, rand: random.Random, *, is_disk: bool) -> None:
+    """What has just acknowledged a configuration loses power, or its disk."""
+    async with play.loss(node=None):
+        await _lose_after_ack(play, rand, is_disk=is_disk)
+
+
+async def _lose_after_ack(play: Any, rand: random.Random, *, is_disk: bool) -> None:
+    acked: list[str] = []
+    play.operator.on_acked = lambda order, address: acked.append(address)
+    await config_change(play, rand)
+    play.operator.on_acked = lambda order, address: None
+    if not acked:
+        return
+    node = next((n for n in play.fleet.core() if n.control == acked[-1]), None)
+    if node is None:
+        return
+    if is_disk:
+        await play.fleet.kill(node=node, is_disk=True, for_us=1_000_000)
+    else:
+        await play.fleet.cut_power(node=node, for_us=2_500_000)
+
+
+async def after_ack_kill(play: Any, rand: random.Random) -> None:
+    """What has just acknowledged a configuration loses power."""
+    await _after_ack(play, rand, is_disk=False)
+
+
+async def after_ack_wipe(play: Any, rand: random.Random) -> None:
+    """What has just acknowledged a configuration loses its disk."""
+    await _after_ack(play, rand, is_disk=True)
--- /dev/null
+++ b/kelpstage/testbed/platform_model/faults/network.py
@@ -0,0 +1,36 @@
+"""A cut of the network within the core."""
+
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from kelpstage.testbed.platform_model.faults.configuration import config_change
+from kelpstage.testbed.platform_model.faults.timing import sleep
+from kelpstage.testbed.platform_model.history import Cut
+
+
+async def core_cut(play: Any, rand: random.Random) -> None:
+    """The core is cut in two, or a machine of it off from everybody."""
+    async with play.loss(node=None):
+        await _cut_for_a_while(play, rand)
+
+
+async def _cut_for_a_while(play: Any, rand: random.Random) -> None:
+    """Cut a machine of the core off, from the core or from all machines."""
+    node = rand.choice(play.fleet.core())
+    is_all = rand.random() < 0.5
+    others = [n for n in play.fleet.there() if n is not node and (is_all or n.has_disk)]
+    cuts = []
+    for other in others:
+        play.world.cut(a=node.name, b=other.name)
+        cut = Cut(a=node.name, b=other.name, begin_us=play.world.now_us())
+        play.day.cuts.append(cut)
+        cuts.append(cut)
+    await sleep(s=1.5)
+    play.later(config_change(play, rand))
+    await sleep(s=6)
+    for cut in cuts:
+        play.world.cuts -= {(cut.a, cut.b), (cut.b, cut.a)}
+        cut.end_us = play.world.now_us()
+    play.world.flush()
--- a/kelpstage/testbed/platform_model/write_races.py
+++ b/kelpstage/testbed/platform_model/faults/write_races.py
@@ -1,4 +1,4 @@
-"""Troubles of the operators' orders: lost answers with eight under way, two operators with
+"""Faults of the operators' orders: lost answers with eight under way, two operators with
 one number, races while the core is cut or its leader goes, repeats of what was taken."""
 
 from __future__ import annotations
@@ -7,7 +7,7 @@
 import random
 from typing import Any
 
-from kelpstage.testbed.platform_model.faults import config_change, trouble
+from kelpstage.testbed.platform_model.faults.configuration import config_change
 from kelpstage.testbed.platform_model.history import Cut, Order
 
 AT_ONCE = 8
@@ -58,7 +58,6 @@
     await asyncio.gather(*(play.second.send_once(order=order) for order in orders))
 
 
-@trouble
 async def ack_lost(play: Any, rand: random.Random) -> None:
     """Eight orders under way at once, most of whose answers get lost on their way; what
     was acknowledged is sent again, at once and after later changes."""
@@ -71,7 +70,6 @@
         await send_again(play, known)
 
 
-@trouble
 async def one_number(play: Any, rand: random.Random) -> None:
     """Two operators pick one number for different changes; answers get lost, and machines
     of the core are killed meanwhile."""
@@ -90,7 +88,6 @@
         await play.fleet.kill(node=node, for_us=rand.choice((250_000, 2_000_000)))
 
 
-@trouble
 async def race_in_cut(play: Any, rand: random.Random) -> None:
     """Two operators race under one number while a machine of the core is cut off from the
     others; what was acknowledged is sent again, to either side, and after the cut."""
@@ -128,7 +125,6 @@
     return cuts
 
 
-@trouble
 async def order_repeated(play: Any, rand: random.Random) -> None:
     """Orders that were acknowledged are sent again after each later change, and after
     every process of the core was killed."""
--- a/kelpstage/testbed/platform_model/main.py
+++ b/kelpstage/testbed/platform_model/main.py
@@ -10,7 +10,7 @@
 import typer
 
 from kelpstage.testbed.number_lists import read_seeds
-from kelpstage.testbed.platform_model.faults import CLOSINGS, TROUBLES
+from kelpstage.testbed.platform_model.faults import CLOSING_FAULTS, PLATFORM_FAULTS
 from kelpstage.testbed.platform_model.scenario import Outcome, Plan, as_text, play_day
 from kelpstage.testbed.platform_model.shape import SHAPES
 
@@ -36,8 +36,8 @@
         seed=seed,
         seconds=seconds,
         rate=rate,
-        troubles=tuple(rand.choice(sorted(TROUBLES)) for _ in range(count)),
-        closing=rand.choice(sorted(CLOSINGS)) if rand.random() < 0.4 else "",
+        troubles=tuple(rand.choice(sorted(PLATFORM_FAULTS)) for _ in range(count)),
+        closing=rand.choice(sorted(CLOSING_FAULTS)) if rand.random() < 0.4 else "",
         message_us=message_us,
     )
 
@@ -62,7 +62,7 @@
         [], help="A trouble, or several; 'each': every one alone; none: a quiet day."
     ),
     mix: int = typer.Option(0, min=0, max=12, help="So many troubles by lot."),
-    closing: str = typer.Option("", help=f"A closing fault: {', '.join(CLOSINGS)}."),
+    closing: str = typer.Option("", help=f"A closing fault: {', '.join(CLOSING_FAULTS)}."),
     message_us: int = typer.Option(
         150, min=0, help="Processor time of a node for each message, datagram and timer."
     ),
@@ -76,10 +76,12 @@
         _refuse(f"seeds {seeds!r}: give 7, 1-40 or 3,5,8-9")
     if deployment not in SHAPES:
         _refuse(f"no deployment {deployment!r}; there are: {', '.join(SHAPES)}")
-    unknown = [name for name in trouble if name not in TROUBLES and name != "each"]
-    if unknown or closing and closing not in CLOSINGS:
-        _refuse(f"unknown: {', '.join(unknown) or closing}; there are: {', '.join(TROUBLES)}, each")
-    chosen = [(name,) for name in TROUBLES] if "each" in trouble else [tuple(trouble)]
+    unknown = [name for name in trouble if name not in PLATFORM_FAULTS and name != "each"]
+    if unknown or closing and closing not in CLOSING_FAULTS:
+        _refuse(
+            f"unknown: {', '.join(unknown) or closing}; there are: {', '.join(PLATFORM_FAULTS)}, each"
+        )
+    chosen = [(name,) for name in PLATFORM_FAULTS] if "each" in trouble else [tuple(trouble)]
     plans = [
         Plan(
             deployment=deployment,
--- a/kelpstage/testbed/platform_model/scenario.py
+++ b/kelpstage/testbed/platform_model/scenario.py
@@ -8,12 +8,11 @@
 from dataclasses import dataclass, field
 from typing import Any, AsyncIterator, Awaitable
 
-import kelpstage.testbed.platform_model.write_races  # noqa: F401  (reading it registers its troubles)
 from kelpstage.testbed.checkers.base import Violation
 from kelpstage.testbed.platform_model.backends import Park
 from kelpstage.testbed.platform_model.clients import Clients, Front, FrontNode, Owed
 from kelpstage.testbed.platform_model.cloud import CloudList
-from kelpstage.testbed.platform_model.faults import CLOSINGS, TROUBLES
+from kelpstage.testbed.platform_model.faults import CLOSING_FAULTS, PLATFORM_FAULTS
 from kelpstage.testbed.platform_model.history import Day, Order
 from kelpstage.testbed.platform_model.machines import Fleet, Node
 from kelpstage.testbed.platform_model.net import HttpProcess, PlatformWorld
@@ -350,7 +349,7 @@
         rand = random.Random(f"{self.plan.seed}/{name}/{place}")
         last_s = max(1.0, self.plan.seconds * 0.5)
         await asyncio.sleep(2 + rand.random() * last_s)
-        await TROUBLES[name](self, rand)
+        await PLATFORM_FAULTS[name](self, rand)
 
     async def _finish_work(self) -> None:
         """Troubles end, and some calm follows."""
@@ -366,9 +365,9 @@
     async def _close(self) -> None:
         """A change, the closing fault right after it, traffic that goes on."""
         rand = random.Random(f"{self.plan.seed}/closing")
-        await TROUBLES["config_change"](self, rand)
+        await PLATFORM_FAULTS["config_change"](self, rand)
         self.day.closing_us = self.world.now_us()
-        await CLOSINGS[self.plan.closing](self, rand)
+        await CLOSING_FAULTS[self.plan.closing](self, rand)
         self.day.back_us = self.world.now_us()
         await asyncio.sleep(self.day.bounds.recovery_us / 1_000_000 + self.plan.settle_s)
 
