--- a/kelpstage/testbed/hollow/fleet.py
+++ b/kelpstage/testbed/hollow/fleet.py
@@ -10,10 +10,7 @@
 from __future__ import annotations
 
 import asyncio
-import gc
 import json
-import resource
-import statistics
 from dataclasses import dataclass, field
 from typing import Any, Callable
 
@@ -22,19 +19,10 @@
 from kelpstage.core.app import Core
 from kelpstage.edge.app import Edge
 from kelpstage.edge.events import Installed, PeerChanged
-from kelpstage.testbed.hollow.load import (
-    AIM_US,
-    DEADLINE_US,
-    FRONT_PORT,
-    HOST,
-    LIMIT,
-    PREFIX,
-    QUORUM,
-    Load,
-)
-from kelpstage.testbed.hollow.metered_network import HollowProcess, HollowWorld, metered_loop
+from kelpstage.testbed.hollow.configuration import document
+from kelpstage.testbed.hollow.load import FRONT_PORT, Load
+from kelpstage.testbed.hollow.metered_network import HollowProcess, HollowWorld
 from kelpstage.testbed.hollow.options import Options
-from kelpstage.testbed.simulation.loop import VirtualLoop
 from kelpstage.testbed.simulation.world import Machine
 
 SECOND = 1_000_000
@@ -60,53 +48,6 @@
     dead_us: dict[tuple[str, str], int] = field(default_factory=dict)
 
 
-def document(*, routes: int, serial: int, shards: int = 0) -> bytes:
-    """A configuration of this many routes; each serial differs in one time-out. With
-    shards, one route more fans out to all of them.
-
-    >>> len(document(routes=40, serial=1)) > 5_000
-    True
-    """
-    services = {
-        f"service-{n:04d}": {"health_path": "/health", "max_connections": 88} for n in range(routes)
-    }
-    forward = {
-        f"route-{n:04d}": {
-            "host": f"host-{n % 7}.example",
-            "prefix": f"/part-{n:04d}/",
-            "is_repeatable": True,
-            "attempts": 2,
-            "deadline_us": 800_000 + (serial if n == serial % routes else 0),
-            "aim_us": 84_000,
-            "rank": n % 4,
-            "weights": {f"service-{n:04d}": 1.0},
-        }
-        for n in range(routes)
-    }
-    names = [f"shard-{n:04d}" for n in range(shards)]
-    if names:
-        services |= {name: {"health_path": "/health", "max_connections": 400} for name in names}
-        forward["search"] = {
-            "host": HOST,
-            "prefix": PREFIX,
-            "is_repeatable": True,
-            "attempts": 2,
-            "deadline_us": DEADLINE_US,
-            "aim_us": AIM_US,
-            "rank": 0,
-            "fan_out": names,
-            "limit": LIMIT,
-            "quorum": QUORUM,
-        }
-    return json.dumps({"services": services, "forward": forward}).encode()
-
-
-def memory_bytes() -> int:
-    """Resident bytes of this process."""
-    with open("/proc/self/statm", encoding="ascii") as file:
-        return int(file.read().split()[1]) * resource.getpagesize()
-
-
 class HollowFleet:
     """The nodes, the operator and the measurements of one run."""
 
@@ -127,7 +68,7 @@
         self.put_us: dict[int, tuple[int, int]] = {}  # version -> asked, acknowledged
         self.here: dict[int, set[str]] = {}  # edges that were up when it was asked
         self.version = 0
-        self._is_watching = False
+        self.is_watching = False
         zones = [f"z{n:02d}" for n in range(options.zones)]
         self.regions = {zone: f"r{n % options.regions}" for n, zone in enumerate(zones)}
         world.regions = self.regions
@@ -144,9 +85,11 @@
 
     @staticmethod
     def address(*, n: int, port: int) -> str:
+        """The address of a node's port."""
         return f"10.{n // 62500}.{n // 250 % 250}.{n % 250 + 1}:{port}"
 
     def add_process(self, *, name: str, machine: Machine) -> HollowProcess:
+        """Start a process on a machine; a new instance of it each time."""
         self.instances[name] = self.instances.get(name, 0) + 1
         process = HollowProcess(
             world=self.world, name=name, machine=machine, instance=self.instances[name]
@@ -157,14 +100,16 @@
     # --- starting ----------------------------------------------------------------------
 
     async def start(self) -> None:
+        """Start the cores, then the edges, evenly spread."""
         for n in range(self.options.cores):
-            await self._start_core(n=n)
+            await self.start_core(n=n)
         step_us = START_SPREAD_US // self.options.nodes
         for n in range(self.options.nodes):
             await self.start_edge(n=n)
             await self.sleep(us=step_us)
 
-    async def _start_core(self, *, n: int) -> None:
+    async def start_core(self, *, n: int) -> None:
+        """Start the core of a node."""
         process = self.add_process(name=f"core/{n}", machine=self.machines[n])
         settings = {
             "domain": self.machines[n].zone,
@@ -178,6 +123,7 @@
         self.cores[f"core/{n}"] = core
 
     async def start_edge(self, *, n: int) -> None:
+        """Start the edge of a node."""
         machine = self.machines[n]
         process = self.add_process(name=machine.name, machine=machine)
         settings = {
@@ -245,9 +191,11 @@
     # --- looking ------------------------------------------------------------------------
 
     async def sleep(self, *, us: int) -> None:
+        """Let virtual time pass."""
         await asyncio.sleep(us / SECOND)
 
     async def wait_for(self, *, what: str, is_there: Callable[[], bool], us: int) -> int:
+        """Wait for a condition; how long it took."""
         started_us = self.world.now_us()
         while not is_there():
             if self.world.now_us() - started_us > us:
@@ -256,6 +204,7 @@
         return self.world.now_us() - started_us
 
     def ready_count(self) -> int:
+        """How many edges serve."""
         return sum(
             self.processes[name].is_alive and not edge.refusal()
             for name, edge in self.edges.items()
@@ -270,6 +219,7 @@
         return all(edge.lease_holder.has_lease(now_us=now_us) for edge in self.edges.values())
 
     def leader(self) -> str:
+        """The name of the process that leads, or nothing."""
         for name, core in self.cores.items():
             if core.task is not None and core.task.is_leader:
                 return name
@@ -293,7 +243,7 @@
                     loss.dead_us.setdefault(key, now_us - loss.at_us)
                 return
         lately = now_us - self.down_us.get(event.peer, -GRACE_US) < GRACE_US
-        if self._is_watching and event.peer not in self.down and not lately:
+        if self.is_watching and event.peer not in self.down and not lately:
             self.false_alarms.append((now_us, by, event.peer))
 
     # --- acting -------------------------------------------------------------------------
@@ -346,11 +296,13 @@
         return loss
 
     async def raise_again(self, *, numbers: list[int]) -> None:
+        """Start edges that were killed."""
         for n in numbers:
             self.down_us[self.machines[n].name] = self.world.now_us()
             await self.start_edge(n=n)
 
     async def fail_one(self) -> None:
+        """Kill some edge and start it again a little later."""
         if self.options.cores >= self.options.nodes:
             return
         n = self.world.rand.randrange(self.options.cores, self.options.nodes)
@@ -372,6 +324,7 @@
     # --- measuring ----------------------------------------------------------------------
 
     def reading(self) -> dict[str, tuple]:
+        """The counters of every process: processor time, bytes by way, packets, bytes by kind."""
         return {
             name: (process.cpu_ns, dict(process.sent), process.packets, dict(process.kinds))
             for name, process in self.processes.items()
@@ -394,313 +347,3 @@
                 "packets": (now[2] - old[2]) * SECOND / us,
             }
         return out
-
-
-def _quantiles(values: list[float]) -> tuple[float, float, float]:
-    if not values:
-        return (0.0, 0.0, 0.0)
-    ordered = sorted(values)
-    return (statistics.median(ordered), ordered[round(0.99 * (len(ordered) - 1))], ordered[-1])
-
-
-async def measure(*, fleet: HollowFleet) -> dict[str, Any]:
-    """Bring a fleet up, leave it alone, then let things happen; one row of figures."""
-    options, world = fleet.options, fleet.world
-    empty_bytes = memory_bytes()
-    if options.backends or options.shards:
-        await fleet.serve_list()
-    if options.shards:
-        await fleet.load.open()
-    await fleet.start()
-    start_us = await fleet.wait_for(
-        what="everybody ready",
-        us=300 * SECOND,
-        is_there=lambda: fleet.leader() != "" and fleet.ready_to_put(),
-    )
-    if not await fleet.put():
-        raise HollowTimeoutError("the first configuration was not taken")
-    await fleet.wait_for(
-        what="everybody serving",
-        us=60 * SECOND,
-        is_there=lambda: fleet.ready_count() == options.nodes,
-    )
-    fleet.say(f"up after {start_us / SECOND:.1f} s")
-    known_us = await fleet.wait_for(
-        what="everybody known to everybody",
-        us=600 * SECOND,
-        is_there=lambda: min(e.swim.told_count() for e in fleet.edges.values()) >= options.nodes,
-    )
-    await fleet.sleep(us=SETTLE_US)
-    gc.collect()
-    gc.freeze()
-    gc.disable()
-    row: dict[str, Any] = {
-        "nodes": options.nodes,
-        "cores": options.cores,
-        "zones": options.zones,
-        "regions": options.regions,
-        "backends": options.backends,
-        "routes": options.routes,
-        "up_s": round(start_us / SECOND, 1),
-        "node_kb": round((memory_bytes() - empty_bytes) / options.nodes / 1024),
-        "known_s": round((start_us + known_us) / SECOND, 1),
-    }
-    fleet._is_watching = True
-    before, started_us = fleet.reading(), world.now_us()
-    await fleet.sleep(us=options.seconds * SECOND)
-    row |= _idle(fleet=fleet, before=before, us=world.now_us() - started_us)
-    fleet.say(f"idle: {json.dumps(row)}")
-    if options.queries:
-        row |= await _loaded(fleet=fleet, idle=row)
-    if options.changes or options.failures:
-        before, started_us = fleet.reading(), world.now_us()
-        await _busy(fleet=fleet)
-        row |= _busy_figures(fleet=fleet, before=before, us=world.now_us() - started_us)
-    if options.zone_loss:
-        row |= await _lose_zone(fleet=fleet)
-    if options.core_loss:
-        row |= await _lose_cores(fleet=fleet)
-    if options.cut_s:
-        row |= await _cut(fleet=fleet)
-    row["false_alarms"] = len(fleet.false_alarms)
-    gc.enable()
-    return row
-
-
-def _idle(*, fleet: HollowFleet, before: dict, us: int) -> dict[str, Any]:
-    rates = fleet.rates(before=before, us=us)
-    edges = [rates[name] for name in fleet.edges if name in rates]
-    cores = {name: rates[name] for name in fleet.cores if name in rates}
-    leader = cores.get(fleet.leader(), {"cpu": 0.0, "bytes": 0.0})
-    others = [rate for name, rate in cores.items() if name != fleet.leader()]
-
-    def mean(key: str) -> float:
-        return statistics.fmean(rate[key] for rate in edges)
-
-    return {
-        "edge_cpu": round(mean("cpu"), 5),
-        "edge_cpu_most": round(max(rate["cpu"] for rate in edges), 5),
-        "edge_bytes": round(mean("bytes")),
-        "edge_udp_bytes": round(mean("udp_bytes")),
-        "edge_far_bytes": round(mean("far_bytes")),
-        "edge_packets": round(mean("packets"), 1),
-        "leader_cpu": round(leader["cpu"], 5),
-        "leader_bytes": round(leader["bytes"]),
-        "core_cpu": round(statistics.fmean([r["cpu"] for r in others] or [0.0]), 5),
-        "far_bytes_all": round(sum(rate["far_bytes"] for rate in rates.values())),
-    }
-
-
-async def _loaded(*, fleet: HollowFleet, idle: dict[str, Any]) -> dict[str, Any]:
-    """What a search costs all edges together beyond idling, and how it goes."""
-    options, load = fleet.options, fleet.load
-    before, started_us = fleet.reading(), fleet.world.now_us()
-    await load.run(seconds=options.seconds)
-    us = fleet.world.now_us() - started_us
-    rates = fleet.rates(before=before, us=us)
-    edges = [rates[name] for name in fleet.edges if name in rates]
-    cpu_us = sum(rate["cpu"] for rate in edges) * us - idle["edge_cpu"] * us * len(edges)
-    bytes_all = (
-        (sum(rate["bytes"] for rate in edges) - idle["edge_bytes"] * len(edges)) * us / SECOND
-    )
-    return {
-        "shards": options.shards,
-        "queries": load.asked,
-        "queries_failed": load.failed,
-        "query_us": round(cpu_us / load.asked),
-        "shard_us": round(cpu_us / load.asked / options.shards, 1),
-        "query_bytes": round(bytes_all / load.asked),
-        "asks_a_shard": round(load.receipts / load.asked / options.shards, 3),
-        "missing_share": round(load.missing / max(1, len(load.took_us)) / options.shards, 5),
-        "query_s": [round(v, 4) for v in _quantiles([took / 1e6 for took in load.took_us])],
-    }
-
-
-async def _busy(*, fleet: HollowFleet) -> None:
-    options = fleet.options
-    tasks: list[asyncio.Task] = []
-
-    async def spread(count: int, work: Callable[[], Any]) -> None:
-        for _ in range(count):
-            await fleet.sleep(us=options.seconds * SECOND // count)
-            tasks.append(asyncio.ensure_future(work()))
-
-    def count_of(an_hour: int) -> int:
-        return max(1, round(an_hour * options.seconds / 3600)) if an_hour else 0
-
-    puts = count_of(options.changes)
-
-    async def put_in_turn() -> None:
-        for _ in range(puts):
-            await fleet.sleep(us=options.seconds * SECOND // puts)
-            await fleet.put()
-
-    await asyncio.gather(put_in_turn(), spread(count_of(options.failures), fleet.fail_one))
-    await asyncio.gather(*tasks)
-    await fleet.sleep(us=DOWN_US)
-
-
-def _busy_figures(*, fleet: HollowFleet, before: dict, us: int) -> dict[str, Any]:
-    rates = fleet.rates(before=before, us=us)
-    edges = [rates[name] for name in fleet.edges if name in rates]
-    everywhere, acknowledged = [], []
-    for version, (asked_us, done_us) in fleet.put_us.items():
-        if version == 1:
-            continue
-        acknowledged.append((done_us - asked_us) / 1e6)
-        took = [
-            at - asked_us
-            for name, at in fleet.in_force.get(version, {}).items()
-            if name in fleet.here[version] - fleet.down and fleet.down_us.get(name, 0) < asked_us
-        ]
-        everywhere.append(max(took, default=0) / 1e6)
-    suspected, dead, first = [], [], []
-    for loss in fleet.losses:
-        suspected += [took / 1e6 for took in loss.suspected_us.values()]
-        dead += [took / 1e6 for took in loss.dead_us.values()]
-        first.append(min(loss.suspected_us.values(), default=0) / 1e6)
-    missed = sum(loss.watchers - len(loss.suspected_us) for loss in fleet.losses)
-    out = {
-        "puts": len(everywhere),
-        "acknowledged_s": [round(v, 3) for v in _quantiles(acknowledged)],
-        "everywhere_s": [round(v, 3) for v in _quantiles(everywhere)],
-        "losses": len(fleet.losses),
-        "first_suspected_s": [round(v, 3) for v in _quantiles(first)],
-        "suspected_s": [round(v, 3) for v in _quantiles(suspected)],
-        "dead_s": [round(v, 3) for v in _quantiles(dead)],
-        "not_noticed": missed,
-        "busy_edge_bytes": round(statistics.fmean(rate["bytes"] for rate in edges)),
-        "busy_edge_cpu": round(statistics.fmean(rate["cpu"] for rate in edges), 5),
-    }
-    return out
-
-
-async def _lose_zone(*, fleet: HollowFleet) -> dict[str, Any]:
-    """All edges of one zone at once, in a zone without a core if there is one."""
-    options = fleet.options
-    zone = f"z{options.zones - 1:02d}"
-    numbers = [n for n, m in enumerate(fleet.machines) if m.zone == zone]
-    loss = fleet.lose(numbers=numbers)
-    await fleet.sleep(us=LATE_US - SECOND)
-    pairs = (options.nodes - len(numbers)) * len(numbers)
-    at_us = fleet.world.now_us()
-    put = await fleet.put()
-    took_us = fleet.world.now_us() - at_us
-    row = {
-        "zone_nodes": len(numbers),
-        "zone_suspected_s": [
-            round(v, 3) for v in _quantiles([t / 1e6 for t in loss.suspected_us.values()])
-        ],
-        "zone_dead_s": [round(v, 3) for v in _quantiles([t / 1e6 for t in loss.dead_us.values()])],
-        "zone_not_noticed": pairs - len(loss.suspected_us),
-        "zone_put_s": round(took_us / 1e6, 3) if put else None,
-    }
-    at_us = fleet.world.now_us()
-    await fleet.raise_again(numbers=numbers)
-    await fleet.wait_for(
-        what="the zone serving again",
-        us=120 * SECOND,
-        is_there=lambda: fleet.ready_count() == options.nodes,
-    )
-    row["zone_again_s"] = round((fleet.world.now_us() - at_us) / 1e6, 3)
-    return row
-
-
-async def _lose_cores(*, fleet: HollowFleet) -> dict[str, Any]:
-    """All cores at once, for a while: who serves on, and what that costs the edges."""
-    for name in fleet.cores:
-        fleet.processes[name].kill()
-    await fleet.sleep(us=2 * SECOND)
-    before, started_us = fleet.reading(), fleet.world.now_us()
-    least = fleet.options.nodes
-    for _ in range(2 * fleet.options.seconds):
-        await fleet.sleep(us=SECOND // 2)
-        least = min(least, fleet.ready_count())
-    rates = fleet.rates(before=before, us=fleet.world.now_us() - started_us)
-    edges = [rates[name] for name in fleet.edges if name in rates]
-    for n in range(fleet.options.cores):
-        await fleet._start_core(n=n)
-    at_us = fleet.world.now_us()
-    await fleet.wait_for(
-        what="leases again",
-        us=60 * SECOND,
-        is_there=lambda: fleet.leader() != "" and fleet.ready_to_put(),
-    )
-    return {
-        "coreless_serving_least": least,
-        "coreless_edge_cpu": round(statistics.fmean(rate["cpu"] for rate in edges), 5),
-        "coreless_edge_bytes": round(statistics.fmean(rate["bytes"] for rate in edges)),
-        "coreless_again_s": round((fleet.world.now_us() - at_us) / 1e6, 3),
-    }
-
-
-async def _cut(*, fleet: HollowFleet) -> dict[str, Any]:
-    """One region without the leader is cut off for a while: who serves there, can a
-    change be made, and when has everybody it after the cut?"""
-    options, world = fleet.options, fleet.world
-    leader = fleet.processes[fleet.leader()].machine
-    region = next(
-        r
-        for r in sorted(set(fleet.regions.values()), reverse=True)
-        if r != fleet.regions[leader.zone]
-    )
-    inside = fleet.cut_region(region=region)
-    fleet._is_watching = False
-    await fleet.sleep(us=min(options.cut_s, 10) * SECOND)
-    asked_us = world.now_us()
-    is_put = await fleet.put()
-    put_s = (world.now_us() - asked_us) / 1e6
-    await fleet.sleep(us=max(0, options.cut_s - 10) * SECOND)
-    serving = sum(not fleet.edges[name].refusal() for name in inside)
-    serving_outside = fleet.ready_count() - serving
-    healed_us = world.now_us()
-    world.heal()
-    await fleet.wait_for(
-        what="all serving after the cut",
-        us=120 * SECOND,
-        is_there=lambda: (
-            fleet.ready_count() == options.nodes
-            and all(
-                e.lease_holder.configuration.version == fleet.version for e in fleet.edges.values()
-            )
-        ),
-    )
-    return {
-        "cut_nodes": len(inside),
-        "cut_serving_inside": serving,
-        "cut_serving_outside": serving_outside,
-        "cut_put_s": round(put_s, 3) if is_put else None,
-        "cut_healed_s": round((world.now_us() - healed_us) / 1e6, 3),
-    }
-
-
-def run_hollow(*, options: Options, say: Callable[[str], None] = lambda text: None) -> dict:
-    """Run one hollow fleet in this process; the row of its figures.
-
-    >>> row = run_hollow(options=Options(nodes=6, zones=3, seconds=5))
-    >>> row["nodes"], row["false_alarms"]
-    (6, 0)
-    """
-    loop = VirtualLoop()
-    asyncio.set_event_loop(loop)
-    loop.set_exception_handler(lambda _, context: None)
-    world = HollowWorld(seed=options.seed, loop=loop)
-
-    async def scenario() -> dict:
-        fleet = HollowFleet(world=world, options=options, say=say)
-        try:
-            return await measure(fleet=fleet)
-        finally:
-            for process in fleet.processes.values():
-                process.kill()
-            await asyncio.sleep(0)
-
-    try:
-        with metered_loop():
-            return loop.run_until_complete(scenario())
-    finally:
-        for task in asyncio.all_tasks(loop):
-            task.cancel()
-        loop.run_until_complete(asyncio.sleep(0))
-        asyncio.set_event_loop(None)
-        loop.close()
--- a/kelpstage/testbed/main.py
+++ b/kelpstage/testbed/main.py
@@ -18,8 +18,8 @@
 from kelpstage.testbed.fleet.record import write_recording
 from kelpstage.testbed.fleet.scenario import run_day, show
 from kelpstage.testbed.hollow import report
-from kelpstage.testbed.hollow.fleet import run_hollow
 from kelpstage.testbed.hollow.options import Options, check, memory_of_machine
+from kelpstage.testbed.hollow.runner import run_hollow
 from kelpstage.testbed.measure.choices import CHOICES, run_variant, summarize
 from kelpstage.testbed.measure.http import measure_http
 from kelpstage.testbed.model.main import app as model_app
