--- a/kelpstage/testbed/__init__.py
+++ b/kelpstage/testbed/__init__.py
@@ -0,0 +1,1 @@
+"""The test bed: simulated and real deployments, checkers, model, measurements."""
--- a/kelpstage/testbed/checkers/__init__.py
+++ b/kelpstage/testbed/checkers/__init__.py
@@ -0,0 +1,1 @@
+"""Checkers of recorded histories, one for each rule that must never break."""
--- a/kelpstage/testbed/fleet/__init__.py
+++ b/kelpstage/testbed/fleet/__init__.py
@@ -0,0 +1,1 @@
+"""A real deployment of processes on this machine."""
--- a/kelpstage/testbed/hollow/__init__.py
+++ b/kelpstage/testbed/hollow/__init__.py
@@ -0,0 +1,1 @@
+"""Many nodes in one process, on virtual time, without traffic of their own."""
--- a/kelpstage/testbed/measure/__init__.py
+++ b/kelpstage/testbed/measure/__init__.py
@@ -0,0 +1,1 @@
+"""Measurements of single choices and costs."""
--- a/kelpstage/testbed/platform_model/__init__.py
+++ b/kelpstage/testbed/platform_model/__init__.py
@@ -0,0 +1,1 @@
+"""A model of the users' platform, checked by its rules."""
--- a/kelpstage/testbed/platform_model/rules/__init__.py
+++ b/kelpstage/testbed/platform_model/rules/__init__.py
@@ -0,0 +1,1 @@
+"""The platform's rules, each with its checker."""
--- a/kelpstage/testbed/simulation/__init__.py
+++ b/kelpstage/testbed/simulation/__init__.py
@@ -0,0 +1,1 @@
+"""A simulated deployment: one seed, one history."""
--- a/kelpstage/testbed/simulation/fleet.py
+++ b/kelpstage/testbed/simulation/fleet.py
@@ -130,6 +130,7 @@
     # --- starting --------------------------------------------------------------------
 
     async def start(self) -> None:
+        """Start backends, the platform, cores and edges."""
         self.note({"event": "lines", "one_way_us": self.world.far_us[1]})
         for cut in self.cuts.values():
             self.note({"event": "cut", "cut": cut.name, "shards": list(cut.shards)})
@@ -142,6 +143,7 @@
             await self.start_edge(name=node.name)
 
     async def start_backend(self, *, name: str) -> None:
+        """Start the process of a backend."""
         process = self._process(name=f"backend/{name}", machine=self.world.machines[name])
         stand_in = StandIn(
             name=name,
@@ -159,6 +161,7 @@
         return process in self.processes and self.processes[process].is_alive
 
     async def start_core(self, *, name: str, seeds: list[str] | None = None) -> None:
+        """Start the core of a machine, unless it is up."""
         if self.is_up(process=f"core/{name}"):
             return
         machine = self.world.machines[name]
@@ -177,9 +180,11 @@
         self.note({"event": "core", "core": name, "is_up": True})
 
     def core_http(self, *, name: str) -> str:
+        """The address of a core's HTTP."""
         return self.core_address[name].replace(":7100", ":8100")
 
     async def start_edge(self, *, name: str, seeds: list[str] | None = None) -> None:
+        """Start the edge of a machine, unless it is up."""
         if self.is_up(process=f"edge/{name}"):
             return
         machine = self.world.machines[name]
@@ -200,6 +205,7 @@
     # --- looking ----------------------------------------------------------------------
 
     async def sleep(self, *, us: int) -> None:
+        """Let virtual time pass."""
         await asyncio.sleep(us / 1_000_000)
 
     async def wait_for(
@@ -214,6 +220,7 @@
         return self.world.now_us() - started_us
 
     def leader(self) -> str | None:
+        """The core that leads, or nothing."""
         for name in self.core_address:
             core = self.daemons.get(f"core/{name}")
             process = self.processes.get(f"core/{name}")
@@ -231,6 +238,7 @@
         return len(voters) == 3 and all(row["heard_us_ago"] < 500_000 for row in voters)
 
     def ready_edges(self) -> list[str]:
+        """The edges that run and serve."""
         return [
             node.name
             for node in self.deployment.nodes
@@ -240,6 +248,7 @@
         ]
 
     def is_membership_whole(self) -> bool:
+        """Does the leader's membership name every node?"""
         name = self.leader()
         if name is None:
             return False
@@ -249,6 +258,7 @@
     # --- acting -------------------------------------------------------------------------
 
     def configuration(self, **more: Any) -> bytes:
+        """The deployment's configuration, with changes."""
         return configuration_of(deployment=self.deployment, addresses=self.backend_address, **more)
 
     async def put(
@@ -338,6 +348,7 @@
         return row
 
     def kill_edge(self, *, name: str) -> None:
+        """Kill an edge."""
         self.processes[f"edge/{name}"].kill()
         self.note({"event": "ended", "edge": name})
 
@@ -404,6 +415,7 @@
         process.kill()
 
     async def stop_core(self, *, name: str) -> None:
+        """A planned stop of a core."""
         process = self.processes[f"core/{name}"]
         done = process.spawn(self.daemons[f"core/{name}"].stop())
         await asyncio.wait({done}, timeout=6.0)
@@ -430,6 +442,7 @@
         return [self.outside.spawn(self.callers.run(kind=kind)) for kind in self.callers.kinds]
 
     async def drain_callers(self) -> None:
+        """No new calls; wait for the replies that are due."""
         self.callers.is_open = False
         await self.wait_for(
             what="open calls", is_there=lambda: self.callers.in_flight == 0, us=15_000_000
--- a/kelpstage/testbed/simulation/world.py
+++ b/kelpstage/testbed/simulation/world.py
@@ -36,25 +36,32 @@
 
 
 class SimClock:
+    """A process's clock, on virtual time; it stands while the process is frozen."""
+
     def __init__(self, *, process: "SimProcess") -> None:
         self._process = process
 
     def now_us(self) -> int:
+        """Microseconds since the run began."""
         return self._process.world.now_us()
 
     def wall_us(self) -> int:
+        """A made-up wall clock, in microseconds."""
         return 1_700_000_000_000_000 + self.now_us()
 
     async def sleep(self, *, us: int) -> None:
+        """Wait so long, and until the process is not frozen."""
         await asyncio.sleep(max(0, us) / 1_000_000)
         await self._process.thawed()
 
     def later(self, *, us: int, verb: Callable[[], None]) -> None:
+        """Call back after so long."""
         self._process.world.loop.call_later(
             max(0, us) / 1_000_000, lambda: self._process.deliver(verb)
         )
 
     async def within(self, awaitable: Awaitable, *, us: int) -> Any:
+        """The result of an awaitable, or nothing if it takes longer."""
         future = asyncio.ensure_future(awaitable)
         await asyncio.wait({future}, timeout=max(0, us) / 1_000_000)
         await self._process.thawed()
@@ -87,6 +94,7 @@
         self.ports.disk = SimDisk(clock=self.ports.clock, platter=machine.platter, rand=rand)
 
     def spawn(self, work: Awaitable) -> asyncio.Future:
+        """Start a task that ends with the process; one that breaks is noted in the world."""
         task = asyncio.ensure_future(work)
         self._tasks[task] = None
         task.add_done_callback(self._ended)
@@ -107,14 +115,17 @@
         verb()
 
     async def thawed(self) -> None:
+        """Wait until the process is not frozen."""
         while self.is_frozen:
             await self._thaw.wait()
 
     def freeze(self) -> None:
+        """Stop taking anything in."""
         self.is_frozen = True
         self._thaw.clear()
 
     def thaw(self) -> None:
+        """Take in what was held meanwhile, and go on."""
         self.is_frozen = False
         self._thaw.set()
         held, self._held = self._held, []
@@ -140,6 +151,8 @@
 
 @dataclass(kw_only=True)
 class Listener:
+    """What a process serves at an address."""
+
     process: SimProcess
     kind: str
     on_event: Callable
@@ -180,6 +193,7 @@
         process.streams[self.serial] = self
 
     async def read(self, *, size: int) -> bytes | KelpstageError:
+        """Exactly so many bytes, or the error if the connection ends before."""
         while len(self._buffer) < size:
             if self._eof or self.is_closed:
                 return ConnectionLostError(address=self.address, why="closed")
@@ -190,13 +204,16 @@
         return data
 
     def write(self, *, data: bytes) -> None:
+        """Send bytes, or queue them while they can not pass."""
         if not self.is_closed:
             self._push(item=data)
 
     def backlog(self) -> int:
+        """Bytes that wait to be sent."""
         return sum(len(item or b"") for item in self._stalled)
 
     def close(self) -> None:
+        """End the connection in order."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -285,11 +302,14 @@
 
 
 class SimDatagrams:
+    """A UDP socket; datagrams may be lost, and come after a random delay."""
+
     def __init__(self, *, process: SimProcess, address: str) -> None:
         self._process = process
         self._address = address
 
     def send(self, *, address: str, data: bytes) -> None:
+        """Send a datagram; nothing says whether it arrives."""
         world = self._process.world
         target = world.listeners.get(f"udp/{address}")
         if target is None:
@@ -304,6 +324,7 @@
         )
 
     def close(self) -> None:
+        """Stop listening."""
         self._process.world.listeners.pop(f"udp/{self._address}", None)
 
 
@@ -330,12 +351,14 @@
         return _Closer(close=close)
 
     async def listen(self, *, address: str, on_stream: Callable, lost_after_us: int = 0) -> Any:
+        """Accept TCP connections at an address."""
         outcome = self._listen(key=f"tcp/{address}", kind="tcp", on_event=on_stream)
         if not isinstance(outcome, KelpstageError):
             self._process.world.listeners[f"tcp/{address}"].lost_after_us = lost_after_us
         return outcome
 
     async def datagrams(self, *, address: str, on_datagram: Callable) -> Any:
+        """Open a UDP socket at an address."""
         outcome = self._listen(key=f"udp/{address}", kind="udp", on_event=on_datagram)
         if isinstance(outcome, KelpstageError):
             return outcome
@@ -349,6 +372,7 @@
         body_limit: int,
         limits: Callable[[], HttpLimits] | None = None,
     ) -> Any:
+        """Answer HTTP calls at an address."""
         if limits is not None:
             body_limit = limits().body_bytes
         return self._listen(
@@ -356,6 +380,7 @@
         )
 
     async def connect(self, *, address: str, wait_us: int, lost_after_us: int = 0) -> Any:
+        """Open a connection, or the error after the wait."""
         world = self._process.world
         here = self._process.machine
         there = world.machine_at(address=address)
@@ -381,6 +406,7 @@
         return mine
 
     async def fetch(self, *, call: HttpCall) -> HttpReply | KelpstageError:
+        """Send an HTTP call; its reply, or the error."""
         rest = call.url.removeprefix("http://")
         address, slash, path = rest.partition("/")
         future: asyncio.Future = asyncio.get_running_loop().create_future()
@@ -433,12 +459,15 @@
     # --- time and lines -----------------------------------------------------------
 
     def now_us(self) -> int:
+        """Microseconds since the run began."""
         return self.loop.now_us()
 
     def at(self, *, us: int, verb: Callable[[], None]) -> None:
+        """Call back at this time."""
         self.loop.call_at(us / 1_000_000, verb)
 
     def add_machine(self, *, name: str, zone: str) -> Machine:
+        """Add a machine with a disk of its own."""
         machine = Machine(
             name=name,
             zone=zone,
@@ -448,17 +477,21 @@
         return machine
 
     def machine_at(self, *, address: str) -> Machine | None:
+        """The machine that has an address."""
         return self.homes.get(address)
 
     def is_open(self, *, source: Machine, target: Machine) -> bool:
+        """Can something travel this way now?"""
         if source is target:
             return source.is_on
         return source.is_on and target.is_on and (source.name, target.name) not in self.cuts
 
     def is_round_open(self, *, a: Machine, b: Machine) -> bool:
+        """Can something travel there and back now?"""
         return self.is_open(source=a, target=b) and self.is_open(source=b, target=a)
 
     def delay_us(self, *, source: Machine, target: Machine) -> int:
+        """A random delay for this way."""
         if source is target:
             return 30
         low, high = self.near_us if source.zone == target.zone else self.far_us
@@ -472,6 +505,7 @@
         return int(size / self.far_bytes_per_us)
 
     def cut(self, *, a: str, b: str, is_one_way: bool = False) -> None:
+        """Cut two machines off from each other, or one way only."""
         self.cuts.add((a, b))
         if not is_one_way:
             self.cuts.add((b, a))
@@ -483,6 +517,7 @@
         self.flush()
 
     def flush(self) -> None:
+        """Send what waited for a way that is open again."""
         calls, self.waits = self.waits, []
         for verb in calls:
             verb()
@@ -507,6 +542,7 @@
         future: asyncio.Future,
         is_again: bool = False,
     ) -> None:
+        """Carry an HTTP call to its address, once the way is open."""
         here = caller.machine
         there = self.machine_at(address=address)
         if not is_again and "/shards/" in call.url and f"http/{address}" not in self.listeners:
--- a/kelpstage/testbed/stand_ins/__init__.py
+++ b/kelpstage/testbed/stand_ins/__init__.py
@@ -0,0 +1,1 @@
+"""Replacements of what surrounds the product: backends, callers, the platform."""
