--- a/kelpstage/testbed/simulation/fleet.py
+++ b/kelpstage/testbed/simulation/fleet.py
@@ -11,7 +11,7 @@
 from kelpstage.common.ports.interfaces import HttpCall
 from kelpstage.core.app import Core
 from kelpstage.edge.app import Edge
-from kelpstage.testbed.checkers.history import Notes
+from kelpstage.testbed.checkers.history import HistoryWriter
 from kelpstage.testbed.fleet.deployment import (
     Deployment,
     Node,
@@ -25,12 +25,12 @@
 from kelpstage.testbed.stand_ins.platform import Platform
 
 
-class SimStuck(Exception):
+class SimulationTimeoutError(Exception):
     """A condition that had to come did not come in its virtual time."""
 
 
 @dataclass(kw_only=True)
-class SimFleet(Notes):
+class SimFleet(HistoryWriter):
     """One deployment in one world."""
 
     world: World
@@ -130,6 +130,7 @@
     # --- starting --------------------------------------------------------------------
 
     async def start(self) -> None:
+        """Start backends, the platform, cores and edges."""
         self.note({"event": "lines", "one_way_us": self.world.far_us[1]})
         for cut in self.cuts.values():
             self.note({"event": "cut", "cut": cut.name, "shards": list(cut.shards)})
@@ -142,6 +143,7 @@
             await self.start_edge(name=node.name)
 
     async def start_backend(self, *, name: str) -> None:
+        """Start the process of a backend."""
         process = self._process(name=f"backend/{name}", machine=self.world.machines[name])
         stand_in = StandIn(
             name=name,
@@ -159,6 +161,7 @@
         return process in self.processes and self.processes[process].is_alive
 
     async def start_core(self, *, name: str, seeds: list[str] | None = None) -> None:
+        """Start the core of a machine, unless it is up."""
         if self.is_up(process=f"core/{name}"):
             return
         machine = self.world.machines[name]
@@ -177,9 +180,11 @@
         self.note({"event": "core", "core": name, "is_up": True})
 
     def core_http(self, *, name: str) -> str:
+        """The address of a core's HTTP."""
         return self.core_address[name].replace(":7100", ":8100")
 
     async def start_edge(self, *, name: str, seeds: list[str] | None = None) -> None:
+        """Start the edge of a machine, unless it is up."""
         if self.is_up(process=f"edge/{name}"):
             return
         machine = self.world.machines[name]
@@ -200,6 +205,7 @@
     # --- looking ----------------------------------------------------------------------
 
     async def sleep(self, *, us: int) -> None:
+        """Let virtual time pass."""
         await asyncio.sleep(us / 1_000_000)
 
     async def wait_for(
@@ -209,11 +215,12 @@
         started_us = self.world.now_us()
         while not is_there():
             if self.world.now_us() - started_us > us:
-                raise SimStuck(what)
+                raise SimulationTimeoutError(what)
             await self.sleep(us=20_000)
         return self.world.now_us() - started_us
 
     def leader(self) -> str | None:
+        """The core that leads, or nothing."""
         for name in self.core_address:
             core = self.daemons.get(f"core/{name}")
             process = self.processes.get(f"core/{name}")
@@ -231,6 +238,7 @@
         return len(voters) == 3 and all(row["heard_us_ago"] < 500_000 for row in voters)
 
     def ready_edges(self) -> list[str]:
+        """The edges that run and serve."""
         return [
             node.name
             for node in self.deployment.nodes
@@ -240,6 +248,7 @@
         ]
 
     def is_membership_whole(self) -> bool:
+        """Does the leader's membership name every node?"""
         name = self.leader()
         if name is None:
             return False
@@ -249,6 +258,7 @@
     # --- acting -------------------------------------------------------------------------
 
     def configuration(self, **more: Any) -> bytes:
+        """The deployment's configuration, with changes."""
         return configuration_of(deployment=self.deployment, addresses=self.backend_address, **more)
 
     async def put(
@@ -338,6 +348,7 @@
         return row
 
     def kill_edge(self, *, name: str) -> None:
+        """Kill an edge."""
         self.processes[f"edge/{name}"].kill()
         self.note({"event": "ended", "edge": name})
 
@@ -404,6 +415,7 @@
         process.kill()
 
     async def stop_core(self, *, name: str) -> None:
+        """A planned stop of a core."""
         process = self.processes[f"core/{name}"]
         done = process.spawn(self.daemons[f"core/{name}"].stop())
         await asyncio.wait({done}, timeout=6.0)
@@ -415,7 +427,7 @@
         await self.wait_for(what="a whole membership", is_there=self.is_membership_whole)
         row = await self.put(document=self.configuration(), expected=0, put_id="first")
         if row["status"] != 200:
-            raise SimStuck(f"first put: {row}")
+            raise SimulationTimeoutError(f"first put: {row}")
         await self.wait_for(
             what="all ready",
             is_there=lambda: len(self.ready_edges()) == len(self.deployment.nodes),
@@ -430,6 +442,7 @@
         return [self.outside.spawn(self.callers.run(kind=kind)) for kind in self.callers.kinds]
 
     async def drain_callers(self) -> None:
+        """No new calls; wait for the replies that are due."""
         self.callers.is_open = False
         await self.wait_for(
             what="open calls", is_there=lambda: self.callers.in_flight == 0, us=15_000_000
@@ -454,14 +467,14 @@
 async def _open(*, daemon: Any) -> None:
     error = await daemon.open()
     if isinstance(error, KelpstageError):
-        raise SimStuck(f"open: {error}")
+        raise SimulationTimeoutError(f"open: {error}")
 
 
 def run_sim(
     *,
     seed: int,
     deployment: Deployment,
-    story: Callable[[SimFleet], Awaitable[None]],
+    scenario: Callable[[SimFleet], Awaitable[None]],
     rate: float = 0.15,
     far_us: int = 0,
 ) -> SimFleet:
@@ -477,7 +490,7 @@
         world.far_us, world.loss = (far_us, far_us * 13 // 10), 0.01
     try:
         fleet = loop.run_until_complete(
-            _tell(world=world, deployment=deployment, story=story, rate=rate)
+            _play(world=world, deployment=deployment, scenario=scenario, rate=rate)
         )
     finally:
         for task in asyncio.all_tasks(loop):
@@ -488,10 +501,10 @@
     return fleet
 
 
-async def _tell(*, world: World, deployment: Deployment, story: Any, rate: float) -> SimFleet:
+async def _play(*, world: World, deployment: Deployment, scenario: Any, rate: float) -> SimFleet:
     fleet = SimFleet(world=world, deployment=deployment, rate=rate)
     try:
-        await story(fleet)
+        await scenario(fleet)
     finally:
         fleet.end()
         await asyncio.sleep(0)
