--- a/kelpstage/cli/offline/plan.py
+++ b/kelpstage/cli/offline/plan.py
@@ -78,7 +78,7 @@
         entry = registry.entry(name=name)
         entry.address = configuration.backends[name].address or "0.0.0.0:1"
         if name in gone:
-            entry.state, entry.why = GONE, "named as gone"
+            entry.state, entry.why = BackendState.GONE, "named as gone"
     return registry
 
 
--- a/kelpstage/core/app.py
+++ b/kelpstage/core/app.py
@@ -16,14 +16,14 @@
 from kelpstage.common.log.ring import logger
 from kelpstage.common.ports.interfaces import HttpReply, Ports
 from kelpstage.common.settings.bounds import bounds_of, voters_of
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import (
     CoreMember,
     EdgeContact,
     SeedProbe,
     SeedState,
 )
-from kelpstage.common.transport.server import LineServer
+from kelpstage.common.transport.server import TransportServer
 from kelpstage.core.bootstrap import (
     FOUNDING_TERM,
     JoinCluster,
@@ -83,8 +83,8 @@
         self.seeds: list[str] = list(settings["seeds"])
         self.counts: Counter[str] = Counter()
         self.journal = Journal(now=ports.clock.now_us)
-        self.lines = Lines(ports=ports, counts=self.counts)
-        self.server = LineServer(
+        self.transport = Transport(ports=ports, counts=self.counts)
+        self.server = TransportServer(
             ports=ports, address=self.own, on_message=self._on_message, counts=self.counts
         )
         self.store = Store(ports=ports)
@@ -162,7 +162,7 @@
         self.task = ReplicaTask(
             ports=self.ports,
             store=self.store,
-            lines=self.lines,
+            transport=self.transport,
             journal=self.journal,
             recovered=recovered,
             own=self.own,
@@ -173,7 +173,7 @@
         )
         self.lease_service = LeaseService(
             ports=self.ports,
-            lines=self.lines,
+            transport=self.transport,
             journal=self.journal,
             task=self.task,
             own=self.own,
@@ -229,7 +229,7 @@
         async def probe(seed: str) -> SeedState | KelpstageError:
             if seed == self.own:
                 return self.seed_state()
-            reply: SeedState | KelpstageError = await self.lines.call(
+            reply: SeedState | KelpstageError = await self.transport.call(
                 address=seed, message=SeedProbe(replica=me), wait_us=SEED_PROBE_US
             )
             return reply
@@ -298,7 +298,7 @@
         if task is not None:
             leaving = Leaving(
                 task=task,
-                lines=self.lines,
+                transport=self.transport,
                 clock=self.ports.clock,
                 limit_us=int(self.bounds.grace_us * LEAVE_SHARE),
             )
@@ -313,4 +313,4 @@
         self.server.close()
         if self._http_listener is not None:
             self._http_listener.close()
-        self.lines.close()
+        self.transport.close()
--- a/kelpstage/core/chunk_server.py
+++ b/kelpstage/core/chunk_server.py
@@ -25,7 +25,7 @@
         self.snapshots.publish(
             mark=snapshot.index,
             mark_term=snapshot.term,
-            data=pack_delta(base=b"", whole=bytes(snapshot)),
+            data=pack_delta(base=b"", target=bytes(snapshot)),
             now_us=self._clock.now_us(),
         )
 
@@ -45,7 +45,7 @@
         now_us = self._clock.now_us()
         epoch = machine.state.epoch
         if self._states.mark != epoch:
-            packed = pack_delta(base=b"", whole=bytes(machine.doc()))
+            packed = pack_delta(base=b"", target=bytes(machine.doc()))
             self._states.publish(mark=epoch, data=packed, now_us=now_us)
         return self._states.chunk(
             least=request.epoch, pinned=request.pinned, offset=request.offset, now_us=now_us
--- a/kelpstage/core/cluster_recovery.py
+++ b/kelpstage/core/cluster_recovery.py
@@ -15,7 +15,7 @@
 from kelpstage.common.errors.storage import LogDamagedError
 from kelpstage.common.ports.interfaces import Clock, Ports
 from kelpstage.common.transport.chunks import fetch_chunks
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.delta import apply_delta
 from kelpstage.common.transport.messages import (
     ConfirmEpoch,
@@ -106,11 +106,17 @@
     recovered = await store.recover(identity=identity)
     if isinstance(recovered, (KelpstageError, LogDamagedError)):
         return recovered
-    lines = Lines(ports=ports, counts=Counter())
+    transport = Transport(ports=ports, counts=Counter())
     outcome = await _check_and_write(
-        ports=ports, store=store, lines=lines, recovered=recovered, own=own, http=http, edges=edges
+        ports=ports,
+        store=store,
+        transport=transport,
+        recovered=recovered,
+        own=own,
+        http=http,
+        edges=edges,
     )
-    lines.close()
+    transport.close()
     return outcome
 
 
@@ -118,18 +124,18 @@
     *,
     ports: Ports,
     store: Store,
-    lines: Lines,
+    transport: Transport,
     recovered: Recovered,
     own: str,
     http: str,
     edges: list[str],
 ) -> RecoveredCluster | KelpstageError:
     members = members_of(recovered=recovered)
-    alive = await _alive_cores(lines=lines, members=members, own=own)
+    alive = await _alive_cores(transport=transport, members=members, own=own)
     if alive:
         return RecoveryRefusedError(why=f"cores answer at {', '.join(alive)}: stop or use those")
     state = newest_state(recovered=recovered)
-    answers = await _ask_edges(lines=lines, edges=edges, cluster=recovered.identity.cluster)
+    answers = await _ask_edges(transport=transport, edges=edges, cluster=recovered.identity.cluster)
     count = _count_answering(answers=answers, membership=state.membership)
     if count * 2 <= len(state.membership):
         return RecoveryRefusedError(
@@ -137,7 +143,9 @@
             "most are needed, "
             "to be sure of the newest configuration that was acknowledged"
         )
-    source = await _adopt_newest(lines=lines, clock=ports.clock, state=state, answers=answers)
+    source = await _adopt_newest(
+        transport=transport, clock=ports.clock, state=state, answers=answers
+    )
     if isinstance(source, KelpstageError):
         return source
     return await _write(
@@ -156,13 +164,13 @@
 
 
 async def _adopt_newest(
-    *, lines: Lines, clock: Clock, state: CoreState, answers: list[EdgeEpoch]
+    *, transport: Transport, clock: Clock, state: CoreState, answers: list[EdgeEpoch]
 ) -> str | KelpstageError:
     """Adopt the newest state that an edge has, if it is newer; where the state is from."""
     epoch, address = max(((answer.epoch, answer.address) for answer in answers), default=(0, ""))
     if epoch <= state.epoch:
         return "this folder"
-    doc = await _fetch_state(lines=lines, clock=clock, address=address, epoch=epoch)
+    doc = await _fetch_state(transport=transport, clock=clock, address=address, epoch=epoch)
     if doc is None:
         return RecoveryRefusedError(
             why=f"the edge at {address} has epoch {epoch} but did not give it"
@@ -177,18 +185,18 @@
     return f"the edge at {address}"
 
 
-async def _alive_cores(*, lines: Lines, members: list[CoreMember], own: str) -> list[str]:
+async def _alive_cores(*, transport: Transport, members: list[CoreMember], own: str) -> list[str]:
     addresses = sorted({m.address for m in members} | {own})
     replies = await asyncio.gather(
-        *(lines.call(address=a, message=SeedProbe(), wait_us=ASK_US) for a in addresses)
+        *(transport.call(address=a, message=SeedProbe(), wait_us=ASK_US) for a in addresses)
     )
     return [a for a, reply in zip(addresses, replies, strict=True) if isinstance(reply, SeedState)]
 
 
-async def _ask_edges(*, lines: Lines, edges: list[str], cluster: str) -> list[EdgeEpoch]:
+async def _ask_edges(*, transport: Transport, edges: list[str], cluster: str) -> list[EdgeEpoch]:
     replies = await asyncio.gather(
         *(
-            lines.call(address=a, message=ConfirmEpoch(cluster=cluster), wait_us=ASK_US)
+            transport.call(address=a, message=ConfirmEpoch(cluster=cluster), wait_us=ASK_US)
             for a in edges
         )
     )
@@ -199,9 +207,11 @@
     ]
 
 
-async def _fetch_state(*, lines: Lines, clock: Clock, address: str, epoch: int) -> StateDoc | None:
+async def _fetch_state(
+    *, transport: Transport, clock: Clock, address: str, epoch: int
+) -> StateDoc | None:
     packed = await fetch_chunks(
-        lines=lines,
+        transport=transport,
         clock=clock,
         address=address,
         ask=lambda pinned, offset: FetchState(epoch=epoch, offset=offset, pinned=pinned),
--- a/kelpstage/core/context.py
+++ b/kelpstage/core/context.py
@@ -10,7 +10,7 @@
 
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import EdgeContact, SeedState
 from kelpstage.core.leases.lease_service import LeaseService
 from kelpstage.core.replica_task import ReplicaTask
@@ -25,7 +25,7 @@
     """
 
     ports: Ports
-    lines: Lines
+    transport: Transport
     journal: Journal
     counts: Counter[str]
     settings: dict[str, Any]
--- a/kelpstage/core/forwarding.py
+++ b/kelpstage/core/forwarding.py
@@ -31,7 +31,7 @@
     """
     if len(message.body) < PACKED_FROM_BYTES:
         return message
-    return replace(message, body=b"", packed=pack_delta(base=b"", whole=message.body))
+    return replace(message, body=b"", packed=pack_delta(base=b"", target=message.body))
 
 
 def unpack_body(*, message: Forwarded) -> Forwarded | None:
@@ -54,11 +54,11 @@
     The caller has checked that a leader is known.
     """
     address = core.task.leader_address if core.task else ""
-    reply: ForwardOperatorCallReply | KelpstageError = await core.lines.call(
+    reply: ForwardOperatorCallReply | KelpstageError = await core.transport.call(
         address=address,
         message=pack_body(message=request),
         wait_us=request.wait_us * 19 // 20,  # so that the caller learns of a silent leader
-        lane=frames.BULK,
+        channel=frames.BULK,
     )
     if not isinstance(reply, ForwardOperatorCallReply):
         return reply
--- a/kelpstage/core/graceful_leave.py
+++ b/kelpstage/core/graceful_leave.py
@@ -13,7 +13,7 @@
 
 from kelpstage.common.log.ring import logger
 from kelpstage.common.ports.interfaces import Clock
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import LeaveCore, LeaveCoreReply
 from kelpstage.core.raft.types import LeaveState, TransferLeadership
 from kelpstage.core.replica_task import ReplicaTask
@@ -36,10 +36,12 @@
 class Leaving:
     """Asks the leader for the removal of this core until that is granted."""
 
-    def __init__(self, *, task: ReplicaTask, lines: Lines, clock: Clock, limit_us: int) -> None:
+    def __init__(
+        self, *, task: ReplicaTask, transport: Transport, clock: Clock, limit_us: int
+    ) -> None:
         """`limit_us` bounds the time of `run`, in microseconds."""
         self._task = task
-        self._lines = lines
+        self._transport = transport
         self._clock = clock
         self._until_us = clock.now_us() + limit_us
         self._answered_us = clock.now_us()
@@ -97,7 +99,7 @@
             last_index=raft.log.last_index,
         )
         calls = [
-            self._lines.call(address=address, message=request, wait_us=ANSWER_US)
+            self._transport.call(address=address, message=request, wait_us=ANSWER_US)
             for address in addresses
         ]
         replies = await asyncio.gather(*calls)
--- a/kelpstage/core/handlers.py
+++ b/kelpstage/core/handlers.py
@@ -83,7 +83,7 @@
     if message.is_forwarded or not task.leader_address:
         return Done(why="no leader")
     message.is_forwarded = True
-    core.lines.send(address=task.leader_address, message=message)
+    core.transport.send(address=task.leader_address, message=message)
     return Done(is_ok=True)
 
 
@@ -152,7 +152,7 @@
     if message.hops >= 2 or not task.leader_address:
         return hint
     message.hops += 1
-    reply: LeaseReply | KelpstageError = await core.lines.call(
+    reply: LeaseReply | KelpstageError = await core.transport.call(
         address=task.leader_address, message=message, wait_us=FORWARD_WAIT_US
     )
     if isinstance(reply, KelpstageError):
--- a/kelpstage/core/leases/announcements.py
+++ b/kelpstage/core/leases/announcements.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.delta import pack_delta
 from kelpstage.common.transport.messages import Announce, EdgeContact, StateDoc
 from kelpstage.core.leases.epoch_settlement import EpochSettlement
@@ -27,14 +27,14 @@
         self,
         *,
         ports: Ports,
-        lines: Lines,
+        transport: Transport,
         task: ReplicaTask,
         settlement: EpochSettlement,
         own: str,
     ) -> None:
         """`own` is the address under which edges reach this core."""
         self._ports = ports
-        self._lines = lines
+        self._transport = transport
         self._task = task
         self._settlement = settlement
         self._own = own
@@ -54,7 +54,7 @@
             return
         contacts = self._settlement.lease_table.contacts(now_us=self._ports.clock.now_us())
         state = bytes(self._announced)
-        delta = pack_delta(base=b"" if base is None else bytes(base), whole=state)
+        delta = pack_delta(base=b"" if base is None else bytes(base), target=state)
         message = self._announce(delta=delta, base_epoch=base_epoch)
         if len(contacts) > RELAYED_FROM_EDGES:
             self._announce_by_zone(contacts=contacts, message=message)
@@ -71,7 +71,7 @@
     def _complete_announce(self) -> Announce:
         """The newest state completely, for edges that do not have the one before it."""
         if not self._packed_state:
-            self._packed_state = pack_delta(base=b"", whole=bytes(self._announced or StateDoc()))
+            self._packed_state = pack_delta(base=b"", target=bytes(self._announced or StateDoc()))
         return self._announce(delta=self._packed_state)
 
     def _announce(self, *, delta: bytes, base_epoch: int = 0) -> Announce:
@@ -86,8 +86,8 @@
         )
 
     def _send_announce(self, *, address: str, message: Announce) -> None:
-        self._ports.point("core.before_announce")
-        self._lines.send(address=address, message=message)
+        self._ports.failpoint("core.before_announce")
+        self._transport.send(address=address, message=message)
 
     def _announce_to(self, *, contact: EdgeContact, message: Announce) -> None:
         """Send to one edge, by way of the edge that relays its renewals if there is one."""
--- a/kelpstage/core/leases/configuration_writes.py
+++ b/kelpstage/core/leases/configuration_writes.py
@@ -136,7 +136,7 @@
             return WriteUnresolvedError(
                 put_id=put.put_id, why="in the log; edges not yet known to have it"
             )
-        self._ports.point("core.before_put_result")
+        self._ports.failpoint("core.before_put_result")
         return decided
 
     def _left_us(self, until_us: int) -> int:
@@ -188,7 +188,7 @@
         error = await self._check_ready(state=state, until_us=until_us)
         if error is not None:
             return error
-        self._ports.point("core.before_propose")
+        self._ports.failpoint("core.before_propose")
         command = put_command(put=put, state=self._task.machine.state)
         outcome = await self._task.propose(
             data=bytes(command), put_id=put.put_id, wait_us=self._left_us(until_us)
--- a/kelpstage/core/leases/lease_service.py
+++ b/kelpstage/core/leases/lease_service.py
@@ -13,7 +13,7 @@
 from kelpstage.common.errors.control import EdgeAliveError, NoLeaderError, UnknownEdgeError
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import LeaseReply, Renew
 from kelpstage.core.events import MembershipChanged
 from kelpstage.core.leases.announcements import RELAYED_FROM_EDGES, EpochAnnouncer
@@ -37,7 +37,7 @@
         self,
         *,
         ports: Ports,
-        lines: Lines,
+        transport: Transport,
         journal: Journal,
         task: ReplicaTask,
         own: str,
@@ -53,7 +53,7 @@
         self._settlement = EpochSettlement(ports=ports, journal=journal, task=task)
         self._confirmation = LeaderConfirmation(ports=ports, task=task)
         self._announcer = EpochAnnouncer(
-            ports=ports, lines=lines, task=task, settlement=self._settlement, own=own
+            ports=ports, transport=transport, task=task, settlement=self._settlement, own=own
         )
         self.puts = ConfigurationWrites(
             ports=ports,
@@ -132,7 +132,7 @@
             reply.why = "joining the membership"
             self._begin_join(edge=request.edge)
             return reply
-        self._ports.point("core.before_lease")
+        self._ports.failpoint("core.before_lease")
         lease_table.record_lease(
             edge=request.edge, epoch=state.epoch, now_us=self._ports.clock.now_us()
         )
--- a/kelpstage/core/membership_requests.py
+++ b/kelpstage/core/membership_requests.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import CoreMember, JoinCore
 from kelpstage.core.replica_task import ReplicaTask
 
@@ -20,7 +20,7 @@
     """What the requests need of a core."""
 
     ports: Ports
-    lines: Lines
+    transport: Transport
     own: str
     http: str
     seeds: list[str]
@@ -48,4 +48,4 @@
     member = CoreMember(replica=task.me, address=core.own, http=core.http)
     known = {known.address for known in task.raft.members.current} | set(core.seeds)
     for address in sorted(known - {core.own}):
-        core.lines.send(address=address, message=JoinCore(cluster=task.cluster, member=member))
+        core.transport.send(address=address, message=JoinCore(cluster=task.cluster, member=member))
--- a/kelpstage/core/outgoing_messages.py
+++ b/kelpstage/core/outgoing_messages.py
@@ -10,7 +10,7 @@
 
 from kelpstage.common.ports.interfaces import Ports
 from kelpstage.common.transport import frames
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import AppendEntries
 from kelpstage.core.raft import types as raft
 
@@ -18,9 +18,9 @@
 class OutgoingMessages:
     """Sends messages in order of their writes. `Send.after` is the number of a write."""
 
-    def __init__(self, *, ports: Ports, lines: Lines) -> None:
+    def __init__(self, *, ports: Ports, transport: Transport) -> None:
         self._ports = ports
-        self._lines = lines
+        self._transport = transport
         self._held: deque[raft.Send] = deque()
         self._synced = 0
 
@@ -38,8 +38,8 @@
             self._dispatch(self._held.popleft())
 
     def _dispatch(self, send: raft.Send) -> None:
-        lane = frames.CONTROL
+        channel = frames.CONTROL
         if isinstance(send.message, AppendEntries) and raft.is_large(send.message.entries):
-            lane = frames.BULK
-        self._ports.point("raft.before_send")
-        self._lines.send(address=send.to.address, message=send.message, lane=lane)
+            channel = frames.BULK
+        self._ports.failpoint("raft.before_send")
+        self._transport.send(address=send.to.address, message=send.message, channel=channel)
--- a/kelpstage/core/replica_task.py
+++ b/kelpstage/core/replica_task.py
@@ -17,7 +17,7 @@
 from kelpstage.common.log.ring import logger
 from kelpstage.common.ports.interfaces import Ports
 from kelpstage.common.transport.chunks import ChunkSource
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import (
     Chunk,
     CoreMember,
@@ -63,7 +63,7 @@
         *,
         ports: Ports,
         store: Store,
-        lines: Lines,
+        transport: Transport,
         journal: Journal,
         recovered: Recovered,
         own: str,
@@ -82,11 +82,11 @@
         self.me = recovered.identity.replica
         self.inbox: Queue[object] = Queue()
         self.waiters = Waiters()
-        self._outgoing = OutgoingMessages(ports=ports, lines=lines)
+        self._outgoing = OutgoingMessages(ports=ports, transport=transport)
         self._proposals = PendingProposals(waiters=self.waiters)
         self._fetched: DiskSnapshot | None = None
         self._fetcher = SnapshotFetcher(
-            lines=lines,
+            transport=transport,
             clock=ports.clock,
             journal=journal,
             cluster=self.cluster,
--- a/kelpstage/core/snapshots.py
+++ b/kelpstage/core/snapshots.py
@@ -13,7 +13,7 @@
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import Clock
 from kelpstage.common.transport.chunks import backoff_us, fetch_chunks
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.delta import apply_delta
 from kelpstage.common.transport.messages import FetchSnapshot
 from kelpstage.core.events import SnapshotFetchFailed
@@ -76,14 +76,14 @@
     def __init__(
         self,
         *,
-        lines: Lines,
+        transport: Transport,
         clock: Clock,
         journal: Journal,
         cluster: str,
         spawn: Callable[[Awaitable[None]], Any],
         on_fetched: Callable[[FetchOffered, DiskSnapshot], None],
     ) -> None:
-        self._lines = lines
+        self._transport = transport
         self._clock = clock
         self._journal = journal
         self._cluster = cluster
@@ -104,7 +104,7 @@
 
     async def _fetch(self, *, offer: FetchOffered) -> None:
         packed = await fetch_chunks(
-            lines=self._lines,
+            transport=self._transport,
             clock=self._clock,
             address=offer.leader_address,
             ask=lambda pinned, offset: FetchSnapshot(
--- a/kelpstage/core/state/commands.py
+++ b/kelpstage/core/state/commands.py
@@ -114,7 +114,7 @@
         put_delta=PutDelta(
             put_id=put.put_id,
             expected=put.expected,
-            delta=pack_delta(base=base, whole=put.document),
+            delta=pack_delta(base=base, target=put.document),
             version=put.version,
             digest=put_digest(document=put.document, expected=put.expected, version=put.version),
             has_base=bool(base),
--- a/kelpstage/core/store/folder.py
+++ b/kelpstage/core/store/folder.py
@@ -26,7 +26,7 @@
 
     def __init__(self, *, ports: Ports) -> None:
         self._disk: Disk = ports.disk
-        self._point = ports.point
+        self._point = ports.failpoint
 
     async def replace_file(self, *, path: str, folder: str, data: bytes) -> KelpstageError | None:
         """Replace a file atomically: write beside it, sync, rename, sync the folder."""
--- a/kelpstage/core/store/store.py
+++ b/kelpstage/core/store/store.py
@@ -57,7 +57,7 @@
         self._ports = ports
         self._disk: Disk = ports.disk
         self._folder = DataFolder(ports=ports)
-        self._point = ports.point
+        self._point = ports.failpoint
         self._segment_bytes = segment_bytes
         self._replica = ""
         self._segment = 0
--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -9,12 +9,14 @@
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import HttpLimits, Listener, Ports
 from kelpstage.common.recording.writer import DayWriter
-from kelpstage.common.transport.connections import Lines, LineServer
-from kelpstage.edge.backend.address_poll import PlatformTask
+from kelpstage.common.transport.connections import Transport
+from kelpstage.common.transport.server import TransportServer
+from kelpstage.edge.backend.address_poll import AddressPollTask
+from kelpstage.edge.backend.backend_state import STATE_NAMES
 from kelpstage.edge.backend.discovery import DiscoveryTask
-from kelpstage.edge.backend.ejected_check import SuspectTask
-from kelpstage.edge.backend.health_check import ProbeTask
-from kelpstage.edge.backend.registry import STATE_NAMES, BackendRegistry
+from kelpstage.edge.backend.ejected_check import EjectedCheckTask
+from kelpstage.edge.backend.health_check import HealthCheckTask
+from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.composition import (
     build_contact,
     build_gather_context,
@@ -26,7 +28,7 @@
 from kelpstage.edge.forward.sealed_answer import SealedCodec
 from kelpstage.edge.gather.messages import ConfigurationMoved, WantState
 from kelpstage.edge.gather.task import GatherTask
-from kelpstage.edge.gossip.swim import LEAVING
+from kelpstage.edge.gossip.members import LEAVING
 from kelpstage.edge.gossip.task import GossipTask
 from kelpstage.edge.handlers import handle
 from kelpstage.edge.lease.lease_holder import LeaseHolder
@@ -73,7 +75,7 @@
         self.is_leaving = False
         self._last_refusal: str | None = "starting"
         self._listeners: list[Listener] = []
-        self.platform: PlatformTask | None = None
+        self.platform: AddressPollTask | None = None
         self.discovery: DiscoveryTask | None = None
         self.day: DayWriter | None = None
         self._build_journals()
@@ -92,8 +94,8 @@
         self.trace.view(fold=self.timelines.fold)
 
     def _build_transport(self) -> None:
-        self.lines = Lines(ports=self.ports, counts=self.counts)
-        self.server = LineServer(
+        self.transport = Transport(ports=self.ports, counts=self.counts)
+        self.server = TransportServer(
             ports=self.ports, address=self.own, on_message=self._on_message, counts=self.counts
         )
 
@@ -101,7 +103,7 @@
         settings, ports = self.settings, self.ports
         self.lease_holder = LeaseHolder(me=self.name)
         zone_distances = build_zone_distances(settings=settings)
-        self.registry = BackendRegistry(me=self.name, places=zone_distances)
+        self.registry = BackendRegistry(me=self.name, zone_distances=zone_distances)
         self.swim = build_swim(settings=settings, ports=ports, incarnation=self.incarnation)
         self.swim.is_near = lambda zone: zone_distances.is_same_region(zone=zone)
         self.swim.on_silent = self._on_silent
@@ -150,7 +152,7 @@
     def _start_gather(self) -> None:
         self.gather = GatherTask(
             ports=self.ports,
-            lines=self.lines,
+            transport=self.transport,
             context=self.gather_context,
             on_want_state=self._on_want_state,
             on_backend_changed=self._on_backend_changed,
@@ -188,7 +190,7 @@
     def _start_leases(self) -> None:
         self.leases = LeaseTask(
             ports=self.ports,
-            lines=self.lines,
+            transport=self.transport,
             lease_holder=self.lease_holder,
             swim=self.swim,
             journal=self.journal,
@@ -198,13 +200,13 @@
         )
 
     def _start_health_checks(self) -> None:
-        self.probes = ProbeTask(
+        self.probes = HealthCheckTask(
             ports=self.ports,
             registry=self.registry,
             lease_holder=self.lease_holder,
             me=self.name,
             edges=self.swim.live,
-            on_news=self._on_backend_changed,
+            on_changed=self._on_backend_changed,
             counts=self.counts,
         )
 
@@ -212,13 +214,13 @@
         """Poll the platform for the backends' addresses, where there is one."""
         if not self.settings.get("platform"):
             return
-        self.platform = PlatformTask(
+        self.platform = AddressPollTask(
             ports=self.ports,
             url=self.settings["platform"],
             registry=self.registry,
-            on_news=self._on_backend_changed,
+            on_changed=self._on_backend_changed,
             on_addresses=self._declare,
-            look_soon=lambda name, is_new: self.probes.look_soon(name=name, is_new=is_new),
+            check_soon=lambda name, is_new: self.probes.check_soon(name=name, is_new=is_new),
         )
 
     def _start_discovery(self) -> None:
@@ -227,7 +229,7 @@
             return
         self.discovery = DiscoveryTask(
             ports=self.ports,
-            lines=self.lines,
+            transport=self.transport,
             swim=self.swim,
             registry=self.registry,
             adapter=self.lists,
@@ -237,7 +239,7 @@
             on_changed=self._on_instances_changed,
             calls_per_s=self.settings["list"].get("calls_per_s", 0.0),
         )
-        self.suspects = SuspectTask(
+        self.suspects = EjectedCheckTask(
             ports=self.ports,
             registry=self.registry,
             me=self.name,
@@ -275,7 +277,7 @@
         if self.is_leaving:
             return "leaving"
         refusal = self.lease_holder.refusal(now_us=self.ports.clock.now_us())
-        if not refusal and self.discovery is not None and not self.discovery.roll.is_known:
+        if not refusal and self.discovery is not None and not self.discovery.endpoints.is_known:
             return "the list of backends is not known yet"
         return refusal
 
@@ -316,7 +318,7 @@
         self.gather_context.note_distance(name=name, took_us=took_us)
         member = self.swim.members.get(name)
         if member is not None and member.info.zone:
-            self.registry.places.note_round_trip(zone=member.info.zone, took_us=took_us)
+            self.registry.zone_distances.note_round_trip(zone=member.info.zone, took_us=took_us)
 
     def _edges_by_zone(self) -> dict[str, str]:
         members = self.swim.members
@@ -380,4 +382,4 @@
             await self.day.flush()
         self.server.close()
         self.gossip.close()
-        self.lines.close()
+        self.transport.close()
--- a/kelpstage/edge/backend/connection_limits.py
+++ b/kelpstage/edge/backend/connection_limits.py
@@ -11,14 +11,16 @@
 EDGE_COUNT_WINDOW_US = 30_000_000  # connections of an edge that left may last for so long
 
 
-def line_limit(*, max_connections: int, live_edges: int) -> int:
+def connection_limit(*, max_connections: int, live_edges: int) -> int:
     """How many connections one edge may have to one backend: its share, with a margin
     for those that are just being opened, closed or counted out; at least one.
 
-    >>> line_limit(max_connections=88, live_edges=12)
+    >>> connection_limit(max_connections=88, live_edges=12)
     5
-    >>> line_limit(max_connections=10, live_edges=90), line_limit(max_connections=0, live_edges=9)
-    (1, 0)
+    >>> connection_limit(max_connections=10, live_edges=90)
+    1
+    >>> connection_limit(max_connections=0, live_edges=9)
+    0
     """
     if max_connections <= 0:
         return 0
@@ -73,9 +75,9 @@
     ) -> None:
         """Set the limit of every discovered instance, given by service."""
         for service, names in instances.items():
-            limit = line_limit(
+            limit = connection_limit(
                 max_connections=self._max_connections.get(service, 0),
                 live_edges=self.live_edges,
             )
             for name in names:
-                entries[name].line_limit = limit
+                entries[name].connection_limit = limit
--- a/kelpstage/edge/backend/discovery.py
+++ b/kelpstage/edge/backend/discovery.py
@@ -64,7 +64,7 @@
         self,
         *,
         ports: Ports,
-        lines: Any,
+        transport: Any,
         swim: Swim,
         registry: BackendRegistry,
         adapter: EndpointSource | None,
@@ -75,7 +75,7 @@
         calls_per_s: float = 0.0,
     ) -> None:
         self._ports = ports
-        self._lines = lines
+        self._transport = transport
         self._swim = swim
         self._registry = registry
         self._listing = (
@@ -122,7 +122,7 @@
         """Until the time is over, or `_wake` is resolved."""
         wake: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._wake = wake
-        self._ports.clock.later(us=us, verb=lambda: _wake_up(wake=wake))
+        self._ports.clock.later(us=us, callback=lambda: _wake_up(wake=wake))
         await wake
 
     def _refresh_registry(self, *, now_us: int) -> None:
@@ -239,7 +239,7 @@
         for address, relayed_to in plan:
             # A frame is packed at once, so that one message may serve for all.
             update.tell, update.is_last = relayed_to, is_last
-            self._lines.send(address=address, message=update)
+            self._transport.send(address=address, message=update)
 
     def take(self, *, update: EndpointUpdate) -> None:
         """A peer sent an update: take it over, and relay it to those it names."""
@@ -300,11 +300,11 @@
         self._is_asking = True
         self._asked_us = self._ports.clock.now_us()
         self._counts["list_asks"] += 1
-        reply = await self._lines.call(
+        reply = await self._transport.call(
             address=address,
             message=FetchEndpoints(digest=self.endpoints.digest, has_list=self.endpoints.is_known),
             wait_us=ASK_TIMEOUT_US,
-            lane=frames.BULK,
+            channel=frames.BULK,
         )
         self._is_asking = False
         if isinstance(reply, EndpointUpdate):
--- a/kelpstage/edge/backend/ejected_check.py
+++ b/kelpstage/edge/backend/ejected_check.py
@@ -82,7 +82,7 @@
                 method="GET",
                 url=f"http://{entry.address}{path}",
                 wait_us=CHECK_TIMEOUT_US,
-                line_limit=entry.line_limit,
+                connection_limit=entry.connection_limit,
             )
         )
         if isinstance(reply, KelpstageError) or not self._is_good(reply=reply, entry=entry):
--- a/kelpstage/edge/backend/eligibility.py
+++ b/kelpstage/edge/backend/eligibility.py
@@ -67,7 +67,7 @@
                 return "shunned"
             if entry.in_flight:
                 return "on trial"
-        if 0 < entry.line_limit <= entry.in_flight:
+        if 0 < entry.connection_limit <= entry.in_flight:
             return "no free line"
         return ""
 
--- a/kelpstage/edge/backend/endpoint_source.py
+++ b/kelpstage/edge/backend/endpoint_source.py
@@ -51,7 +51,7 @@
         """A GET of the page."""
         query = f"?page={token}" if token else ""
         return HttpCall(
-            method="GET", url=f"{self._url}{query}", wait_us=PAGE_TIMEOUT_US, line_limit=1
+            method="GET", url=f"{self._url}{query}", wait_us=PAGE_TIMEOUT_US, connection_limit=1
         )
 
     def read_page(self, reply: HttpReply) -> tuple[list[Instance], str | None] | KelpstageError:
--- a/kelpstage/edge/backend/entry.py
+++ b/kelpstage/edge/backend/entry.py
@@ -42,7 +42,7 @@
     warming_up_until_us: int = 0
     revision: str = ""
     gone_us: int = 0
-    line_limit: int = 0
+    connection_limit: int = 0
     distance_us: int = 0
     charge_us: int = 0
     seen: Evidence = field(default_factory=Evidence)
--- a/kelpstage/edge/backend/selection.py
+++ b/kelpstage/edge/backend/selection.py
@@ -169,7 +169,7 @@
         not entry.state
         and not entry.seen.ejected_until_us
         and not entry.gone_us
-        and not 0 < entry.line_limit <= entry.in_flight
+        and not 0 < entry.connection_limit <= entry.in_flight
     )
 
 
--- a/kelpstage/edge/forward/sealed_answer.py
+++ b/kelpstage/edge/forward/sealed_answer.py
@@ -86,7 +86,7 @@
             headers=headers,
             body=request.body,
             wait_us=ask.wait_us,
-            line_limit=ask.line_limit,
+            connection_limit=ask.connection_limit,
             owner_of=lambda reply: self._owner_of(reply=reply, request_id=request.request_id),
         )
 
--- a/kelpstage/edge/gather/backend_queries.py
+++ b/kelpstage/edge/gather/backend_queries.py
@@ -36,13 +36,13 @@
         """Send an attempt; its outcome goes to the gathering task as an event."""
         record = ask.record
         sent_us = self._ports.clock.now_us()
-        self._ports.point("edge.before_backend_send")
+        self._ports.failpoint("edge.before_backend_send")
         reply = await self._fetch(ask=ask, left_us=record.due_us - self._ports.clock.now_us())
         outcome: Any = reply
         if isinstance(reply, HttpReply):
             self._observer.note_draining(reply=reply, backend=ask.backend)
             outcome = self._read(reply=reply, ask=ask)
-        self._ports.point("edge.after_backend_reply")
+        self._ports.failpoint("edge.after_backend_reply")
         self._on_reply(
             BackendReplied(
                 key=record.key,
--- a/kelpstage/edge/gather/child_queries.py
+++ b/kelpstage/edge/gather/child_queries.py
@@ -8,7 +8,7 @@
 from kelpstage.common.errors.transport import ConnectError, ConnectionLostError
 from kelpstage.common.ports.interfaces import Ports
 from kelpstage.common.transport import frames
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import Gather, Gathered
 from kelpstage.edge.forward.request import pack_headers
 from kelpstage.edge.gather.context import GatherContext
@@ -26,12 +26,12 @@
         self,
         *,
         ports: Ports,
-        lines: Lines,
+        transport: Transport,
         context: GatherContext,
         on_reply: Callable[[ChildReplied], None],
     ) -> None:
         self._ports = ports
-        self._lines = lines
+        self._transport = transport
         self._context = context
         self._on_reply = on_reply
 
@@ -39,7 +39,7 @@
         """Ask a child; its outcome goes to the gathering task as an event."""
         sent_us = self._ports.clock.now_us()
         message = self._message(ask=ask, sent_us=sent_us)
-        self._ports.point("edge.before_kid_send")
+        self._ports.failpoint("edge.before_kid_send")
         outcome = await self._call(ask=ask, message=message, sent_us=sent_us)
         self._on_reply(
             ChildReplied(
@@ -55,11 +55,11 @@
     async def _call(self, *, ask: QueryChild, message: Gather, sent_us: int) -> Any:
         if not ask.address:
             return ConnectError(address="unknown")
-        outcome = await self._lines.call(
+        outcome = await self._transport.call(
             address=ask.address,
             message=message,
             wait_us=max(LEAST_WAIT_US, ask.record.due_us - sent_us),
-            lane=frames.GATHER,
+            channel=frames.GATHER,
         )
         if isinstance(outcome, (Gathered, KelpstageError)):
             return outcome
--- a/kelpstage/edge/gather/messages.py
+++ b/kelpstage/edge/gather/messages.py
@@ -75,7 +75,7 @@
     backend: str
     address: str
     wait_us: int
-    line_limit: int = 0
+    connection_limit: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/kelpstage/edge/gather/observation.py
+++ b/kelpstage/edge/gather/observation.py
@@ -9,7 +9,7 @@
 from kelpstage.common.ports.interfaces import HttpReply, Ports
 from kelpstage.common.transport.messages import Gathered
 from kelpstage.edge.backend import outlier_detection
-from kelpstage.edge.backend.registry import DRAINING, GONE
+from kelpstage.edge.backend.backend_state import BackendState
 from kelpstage.edge.backend.reply import SealedPart
 from kelpstage.edge.forward.sealed_answer import WholeReply
 from kelpstage.edge.gather.context import GatherContext
@@ -47,24 +47,24 @@
         outcome = event.outcome
         if isinstance(outcome, ConnectError):
             if context.registry.observe(
-                name=event.backend, state=GONE, why="connection refused", now_us=now_us
+                name=event.backend, state=BackendState.GONE, why="connection refused", now_us=now_us
             ):
                 self._on_backend_changed(event.backend)
             return
         if isinstance(outcome, (ReplyTimeoutError, ConnectionLostError)):
-            if context.registry.strike(name=event.backend, now_us=now_us):
+            if context.registry.note_no_answer(name=event.backend, now_us=now_us):
                 self._on_backend_changed(event.backend)
             if isinstance(outcome, ReplyTimeoutError):
                 context.latencies.saw(
                     name=event.backend, took_us=now_us - event.sent_us, now_us=now_us
                 )
             return
-        context.registry.heard_back(name=event.backend, now_us=now_us)
+        context.registry.note_response(name=event.backend, now_us=now_us)
         if isinstance(outcome, InvalidReplyError):
-            context.registry.lied(name=event.backend, now_us=now_us)
+            context.registry.note_invalid_reply(name=event.backend, now_us=now_us)
             self._on_backend_changed(event.backend)
         else:
-            context.registry.told_truth(name=event.backend)
+            context.registry.note_valid_reply(name=event.backend)
         context.latencies.saw(name=event.backend, took_us=now_us - event.sent_us, now_us=now_us)
 
     def _observe_instance(self, *, event: BackendReplied, now_us: int) -> None:
@@ -80,7 +80,7 @@
             self._context.latencies.saw(name=name, took_us=took_us, now_us=now_us)
             return
         if isinstance(outcome, RequestNotRunError) and outcome.answer != ANOTHER_INSTANCE:
-            registry.note_full(name=name, now_us=now_us)
+            registry.note_overloaded(name=name, now_us=now_us)
             return
         if isinstance(outcome, ReplyTimeoutError) and not outcome.was_sent:
             return  # it waited here for a connection
@@ -110,7 +110,7 @@
             return
         now_us = self._ports.clock.now_us()
         if self._context.registry.observe(
-            name=backend, state=DRAINING, why="sign in a reply", now_us=now_us
+            name=backend, state=BackendState.DRAINING, why="sign in a reply", now_us=now_us
         ):
             self._on_backend_changed(backend)
 
--- a/kelpstage/edge/gather/stages/attempts.py
+++ b/kelpstage/edge/gather/stages/attempts.py
@@ -140,7 +140,7 @@
             backend=backend,
             address=entry.address,
             wait_us=max(1_000, record.due_us - context.now_us),
-            line_limit=entry.line_limit,
+            connection_limit=entry.connection_limit,
         )
     )
 
--- a/kelpstage/edge/gather/stages/plan.py
+++ b/kelpstage/edge/gather/stages/plan.py
@@ -81,7 +81,7 @@
                 now_us=context.now_us,
                 rand=None,
             )
-            if not option.refusal and not option.is_distrusted
+            if not option.refusal and not option.is_suspected
         }
         zone = next((name for name in order if name in zones), context.zone)
         groups.setdefault(zone, []).append(shard)
--- a/kelpstage/edge/gather/task.py
+++ b/kelpstage/edge/gather/task.py
@@ -9,7 +9,7 @@
 from tornado.queues import Queue
 
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.edge.events import Began
 from kelpstage.edge.forward.sealed_answer import SealedCodec
 from kelpstage.edge.gather.backend_queries import BackendQueries
@@ -41,7 +41,7 @@
         self,
         *,
         ports: Ports,
-        lines: Lines,
+        transport: Transport,
         context: GatherContext,
         on_want_state: Callable[[WantState], None],
         on_backend_changed: Callable[[str], None],
@@ -58,7 +58,7 @@
             ports=ports, sealed=sealed, observer=self._observer, on_reply=self.inbox.put_nowait
         )
         self._child_queries = ChildQueries(
-            ports=ports, lines=lines, context=context, on_reply=self.inbox.put_nowait
+            ports=ports, transport=transport, context=context, on_reply=self.inbox.put_nowait
         )
         self._on_want_state = on_want_state
         self._waiting: dict[int, asyncio.Future[Any]] = {}
@@ -115,7 +115,7 @@
             return
         self._timer_us = wake_us
         self._ports.clock.later(
-            us=wake_us - self.context.now_us, verb=lambda: self._on_timer(timer_us=wake_us)
+            us=wake_us - self.context.now_us, callback=lambda: self._on_timer(timer_us=wake_us)
         )
 
     def _on_timer(self, *, timer_us: int) -> None:
--- a/kelpstage/edge/handlers.py
+++ b/kelpstage/edge/handlers.py
@@ -9,7 +9,7 @@
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import (
     Announce,
     Chunk,
@@ -47,7 +47,7 @@
     incarnation: int
     ports: Ports
     counts: Counter[str]
-    lines: Lines
+    transport: Transport
     lease_holder: LeaseHolder
     swim: Swim
     gather: GatherTask
@@ -141,7 +141,7 @@
 async def handle_endpoint_update(message: EndpointUpdate, edge: HandlingEdge, source: str) -> None:
     """Take what another edge read of the list of backends."""
     if edge.discovery is not None:
-        edge.discovery.take(news=message)
+        edge.discovery.take(update=message)
 
 
 @handle.register
@@ -159,7 +159,7 @@
     """Pass a renewal on to the leader, for an edge that can't reach it."""
     # This node may know a newer leader than the one that the asker could not reach.
     message.renew.relayed_by = edge.own
-    reply = await edge.lines.call(
+    reply = await edge.transport.call(
         address=edge.leases.leader or message.target, message=message.renew, wait_us=RELAY_WAIT_US
     )
     if isinstance(reply, KelpstageError):
--- a/kelpstage/edge/lease/epoch_confirmation.py
+++ b/kelpstage/edge/lease/epoch_confirmation.py
@@ -5,9 +5,10 @@
 from typing import Callable
 
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import ConfirmEpoch, ConfirmEpochReply
-from kelpstage.edge.gossip.swim import ALIVE, SUSPECT, Swim
+from kelpstage.edge.gossip.members import ALIVE
+from kelpstage.edge.gossip.swim import SUSPECT, Swim
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.lease.timing import SMALL_MEMBERSHIP, is_small, overdue_us
 
@@ -28,14 +29,14 @@
         self,
         *,
         ports: Ports,
-        lines: Lines,
+        transport: Transport,
         lease_holder: LeaseHolder,
         swim: Swim,
         on_newer_epoch: Callable[[str], None],
     ) -> None:
         """`on_newer_epoch` hears of an address that has an epoch not installed here."""
         self._ports = ports
-        self._lines = lines
+        self._transport = transport
         self._lease_holder = lease_holder
         self._swim = swim
         self._on_newer_epoch = on_newer_epoch
@@ -90,7 +91,9 @@
         message = ConfirmEpoch(
             edge=lease_holder.me, cluster=lease_holder.cluster, epoch=lease_holder.epoch
         )
-        reply = await self._lines.call(address=address, message=message, wait_us=CONFIRM_WAIT_US)
+        reply = await self._transport.call(
+            address=address, message=message, wait_us=CONFIRM_WAIT_US
+        )
         if not isinstance(reply, ConfirmEpochReply) or reply.edge != name:
             return
         lease_holder.on_epoch_confirmed(reply=reply, asked_us=asked_us)
--- a/kelpstage/edge/lease/peer_discovery.py
+++ b/kelpstage/edge/lease/peer_discovery.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import (
     EdgeContact,
     FetchMembers,
@@ -32,14 +32,14 @@
         self,
         *,
         ports: Ports,
-        lines: Lines,
+        transport: Transport,
         lease_holder: LeaseHolder,
         swim: Swim,
         cores: CoreDirectory,
         contact: EdgeContact,
     ) -> None:
         self._ports = ports
-        self._lines = lines
+        self._transport = transport
         self._lease_holder = lease_holder
         self._swim = swim
         self._cores = cores
@@ -86,7 +86,7 @@
         message = RegisterEdge(
             edge=self._lease_holder.me, incarnation=self._contact.incarnation, contact=self._contact
         )
-        reply = await self._lines.call(address=address, message=message, wait_us=RENEW_WAIT_US)
+        reply = await self._transport.call(address=address, message=message, wait_us=RENEW_WAIT_US)
         if not isinstance(reply, RegisterEdgeReply):
             return
         cluster = self._lease_holder.cluster
@@ -103,9 +103,9 @@
         clock, wait_us, asked_us, known_count = self._ports.clock, MEMBERS_US, 0, 0
         while True:
             await clock.sleep(us=MEMBERS_US)
-            if known_count < self._swim.told_count():
+            if known_count < self._swim.known_count():
                 wait_us = MEMBERS_US
-            known_count = self._swim.told_count()
+            known_count = self._swim.known_count()
             membership_count = len(self._lease_holder.membership)
             if is_small(count=membership_count) or known_count >= membership_count:
                 continue
@@ -117,14 +117,14 @@
 
     async def _fetch_members(self) -> int:
         """Ask a peer for its table; how many edges became known by it."""
-        peer = self._swim.some_peer()
+        peer = self._swim.random_peer()
         if peer is None:
             return 0
         address = self._swim.members[peer].info.address
         message = FetchMembers(cluster=self._lease_holder.cluster)
-        reply = await self._lines.call(address=address, message=message, wait_us=RENEW_WAIT_US)
+        reply = await self._transport.call(address=address, message=message, wait_us=RENEW_WAIT_US)
         if not isinstance(reply, Members) or reply.cluster != self._lease_holder.cluster:
             return 0
-        before = self._swim.told_count()
-        self._swim.take_table(table=reply.members, now_us=self._ports.clock.now_us())
-        return self._swim.told_count() - before
+        before = self._swim.known_count()
+        self._swim.merge_table(table=reply.members, now_us=self._ports.clock.now_us())
+        return self._swim.known_count() - before
--- a/kelpstage/edge/lease/relay.py
+++ b/kelpstage/edge/lease/relay.py
@@ -5,9 +5,10 @@
 import asyncio
 
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import LeaseReply, RelayRenew
-from kelpstage.edge.gossip.swim import ALIVE, Swim
+from kelpstage.edge.gossip.members import ALIVE
+from kelpstage.edge.gossip.swim import Swim
 from kelpstage.edge.lease.core_directory import CoreDirectory
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.lease.renewal import LeaseRenewal
@@ -29,14 +30,14 @@
         self,
         *,
         ports: Ports,
-        lines: Lines,
+        transport: Transport,
         lease_holder: LeaseHolder,
         swim: Swim,
         cores: CoreDirectory,
         renewal: LeaseRenewal,
     ) -> None:
         self._ports = ports
-        self._lines = lines
+        self._transport = transport
         self._lease_holder = lease_holder
         self._swim = swim
         self._cores = cores
@@ -102,7 +103,7 @@
         message = RelayRenew(target=target, renew=self._renewal.request(target=""))
         calls = [
             self._ports.spawn(
-                self._lines.call(address=peer, message=message, wait_us=RELAY_WAIT_US)
+                self._transport.call(address=peer, message=message, wait_us=RELAY_WAIT_US)
             )
             for peer in peers
         ]
--- a/kelpstage/edge/lease/renewal.py
+++ b/kelpstage/edge/lease/renewal.py
@@ -7,7 +7,7 @@
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import EdgeContact, LeaseReply, Renew
 from kelpstage.edge.gossip.swim import Swim
 from kelpstage.edge.lease.core_directory import CoreDirectory
@@ -44,7 +44,7 @@
         self,
         *,
         ports: Ports,
-        lines: Lines,
+        transport: Transport,
         lease_holder: LeaseHolder,
         swim: Swim,
         cores: CoreDirectory,
@@ -55,7 +55,7 @@
         """`on_contacts` hears of peers that the leader names, `on_newer_epoch` of an
         address that has an epoch which is not installed here."""
         self._ports = ports
-        self._lines = lines
+        self._transport = transport
         self._lease_holder = lease_holder
         self._swim = swim
         self._cores = cores
@@ -96,9 +96,9 @@
         target = self.next_target()
         sent_us = self._ports.clock.now_us()
         message = self.request(target=target)
-        self._ports.point("edge.before_renew")
+        self._ports.failpoint("edge.before_renew")
         wait_us = renew_wait_us(count=len(self._lease_holder.membership))
-        reply = await self._lines.call(address=target, message=message, wait_us=wait_us)
+        reply = await self._transport.call(address=target, message=message, wait_us=wait_us)
         if not isinstance(reply, LeaseReply):
             self._on_no_reply(reply=reply, target=target)
             return False  # meanwhile the other cores are asked from here
@@ -169,4 +169,4 @@
         target = self.next_target()
         message = self.request(target=target)
         message.is_leaving = True
-        await self._lines.call(address=target, message=message, wait_us=LEAVE_WAIT_US)
+        await self._transport.call(address=target, message=message, wait_us=LEAVE_WAIT_US)
--- a/kelpstage/edge/lease/state_sync.py
+++ b/kelpstage/edge/lease/state_sync.py
@@ -10,7 +10,7 @@
 from kelpstage.common.log.ring import logger
 from kelpstage.common.ports.interfaces import Ports
 from kelpstage.common.transport.chunks import ChunkSource, fetch_chunks
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.delta import apply_delta, pack_delta
 from kelpstage.common.transport.messages import Announce, Chunk, FetchState, StateDoc
 from kelpstage.edge.events import Installed, StateRefused
@@ -29,7 +29,7 @@
         self,
         *,
         ports: Ports,
-        lines: Lines,
+        transport: Transport,
         lease_holder: LeaseHolder,
         swim: Swim,
         cores: CoreDirectory,
@@ -37,7 +37,7 @@
         on_installed: Callable[[], None],
     ) -> None:
         self._ports = ports
-        self._lines = lines
+        self._transport = transport
         self._lease_holder = lease_holder
         self._swim = swim
         self._cores = cores
@@ -72,7 +72,7 @@
         lease_holder = self._lease_holder
         wanted_epoch = lease_holder.epoch + 1
         packed = await fetch_chunks(
-            lines=self._lines,
+            transport=self._transport,
             clock=self._ports.clock,
             address=address,
             ask=lambda pinned, offset: FetchState(epoch=wanted_epoch, offset=offset, pinned=pinned),
@@ -90,7 +90,7 @@
         if not lease_holder.state_bytes:
             return Chunk(is_found=False)
         if chunks.mark != lease_holder.epoch:
-            packed = pack_delta(base=b"", whole=lease_holder.state_bytes)
+            packed = pack_delta(base=b"", target=lease_holder.state_bytes)
             chunks.publish(mark=lease_holder.epoch, data=packed, now_us=now_us)
         return chunks.chunk(least=ask.epoch, pinned=ask.pinned, offset=ask.offset, now_us=now_us)
 
@@ -103,7 +103,7 @@
             return
         hand_on, announce.hand_on = announce.hand_on, []
         for address in hand_on:
-            self._lines.send(address=address, message=announce)
+            self._transport.send(address=address, message=announce)
         if not lease_holder.note_epoch(epoch=announce.epoch, source=source):
             return
         state = self._announced_state(announce=announce)
@@ -127,12 +127,12 @@
         configuration = self._read_configuration(doc=doc, source=source)
         if configuration is None:
             return False
-        self._ports.point("edge.before_install")
+        self._ports.failpoint("edge.before_install")
         if not self._lease_holder.install(
             doc=doc, configuration=configuration, now_us=self._ports.clock.now_us()
         ):
             return False
-        self._ports.point("edge.after_install")
+        self._ports.failpoint("edge.after_install")
         self._journal.add(Installed(epoch=doc.epoch, version=doc.version, source=source))
         self._swim.cluster = doc.cluster
         self._swim.me.version = doc.version
--- a/kelpstage/edge/lease/task.py
+++ b/kelpstage/edge/lease/task.py
@@ -10,7 +10,7 @@
 
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import Announce, Chunk, EdgeContact, FetchState
 from kelpstage.edge.gossip.swim import Swim
 from kelpstage.edge.lease.core_directory import CoreDirectory
@@ -29,7 +29,7 @@
         self,
         *,
         ports: Ports,
-        lines: Lines,
+        transport: Transport,
         lease_holder: LeaseHolder,
         swim: Swim,
         journal: Journal,
@@ -42,7 +42,7 @@
         self._directory = CoreDirectory(seeds=seeds)
         self._states = StateSync(
             ports=ports,
-            lines=lines,
+            transport=transport,
             lease_holder=lease_holder,
             swim=swim,
             cores=self._directory,
@@ -51,7 +51,7 @@
         )
         discovery = PeerDiscovery(
             ports=ports,
-            lines=lines,
+            transport=transport,
             lease_holder=lease_holder,
             swim=swim,
             cores=self._directory,
@@ -59,7 +59,7 @@
         )
         self.renewal = LeaseRenewal(
             ports=ports,
-            lines=lines,
+            transport=transport,
             lease_holder=lease_holder,
             swim=swim,
             cores=self._directory,
@@ -69,7 +69,7 @@
         )
         self.relay = self.renewal.relay = RelayedRenewal(
             ports=ports,
-            lines=lines,
+            transport=transport,
             lease_holder=lease_holder,
             swim=swim,
             cores=self._directory,
@@ -77,7 +77,7 @@
         )
         confirmation = EpochConfirmation(
             ports=ports,
-            lines=lines,
+            transport=transport,
             lease_holder=lease_holder,
             swim=swim,
             on_newer_epoch=self._states.fetch_soon,
--- a/kelpstage/edge/timelines.py
+++ b/kelpstage/edge/timelines.py
@@ -160,7 +160,7 @@
             "is_near": value.is_near,
             "in_flight": value.in_flight,
             "mean_us": value.mean_us,
-            "is_distrusted": value.is_distrusted,
+            "is_distrusted": value.is_suspected,
             "is_overdue": value.is_overdue,
         }
     if isinstance(value, (tuple, list)):
--- a/kelpstage/edge/web/callers.py
+++ b/kelpstage/edge/web/callers.py
@@ -171,7 +171,7 @@
         **fields,
     )
     outcome = await edge.gather.settle(record=record)
-    edge.ports.point("edge.before_verdict")
+    edge.ports.failpoint("edge.before_verdict")
     # A caller that keeps its connection is told to take another when we leave.
     last = {SEARCH_ID: search} | ({"Connection": "close"} if edge.is_leaving else {})
     if not isinstance(outcome, GatherResult):
--- a/kelpstage/edge/web/explain.py
+++ b/kelpstage/edge/web/explain.py
@@ -61,7 +61,7 @@
     member = edge.swim.members.get(node)
     if member is None:
         return {"why_not": "no longer a peer"}
-    reply = await edge.lines.call(
+    reply = await edge.transport.call(
         address=member.info.address, message=FetchTrace(search=search), wait_us=TRACE_WAIT_US
     )
     if isinstance(reply, Trace):
@@ -194,7 +194,7 @@
                 "state": STATE_NAMES[entry.state],
                 "why": entry.why,
                 "seen_by": entry.seen_by or None,
-                "is_dark": edge.registry.is_dark(name=name, now_us=now_us),
+                "is_dark": edge.registry.is_unreachable(name=name, now_us=now_us),
                 "in_flight": entry.in_flight,
             }
             for name, entry in sorted(edge.registry.entries.items())
--- a/kelpstage/edge/web/forward.py
+++ b/kelpstage/edge/web/forward.py
@@ -83,7 +83,7 @@
         request=request,
     )
     outcome = await edge.gather.settle(record=record)
-    edge.ports.point("edge.before_verdict")
+    edge.ports.failpoint("edge.before_verdict")
     if isinstance(outcome, GatherResult):
         return success_reply(result=outcome, edge=edge)
     return failure_reply(failure=outcome, has_run=record.may_have_run(), edge=edge)
--- a/kelpstage/edge/web/interfaces.py
+++ b/kelpstage/edge/web/interfaces.py
@@ -8,7 +8,7 @@
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
 from kelpstage.common.recording.writer import DayWriter
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.gather.context import GatherContext
@@ -42,7 +42,7 @@
     """What the plan and the status are read from."""
 
     zone: str
-    lines: Lines
+    transport: Transport
     swim: Swim
     registry: BackendRegistry
     gather_context: GatherContext
--- a/kelpstage/testbed/hollow/fleet.py
+++ b/kelpstage/testbed/hollow/fleet.py
@@ -152,7 +152,7 @@
         return Edge(
             ports=process.ports,
             settings=settings,
-            lists=OwnListSource(url="http://10.255.0.1:9500/lives"),
+            lists=HttpEndpointSource(url="http://10.255.0.1:9500/lives"),
         )
 
     async def _open(self, *, process: HollowProcess, daemon: Any) -> None:
--- a/kelpstage/testbed/hollow/measurements.py
+++ b/kelpstage/testbed/hollow/measurements.py
@@ -44,7 +44,7 @@
     known_us = await fleet.wait_for(
         what="everybody known to everybody",
         us=600 * SECOND,
-        is_there=lambda: min(e.swim.told_count() for e in fleet.edges.values()) >= options.nodes,
+        is_there=lambda: min(e.swim.known_count() for e in fleet.edges.values()) >= options.nodes,
     )
     await fleet.sleep(us=SETTLE_US)
     gc.collect()
--- a/kelpstage/testbed/hollow/metered_network.py
+++ b/kelpstage/testbed/hollow/metered_network.py
@@ -82,10 +82,10 @@
             return super().spawn(work)
         return self.context.copy().run(super().spawn, work)
 
-    def deliver(self, verb: Callable[[], None]) -> None:
+    def deliver(self, callback: Callable[[], None]) -> None:
         charge(
             owner=self,
-            work=lambda: self.context.copy().run(super(HollowProcess, self).deliver, verb),
+            work=lambda: self.context.copy().run(super(HollowProcess, self).deliver, callback),
         )
 
     def note_sent(self, *, target: Machine, size: int, kind: str) -> None:
@@ -134,8 +134,8 @@
     """The message types in what a process writes at once, with their bytes.
 
     >>> from kelpstage.common.transport.messages import Done
-    >>> frame = frames.pack(message=Done(), flag=frames.ASK, mark=1)
-    >>> list(message_sizes(data=frames.preface(lane=frames.BULK) + frame))
+    >>> frame = frames.pack(message=Done(), flag=frames.ASK, correlation_id=1)
+    >>> list(message_sizes(data=frames.preface(channel=frames.BULK) + frame))
     [('preface', 8), ('Done', 16)]
     """
     if data.startswith(frames.MAGIC):
--- a/kelpstage/testbed/measure/choices.py
+++ b/kelpstage/testbed/measure/choices.py
@@ -180,8 +180,8 @@
         await fleet.wait_for(
             what="darkness",
             is_there=lambda: all(
-                e.registry.is_dark(name=victim, now_us=fleet.world.now_us())
-                or e.registry.is_distrusted(name=victim, now_us=fleet.world.now_us())
+                e.registry.is_unreachable(name=victim, now_us=fleet.world.now_us())
+                or e.registry.is_suspected(name=victim, now_us=fleet.world.now_us())
                 for e in edges
             ),
         )
@@ -297,7 +297,7 @@
         variants=tuple(
             Variant(
                 name=f"{n} ms",
-                constants={"kelpstage.edge.backend.health_check:PROBE_US": n * 1_000},
+                constants={"kelpstage.edge.backend.health_check:CHECK_INTERVAL_US": n * 1_000},
             )
             for n in (500, 1_000, 2_000)
         ),
--- a/kelpstage/testbed/measure/http.py
+++ b/kelpstage/testbed/measure/http.py
@@ -34,13 +34,13 @@
 
     name: str
     is_old: bool
-    line_limit: int
+    connection_limit: int
 
 
 WAYS = (
-    Way(name="tornado and curl, a connection each", is_old=True, line_limit=0),
-    Way(name="own transport, a connection each", is_old=False, line_limit=0),
-    Way(name="own transport, kept connections", is_old=False, line_limit=AT_ONCE),
+    Way(name="tornado and curl, a connection each", is_old=True, connection_limit=0),
+    Way(name="own transport, a connection each", is_old=False, connection_limit=0),
+    Way(name="own transport, kept connections", is_old=False, connection_limit=AT_ONCE),
 )
 
 
@@ -86,7 +86,7 @@
                 headers=HEADERS,
                 body=b'{"q":"x"}',
                 wait_us=30_000_000,
-                line_limit=way.line_limit,
+                connection_limit=way.connection_limit,
             )
         )
         if not isinstance(reply, HttpReply) or reply.status != 200:
--- a/kelpstage/testbed/platform_model/backends.py
+++ b/kelpstage/testbed/platform_model/backends.py
@@ -99,7 +99,7 @@
                 return
             self._look_later(line=line)
 
-        self.park.world.at(us=self.park.world.now_us() + idle_us, verb=look)
+        self.park.world.at(us=self.park.world.now_us() + idle_us, callback=look)
 
     def line_gone(self, *, line: HttpLine) -> None:
         """A connection is gone: what it waited for is dropped, most of the time."""
@@ -188,7 +188,7 @@
         end_us = min(now_us + self._work_us(work=work), max(now_us, work.due_us))
         end_us = self._past_pause(begin_us=now_us, end_us=end_us)
         self.park.world.at(
-            us=end_us, verb=lambda: self.process.deliver(lambda: self._finish(work=work))
+            us=end_us, callback=lambda: self.process.deliver(lambda: self._finish(work=work))
         )
 
     def _work_us(self, *, work: Work) -> int:
@@ -270,7 +270,7 @@
             line = work.line
             self.park.world.at(
                 us=self.park.world.now_us() + late_us,
-                verb=lambda: line.is_served and line._answer_later(pieces=[(WHOLE, other)]),
+                callback=lambda: line.is_served and line._answer_later(pieces=[(WHOLE, other)]),
             )
         if way == "encoded":
             work.line.reply(
@@ -377,7 +377,7 @@
             self.history.crashes[backend.instance_id] = self.world.now_us()
         self._end(backend=backend)
         self.world.at(
-            us=self.world.now_us() + CRASH_LISTED_US, verb=lambda: self._unlist(backend=backend)
+            us=self.world.now_us() + CRASH_LISTED_US, callback=lambda: self._unlist(backend=backend)
         )
 
     def go_silent(self, *, backend: Backend) -> None:
@@ -404,7 +404,7 @@
             self._end(backend=backend)
             self._unlist(backend=backend)
 
-        self.world.at(us=end_us, verb=end)
+        self.world.at(us=end_us, callback=end)
 
     def _end(self, *, backend: Backend) -> None:
         if backend.is_ended:
@@ -435,13 +435,14 @@
         lag_us = int(self.rand.random() * self._lag_us) if self.world.now_us() else 0
         self.world.at(
             us=self.world.now_us() + lag_us,
-            verb=lambda: self._rows.__setitem__(backend.instance_id, row),
+            callback=lambda: self._rows.__setitem__(backend.instance_id, row),
         )
 
     def _unlist(self, *, backend: Backend) -> None:
         lag_us = int(self.rand.random() * self._lag_us)
         self.world.at(
-            us=self.world.now_us() + lag_us, verb=lambda: self._rows.pop(backend.instance_id, None)
+            us=self.world.now_us() + lag_us,
+            callback=lambda: self._rows.pop(backend.instance_id, None),
         )
 
     def rows(self) -> list[dict]:
--- a/kelpstage/testbed/platform_model/clients.py
+++ b/kelpstage/testbed/platform_model/clients.py
@@ -331,12 +331,14 @@
             },
             body=row.body,
             wait_us=max(1, due_us - now_us),
-            line_limit=1,
+            connection_limit=1,
         )
         until_us = due_us
         if is_repeatable:
             unread_us = min(UNREAD_US, max(1, (due_us - now_us) // 3))
-            self._world.at(us=now_us + unread_us, verb=lambda: self._give_up(row=row, line=line))
+            self._world.at(
+                us=now_us + unread_us, callback=lambda: self._give_up(row=row, line=line)
+            )
         outcome = await line.exchange(call=call, deadline_us=until_us)
         row.read_us = line.read_us
         row.done_us = self._world.now_us()
--- a/kelpstage/testbed/platform_model/net.py
+++ b/kelpstage/testbed/platform_model/net.py
@@ -45,17 +45,17 @@
         return base_us + (self.zone_us if is_near else self.region_us)
 
     def carry(
-        self, *, source: Machine, target: Machine, verb: Callable[[], None], order: "Order"
+        self, *, source: Machine, target: Machine, callback: Callable[[], None], order: "Order"
     ) -> None:
         """Bring something across, in order; what meets a cut waits until it heals."""
         if not self.is_open(source=source, target=target):
             self.waits.append(
-                lambda: self.carry(source=source, target=target, verb=verb, order=order)
+                lambda: self.carry(source=source, target=target, callback=callback, order=order)
             )
             return
         delay_us = self.delay_us(source=source, target=target)
         order.free_us = max(order.free_us + 1, self.now_us() + delay_us)
-        self.at(us=order.free_us, verb=verb)
+        self.at(us=order.free_us, callback=callback)
 
 
 @dataclass(kw_only=True)
@@ -77,14 +77,14 @@
         self.ports.net = PlatformNet(process=self)
         self.ports.on_broken = lambda error: self.on_own_end(error)
 
-    def deliver(self, verb: Callable[[], None]) -> None:
+    def deliver(self, callback: Callable[[], None]) -> None:
         """Something comes in; it is taken when what came before has had its time."""
         if not self.message_us or not self.is_alive:
-            super().deliver(verb)
+            super().deliver(callback)
             return
         world = self.world
         self._free_us = max(self._free_us, world.now_us()) + self.message_us
-        world.at(us=self._free_us, verb=lambda: super(HttpProcess, self).deliver(verb))
+        world.at(us=self._free_us, callback=lambda: super(HttpProcess, self).deliver(callback))
 
     def _ended(self, task: asyncio.Future) -> None:
         self._tasks.pop(task, None)
@@ -151,7 +151,7 @@
         self.world.carry(
             source=self.caller,
             target=self.server,
-            verb=lambda: self._reach(call=taken),
+            callback=lambda: self._reach(call=taken),
             order=self._out,
         )
         clock = self.net.process.ports.clock
@@ -178,7 +178,7 @@
         self.world.carry(
             source=self.caller,
             target=self.server,
-            verb=lambda: self.listener.process.deliver(self._caller_gone),
+            callback=lambda: self.listener.process.deliver(self._caller_gone),
             order=self._out,
         )
 
@@ -266,7 +266,7 @@
         self.world.carry(
             source=self.server,
             target=self.caller,
-            verb=lambda: self.take(pieces=pieces),
+            callback=lambda: self.take(pieces=pieces),
             order=self._back,
         )
 
@@ -404,7 +404,7 @@
     async def fetch(self, *, call: HttpCall) -> HttpReply | KelpstageError:
         deadline_us = self.process.world.now_us() + call.wait_us
         address = call.url.removeprefix("http://").partition("/")[0]
-        if call.line_limit <= 0:
+        if call.connection_limit <= 0:
             line = await self.open_line(address=address, deadline_us=deadline_us)
             if isinstance(line, KelpstageError):
                 return line
@@ -427,7 +427,7 @@
         line = pool.fresh()
         if line is not None:
             return line
-        if pool.count < call.line_limit:
+        if pool.count < call.connection_limit:
             pool.count += 1
         else:
             found = await self._wait(pool=pool, call=call, address=address, deadline_us=deadline_us)
--- a/kelpstage/testbed/platform_model/scenario.py
+++ b/kelpstage/testbed/platform_model/scenario.py
@@ -223,7 +223,7 @@
         due_us = self.world.now_us() + self.shape.bounds.apply_us
         late = {name: draft for name, draft in routes.items() if name not in self.routes_in_use}
         self.routes_in_use = {name: d for name, d in routes.items() if name not in late}
-        self.world.at(us=due_us, verb=lambda: self._adopt_late(late=late))
+        self.world.at(us=due_us, callback=lambda: self._adopt_late(late=late))
 
     def _adopt_late(self, *, late: dict[str, RouteDraft]) -> None:
         for name, draft in late.items():
--- a/kelpstage/testbed/simulation/world.py
+++ b/kelpstage/testbed/simulation/world.py
@@ -54,10 +54,10 @@
         await asyncio.sleep(max(0, us) / 1_000_000)
         await self._process.thawed()
 
-    def later(self, *, us: int, verb: Callable[[], None]) -> None:
+    def later(self, *, us: int, callback: Callable[[], None]) -> None:
         """Call back after so long."""
         self._process.world.loop.call_later(
-            max(0, us) / 1_000_000, lambda: self._process.deliver(verb)
+            max(0, us) / 1_000_000, lambda: self._process.deliver(callback)
         )
 
     async def within(self, awaitable: Awaitable, *, us: int) -> Any:
@@ -89,7 +89,7 @@
             disk=None,  # type: ignore[arg-type]
             rand=rand,
             spawn=self.spawn,
-            point=lambda point: world.at_failpoint(process=self, point=point),
+            failpoint=lambda failpoint: world.at_failpoint(process=self, failpoint=failpoint),
         )
         self.ports.disk = SimDisk(clock=self.ports.clock, platter=machine.platter, rand=rand)
 
@@ -105,14 +105,14 @@
         if not task.cancelled() and task.exception() is not None and self.is_alive:
             self.world.broken.append((self.name, task.exception()))
 
-    def deliver(self, verb: Callable[[], None]) -> None:
+    def deliver(self, callback: Callable[[], None]) -> None:
         """Something comes in from outside."""
         if not self.is_alive:
             return
         if self.is_frozen:
-            self._held.append(verb)
+            self._held.append(callback)
             return
-        verb()
+        callback()
 
     async def thawed(self) -> None:
         """Wait until the process is not frozen."""
@@ -129,8 +129,8 @@
         self.is_frozen = False
         self._thaw.set()
         held, self._held = self._held, []
-        for verb in held:
-            verb()
+        for callback in held:
+            callback()
 
     def kill(self, *, is_power: bool = False) -> None:
         """The process ends at once; its machine closes what it had open, unless it is
@@ -248,19 +248,21 @@
         here, there = self.process.machine, self.other.process.machine
         delay_us = world.delay_us(source=here, target=there)
         if self.other.is_gone:
-            world.at(us=world.now_us() + 2 * delay_us, verb=self._reset)
+            world.at(us=world.now_us() + 2 * delay_us, callback=self._reset)
             return
         transfer_us = world.transfer_us(source=here, target=there, size=len(item or b""))
         self._free_us = max(self._free_us + 1, world.now_us() + delay_us) + transfer_us
         other = self.other
-        world.at(us=self._free_us, verb=lambda: other.process.deliver(lambda: other._arrive(item)))
+        world.at(
+            us=self._free_us, callback=lambda: other.process.deliver(lambda: other._arrive(item))
+        )
 
     def _retransmit_after(self, *, span_us: int) -> None:
         world = self.process.world
         due_us = world.now_us() + span_us
         if self._lost_after_us:
             due_us = min(due_us, self._stalled_us + self._lost_after_us)
-        world.at(us=due_us, verb=lambda: self._retransmit(span_us=span_us))
+        world.at(us=due_us, callback=lambda: self._retransmit(span_us=span_us))
 
     def _retransmit(self, *, span_us: int) -> None:
         if not self._stalled or self.is_gone:
@@ -320,7 +322,7 @@
         source = self._address
         world.at(
             us=world.now_us() + world.delay_us(source=here, target=there),
-            verb=lambda: target.process.deliver(lambda: target.on_event(data, source)),
+            callback=lambda: target.process.deliver(lambda: target.on_event(data, source)),
         )
 
     def close(self) -> None:
@@ -462,9 +464,9 @@
         """Microseconds since the run began."""
         return self.loop.now_us()
 
-    def at(self, *, us: int, verb: Callable[[], None]) -> None:
+    def at(self, *, us: int, callback: Callable[[], None]) -> None:
         """Call back at this time."""
-        self.loop.call_at(us / 1_000_000, verb)
+        self.loop.call_at(us / 1_000_000, callback)
 
     def add_machine(self, *, name: str, zone: str) -> Machine:
         """Add a machine with a disk of its own."""
@@ -519,8 +521,8 @@
     def flush(self) -> None:
         """Send what waited for a way that is open again."""
         calls, self.waits = self.waits, []
-        for verb in calls:
-            verb()
+        for callback in calls:
+            callback()
 
     def note_silence(self, *, address: str) -> None:
         """Two calls to a machine without power that ran out tell it from a pause."""
@@ -578,7 +580,7 @@
                 )
             )
 
-        self.at(us=self.now_us() + self.delay_us(source=here, target=there), verb=arrive)
+        self.at(us=self.now_us() + self.delay_us(source=here, target=there), callback=arrive)
 
     async def _serve(
         self,
@@ -619,13 +621,13 @@
             caller.deliver(lambda: None if future.done() else future.set_result(outcome))
 
         delay_us = self.delay_us(source=there, target=caller.machine)
-        self.at(us=self.now_us() + delay_us, verb=arrive)
+        self.at(us=self.now_us() + delay_us, callback=arrive)
 
     # --- fault points --------------------------------------------------------------------
 
-    def at_failpoint(self, *, process: SimProcess, point: str) -> None:
+    def at_failpoint(self, *, process: SimProcess, failpoint: str) -> None:
         """A daemon passes a numbered point; a fault may be armed there."""
-        self.visits[point] = self.visits.get(point, 0) + 1
-        armed = self.armed.get(point)
+        self.visits[failpoint] = self.visits.get(failpoint, 0) + 1
+        armed = self.armed.get(failpoint)
         if armed is not None and process.is_alive and armed(process):
             raise asyncio.CancelledError()
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -31,7 +31,7 @@
 from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.forward.sealed_answer import PROMISES, SealedCodec
-from kelpstage.edge.gather.context import World
+from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.latency import LatencyEstimates
 from kelpstage.edge.gather.task import GatherTask
 from kelpstage.edge.gossip.swim import Swim
@@ -165,19 +165,19 @@
             rand=random.Random(7),
             spawn=self._spawn,
         )
-        self.world = self._world()
+        self.context = self._context()
         self.names = HeaderNames()
         self.gather = GatherTask(
             ports=self.ports,
-            lines=None,
-            world=self.world,
+            transport=None,
+            context=self.context,
             on_want_state=lambda want: None,
-            on_backend_news=lambda name: None,
+            on_backend_changed=lambda name: None,
             sealed=SealedCodec(names=self.names),
         )
         self.edge = SimpleNamespace(
             ports=self.ports,
-            lease_holder=self.world.lease_holder,
+            lease_holder=self.context.lease_holder,
             names=self.names,
             gather=self.gather,
             counts=Counter(),
@@ -202,7 +202,7 @@
     async def _on_call(self, call: HttpCall) -> HttpReply:
         return await serve_forwarded(edge=self.edge, call=call)
 
-    def _world(self) -> World:
+    def _context(self) -> GatherContext:
         data = document(
             is_repeatable=self.is_repeatable, attempts=self.attempts, deadline_us=self.deadline_us
         )
@@ -218,7 +218,7 @@
         lease_holder.take_lease(reply=granted, sent_us=now_us)
         registry = BackendRegistry(me="e")
         registry.declare(configuration=configuration, listed={})
-        return World(
+        return GatherContext(
             me="e",
             zone="z",
             own="",
@@ -268,10 +268,10 @@
             Instance(instance_id=b.name, service=SERVICE, address=b.address, zone="z", slots=8)
             for b in self.backends
         ]
-        self.world.registry.set_instances(instances, now_us)
-        self.world.registry.set_live_edges(count=1, now_us=now_us)
+        self.context.registry.set_instances(instances, now_us)
+        self.context.registry.set_live_edges(count=1, now_us=now_us)
         for number, backend in enumerate(self.backends):  # the first is asked first
-            entry = self.world.registry.entry(name=backend.name)
+            entry = self.context.registry.entry(name=backend.name)
             entry.distance_us = number * 10_000_000
 
     async def ask(self, name: str, *, deadline_ms: int = 0, raw: Raw | None = None) -> tuple:
@@ -543,7 +543,7 @@
             if name == "edge.before_backend_send":
                 leap_us[0] = DEADLINE_US
 
-        self.ports.point = freeze
+        self.ports.failpoint = freeze
         status, headers, _ = await self.ask("r")
         self.assertEqual((503, True, []), (status, "retry-after" in headers, backend.arrivals))
 
@@ -570,7 +570,7 @@
         self.assertEqual(100, (await raw.reply())[0])
         raw.send(b"h")
         raw.close()
-        await until(lambda: not self.server.open_lines())
+        await until(lambda: not self.server.open_connections())
         self.assertEqual([], backend.arrivals)
 
     async def test_time_spent_behind_others_counts(self) -> None:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,6 +1,6 @@
 """`Tries` bounds the backends that one request's shard is sent to, over all nodes.
 
-Gathering tasks of a root and its helpers on virtual time; backends fail, are slow or stay
+RequestState tasks of a root and its helpers on virtual time; backends fail, are slow or stay
 silent, messages between nodes are lost on either way or come late, helpers die, and the
 configuration moves on. Counted is what is sent for each request and shard.
 """
@@ -32,10 +32,10 @@
 from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.forward.request import ClientRequest
 from kelpstage.edge.forward.sealed_answer import SealedCodec
-from kelpstage.edge.gather.context import World
+from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.latency import LatencyEstimates
-from kelpstage.edge.gather.messages import ConfigurationMoved, Verdict
-from kelpstage.edge.gather.request_state import ROOT, Gathering
+from kelpstage.edge.gather.messages import ConfigurationMoved, GatherResult
+from kelpstage.edge.gather.request_state import ROOT, RequestState
 from kelpstage.edge.gather.task import GatherTask
 from kelpstage.edge.gossip.members import ALIVE, Member
 from kelpstage.edge.gossip.swim import Swim
@@ -78,7 +78,7 @@
         self.is_cut = False  # what is sent to it arrives; nothing comes back
         clock = SimpleNamespace(
             now_us=fleet.loop.now_us,
-            later=lambda *, us, verb: fleet.loop.call_later(max(0, us) / 1e6, verb),
+            later=lambda *, us, callback: fleet.loop.call_later(max(0, us) / 1e6, callback),
         )
         self.ports = Ports(
             clock=clock,
@@ -88,7 +88,7 @@
             spawn=fleet.spawn,
         )
         self.lease_holder = LeaseHolder(me=name)
-        self.world = World(
+        self.context = GatherContext(
             me=name,
             zone="z",
             own="",
@@ -107,10 +107,10 @@
         )
         self.gather = GatherTask(
             ports=self.ports,
-            lines=SimpleNamespace(call=self.call),
-            world=self.world,
+            transport=SimpleNamespace(call=self.call),
+            context=self.context,
             on_want_state=lambda want: None,
-            on_backend_news=lambda name: None,
+            on_backend_changed=lambda name: None,
             sealed=SealedCodec(names=HeaderNames()),
         )
 
@@ -125,9 +125,9 @@
         )
         granted = LeaseReply(is_granted=True, cluster="c", epoch=version, span_us=SPAN_US)
         self.lease_holder.take_lease(reply=granted, sent_us=now_us)
-        self.world.registry.declare(configuration=configuration, listed={})
-        self.world.registry.set_instances(self.fleet.instances, now_us)
-        self.world.registry.set_live_edges(count=1, now_us=now_us)
+        self.context.registry.declare(configuration=configuration, listed={})
+        self.context.registry.set_instances(self.fleet.instances, now_us)
+        self.context.registry.set_live_edges(count=1, now_us=now_us)
         self.gather.inbox.put_nowait(ConfigurationMoved())
 
     def meet(self, *, others: list["Node"]) -> None:
@@ -136,7 +136,7 @@
             info = MemberMsg(
                 name=other.name, address=other.name, zone="z", status=ALIVE, is_ready=True
             )
-            self.world.swim.members[other.name] = Member(info=info, since_us=0)
+            self.context.swim.members[other.name] = Member(info=info, since_us=0)
 
     async def fetch(self, *, call: HttpCall) -> Any:
         address, _, _ = call.url.removeprefix("http://").partition("/")
@@ -144,7 +144,7 @@
         self.fleet.sends[(name, address.partition(":")[0])] += 1
         return await self.fleet.backend_says(call=call, name=name)
 
-    async def call(self, *, address: str, message: Gather, wait_us: int, lane: int) -> Any:
+    async def call(self, *, address: str, message: Gather, wait_us: int, channel: int) -> Any:
         """A message to a helper; either way may lose it, and the helper may die."""
         fleet, rand = self.fleet, self.fleet.rand
         other = fleet.nodes.get(address)
@@ -237,7 +237,7 @@
         """One client's request at the root; its outcome."""
         now_us = self.loop.now_us()
         headers = (("Host", "h"), ("Kelp-Request-Id", name))
-        record = Gathering(
+        record = RequestState(
             key=self.root.gather.next_key(),
             kind=ROOT,
             collection="r",
@@ -254,7 +254,7 @@
     seed: int,
     attempts: int,
     trouble: float,
-    story: Any = None,
+    scenario: Any = None,
     quorum: float = 1.0,
     is_repeatable: bool = True,
     requests: int = 12,
@@ -280,8 +280,8 @@
         for node in fleet.nodes.values():
             node.install(data=data[0], version=1)
         await asyncio.sleep(0)
-        if story is not None:
-            fleet.spawn(story(fleet, data))
+        if scenario is not None:
+            fleet.spawn(scenario(fleet, data))
 
         async def one(number: int) -> None:
             await asyncio.sleep(number * 0.05)
@@ -341,7 +341,7 @@
             fleet, outcomes = run(seed=seed, attempts=attempts, **fields)
             most = max(fleet.sends.values())
             self.assertLessEqual(most, attempts, f"seed {seed}: {fleet.sends.most_common(3)}")
-            good += sum(isinstance(one, Verdict) for one in outcomes)
+            good += sum(isinstance(one, GatherResult) for one in outcomes)
         return good
 
     def test_never_more_than_tries_over_all_nodes(self) -> None:
@@ -351,20 +351,22 @@
                     self.check(attempts=attempts, trouble=trouble, seeds=range(12))
 
     def test_nor_when_the_configuration_moves_on(self) -> None:
-        self.check(attempts=2, trouble=0.3, story=moves_on, seeds=range(12))
+        self.check(attempts=2, trouble=0.3, scenario=moves_on, seeds=range(12))
 
     def test_nor_when_helpers_die(self) -> None:
-        self.check(attempts=2, trouble=0.2, story=helpers_die, seeds=range(12))
+        self.check(attempts=2, trouble=0.2, scenario=helpers_die, seeds=range(12))
 
     def test_nor_when_helpers_are_cut(self) -> None:
-        self.check(attempts=2, trouble=0.2, loss=0.0, story=a_helper_is_cut, seeds=range(12))
+        self.check(attempts=2, trouble=0.2, loss=0.0, scenario=a_helper_is_cut, seeds=range(12))
 
     def test_nor_with_a_part_for_a_quorum(self) -> None:
         self.check(attempts=2, trouble=0.3, quorum=0.5, seeds=range(12))
 
     def test_where_once_is_the_most_each_shard_is_sent_once(self) -> None:
         for seed in range(12):
-            fleet, _ = run(seed=seed, attempts=3, trouble=0.3, is_repeatable=False, story=moves_on)
+            fleet, _ = run(
+                seed=seed, attempts=3, trouble=0.3, is_repeatable=False, scenario=moves_on
+            )
             self.assertEqual(1, max(fleet.sends.values()), f"seed {seed}")
 
     def test_without_trouble_all_have_success(self) -> None:
@@ -378,12 +380,12 @@
         loop = VirtualLoop()
         asyncio.set_event_loop(loop)
         try:
-            loop.run_until_complete(self.story(loop=loop))
+            loop.run_until_complete(self.scenario(loop=loop))
         finally:
             asyncio.set_event_loop(None)
             loop.close()
 
-    async def story(self, *, loop: VirtualLoop) -> None:
+    async def scenario(self, *, loop: VirtualLoop) -> None:
         fleet = Fleet(seed=1, loop=loop, trouble=0.0, loss=0.0, helpers=2)
         helper = fleet.nodes["n1"]
         for node in fleet.nodes.values():
@@ -401,7 +403,7 @@
                 answer = await handle(message, helper, "")
             self.assertIsInstance(answer, Gathered)
         self.assertEqual(0, len(helper.gather.table))
-        self.assertIsInstance(await fleet.ask(name="after"), Verdict)
+        self.assertIsInstance(await fleet.ask(name="after"), GatherResult)
         for task in fleet.tasks:
             task.cancel()
         for node in fleet.nodes.values():
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -15,14 +15,14 @@
 from kelpstage.common.configuration.types import EMPTY
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import (
     BackendStateMsg,
     EndpointUpdate,
     FetchEndpoints,
     MemberMsg,
 )
-from kelpstage.common.transport.server import LineServer
+from kelpstage.common.transport.server import TransportServer
 from kelpstage.edge.app import Edge
 from kelpstage.edge.backend import outlier_detection
 from kelpstage.edge.backend.backend_state import BackendState
@@ -133,8 +133,8 @@
         )
         ports, counts = self.process.ports, Counter()
         self.counts = counts
-        self.lines = Lines(ports=ports, counts=counts)
-        self.registry = BackendRegistry(me=self.name, places=ZoneDistances(zone=self.zone))
+        self.transport = Transport(ports=ports, counts=counts)
+        self.registry = BackendRegistry(me=self.name, zone_distances=ZoneDistances(zone=self.zone))
         self.swim = Swim(
             me=MemberMsg(
                 name=self.name,
@@ -163,7 +163,7 @@
         self.heard: list[int] = []
         self.discovery = DiscoveryTask(
             ports=ports,
-            lines=self.lines,
+            transport=self.transport,
             swim=self.swim,
             registry=self.registry,
             adapter=adapter,
@@ -171,14 +171,14 @@
             counts=counts,
             calls_per_s=52.0,
         )
-        await LineServer(
+        await TransportServer(
             ports=ports, address=self.own, on_message=self._on_message, counts=counts
         ).open()
 
     async def _on_message(self, message: Any, source: str) -> Any:
         if isinstance(message, EndpointUpdate):
             self.heard.append(self.world.now_us())
-            self.discovery.take(news=message)
+            self.discovery.take(update=message)
         if isinstance(message, FetchEndpoints):
             return self.discovery.answer(ask=message)
         return None
@@ -190,16 +190,16 @@
     zones = ("a1", "b1", "c1")
     count = 9
 
-    def run_story(self, story: Callable[[], Awaitable], seed: int = 1) -> None:
+    def run_story(self, scenario: Callable[[], Awaitable], seed: int = 1) -> None:
         loop = VirtualLoop()
         asyncio.set_event_loop(loop)
         try:
-            loop.run_until_complete(self._with_fleet(loop=loop, story=story, seed=seed))
+            loop.run_until_complete(self._with_fleet(loop=loop, scenario=scenario, seed=seed))
         finally:
             asyncio.set_event_loop(None)
             loop.close()
 
-    async def _with_fleet(self, *, loop: Any, story: Callable, seed: int) -> None:
+    async def _with_fleet(self, *, loop: Any, scenario: Callable, seed: int) -> None:
         self.world = World(seed=seed, loop=loop, far_us=(8_000, 9_000))
         outside = self.world.add_machine(name="outside", zone="out")
         self.world.homes[LIST] = outside
@@ -217,7 +217,7 @@
         for node in self.nodes:
             await self.start(node)
         try:
-            await story()
+            await scenario()
             self.assertEqual([], self.world.broken)
         finally:
             for one in [process, *(node.process for node in self.nodes)]:
@@ -226,7 +226,7 @@
 
     async def start(self, node: Node) -> None:
         seeds = [one for one in self.nodes[:4] if one is not node]
-        await node.start(seeds=seeds, adapter=OwnListSource(url=f"http://{LIST}/lives"))
+        await node.start(seeds=seeds, adapter=HttpEndpointSource(url=f"http://{LIST}/lives"))
 
     async def wait(self, us: int) -> None:
         await asyncio.sleep(us / SECOND)
@@ -247,12 +247,12 @@
         return self.world.now_us() - started_us
 
     def all_know(self, names: set[str]) -> bool:
-        return all(set(node.discovery.roll.instances) == names for node in self.alive())
+        return all(set(node.discovery.endpoints.instances) == names for node in self.alive())
 
 
 class ReaderTest(ListStory):
     def test_one_reads_and_all_know(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(8 * SECOND)
             self.assertEqual(1, len(self.readers()))
             self.list.calls.clear()
@@ -262,21 +262,21 @@
             self.assertTrue(self.all_know({f"i{n}" for n in range(10)}))
             for node in self.nodes:
                 self.assertEqual(("i2", "i3"), node.registry.instances_of("s1"))
-                self.assertLess(self.world.now_us() - node.discovery.roll.fresh_us, 1_300_000)
+                self.assertLess(self.world.now_us() - node.discovery.endpoints.fresh_us, 1_300_000)
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_start_keeps_to_the_rate(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(8 * SECOND)
             calls = [at for at, _ in self.list.calls]
             busiest = max(sum(at <= one < at + SECOND for one in calls) for at in calls)
             self.assertLessEqual(busiest, 40)
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_another_reads_on_when_the_reader_is_killed(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(8 * SECOND)
             reader = self.readers()[0]
             reader.process.kill()
@@ -293,10 +293,10 @@
 
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
-                self.run_story(story, seed=seed)
+                self.run_story(scenario, seed=seed)
 
     def test_drain_is_known_in_time_with_the_reader_killed_at_any_moment(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(8 * SECOND)
             for turn in range(6):
                 victim = self.readers()[0]
@@ -317,10 +317,10 @@
                 await self.start(victim)
                 await self.wait(6 * SECOND)
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_leaving_reader_hands_over_at_once(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(8 * SECOND)
             reader = self.readers()[0]
             reader.discovery.leave()
@@ -334,10 +334,10 @@
             await self.wait_for(lambda: reader.registry.entries["i6"].is_draining, 1_500_000)
             self.assertNotIn(reader.name, {name for _, name in self.list.readings})
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_a_reader_that_the_list_turns_away_is_followed_by_another(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(8 * SECOND)
             reader = self.readers()[0]
             self.world.cut(a=reader.machine.name, b="outside")
@@ -347,10 +347,10 @@
             self.assertEqual(1, len(self.readers()))
             self.assertIsNot(reader, self.readers()[0])
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_both_sides_of_a_cut_read_and_one_goes_on_after_it(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(8 * SECOND)
             here = [node for node in self.nodes if node.zone == "a1"]
             there = [node for node in self.nodes if node.zone != "a1"]
@@ -366,10 +366,10 @@
             await self.wait(8 * SECOND)
             self.assertEqual(1, len(self.readers()))
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_two_that_read_at_the_same_moment_settle_it(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(8 * SECOND)
             now_us = self.world.now_us()
             for node in self.nodes:
@@ -380,39 +380,39 @@
 
         for seed in (1, 2, 3, 4):
             with self.subTest(seed=seed):
-                self.run_story(story, seed=seed)
+                self.run_story(scenario, seed=seed)
 
     def test_lost_news_are_asked_for(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(8 * SECOND)
             node = next(node for node in self.nodes if not node.discovery.is_reader)
-            roll = node.discovery.roll
-            roll._change(changed=[instance("ghost")], gone=["i1"], now_us=self.world.now_us())
+            endpoints = node.discovery.endpoints
+            endpoints._change(changed=[instance("ghost")], gone=["i1"], now_us=self.world.now_us())
             await self.wait_for(lambda: self.all_know({f"i{n}" for n in range(10)}), 2 * SECOND)
             self.assertEqual(1, node.counts["list_gaps"])
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_a_restarted_node_asks_a_peer_and_not_the_list(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(8 * SECOND)
             node = next(node for node in self.nodes if not node.discovery.is_reader)
             node.process.kill()
             await self.wait(500_000)
             self.list.calls.clear()
             await self.start(node)
-            await self.wait_for(lambda: len(node.discovery.roll.instances) == 10, 500_000)
+            await self.wait_for(lambda: len(node.discovery.endpoints.instances) == 10, 500_000)
             await self.wait(5 * SECOND)
             self.assertNotIn(node.name, {name for _, name in self.list.calls})
 
-        self.run_story(story)
+        self.run_story(scenario)
 
 
 class BadListTest(ListStory):
     count = 3
 
     def test_a_bad_list_changes_nothing(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(8 * SECOND)
             known = {f"i{n}" for n in range(10)}
             for trouble in ("429", "500", "loop", "endless", "empty", "no list", "twice", "cut"):
@@ -430,16 +430,16 @@
                     self.list.trouble = ""
                     await self.wait_for(
                         lambda: all(
-                            self.world.now_us() - node.discovery.roll.fresh_us < SECOND
+                            self.world.now_us() - node.discovery.endpoints.fresh_us < SECOND
                             for node in self.nodes
                         ),
                         14 * SECOND,
                     )
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_one_bad_entry_is_passed_over(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(8 * SECOND)
             self.list.trouble = "one bad"
             self.list.add(one=instance("new"))
@@ -447,7 +447,7 @@
                 lambda: self.all_know({f"i{n}" for n in range(10)} | {"new"}), 3 * SECOND
             )
 
-        self.run_story(story)
+        self.run_story(scenario)
 
 
 class LargeFleetTest(ListStory):
@@ -457,19 +457,19 @@
     count = 60
 
     def test_all_are_told_through_relays(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(15 * SECOND)
             self.assertEqual(1, len(self.readers()))
             reader = self.readers()[0]
             sent: list[str] = []
-            lines_send = reader.lines.send
+            lines_send = reader.transport.send
 
             def send(*, address: str, message: Any, **rest: Any) -> None:
                 if isinstance(message, EndpointUpdate):
                     sent.append(address)
                 lines_send(address=address, message=message, **rest)
 
-            reader.lines.send = send
+            reader.transport.send = send
             self.list.calls.clear()
             self.list.drop("i0")
             took_us = await self.wait_for(
@@ -492,27 +492,31 @@
             )
             self.assertLess(sum(node.counts["list_asks"] for node in self.nodes) - asks, 30)
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_a_drain_seen_in_a_reply_is_known_to_all_in_a_second(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await self.wait(15 * SECOND)
             node = self.nodes[7]
             node.registry.observe(
-                name="i3", state=DRAINING, why="sign in a reply", now_us=self.world.now_us()
+                name="i3",
+                state=BackendState.DRAINING,
+                why="sign in a reply",
+                now_us=self.world.now_us(),
             )
             node.gossip.spread()
             await self.wait_for(
                 lambda: all(n.registry.entries["i3"].is_draining for n in self.alive()), SECOND
             )
 
-        self.run_story(story)
+        self.run_story(scenario)
 
 
 class BackendRegistryTest(unittest.TestCase):
     def registry(self, *instances: Instance, now_us: int = 0) -> BackendRegistry:
         registry = BackendRegistry(
-            me="n1", places=ZoneDistances(zone="a1", zones={"a1": "a", "a2": "a", "b1": "b"})
+            me="n1",
+            zone_distances=ZoneDistances(zone="a1", zones={"a1": "a", "a2": "a", "b1": "b"}),
         )
         registry.set_instances(instances, now_us)
         return registry
@@ -537,16 +541,21 @@
         registry = self.registry(instance("i1"), instance("i2", is_draining=True), instance("i3"))
         self.assertTrue(self.choose(registry, 1)[-1].refusal.startswith("draining"))
         self.assertTrue(
-            registry.observe(name="i1", state=DRAINING, why="sign in a reply", now_us=2)
+            registry.observe(
+                name="i1", state=BackendState.DRAINING, why="sign in a reply", now_us=2
+            )
         )
         self.assertEqual(
-            [(DRAINING, 1)], [(r.state, r.turn) for r in registry.backend_states(now_us=3)]
+            [(BackendState.DRAINING, 1)],
+            [(r.state, r.turn) for r in registry.backend_states(now_us=3)],
         )
         for n in range(3, 9):
             registry.set_instances([instance("i1"), instance("i2"), instance("i3")], n)
-            registry.observe(name="i1", state=UP, why="probe", now_us=n, asked_us=n)
+            registry.observe(name="i1", state=BackendState.UP, why="probe", now_us=n, asked_us=n)
             registry.on_backend_state_received(
-                backend_state=BackendStateMsg(backend="i2", state=UP, turn=99, seen_by="n2"),
+                backend_state=BackendStateMsg(
+                    backend="i2", state=BackendState.UP, turn=99, seen_by="n2"
+                ),
                 now_us=n,
             )
             self.assertEqual("i3", self.best(registry, n))
@@ -559,7 +568,7 @@
     def test_a_rumor_of_a_drain_is_taken(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"))
         backend_state = BackendStateMsg(
-            backend="i1", state=DRAINING, turn=1, seen_by="n2", why="sign"
+            backend="i1", state=BackendState.DRAINING, turn=1, seen_by="n2", why="sign"
         )
         self.assertTrue(registry.on_backend_state_received(backend_state=backend_state, now_us=1))
         self.assertFalse(registry.on_backend_state_received(backend_state=backend_state, now_us=2))
@@ -584,7 +593,7 @@
         registry.set_instances([instance("i3")], 70 * SECOND)
         self.assertEqual({"i2", "i3"}, set(registry.entries))
         registry.note_answer(name="i1", took_us=9, now_us=70 * SECOND)
-        registry.note_full(name="i1", now_us=70 * SECOND)
+        registry.note_overloaded(name="i1", now_us=70 * SECOND)
         self.assertFalse(
             registry.note_failure(name="i1", why=outlier_detection.RESET, now_us=70 * SECOND)
         )
@@ -605,7 +614,7 @@
         now_us, spans = 0, []
         for _ in range(7):
             registry.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=now_us)
-            until_us = registry.entries["i1"].seen.shunned_until_us
+            until_us = registry.entries["i1"].seen.ejected_until_us
             spans.append(until_us - now_us)
             now_us = until_us
             self.assertEqual(
@@ -626,9 +635,9 @@
         self.assertEqual("i2", self.best(registry, 2_000))
         self.assertTrue(all(not o.refusal for o in self.choose(registry, 2_000)))
         self.assertEqual("i1", self.best(registry, 102_000))
-        self.assertFalse(registry.strike(name="i1", now_us=103_000))
+        self.assertFalse(registry.note_no_answer(name="i1", now_us=103_000))
         self.assertTrue(all(not o.refusal for o in self.choose(registry, 104_000)))
-        self.assertTrue(registry.strike(name="i1", now_us=105_000))
+        self.assertTrue(registry.note_no_answer(name="i1", now_us=105_000))
 
     def test_a_instance_that_was_slow_is_tried_again(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"), instance("i3"))
@@ -655,9 +664,9 @@
                     name="i1", why=outlier_detection.SILENT, now_us=SECOND, waited_us=90_000
                 )
             )
-        self.assertEqual(0, seen.in_a_row)
+        self.assertEqual(0, seen.failures_in_a_row)
         registry.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=SECOND + 50_000)
-        self.assertEqual((1, 0), (seen.in_a_row, seen.shunned_until_us))
+        self.assertEqual((1, 0), (seen.failures_in_a_row, seen.ejected_until_us))
         self.assertEqual("i2", self.best(registry, SECOND + 60_000))
         self.assertTrue(
             registry.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=2 * SECOND)
@@ -671,7 +680,7 @@
     def test_full_is_loaded_and_not_ill(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"))
         for n in range(20):
-            registry.note_full(name="i1", now_us=n)
+            registry.note_overloaded(name="i1", now_us=n)
         self.assertEqual("i2", self.best(registry, 50_000))
         self.assertEqual("i1", self.best(registry, 200_000))
 
@@ -679,7 +688,10 @@
         registry = self.registry(instance("i1"), instance("i2"))
         for voice in ("n2", "n3"):
             registry.on_backend_state_received(
-                backend_state=BackendStateMsg(backend="i1", state=DARK, seen_by=voice), now_us=1_000
+                backend_state=BackendStateMsg(
+                    backend="i1", state=BackendState.UNREACHABLE, seen_by=voice
+                ),
+                now_us=1_000,
             )
         self.assertEqual("i2", self.best(registry, 2_000))
         registry.note_answer(name="i1", took_us=9_000, now_us=3_000)
@@ -687,9 +699,12 @@
 
     def test_a_refused_connection_is_told_for_a_while(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"))
-        self.assertTrue(registry.observe(name="i1", state=GONE, why="refused", now_us=5))
+        self.assertTrue(
+            registry.observe(name="i1", state=BackendState.GONE, why="refused", now_us=5)
+        )
         self.assertEqual(
-            [(DARK, "i1")], [(r.state, r.backend) for r in registry.backend_states(now_us=6)]
+            [(BackendState.UNREACHABLE, "i1")],
+            [(r.state, r.backend) for r in registry.backend_states(now_us=6)],
         )
         self.assertEqual([], registry.backend_states(now_us=3 * SECOND))
 
@@ -725,7 +740,7 @@
         registry = self.registry(instance("i1"), instance("i2"))
         registry.set_live_edges(count=12, now_us=0)
         registry.declare(configuration=Configuration(), listed={})  # type: ignore[arg-type]
-        self.assertEqual(2, registry.entries["i1"].line_limit)
+        self.assertEqual(2, registry.entries["i1"].connection_limit)
         registry.entries["i1"].in_flight = 2
         refusals = {o.backend: o.refusal for o in self.choose(registry, 1)}
         self.assertEqual({"i1": "no free line", "i2": ""}, refusals)
@@ -733,15 +748,15 @@
 
 class ReadyTest(unittest.TestCase):
     def test_an_edge_is_not_ready_before_it_knows_the_list(self) -> None:
-        roll = EndpointList(me="n", own="n:1")
+        endpoints = EndpointList(me="n", own="n:1")
         edge = SimpleNamespace(
             is_leaving=False,
             lease_holder=SimpleNamespace(refusal=lambda now_us: ""),
             ports=SimpleNamespace(clock=SimpleNamespace(now_us=lambda: 5)),
-            discovery=SimpleNamespace(roll=roll),
+            discovery=SimpleNamespace(endpoints=endpoints),
         )
         self.assertEqual("the list of backends is not known yet", Edge.refusal(edge))
-        roll.take_reading(instances=[instance("i1")], read_us=1, now_us=2)
+        endpoints.apply_listing(instances=[instance("i1")], read_us=1, now_us=2)
         self.assertEqual("", Edge.refusal(edge))
         edge.discovery = None  # a deployment without a list
         self.assertEqual("", Edge.refusal(edge))
@@ -754,7 +769,7 @@
 
     async def start(self, node: Node) -> None:
         await super().start(node)
-        node.probes = SuspectTask(
+        node.probes = EjectedCheckTask(
             ports=node.process.ports,
             registry=node.registry,
             me=node.name,
@@ -775,7 +790,7 @@
             taken.append(call.url)
             return said
 
-        async def story() -> None:
+        async def scenario() -> None:
             nonlocal said
             machine = self.world.add_machine(name="backend", zone="b1")
             address = self.list.row("i1")["address"]
@@ -787,7 +802,7 @@
             for node in self.nodes:
                 for _ in range(5):  # eight seconds
                     now_us = self.world.now_us()
-                    node.registry.entries["i1"].seen.shunned_until_us = 0
+                    node.registry.entries["i1"].seen.ejected_until_us = 0
                     node.registry.note_failure(
                         name="i1", why=outlier_detection.REFUSED, now_us=now_us
                     )
@@ -805,10 +820,10 @@
             self.assertLessEqual(len(taken), 4)
             process.kill()
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def shuns(self, node: Node) -> bool:
-        return node.registry.entries["i1"].seen.is_shunned(now_us=self.world.now_us())
+        return node.registry.entries["i1"].seen.is_ejected(now_us=self.world.now_us())
 
 
 class ChoiceSpreadTest(unittest.TestCase):
@@ -821,7 +836,7 @@
         homes = ("a1", "b1", "c1")
         registries = []
         for n in range(12):
-            registry = BackendRegistry(me=f"n{n}", places=ZoneDistances(zone=homes[n % 3]))
+            registry = BackendRegistry(me=f"n{n}", zone_distances=ZoneDistances(zone=homes[n % 3]))
             registry.set_instances(instances, 0)
             registries.append(registry)
         seen: Counter = Counter()
--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -265,8 +265,8 @@
         }
 
 
-def play_site(story: Any) -> None:
-    play(story, seed=3, count=3, tolerance=1, make=Site)
+def play_site(scenario: Any) -> None:
+    play(scenario, seed=3, count=3, tolerance=1, make=Site)
 
 
 class Refused(unittest.TestCase):
@@ -277,7 +277,7 @@
         self.assertIn(path, reply.body.decode(), what)
 
     def test_each_is_refused_with_its_path_at_any_member_and_changes_nothing(self) -> None:
-        async def story(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             await site.start(is_first=True)
             await site.until_taken(order(revision=5), base="0")
             await site.sleep(500_000)
@@ -295,10 +295,10 @@
             self.assertEqual(before, site.states())
             await site.until_taken(order(), base="5")
 
-        play_site(story)
+        play_site(scenario)
 
     def test_each_is_refused_where_no_leader_is_known(self) -> None:
-        async def story(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             await site.start(is_first=True)
             await site.until_taken(order(revision=5), base="0")
             left = next(name for name in site.names if name != site.leader())
@@ -316,10 +316,10 @@
             self.assertEqual(503, good.status, "it may be good: no clear answer")
             self.assertEqual(before, site.states())
 
-        play_site(story)
+        play_site(scenario)
 
     def test_each_is_refused_where_the_leader_is_silent(self) -> None:
-        async def story(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             await site.start(is_first=True)
             await site.until_taken(order(revision=5), base="0")
             leader = site.leader()
@@ -337,7 +337,7 @@
                 leader = await self.settled_leader(site)
                 other = next(name for name in site.names if name != leader)
 
-        play_site(story)
+        play_site(scenario)
 
     async def settled_leader(self, site: Site) -> str:
         def is_agreed() -> bool:
@@ -351,7 +351,7 @@
         """old_version, same_version, stale_match: at each member, with and without a base
         that is current."""
 
-        async def story(site: Site) -> None:
+        async def scenario(site: Site) -> None:
             await site.start(is_first=True)
             await site.until_taken(order(revision=3), base="0")
             await site.until_taken(order(revision=5), base="3")
@@ -380,7 +380,7 @@
                     self.assertEqual(200, reply.status, "taken, superseded, sent again")
             self.assertEqual(7, self.in_force(site)[0])
 
-        play_site(story)
+        play_site(scenario)
 
     @staticmethod
     def in_force(site: Site) -> tuple[int, bytes]:
--- a/tests/test_bench_days.py
+++ b/tests/test_bench_days.py
@@ -7,7 +7,7 @@
 import unittest
 from typing import Any
 
-from kelpstage.testbed.bench_scenarios import day_files, read_verdict
+from kelpstage.testbed.bench_scenarios import read_result, scenario_files
 
 TWICE = {
     "clock_step",
@@ -47,7 +47,7 @@
 
 def load_days() -> dict[str, dict[str, Any]]:
     days = {}
-    for path in day_files(names=[]):
+    for path in scenario_files(names=[]):
         with path.open("rb") as file:
             (day,) = tomllib.load(file)["day"]
         days[path.stem] = day
@@ -85,7 +85,7 @@
 class Verdicts(unittest.TestCase):
     def test_a_day_that_was_given_up_is_not_kept(self) -> None:
         for output in ("", "given up: too slow\n", "built in 1 s\nerror: no such day\n"):
-            verdict = read_verdict(site="s", day="wipes", output=output)
+            verdict = read_result(site="s", day="wipes", output=output)
             self.assertFalse(verdict.is_kept)
             self.assertTrue(verdict.faults)
 
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -118,19 +118,19 @@
         for turn in range(400):
             text = bytes(rand.choice(b"abc") for _ in range(rand.choice([0, 5, 40, 3_000])))
             base = text * rand.choice([1, 1, 9])
-            whole = edited(document=base, rand=rand)
-            delta = pack_delta(base=base, whole=whole)
-            self.assertEqual(whole, apply_delta(base=base, delta=delta), turn)
+            target = edited(document=base, rand=rand)
+            delta = pack_delta(base=base, target=target)
+            self.assertEqual(target, apply_delta(base=base, delta=delta), turn)
 
     def test_damage_gives_nothing_or_the_whole(self) -> None:
         rand = random.Random(2)
         base = rand.randbytes(2_000)
-        whole = edited(document=base, rand=rand) + b"end"
-        delta = pack_delta(base=base, whole=whole)
+        target = edited(document=base, rand=rand) + b"end"
+        delta = pack_delta(base=base, target=target)
         for place in range(len(delta)):
             wrong = bytearray(delta)
             wrong[place] ^= 1 << rand.randrange(8)
-            self.assertIn(apply_delta(base=base, delta=bytes(wrong)), (None, whole), place)
+            self.assertIn(apply_delta(base=base, delta=bytes(wrong)), (None, target), place)
             self.assertIsNone(apply_delta(base=base, delta=delta[:place]), place)
 
     def test_a_difference_that_would_be_endless_is_refused(self) -> None:
@@ -144,7 +144,7 @@
         state at any moment; puts on other versions and repeats come between."""
         for seed in range(12):
             rand = random.Random(seed)
-            whole, small = Machine(cluster="c"), Machine(cluster="c")
+            target, small = Machine(cluster="c"), Machine(cluster="c")
             puts: list[PutConfiguration] = []
             saved = 0
             for serial in range(60):
@@ -161,11 +161,11 @@
                 command = put_command(put=put, state=state)
                 saved += len(put.document) - len(bytes(command))
                 self.assertEqual(
-                    whole.apply(data=bytes(Command(put=put))), small.apply(data=bytes(command))
+                    target.apply(data=bytes(Command(put=put))), small.apply(data=bytes(command))
                 )
                 if rand.random() < 0.2:
                     small = Machine(cluster="c", state=CoreState().parse(bytes(small.state)))
-                self.assertEqual(bytes(whole.state), bytes(small.state), (seed, serial))
+                self.assertEqual(bytes(target.state), bytes(small.state), (seed, serial))
             self.assertGreater(saved, 0)
 
     def test_a_difference_from_another_document_leaves_no_trace(self) -> None:
@@ -221,7 +221,7 @@
         log is cut short every few changes."""
         spans = []
 
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             away = next(name for name in cores.names if name != cores.leader())
@@ -241,13 +241,13 @@
             spans.append(cores.world.now_us() - began_us)
 
         for seed in (1, 2):
-            play(story, seed=seed, count=3, tolerance=1)
+            play(scenario, seed=seed, count=3, tolerance=1)
         self.assertLess(max(spans), 30 * SECOND, spans)
 
     def test_it_ends_though_snapshots_replace_each_other_during_it(self) -> None:
         """A transfer of several seconds between far regions, a new snapshot more often."""
 
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             away = next(name for name in cores.names if name != cores.leader())
@@ -267,10 +267,10 @@
             self.assertTrue(is_caught_up(cores, away), "never caught up")
             self.assertLess(cores.world.now_us() - began_us, 30 * SECOND)
 
-        play(story, seed=1, count=3, tolerance=1)
+        play(scenario, seed=1, count=3, tolerance=1)
 
     def test_what_is_offered_is_served_while_the_next_is_being_written(self) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             await change_steadily(cores, until=lambda: False, limit=3)
@@ -290,10 +290,10 @@
             await cores.wait_for(lambda: task.raft.log.base_index > offered)
             self.assertEqual(task.raft.log.base_index, task.snapshots.mark)
 
-        play(story, seed=1, count=3, tolerance=1)
+        play(scenario, seed=1, count=3, tolerance=1)
 
     def test_a_transfer_that_is_interrupted_goes_on_where_it_was(self) -> None:
-        """Lines between the two are cut for a while in the middle of it."""
+        """Transport between the two are cut for a while in the middle of it."""
         asked: list[tuple[int, int]] = []
         serve = ReplicaTask.snapshot_chunk
 
@@ -301,7 +301,7 @@
             asked.append((ask.pinned, ask.offset))
             return serve(task, ask=ask)
 
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             leader = cores.leader()
@@ -319,7 +319,7 @@
             await cores.wait_for(lambda: is_caught_up(cores, away))
 
         with mock.patch.object(ReplicaTask, "snapshot_chunk", note):
-            play(story, seed=1, count=3, tolerance=1)
+            play(scenario, seed=1, count=3, tolerance=1)
         self.assertEqual(1, sum(offset == 0 for _, offset in asked), asked)
         self.assertEqual(1, len({pinned for pinned, offset in asked if offset}), asked)
 
@@ -331,7 +331,7 @@
         sent: list[int] = []
         write = SimStream.write
 
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             leader = cores.leader()
@@ -366,7 +366,7 @@
             process.thaw()
             await cores.wait_for(lambda: is_caught_up(cores, frozen), us=3 * SECOND)
 
-        play(story, seed=1, count=3, tolerance=1)
+        play(scenario, seed=1, count=3, tolerance=1)
         self.assertLess(sum(sent), 2_500_000, "bytes that wait in connections to it")
 
 
@@ -376,7 +376,7 @@
         be on its way already when the leader does not know yet that it is silent."""
         installed: list[int] = []
 
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             away = next(name for name in fleet.edge_own if name not in fleet.core_address)
             edge = fleet.daemons[f"edge/{away}"]
@@ -400,7 +400,7 @@
             )
             self.assertLess(took_us, 5 * SECOND)
 
-        run_sim(seed=1, deployment=load(name="tiny"), story=story)
+        run_sim(seed=1, deployment=load(name="tiny"), scenario=scenario)
         self.assertEqual(201, installed[-1])
         self.assertLessEqual(len(installed), 2, installed)
 
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -6,7 +6,7 @@
 import copy
 import unittest
 
-from kelpstage.testbed.checkers.register import CHECKERS, judge
+from kelpstage.testbed.checkers.register import CHECKERS, find_violations
 
 S = 1_000_000
 
@@ -461,7 +461,7 @@
 
 class Checkers(unittest.TestCase):
     def test_clean_history_passes(self) -> None:
-        self.assertEqual([], judge(history=clean_history()))
+        self.assertEqual([], find_violations(history=clean_history()))
 
     def test_every_checker_catches_its_plant(self) -> None:
         self.assertEqual(set(CHECKERS), set(PLANTS))
--- a/tests/test_cluster_recovery.py
+++ b/tests/test_cluster_recovery.py
@@ -29,13 +29,13 @@
         process.kill()
 
 
-def run_story(story, *, seed: int = 1) -> SimFleet:
-    return run_sim(seed=seed, deployment=load(name="tiny"), story=story)
+def run_story(scenario, *, seed: int = 1) -> SimFleet:
+    return run_sim(seed=seed, deployment=load(name="tiny"), scenario=scenario)
 
 
 class ClusterRecovery(unittest.TestCase):
     def test_survivor_behind_an_acknowledged_put_takes_it_from_an_edge(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             fleet.start_callers()
             leader = fleet.leader()
@@ -79,10 +79,10 @@
             self.assertEqual([], old_configuration(fleet.history))
             self.assertEqual([], lost_or_undead(fleet.history))
 
-        run_story(story)
+        run_story(scenario)
 
     def test_refused_where_unsafe(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             edges = list(fleet.edge_own)
             names = list(fleet.core_address)
@@ -99,4 +99,4 @@
             empty = await run_recovery(fleet, name=names[1], edges=edges)
             self.assertIn("no member", empty.why)
 
-        run_story(story)
+        run_story(scenario)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -67,7 +67,7 @@
 PROJECT_FILE = pathlib.Path(__file__).parent.parent / "pyproject.toml"
 CORE_FOLDERS = ("core-run", "core-steps")
 NOOP, MEMBERSHIP, COMMAND = 0, 1, 2  # kinds of log entries, as they stand in the files
-LANES = (0, 1, 2)
+CHANNELS = (0, 1, 2)
 FREE_LISTS = ("events", "records")  # of replies: their rows differ from one to the next
 
 COMMAND_LINES = {
@@ -150,9 +150,9 @@
     return [OUTCOMES[type(outcome)], *(one for one in values if not isinstance(one, str))]
 
 
-def read_frame(*, data: bytes, lane: int) -> tuple[Any, Any]:
+def read_frame(*, data: bytes, channel: int) -> tuple[Any, Any]:
     """A frame's head and its message."""
-    head = frames.read_head(data=data[: frames.HEAD.size], lane=lane, address="a")
+    head = frames.read_head(data=data[: frames.HEAD.size], channel=channel, address="a")
     return head, frames.read_body(head=head, data=data[frames.HEAD.size :], address="a")
 
 
@@ -376,19 +376,20 @@
         for number, row in load_json(name="frames.json")["frames"].items():
             with self.subTest(number=number):
                 data = bytes.fromhex(row["hex"])
-                head, message = read_frame(data=data, lane=row["lane"])
+                head, message = read_frame(data=data, channel=row["lane"])
                 self.assertIs(TYPES[int(number)], type(message))
                 self.assertEqual(
-                    (int(number), row["flag"], row["mark"]), (head.number, head.flag, head.mark)
+                    (int(number), row["flag"], row["mark"]),
+                    (head.number, head.flag, head.correlation_id),
                 )
                 self.assertEqual(row["fields"], by_number(message=message))
                 self.assertEqual(
-                    data, frames.pack(message=message, flag=row["flag"], mark=row["mark"])
+                    data, frames.pack(message=message, flag=row["flag"], correlation_id=row["mark"])
                 )
 
     def test_connections_begin_as_before(self) -> None:
         expected = load_json(name="frames.json")["prefaces"]
-        self.assertEqual(expected, [frames.preface(lane=lane).hex() for lane in LANES])
+        self.assertEqual(expected, [frames.preface(channel=channel).hex() for channel in CHANNELS])
 
     def test_gossip_datagrams_are_read_and_written_as_before(self) -> None:
         row = load_json(name="gossip.json")
@@ -407,26 +408,26 @@
         """What packs them may come to other bytes, so those are not compared."""
         for row in load_json(name="deltas.json"):
             with self.subTest(case=row["case"]):
-                base, whole = bytes.fromhex(row["base"]), bytes.fromhex(row["whole"])
+                base, target = bytes.fromhex(row["base"]), bytes.fromhex(row["whole"])
                 delta = bytes.fromhex(row["delta"])
-                self.assertEqual(whole, apply_delta(base=base, delta=delta))
-                again = pack_delta(base=base, whole=whole)
-                self.assertEqual(whole, apply_delta(base=base, delta=again))
+                self.assertEqual(target, apply_delta(base=base, delta=delta))
+                again = pack_delta(base=base, target=target)
+                self.assertEqual(target, apply_delta(base=base, delta=again))
 
     def test_values_in_chunks_are_put_together_as_before(self) -> None:
         for name, row in load_json(name="chunks.json").items():
             with self.subTest(value=name):
                 chunks = [
-                    read_frame(data=bytes.fromhex(chunk), lane=frames.BULK)[1]
+                    read_frame(data=bytes.fromhex(chunk), channel=frames.BULK)[1]
                     for chunk in row["frames"]
                 ]
                 packed = b"".join(chunk.data for chunk in chunks)
                 self.assertEqual({hashlib.sha256(packed).digest()}, {one.digest for one in chunks})
                 self.assertEqual({len(packed)}, {chunk.total for chunk in chunks})
-                whole = apply_delta(base=b"", delta=packed)
-                message = ENCODED_MESSAGES[name]().parse(whole)
+                target = apply_delta(base=b"", delta=packed)
+                message = ENCODED_MESSAGES[name]().parse(target)
                 self.assertEqual(row["fields"], by_number(message=message))
-                self.assertEqual(whole, bytes(message))
+                self.assertEqual(target, bytes(message))
 
 
 class PublicErrors(unittest.TestCase):
@@ -472,13 +473,13 @@
                 backend_calls.append(noted)
             return await answer(backend, call)
 
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             for row in expected["requests"]:
                 replies.append(reply_row(reply=await fetch(fleet=fleet, request=row["request"])))
 
         with mock.patch.object(StandIn, "answer", note_and_answer):
-            run_sim(seed=11, deployment=load_deployment(name="tiny"), story=story)
+            run_sim(seed=11, deployment=load_deployment(name="tiny"), scenario=scenario)
         for row, reply in zip(expected["requests"], replies, strict=True):
             request = row["request"]
             with self.subTest(to=request["to"], method=request["method"], path=request["path"]):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -404,15 +404,15 @@
         raise AssertionError(f"{note} was never answered: {outcome}")
 
 
-def run_story(story, *, seed: int = 3) -> SimFleet:
-    return run_sim(seed=seed, deployment=load(name="tiny"), story=story, rate=0.15)
+def run_story(scenario, *, seed: int = 3) -> SimFleet:
+    return run_sim(seed=seed, deployment=load(name="tiny"), scenario=scenario, rate=0.15)
 
 
 class VersionTest(unittest.TestCase):
     """Operators state versions; what is refused leaves no trace."""
 
     def test_versions_rise_in_uneven_steps(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()  # version 1
             operator = Operator(fleet)
             status, row, _ = await operator.put("seven", base=1, version=7)
@@ -448,10 +448,10 @@
                 )
                 self.assertEqual(400, reply.status)
 
-        run_story(story)
+        run_story(scenario)
 
     def test_the_document_may_state_the_version(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             operator = Operator(fleet)
             body = json.dumps(document()).encode()
@@ -466,10 +466,10 @@
                 held = fleet.daemons[f"edge/{edge}"].lease_holder.configuration
                 self.assertEqual((7, {"r-gather", "r-plain"}), (held.version, set(held.forward)))
 
-        run_story(story)
+        run_story(scenario)
 
     def test_of_two_on_one_base_one_wins(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             operator = Operator(fleet)
             both = [
@@ -482,14 +482,14 @@
             back = await operator.fetch("node-03", "GET")
             self.assertEqual(f'"{winner["version"]}"', back.headers["etag"])
 
-        run_story(story)
+        run_story(scenario)
 
 
 class UnresolvedTest(unittest.TestCase):
     """Short patience: an answer in time, the work goes on, the repeat finds it done."""
 
     def test_a_put_that_waits_for_an_edge_is_told_so_in_time(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             operator = Operator(fleet)
             edge = fleet.daemons["edge/node-05"]
@@ -505,10 +505,10 @@
             )
             fleet.processes["edge/node-05"].thaw()
 
-        run_story(story)
+        run_story(scenario)
 
     def test_a_repeat_at_another_leader_under_another_id(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             operator = Operator(fleet)
             fleet.processes["edge/node-06"].freeze()
@@ -531,10 +531,10 @@
             back = await operator.fetch(other, "GET")
             self.assertEqual('"5"', back.headers["etag"])
 
-        run_story(story)
+        run_story(scenario)
 
     def test_nobody_hangs_while_a_leader_is_silent(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             operator = Operator(fleet)
             leader = fleet.leader()
@@ -555,7 +555,7 @@
             self.assertEqual((200, 5), (status, row["version"]))
             fleet.processes[f"core/{leader}"].thaw()
 
-        run_story(story)
+        run_story(scenario)
 
 
 class ToolsTest(unittest.TestCase):
--- a/tests/test_connection_walks.py
+++ b/tests/test_connection_walks.py
@@ -163,20 +163,20 @@
 
     async def test_walks(self) -> None:
         self.seen = set()
-        become = ClientConnection._become
+        become = ClientConnection._transition
         seen = self.seen
 
         def watched(connection: ClientConnection, state: State) -> None:
             seen.add((connection.state, state))
             become(connection, state)
 
-        ClientConnection._become = watched
+        ClientConnection._transition = watched
         try:
             for seed in range(WALKS):
                 with self.subTest(seed=seed):
                     await self.walk(rand=random.Random(seed))
         finally:
-            ClientConnection._become = become
+            ClientConnection._transition = become
         allowed = {(old, new) for old, after in MAY_FOLLOW.items() for new in after}
         # What no walk on a live machine brings about surely has tests of its own below.
         by_chance = {(LEASED, CLOSED), (LEASED, IDLE)}
@@ -225,7 +225,7 @@
             url=f"http://{backend.address}/{name}",
             body=b"x" * (LARGE if rand.random() < 0.01 else rand.randrange(50)),
             wait_us=rand.choice((4_000, 30_000)),
-            line_limit=AT_ONCE,
+            connection_limit=AT_ONCE,
             owner_of=owner_of,
         )
         task = asyncio.ensure_future(client.fetch(call=call))
@@ -259,7 +259,7 @@
 
         server = RawServer(handler=serve)
         await server.start()
-        call = HttpCall(method="GET", url=f"http://{server.address}/", line_limit=1)
+        call = HttpCall(method="GET", url=f"http://{server.address}/", connection_limit=1)
         first = asyncio.ensure_future(client.fetch(call=call))
         gate = asyncio.Event()
 
@@ -302,7 +302,7 @@
         await self.backend.stop()
 
     async def lease(self) -> ClientConnection:
-        call = HttpCall(method="GET", url=f"http://{self.backend.address}/", line_limit=1)
+        call = HttpCall(method="GET", url=f"http://{self.backend.address}/", connection_limit=1)
         deadline = asyncio.get_running_loop().time() + 10
         return await self.client._lease_new(
             call=call, address=self.backend.address, deadline=deadline
@@ -340,7 +340,7 @@
         server = RawServer(handler=serve)
         await server.start()
         states: list[State] = []
-        become = ClientConnection._become
+        become = ClientConnection._transition
 
         def watched(connection: ClientConnection, state: State) -> None:
             become(connection, state)
@@ -353,14 +353,14 @@
             url=f"http://{server.address}/me",
             body=b"x" * UNSENDABLE,
             wait_us=10_000_000,
-            line_limit=1,
+            connection_limit=1,
         )
-        ClientConnection._become = watched
+        ClientConnection._transition = watched
         try:
             async with asyncio.timeout(20):
                 await self.client.fetch(call=call)
         finally:
-            ClientConnection._become = become
+            ClientConnection._transition = become
             await server.stop()
         self.assertIn(SENDING, states)
         return states[states.index(SENDING) + 1 :]
@@ -383,11 +383,11 @@
                 connection = await self.lease()
                 connection.state = old
                 if new in MAY_FOLLOW[old]:
-                    connection._become(new)
+                    connection._transition(new)
                     self.assertEqual(new, connection.state)
                 else:
                     with self.assertRaises(IllegalTransition):
-                        connection._become(new)
+                        connection._transition(new)
                 connection.state = LEASED
                 connection.close()
 
@@ -407,7 +407,10 @@
         loop.time = lambda: time_of() + leap[0]
         try:
             call = HttpCall(
-                method="POST", url=f"http://{self.backend.address}/late", body=b"x", line_limit=1
+                method="POST",
+                url=f"http://{self.backend.address}/late",
+                body=b"x",
+                connection_limit=1,
             )
             outcome = await self.client.fetch(call=call)
         finally:
@@ -445,7 +448,7 @@
 
     async def asyncTearDown(self) -> None:
         self.server.abort()
-        await until(lambda: not self.server.open_lines())
+        await until(lambda: not self.server.open_connections())
         self.assertEqual([], self.broken)
 
     async def answer(self, call: HttpCall) -> HttpReply:
@@ -485,7 +488,7 @@
                 await asyncio.sleep(0)
         if leaves:
             raw.close()
-            await until(lambda: not self.server.open_lines())
+            await until(lambda: not self.server.open_connections())
         else:
             got = [(await raw.reply())[2].decode() for _ in urls]
             self.assertEqual(urls, got)
@@ -522,7 +525,7 @@
             if line.startswith(b"HTTP/1.1 "):
                 self.assertIn(int(line.split(b" ")[1]), (100, 200, 400, 408, 413, 431))
         raw.close()
-        await until(lambda: not self.server.open_lines())
+        await until(lambda: not self.server.open_connections())
 
     async def test_bytes_of_no_protocol(self) -> None:
         for seed in range(WALKS // 2):
@@ -533,7 +536,7 @@
                 raw.writer.write_eof()
             await raw.rest()
             raw.close()
-        await until(lambda: not self.server.open_lines())
+        await until(lambda: not self.server.open_connections())
         self.assertEqual(Counter(), self.runs)
 
 
@@ -564,7 +567,7 @@
             call = HttpCall(
                 method="GET",
                 url=f"http://{server.address}/",
-                line_limit=2,
+                connection_limit=2,
                 wait_us=10_000_000,
                 owner_of=lambda reply: Owner(reply.headers.get("x-id") == "me"),
             )
--- a/tests/test_core_cuts.py
+++ b/tests/test_core_cuts.py
@@ -254,7 +254,7 @@
 
 
 def run_day(
-    story: Callable[[Cores, Operators, Day], Awaitable[None]],
+    scenario: Callable[[Cores, Operators, Day], Awaitable[None]],
     *,
     seed: int,
     count: int = 3,
@@ -273,7 +273,7 @@
         tasks = [asyncio.ensure_future(operators.keep_ordering())]
         tasks += [asyncio.ensure_future(operators.keep_reading(member=m)) for m in cores.names]
         await cores.sleep(1_500_000)
-        await story(cores, operators, day)
+        await scenario(cores, operators, day)
         operators.is_open = False
         for task in tasks:
             await task
@@ -285,12 +285,12 @@
 def cut_story(*, of: str, cut: Cut) -> Callable[..., Awaitable[None]]:
     """One cut of the leader, or of the first core that does not lead."""
 
-    async def story(cores: Cores, operators: Operators, day: Day) -> None:
+    async def scenario(cores: Cores, operators: Operators, day: Day) -> None:
         leader = cores.leader()
         name = leader if of == "leader" else next(n for n in cores.names if n != leader)
         await hold_cut(cores=cores, operators=operators, day=day, name=name, cut=cut)
 
-    return story
+    return scenario
 
 
 async def in_turn(cores: Cores, operators: Operators, day: Day) -> None:
@@ -333,9 +333,9 @@
 
 
 class Cuts(unittest.TestCase):
-    def judge(self, story: Callable[..., Awaitable[None]], *, may_disturb: bool = False) -> None:
+    def judge(self, scenario: Callable[..., Awaitable[None]], *, may_disturb: bool = False) -> None:
         for seed in SEEDS:
-            day = run_day(story, seed=seed)
+            day = run_day(scenario, seed=seed)
             told = f"seed {seed}: {day.acknowledged_after_us} {day.caught_up_after_us}"
             self.assertEqual(day.history.violations[:5], [], told)
             self.assertLess(max(day.acknowledged_after_us), ACKNOWLEDGED_WITHIN_US, told)
@@ -404,15 +404,15 @@
 class PlantedFaults(unittest.TestCase):
     """Each day above is shown to notice a fault of its kind."""
 
-    def violations(self, *, story: Callable[..., Awaitable[None]], seed: int = 1) -> str:
-        return " ".join(run_day(story, seed=seed).history.violations)
+    def violations(self, *, scenario: Callable[..., Awaitable[None]], seed: int = 1) -> str:
+        return " ".join(run_day(scenario, seed=seed).history.violations)
 
     def test_reads_without_the_read_index(self) -> None:
         with (
             mock.patch.object(operators_module, "_answer", read_from_memory),
             mock.patch.object(RaftState, "has_quorum_contact", lambda self: True),
         ):
-            found = self.violations(story=cut_story(of="leader", cut=both_ways))
+            found = self.violations(scenario=cut_story(of="leader", cut=both_ways))
         self.assertIn("older than the acknowledged", found)
 
     def test_check_quorum_alone_is_not_what_holds_reads(self) -> None:
@@ -426,7 +426,7 @@
             mock.patch.object(ConfigurationWrites, "_refuse", refused_in_memory),
             mock.patch.object(RaftState, "has_quorum_contact", lambda self: True),
         ):
-            found = self.violations(story=cut_story(of="leader", cut=both_ways))
+            found = self.violations(scenario=cut_story(of="leader", cut=both_ways))
         self.assertIn("neither done nor to be tried again", found)
         self.assertIn("status=412", found)
 
@@ -435,7 +435,7 @@
             mock.patch.object(ConfigurationWrites, "_look_up", looked_up_in_memory),
             mock.patch.object(RaftState, "has_quorum_contact", lambda self: True),
         ):
-            found = self.violations(story=cut_story(of="leader", cut=both_ways))
+            found = self.violations(scenario=cut_story(of="leader", cut=both_ways))
         self.assertNotIn("neither done nor to be tried again", found)
 
     def test_a_leader_that_is_not_confirmed(self) -> None:
@@ -443,7 +443,7 @@
             mock.patch.object(ReplicaTask, "confirm", never_confirmed),
             mock.patch.object(RaftState, "has_quorum_contact", lambda self: True),
         ):
-            found = self.violations(story=cut_story(of="leader", cut=both_ways))
+            found = self.violations(scenario=cut_story(of="leader", cut=both_ways))
         self.assertIn("older than the acknowledged", found)
 
     def test_a_woken_core_that_answers_from_memory(self) -> None:
@@ -466,7 +466,7 @@
 
     def test_silence_at_the_cut_off_member(self) -> None:
         with mock.patch.object(operators_module, "_kept_us", lambda *, wait_us: 3_000_000):
-            found = self.violations(story=cut_story(of="follower", cut=both_ways))
+            found = self.violations(scenario=cut_story(of="follower", cut=both_ways))
         self.assertIn("no answer", found)
 
 
@@ -478,7 +478,7 @@
         replies: list[HttpReply] = []
         real = ReplicaTask.confirm
 
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             await cores.put()
@@ -503,7 +503,7 @@
                     )
                 )
 
-        play(story, seed=4, count=3, tolerance=1)
+        play(scenario, seed=4, count=3, tolerance=1)
         return replies[0]
 
     def test_a_read_confirmed_before_a_freeze_is_void_after_it(self) -> None:
@@ -532,7 +532,7 @@
     """A fourth core, no voter: it forgets a leader that is silent, and returns."""
 
     def test_a_learner_that_was_cut_off_returns(self) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             await cores.sleep(2_000_000)
@@ -555,7 +555,7 @@
             )
 
         for seed in SEEDS:
-            play(story, seed=seed, count=4, tolerance=1)
+            play(scenario, seed=seed, count=4, tolerance=1)
 
 
 if __name__ == "__main__":
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -166,7 +166,7 @@
 
 
 def play(
-    story: Callable[[Any], Awaitable[None]],
+    scenario: Callable[[Any], Awaitable[None]],
     *,
     seed: int,
     count: int,
@@ -186,7 +186,7 @@
     async def tell() -> None:
         cores = make(world=world, count=count, tolerance=tolerance)
         try:
-            await story(cores)
+            await scenario(cores)
         finally:
             for process in [*cores.processes.values(), cores.outside]:
                 process.kill()
@@ -207,18 +207,18 @@
     def test_the_first_leader_stands_soon(self) -> None:
         spans = []
 
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             spans.append(await cores.wait_for(lambda: cores.leader() is not None))
 
         for seed in range(10):
-            play(story, seed=seed, count=3, tolerance=1)
+            play(scenario, seed=seed, count=3, tolerance=1)
         self.assertLess(max(spans), 1_500_000, spans)
 
     def test_six_cores_with_three_seeds_have_five_voters_soon(self) -> None:
         spans = []
 
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             spans.append(await cores.wait_for(lambda: len(cores.voters()) == 5))
             rows = cores.daemons[cores.leader()].task.raft.lag()
@@ -229,30 +229,30 @@
             await cores.put()
 
         for seed in range(5):
-            play(story, seed=seed, count=6, tolerance=2)
+            play(scenario, seed=seed, count=6, tolerance=2)
         self.assertLess(max(spans), 4_000_000, spans)
 
     def test_one_seed_and_nine(self) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True, seeds=cores.names[:9])
             await cores.wait_for(lambda: len(cores.voters()) == len(cores.names))
             await cores.put()
 
-        play(story, seed=1, count=1, tolerance=0)
-        play(story, seed=1, count=9, tolerance=4)
+        play(scenario, seed=1, count=1, tolerance=0)
+        play(scenario, seed=1, count=9, tolerance=4)
 
     def test_empty_cores_only_join_at_a_later_start(self) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=False)
             await cores.sleep(20_000_000)
             for core in cores.daemons.values():
                 self.assertIsNone(core.task)
                 self.assertIn("0 of 3 seeds may found", core.waits_for)
 
-        play(story, seed=1, count=3, tolerance=1)
+        play(scenario, seed=1, count=3, tolerance=1)
 
     def test_a_seed_restarted_before_the_founding_stops_nobody(self) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start("c0", "c1", is_first=True)
             await cores.sleep(500_000)
             for name in ("c0", "c1"):
@@ -263,12 +263,12 @@
             await cores.wait_for(lambda: len(cores.voters()) == 3)
 
         for seed in range(6):
-            play(story, seed=seed, count=3, tolerance=1)
+            play(scenario, seed=seed, count=3, tolerance=1)
 
     def test_seeds_that_lost_their_disks_found_nothing(self) -> None:
         """The seeds are empty again, the cluster lives on elsewhere."""
 
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 5)
             await cores.put()
@@ -290,7 +290,7 @@
             )
             self.assertEqual(cores.version, (await cores.read())[0])
 
-        play(story, seed=1, count=6, tolerance=2)
+        play(scenario, seed=1, count=6, tolerance=2)
 
 
 class Losses(unittest.TestCase):
@@ -299,7 +299,7 @@
     def lose_right_after(
         self, *, lost: tuple[str, ...], seed: int, count: int, is_power: bool, pad: int = 0
     ) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             tolerance = cores.tolerance
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 2 * tolerance + 1)
@@ -319,7 +319,7 @@
             await cores.put()
             self.assertEqual(cores.version, (await cores.read())[0], (lost, seed))
 
-        play(story, seed=seed, count=count, tolerance=(count - 1) // 2)
+        play(scenario, seed=seed, count=count, tolerance=(count - 1) // 2)
 
     def test_each_disk_of_three(self) -> None:
         for seed, name in enumerate(("c0", "c1", "c2")):
@@ -341,7 +341,7 @@
     def test_one_disk_after_the_other(self) -> None:
         """Each as soon as the one before counts as made good."""
 
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             for turn in range(7):
@@ -355,10 +355,10 @@
                 self.assertEqual(3, len(cores.voters()), f"turn {turn}")
 
         for seed in range(4):
-            play(story, seed=seed, count=3, tolerance=1)
+            play(scenario, seed=seed, count=3, tolerance=1)
 
     def test_every_core_is_replaced_in_turn_at_another_address(self) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             for turn in range(4):
@@ -376,10 +376,10 @@
                 self.assertEqual({cores.address(name) for name in cores.names}, set(cores.voters()))
 
         for seed in range(4):
-            play(story, seed=seed, count=3, tolerance=1)
+            play(scenario, seed=seed, count=3, tolerance=1)
 
     def test_a_core_moves_with_its_disk(self) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             for turn in range(3):
@@ -397,10 +397,10 @@
                 await cores.wait_for(lambda: len(cores.voters()) == 3)
 
         for seed in range(3):
-            play(story, seed=seed, count=3, tolerance=1)
+            play(scenario, seed=seed, count=3, tolerance=1)
 
     def test_all_killed_at_once_and_all_powered_off(self) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 2 * cores.tolerance + 1)
             for turn in range(6):
@@ -412,8 +412,8 @@
                 self.assertEqual(cores.version, (await cores.read())[0])
 
         for seed in range(3):
-            play(story, seed=seed, count=3, tolerance=1)
-            play(story, seed=seed, count=6, tolerance=2)
+            play(scenario, seed=seed, count=3, tolerance=1)
+            play(scenario, seed=seed, count=6, tolerance=2)
 
     def test_fewer_cores_than_it_takes(self) -> None:
         """Two cores hold a put on both disks; three are too few for the loss of two."""
@@ -436,7 +436,7 @@
         play(three, seed=1, count=3, tolerance=2)
 
     def test_no_put_is_acknowledged_before_the_voters_are_enough(self) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start("c0", "c1", "c2", is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             with self.assertRaises(AssertionError):
@@ -447,7 +447,7 @@
             await cores.put(is_again=True)
             self.assertEqual(5, len(cores.voters()))
 
-        play(story, seed=1, count=6, tolerance=2)
+        play(scenario, seed=1, count=6, tolerance=2)
 
 
 class Days(unittest.TestCase):
@@ -572,7 +572,7 @@
 def play_day(*, seed: int, count: int) -> None:
     """Eight troubles, the last right after an acknowledgement, then a read and a put."""
 
-    async def story(cores: Cores) -> None:
+    async def scenario(cores: Cores) -> None:
         rand = random.Random(f"{seed}/day")
         for name in cores.names:
             cores.world.machines[name].platter.slow = rand.choice((1, 1, 10, 30))
@@ -604,7 +604,7 @@
         await cores.put()
         assert len(register.acked) >= 8, "hardly anything was acknowledged"
 
-    play(story, seed=seed, count=count, tolerance=(count - 1) // 2)
+    play(scenario, seed=seed, count=count, tolerance=(count - 1) // 2)
 
 
 if __name__ == "__main__":
--- a/tests/test_cores_power_loss.py
+++ b/tests/test_cores_power_loss.py
@@ -95,7 +95,7 @@
         changes there were in all."""
         made = []
 
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             outage = Outage(cores=cores)
             outage.arm(after=first)
             await cores.start(is_first=True)
@@ -103,14 +103,14 @@
             await self.come_back(cores=cores, outage=outage, second=second)
             made.append(outage.made)
 
-        self.run_story(story, seed=seed)
+        self.run_story(scenario, seed=seed)
         return made[0]
 
     def fall_while_installing(self, *, seed: int, first: int, second: int) -> int:
         """The same from the moment on when a core comes back that is to install a snapshot."""
         made = []
 
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await work_through(cores=cores)
             late = next(name for name in cores.names if name != cores.leader())
@@ -123,7 +123,7 @@
             await self.come_back(cores=cores, outage=outage, second=second)
             made.append(outage.made)
 
-        self.run_story(story, seed=seed)
+        self.run_story(scenario, seed=seed)
         return made[0]
 
     async def catch_up(self, *, cores: Cores, late: str) -> None:
@@ -147,14 +147,14 @@
                 await cores.start(is_first=is_first)
                 await until_dark(work=self.read_and_put(cores=cores), outage=outage)
 
-    def run_story(self, story: Callable[[Cores], Awaitable[None]], *, seed: int) -> None:
+    def run_story(self, scenario: Callable[[Cores], Awaitable[None]], *, seed: int) -> None:
         """Play it with small segments; setting a replica aside is a failure."""
         sizes = {"segment_bytes": SEGMENT_BYTES}
         with (
             mock.patch.object(Core, "_set_aside", set_aside),
             mock.patch.dict(Store.__init__.__kwdefaults__ or {}, sizes),
         ):
-            play(story, seed=seed, count=3, tolerance=1)
+            play(scenario, seed=seed, count=3, tolerance=1)
 
     async def read_and_put(self, *, cores: Cores) -> None:
         """What was acknowledged is there, or one that was on its way; a new one is taken."""
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -13,7 +13,7 @@
 from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM
 from kelpstage.testbed.checkers.register import CHECKERS
 from kelpstage.testbed.platform_model.rules.register import RULES
-from kelpstage.testbed.platform_model.scenario import CLOSINGS, TROUBLES
+from kelpstage.testbed.platform_model.scenario import CLOSING_FAULTS, PLATFORM_FAULTS
 from kelpstage.testbed.simulation.faults import FAULTS
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
@@ -51,7 +51,7 @@
 
     def test_every_rule_and_trouble_of_the_platform_stands_in_the_table(self) -> None:
         text = page(name="failures.md")
-        named = [*RULES, *TROUBLES, *CLOSINGS]
+        named = [*RULES, *PLATFORM_FAULTS, *CLOSING_FAULTS]
         self.assertEqual([], [name for name in named if f"`{name}`" not in text])
 
     def test_links_between_pages_lead_somewhere(self) -> None:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -30,11 +30,11 @@
 
 
 class Explained(unittest.TestCase):
-    def run_story(self, story) -> None:
-        run_sim(seed=2, deployment=load(name="tiny"), story=story)
+    def run_story(self, scenario) -> None:
+        run_sim(seed=2, deployment=load(name="tiny"), scenario=scenario)
 
     def test_a_good_search_with_its_peers_parts(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             address = fleet.edge_http["node-04"]
             reply = await search(fleet, address)
@@ -54,10 +54,10 @@
             self.assertEqual(sorted(times), times)
             self.assertEqual("Ended", view["timeline"][-1]["event"])
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_a_failed_one_tells_what_spent_and_what_was_refused_budget(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             address = fleet.edge_http["node-04"]
             for name in fleet.backends:
@@ -88,10 +88,10 @@
                 [row["search"] for row in rows],
             )
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_begun_again_and_a_dead_peer(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             address = fleet.edge_http["node-04"]
             for name in ("b-01", "b-02", "b-03", "b-04"):
@@ -106,10 +106,10 @@
             view = await told(fleet, address, await search(fleet, address))
             self.assertEqual("complete", view["outcome"])
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_bad_input_and_unknown_ids(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             address = fleet.edge_http["node-04"]
             cases = [
@@ -124,7 +124,7 @@
                     reply = await fetch(fleet, address, path)
                     self.assertEqual((status, kind), (reply.status, kind_of(reply)))
 
-        self.run_story(story)
+        self.run_story(scenario)
 
 
 class Bounds(unittest.TestCase):
--- a/tests/test_fleet_sim.py
+++ b/tests/test_fleet_sim.py
@@ -16,8 +16,8 @@
 TIME = {"Kelp-Time-Left-Us": "1000000"}
 
 
-def run_story(story, *, seed: int = 1, name: str = "tiny") -> SimFleet:
-    return run_sim(seed=seed, deployment=load(name=name), story=story, rate=0.15)
+def run_story(scenario, *, seed: int = 1, name: str = "tiny") -> SimFleet:
+    return run_sim(seed=seed, deployment=load(name=name), scenario=scenario, rate=0.15)
 
 
 async def fetch(fleet: SimFleet, address: str, path: str, method: str = "GET", **more):
@@ -59,7 +59,7 @@
             ("GET", "/v1/plan/nobody", {}, b"", 404, "unknown_collection"),
         ]
 
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             address = fleet.edge_http["node-04"]
             for method, path, headers, body, status, kind in cases:
@@ -73,10 +73,10 @@
             status = json.loads((await fetch(fleet, address, "/v1/status")).body)
             self.assertTrue(status["is_ready"])
 
-        run_story(story)
+        run_story(scenario)
 
     def test_garbage_datagrams_are_counted_and_harm_nothing(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             rand = random.Random(9)
             target = fleet.edge_own["node-04"]
@@ -93,10 +93,10 @@
             self.assertEqual(6, len(fleet.ready_edges()))
             self.assertEqual(6, len(fleet.daemons["edge/node-04"].swim.live()))
 
-        run_story(story)
+        run_story(scenario)
 
     def test_time_left_is_kept_and_the_end_comes_at_once(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             for name in ("b-01", "b-02", "b-03", "b-04"):
                 await fleet.set_backend(name=name, slow_us=5_000_000)
@@ -128,12 +128,12 @@
             self.assertEqual((503, "quorum_not_met"), (reply.status, kind_of(reply)))
             self.assertLess(fleet.world.now_us() - started, 500_000, "held back")
 
-        run_story(story)
+        run_story(scenario)
 
 
 class OperatorsInput(unittest.TestCase):
     def test_puts_refused_and_repeated(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             address = fleet.core_http(name="node-02")
 
@@ -175,10 +175,10 @@
             back = await fetch(fleet, address, "/v1/configuration")
             self.assertEqual((good, '"2"'), (back.body, back.headers["etag"]))
 
-        run_story(story)
+        run_story(scenario)
 
     def test_put_is_refused_before_the_log_when_most_edges_are_gone(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             for number in (3, 4, 5, 6):
                 fleet.kill_edge(name=f"node-0{number}")
@@ -202,24 +202,24 @@
             )
             self.assertEqual(200, (await fleet.put_next())["status"])
 
-        run_story(story)
+        run_story(scenario)
 
 
 class CutOff(unittest.TestCase):
     """Two rules pull apart: serve on while cut off, never serve an old configuration."""
 
     def test_without_any_core_the_fleet_serves_on(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             for name in list(fleet.core_address):
                 fleet.kill_core(name=name)
             await fleet.sleep(us=30_000_000)
             self.assertEqual(6, len(fleet.ready_edges()))
 
-        run_story(story)
+        run_story(scenario)
 
     def test_an_edge_cut_from_all_stops_before_a_put_is_acknowledged(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             edge = fleet.daemons["edge/node-05"]
             for other in fleet.world.machines:
@@ -236,10 +236,10 @@
             )
             self.assertEqual(2, edge.lease_holder.configuration.version)
 
-        run_story(story)
+        run_story(scenario)
 
     def test_a_woken_edge_does_not_answer_under_its_old_configuration(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             for backend in fleet.backends:
                 await fleet.set_backend(name=backend, slow_us=150_000)
@@ -266,7 +266,7 @@
             else:
                 self.assertEqual("not_ready", kind_of(reply))
 
-        run_story(story)
+        run_story(scenario)
 
 
 class Vouching(unittest.TestCase):
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -19,7 +19,7 @@
 from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.forward.request import read_request
 from kelpstage.edge.forward.sealed_answer import SealedCodec
-from kelpstage.edge.gather.record_order import ByteOrder, lowest_cut
+from kelpstage.edge.gather.record_order import ByteOrder, lowest_limit
 from kelpstage.edge.gather.stages.merge import surely_not_run
 from kelpstage.edge.gather.tree import Subtree, grow_by_zone
 from kelpstage.edge.retries.load_shedding import IN_FLIGHT_AT_MOST, may_enter
@@ -102,7 +102,7 @@
             address="127.0.0.1:1",
             backend="i-1",
             wait_us=9_000,
-            line_limit=2,
+            connection_limit=2,
         )
         call = self.codec.call(ask=ask)
         self.assertEqual(Owner.OURS, call.owner_of(reply()))
@@ -124,7 +124,7 @@
             address="127.0.0.1:1",
             backend="i-1",
             wait_us=9_000,
-            line_limit=2,
+            connection_limit=2,
         )
         headers = {name.lower(): value for name, value in self.codec.call(ask=ask).headers.items()}
         self.assertEqual(("1, 2", "a=1; b=2"), (headers["x-a"], headers["cookie"]))
@@ -192,10 +192,13 @@
                 [bytes(rand.choices(range(4), k=16)) for _ in range(rand.randrange(150))]
                 for _ in range(rand.choice((1, 3, 8)))
             ]
-            runs = [ByteOrder.sort_and_cut(records=p, cut=lowest_cut(limit=limit)) for p in parts]
+            runs = [
+                ByteOrder.sort_and_truncate(records=p, limit=lowest_limit(limit=limit))
+                for p in parts
+            ]
             split = rand.randrange(len(runs) + 1)
             far = ByteOrder.merge(runs=runs[:split], limit=limit)
-            near = ByteOrder.merge(runs=runs[split:], limit=lowest_cut(limit=limit))
+            near = ByteOrder.merge(runs=runs[split:], limit=lowest_limit(limit=limit))
             carried = ByteOrder.unpack(data=ByteOrder.pack(records=far))
             got = ByteOrder.merge(runs=[carried, near], limit=limit)
             self.assertEqual(got, sorted((r for p in parts for r in p), reverse=True)[:limit])
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -7,18 +7,18 @@
 
 from kelpstage.common.ports.interfaces import HttpReply
 from kelpstage.edge.backend.reply import SealedPart, read_reply
-from kelpstage.edge.gather.record_order import lowest_cut, merge, sort_and_cut
+from kelpstage.edge.gather.record_order import lowest_limit, merge, sort_and_truncate
 from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
-from kelpstage.testbed.stand_ins.backend import LIES, bent_body
+from kelpstage.testbed.stand_ins.backend import INVALID_REPLIES, damaged_body
 from kelpstage.testbed.stand_ins.records import Cut, best, part, sealed_reply
 
 
 def gathered(*, subtree: Subtree, cut: Cut, query: str, limit: int | None) -> list:
     """What a branch passes up, by the rules of its level."""
     runs = [
-        sort_and_cut(
+        sort_and_truncate(
             records=[(-s, d) for s, d in part(query=query, cut=cut, shard=shard)],
-            cut=lowest_cut(limit=limit),
+            limit=lowest_limit(limit=limit),
         )
         for shard in subtree.shards
     ]
@@ -26,7 +26,7 @@
         gathered(subtree=child, cut=cut, query=query, limit=limit) for child in subtree.children
     ]
     merged = merge(runs=runs, limit=None)
-    cut_at = lowest_cut(limit=limit)
+    cut_at = lowest_limit(limit=limit)
     return merged[:cut_at] if cut_at is not None and not subtree.children else merged
 
 
@@ -101,8 +101,8 @@
 
     def test_every_lie_is_found_out(self) -> None:
         body = sealed_reply(query="name-04", cut=self.CUT, shard="s1")
-        for lie in LIES:
-            bent = bent_body(body=body, lie=lie, shard="s1")
+        for lie in INVALID_REPLIES:
+            bent = damaged_body(body=body, lie=lie, shard="s1")
             if bent != body:
                 with self.subTest(lie=lie):
                     self.assertNotIsInstance(self.read(bent), SealedPart)
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -12,13 +12,14 @@
 
 from typer.testing import CliRunner
 
-from kelpstage.common.transport.connections import IDLE_LOOK_US, IDLE_US
+from kelpstage.common.transport.connections import IDLE_CHECK_US, IDLE_US
 from kelpstage.common.transport.delta import apply_delta, pack_delta
 from kelpstage.common.transport.messages import EdgeContact, MemberMsg
 from kelpstage.core.leases.lease_table import LeaseTable
-from kelpstage.edge.gossip.swim import ALIVE, DEAD, PING, SUSPECT, TICK_US, Swim
+from kelpstage.edge.gossip.members import ALIVE, DEAD
+from kelpstage.edge.gossip.swim import PING, SUSPECT, TICK_US, Swim
 from kelpstage.edge.lease.timing import LARGE_RENEW_WAIT_US, renew_period_us
-from kelpstage.testbed.hollow.fleet import SECOND, HollowFleet, HollowStuck, document
+from kelpstage.testbed.hollow.fleet import SECOND, HollowFleet, HollowTimeoutError, document
 from kelpstage.testbed.hollow.metered_network import HollowWorld, metered_loop
 from kelpstage.testbed.hollow.options import Options, check
 from kelpstage.testbed.hollow.report import write_csv
@@ -29,7 +30,7 @@
 DATAGRAM_MOST = 1_400
 
 
-def run_fleet(story, **options) -> HollowFleet:
+def run_fleet(scenario, **options) -> HollowFleet:
     """A hollow fleet that is up and serves, and a story told with it."""
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
@@ -46,9 +47,9 @@
                 is_there=lambda: fleet.leader() != "" and fleet.ready_to_put(),
             )
             if not await fleet.put():
-                raise HollowStuck("the first configuration was not taken")
+                raise HollowTimeoutError("the first configuration was not taken")
             await fleet.sleep(us=8 * SECOND)
-            await story(fleet)
+            await scenario(fleet)
         finally:
             for process in fleet.processes.values():
                 process.kill()
@@ -88,7 +89,7 @@
         on_backend_state=lambda backend_state: None,
         is_near=lambda zone: zone in ("zone-0", "zone-1"),
     )
-    swim.take_table(table=[bytes(member(n=i)) for i in range(count) if i != n], now_us=0)
+    swim.merge_table(table=[bytes(member(n=i)) for i in range(count) if i != n], now_us=0)
     return swim
 
 
@@ -126,7 +127,7 @@
                     probe = swim._probes.pop(message.number)
                     probed[probe.name] += 1
                     info = member(n=int(probe.name[-4:]), beat=tick + 1)
-                    swim._merge(info=info, now_us=now_us, is_direct=True)
+                    swim._membership.merge(info=info, now_us=now_us, is_direct=True)
         near = sum(count for name, count in probed.items() if int(name[-4:]) % 6 < 2)
         self.assertEqual(89, len(probed))
         self.assertAlmostEqual(0.75, near / sum(probed.values()), delta=0.03)
@@ -135,8 +136,8 @@
         """The one that probed in vain knew beat 10, the other heard beat 14 before the
         member fell silent; it used to hold the suspicion for older than that."""
         a, b = swim_of(n=0, count=3), swim_of(n=1, count=3)
-        a._merge(info=member(n=2, beat=10), now_us=10 * TICK_US, is_direct=True)
-        b._merge(info=member(n=2, beat=14), now_us=14 * TICK_US, is_direct=True)
+        a._membership.merge(info=member(n=2, beat=10), now_us=10 * TICK_US, is_direct=True)
+        b._membership.merge(info=member(n=2, beat=14), now_us=14 * TICK_US, is_direct=True)
         a.suspect(name="node-0002", now_us=20 * TICK_US, asked_us=17 * TICK_US, why="no ack")
         _, message = a._message(to="node-0001", kind=PING, number=9)
         b.heard(message=message, now_us=20 * TICK_US)
@@ -170,20 +171,20 @@
         swim = swim_of(n=0, count=3)
         before = swim.live()
         junk = [b"", b"\x0a", b"\x10\x01", b"\x0a\x7fx", bytes(MemberMsg())]
-        swim.take_table(table=junk, now_us=1)
+        swim.merge_table(table=junk, now_us=1)
         self.assertEqual(before, swim.live())
 
     def test_the_dead_are_not_told_round_for_ever(self) -> None:
         """Who had forgotten a dead member used to take it over again from who had not."""
         swim = swim_of(n=0, count=3)
-        swim.take_table(table=[bytes(member(n=9, status=DEAD))], now_us=TICK_US)
+        swim.merge_table(table=[bytes(member(n=9, status=DEAD))], now_us=TICK_US)
         self.assertNotIn("node-0009", swim.members)
 
     def test_the_newest_news_is_told_first(self) -> None:
         """A loss used to wait behind the news of a whole fleet's start."""
         swim = swim_of(n=0, count=60)
         for i in range(1, 40):
-            swim._tell(name=f"node-{i:04d}")
+            swim._membership.updates.add(name=f"node-{i:04d}")
         swim.suspect(name="node-0050", now_us=TICK_US, why="test")
         _, message = swim._message(to="node-0001", kind=PING, number=1)
         names = [MemberMsg().parse(packed).name for packed in message.members]
@@ -191,9 +192,9 @@
 
     def test_who_heard_nothing_for_long_takes_the_others_word(self) -> None:
         swim = swim_of(n=0, count=60)
-        swim._merge(info=member(n=5, beat=900), now_us=TICK_US, is_direct=True)
+        swim._membership.merge(info=member(n=5, beat=900), now_us=TICK_US, is_direct=True)
         for now_us, status in ((2_000_000, ALIVE), (9_000_000, SUSPECT)):
-            swim._merge(info=member(n=5, beat=880, status=SUSPECT), now_us=now_us)
+            swim._membership.merge(info=member(n=5, beat=880, status=SUSPECT), now_us=now_us)
             self.assertEqual(status, swim.status(name="node-0005"))
 
 
@@ -240,21 +241,21 @@
         rand = random.Random(4)
         for _ in range(200):
             base = rand.randbytes(rand.randrange(200)) * rand.randrange(1, 300)
-            whole = bytearray(base)
+            target = bytearray(base)
             for _ in range(rand.randrange(4)):
-                at = rand.randrange(len(whole) + 1)
-                whole[at : at + rand.randrange(20)] = rand.randbytes(rand.randrange(20))
-            delta = pack_delta(base=base, whole=bytes(whole))
-            self.assertEqual(bytes(whole), apply_delta(base=base, delta=delta))
+                at = rand.randrange(len(target) + 1)
+                target[at : at + rand.randrange(20)] = rand.randbytes(rand.randrange(20))
+            delta = pack_delta(base=base, target=bytes(target))
+            self.assertEqual(bytes(target), apply_delta(base=base, delta=delta))
             # From another base comes the right whole (if what differs was not needed)
             # or nothing, never another one.
             wrong = apply_delta(base=base + b"x", delta=delta)
-            self.assertIn(wrong, (None, bytes(whole)))
-        self.assertIsNone(apply_delta(base=b"another", delta=pack_delta(base=b"ab", whole=b"abc")))
+            self.assertIn(wrong, (None, bytes(target)))
+        self.assertIsNone(apply_delta(base=b"another", delta=pack_delta(base=b"ab", target=b"abc")))
 
     def test_a_change_of_one_route_is_small(self) -> None:
         one, two = document(routes=300, serial=1), document(routes=300, serial=2)
-        self.assertLess(len(pack_delta(base=one, whole=two)), 700)
+        self.assertLess(len(pack_delta(base=one, target=two)), 700)
 
 
 class Fleets(unittest.TestCase):
@@ -262,10 +263,10 @@
         """Few epochs for many joins; changes and losses known in time; no false alarm;
         bytes and lines bounded."""
 
-        async def story(fleet: HollowFleet) -> None:
+        async def scenario(fleet: HollowFleet) -> None:
             epoch = fleet.edges["n0009"].lease_holder.epoch
             self.assertLess(epoch, 12, "each join had an epoch of its own")
-            fleet._is_watching = True
+            fleet.is_watching = True
             await fleet.sleep(us=4 * SECOND)
             before, at_us = fleet.reading(), fleet.world.now_us()
             await fleet.sleep(us=10 * SECOND)
@@ -285,15 +286,15 @@
             self.assertLess(max(loss.suspected_us.values()), 2_500_000)
             self.assertLess(max(loss.dead_us.values()), 3_500_000)
             self.assertEqual([], fleet.false_alarms)
-            await fleet.sleep(us=IDLE_US + IDLE_LOOK_US)
+            await fleet.sleep(us=IDLE_US + IDLE_CHECK_US)
             living = [edge for name, edge in fleet.edges.items() if name not in fleet.down]
-            kept = max(len(edge.lines._lines) for edge in living)
+            kept = max(len(edge.transport._connections) for edge in living)
             self.assertLessEqual(kept, 6, "lines that nobody uses are closed")
 
-        run_fleet(story, nodes=30)
+        run_fleet(scenario, nodes=30)
 
     def test_who_was_to_hand_the_news_on_is_gone(self) -> None:
-        async def story(fleet: HollowFleet) -> None:
+        async def scenario(fleet: HollowFleet) -> None:
             leader = fleet.cores[fleet.leader()]
             contacts = leader.lease_service.lease_table.contacts(now_us=fleet.world.now_us())
             firsts = {}
@@ -315,25 +316,25 @@
             for name in silent:
                 fleet.processes[name].thaw()
 
-        run_fleet(story, nodes=30)
+        run_fleet(scenario, nodes=30)
 
     def test_a_put_is_acknowledged_as_soon_as_it_is_installed(self) -> None:
         """An edge that installed while it was renewing used to say so half a second
         later."""
 
-        async def story(fleet: HollowFleet) -> None:
+        async def scenario(fleet: HollowFleet) -> None:
             for _ in range(8):
                 self.assertTrue(await fleet.put())
                 asked_us, done_us = fleet.put_us[fleet.version]
                 self.assertLess(done_us - asked_us, 300_000)
                 await fleet.sleep(us=730_000)
 
-        run_fleet(story, nodes=12, cores=3)
+        run_fleet(scenario, nodes=12, cores=3)
 
     def test_two_sides_that_forgot_each_other_meet_again(self) -> None:
         """A cut that outlasts what gossip keeps of the dead: an hour's, made short."""
 
-        async def story(fleet: HollowFleet) -> None:
+        async def scenario(fleet: HollowFleet) -> None:
             inside = fleet.cut_region(region="r2")
             await fleet.sleep(us=75 * SECOND)
             outside = set(fleet.edges) - set(inside)
@@ -352,11 +353,13 @@
             versions = {edge.lease_holder.configuration.version for edge in fleet.edges.values()}
             self.assertEqual({fleet.version}, versions)
 
-        with constants_set(constants={"kelpstage.edge.gossip.swim:FORGET_US": 15 * SECOND}):
-            run_fleet(story, nodes=24)
+        with constants_set(
+            constants={"kelpstage.edge.gossip.membership:REMOVED_MEMBER_TTL_US": 15 * SECOND}
+        ):
+            run_fleet(scenario, nodes=24)
 
     def test_the_leader_is_lost_and_nobody_stops_serving(self) -> None:
-        async def story(fleet: HollowFleet) -> None:
+        async def scenario(fleet: HollowFleet) -> None:
             fleet.processes[fleet.leader()].freeze()
             least = 24
             for _ in range(60):
@@ -364,12 +367,12 @@
                 least = min(least, fleet.ready_count())
             self.assertEqual(24, least)
 
-        run_fleet(story, nodes=24, cores=3)
+        run_fleet(scenario, nodes=24, cores=3)
 
     def test_all_cores_are_lost_and_everybody_serves_on(self) -> None:
         """A majority by lot vouches, asked more often than its word lasts."""
 
-        async def story(fleet: HollowFleet) -> None:
+        async def scenario(fleet: HollowFleet) -> None:
             for name in fleet.cores:
                 fleet.processes[name].kill()
             least = 30
@@ -378,7 +381,7 @@
                 least = min(least, fleet.ready_count())
             self.assertEqual(30, least)
 
-        run_fleet(story, nodes=30)
+        run_fleet(scenario, nodes=30)
 
 
 class Refusals(unittest.TestCase):
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -92,7 +92,7 @@
         for raw in self.raws:
             raw.close()
         self.server.abort()
-        await until(lambda: not self.server.open_lines())
+        await until(lambda: not self.server.open_connections())
 
     async def answer(self, call: HttpCall) -> HttpReply | None:
         self.calls.append(call)
@@ -254,7 +254,7 @@
         other = await self.raw(get("/x"))
         self.assertEqual(200, (await other.reply())[0])
         self.gates["/slow"].set()
-        await until(lambda: self.server.open_lines() == 1)
+        await until(lambda: self.server.open_connections() == 1)
         self.assertEqual([], self.broken)
 
     async def test_a_reply_cannot_smuggle_a_header(self) -> None:
@@ -424,7 +424,7 @@
         self.limits = HttpLimits(header_us=40_000, idle_us=20_000)
         self.assertEqual(b"", await raw.rest())
         self.assertEqual(b"", await fresh.rest())
-        await until(lambda: not self.server.open_lines())
+        await until(lambda: not self.server.open_connections())
 
 
 class Closing(ServerCase):
@@ -435,7 +435,7 @@
         busy = await self.raw(get("/slow") + get("/waits"))
         await until(lambda: "/slow" in self.urls())
         begun = await self.raw(b"GET /begun HTT")
-        await until(lambda: self.server.open_lines() == 3)
+        await until(lambda: self.server.open_connections() == 3)
         # taken in by the kernel, not by us yet
         late = socket.create_connection(tuple(self.address.split(":")))
         late.sendall(get("/late"))
@@ -518,7 +518,7 @@
         self.requests.append(head + await reader.readexactly(size))
 
     async def fetch(self, path: str = "/", **fields: Any) -> Any:
-        fields = {"method": "GET", "line_limit": 2, "wait_us": 15_000_000} | fields
+        fields = {"method": "GET", "connection_limit": 2, "wait_us": 15_000_000} | fields
         return await self.client.fetch(call=HttpCall(url=f"http://{self.address}{path}", **fields))
 
     def kept(self) -> tuple[int, int]:
@@ -546,7 +546,7 @@
             self.requests[0],
         )
         self.assertEqual((200, "1, 2", b"x"), (reply.status, reply.headers["x-a"], reply.body))
-        await self.fetch("", line_limit=0)
+        await self.fetch("", connection_limit=0)
         self.assertEqual(
             f"GET / HTTP/1.1\r\nHost: {self.address}\r\nConnection: close\r\n\r\n".encode(),
             self.requests[1],
@@ -571,7 +571,7 @@
     async def test_a_line_of_its_own_and_kept_lines(self) -> None:
         await self.replies()
         for _ in range(3):
-            await self.fetch(line_limit=0)
+            await self.fetch(connection_limit=0)
         self.assertEqual((3, (0, 0)), (self.lines, self.kept()))
         for _ in range(3):
             await self.fetch()
@@ -609,7 +609,7 @@
         await self.serve(script)
         tasks = []
         for number in range(6):
-            tasks.append(asyncio.ensure_future(self.fetch(f"/{number}", line_limit=1)))
+            tasks.append(asyncio.ensure_future(self.fetch(f"/{number}", connection_limit=1)))
             await asyncio.sleep(0)
         for number in range(6):
             await until(lambda number=number: len(self.requests) == number + 1)
@@ -628,12 +628,12 @@
                 writer.write(OK)
 
         await self.serve(script)
-        first = asyncio.ensure_future(self.fetch("/first", line_limit=1))
+        first = asyncio.ensure_future(self.fetch("/first", connection_limit=1))
         await until(lambda: bool(self.requests))
-        late = await self.fetch("/late", line_limit=1, wait_us=20_000)
+        late = await self.fetch("/late", connection_limit=1, wait_us=20_000)
         self.assertEqual((ReplyTimeoutError, False), (type(late), late.was_sent))
-        gone = asyncio.ensure_future(self.fetch("/gone", line_limit=1))
-        last = asyncio.ensure_future(self.fetch("/last", line_limit=1))
+        gone = asyncio.ensure_future(self.fetch("/gone", connection_limit=1))
+        last = asyncio.ensure_future(self.fetch("/last", connection_limit=1))
         await asyncio.sleep(0)
         gone.cancel()
         gate.set()
@@ -651,11 +651,11 @@
             await reader.read()  # until the other side ends
 
         await self.serve(script)
-        late = await self.fetch(line_limit=1, wait_us=300_000)
+        late = await self.fetch(connection_limit=1, wait_us=300_000)
         self.assertEqual((ReplyTimeoutError, True), (type(late), late.was_sent))
         await until(lambda: self.ended == [1])
-        task = asyncio.ensure_future(self.fetch(line_limit=1))
-        waiting = asyncio.ensure_future(self.fetch(line_limit=1))
+        task = asyncio.ensure_future(self.fetch(connection_limit=1))
+        waiting = asyncio.ensure_future(self.fetch(connection_limit=1))
         await until(lambda: self.lines == 2 and len(self.requests) == 2)
         task.cancel()
         await until(lambda: self.ended == [1, 2])
@@ -679,7 +679,7 @@
 
     async def test_nobody_there(self) -> None:
         for limit in (0, 1):
-            outcomes = await asyncio.gather(*(self.fetch(line_limit=limit) for _ in range(3)))
+            outcomes = await asyncio.gather(*(self.fetch(connection_limit=limit) for _ in range(3)))
             self.assertEqual([ConnectError] * 3, [type(outcome) for outcome in outcomes])
         self.assertEqual((0, 0), self.kept())
         self.assertFalse((await self.fetch("/", headers={"A": "\n"})).was_sent)
@@ -745,7 +745,7 @@
         for reply, why in cases:
             for limit in (0, 1):
                 with self.subTest(reply=reply, limit=limit):
-                    outcome = await self.fetch(line_limit=limit, method="POST", body=b"x")
+                    outcome = await self.fetch(connection_limit=limit, method="POST", body=b"x")
                     self.assertEqual(
                         (ConnectionLostError, why, True),
                         (type(outcome), outcome.why, outcome.was_sent),
@@ -961,7 +961,7 @@
     async def test_one_address_in_trouble_leaves_the_others_alone(self) -> None:
         await self.replies()
         other = free_address()
-        bad = HttpCall(method="GET", url=f"http://{other}/", line_limit=1)
+        bad = HttpCall(method="GET", url=f"http://{other}/", connection_limit=1)
         outcomes = await asyncio.gather(
             self.client.fetch(call=bad),
             *(self.fetch() for _ in range(5)),
