--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -21,7 +21,7 @@
 from kelpstage.core.raft.types import TransferLeadership
 from kelpstage.edge.backend.endpoint_list import EndpointList
 from kelpstage.edge.backend.instance import Instance
-from kelpstage.edge.lease.lease_holder import WITNESS_US, LeaseHolder
+from kelpstage.edge.lease.lease_holder import CONFIRMATION_US, LeaseHolder
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from kelpstage.testbed.simulation.world import SimClock
@@ -76,7 +76,7 @@
     def look(self) -> None:
         now_us = self.fleet.now_us()
         newest = self.history.newest_before(at_us=now_us)
-        settled = self.history.newest_before(at_us=now_us - WITNESS_US - LOOK_US)
+        settled = self.history.newest_before(at_us=now_us - CONFIRMATION_US - LOOK_US)
         for node in self.fleet.deployment.nodes:
             edge = self.fleet.daemons[f"edge/{node.name}"]
             process = self.fleet.processes[f"edge/{node.name}"]
@@ -135,7 +135,7 @@
     )
 
 
-def run_day(story: Story, *, seed: int) -> Day:
+def run_day(scenario: Story, *, seed: int) -> Day:
     """Operators at work over a story."""
     days: list[Day] = []
 
@@ -157,12 +157,12 @@
             asyncio.ensure_future(operators.keep_reading(member=m)) for m in fleet.core_address
         ]
         await fleet.sleep(us=1_500_000)
-        await story(fleet, day)
+        await scenario(fleet, day)
         operators.is_open = watch.is_open = False
         for task in tasks:
             await task
 
-    run_sim(seed=seed, deployment=load(name="tiny"), story=tell)
+    run_sim(seed=seed, deployment=load(name="tiny"), scenario=tell)
     return days[0]
 
 
@@ -213,10 +213,10 @@
 
 class Cuts(unittest.TestCase):
     def judge(
-        self, story: Story, *, bound_us: int = ACKNOWLEDGED_WITHIN_US, cut_off: int = 0
+        self, scenario: Story, *, bound_us: int = ACKNOWLEDGED_WITHIN_US, cut_off: int = 0
     ) -> list[Day]:
         """Every seed's day holds; at most so many edges refuse while the cut holds."""
-        days = [run_day(story, seed=seed) for seed in SEEDS]
+        days = [run_day(scenario, seed=seed) for seed in SEEDS]
         for seed, day in zip(SEEDS, days, strict=True):
             told = f"seed {seed}: {day.acknowledged_after_us} {day.ready_after_us}"
             self.assertEqual(day.history.violations[:5], [], told)
@@ -257,7 +257,7 @@
     """What a core says that does not lead may be of any age: it adds, and replaces nothing."""
 
     def test_a_core_that_was_away_does_not_take_the_others_from_an_edge(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             edge = fleet.daemons["edge/node-05"]
             known = set(edge.leases.cores)
@@ -265,31 +265,33 @@
             hint = LeaseReply(
                 cluster=edge.lease_holder.cluster, cores=["10.9.9.9:7100"], why="no leader"
             )
-            edge.leases._take(reply=hint, sent_us=fleet.now_us(), target="10.9.9.9:7100")
+            edge.leases.renewal.accept_reply(
+                reply=hint, sent_us=fleet.now_us(), target="10.9.9.9:7100"
+            )
             self.assertLessEqual(known, set(edge.leases.cores))
             await fleet.sleep(us=2_000_000)
             self.assertEqual(known, set(edge.leases.cores))  # the leader's word replaces
 
-        run_sim(seed=1, deployment=load(name="tiny"), story=story)
+        run_sim(seed=1, deployment=load(name="tiny"), scenario=scenario)
 
 
 class RelayedRenewals(unittest.TestCase):
     def test_a_wave_that_breaks_off_does_not_end_them_for_good(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             leases = fleet.daemons["edge/node-05"].leases
             broken = mock.AsyncMock(side_effect=RuntimeError("planted"))
-            with mock.patch.object(leases, "_renew_through_peer", broken):
-                leases._relay_now(target="10.9.9.9:7100")
+            with mock.patch.object(leases.relay, "_ask_peers", broken):
+                leases.relay.start(target="10.9.9.9:7100")
                 await fleet.sleep(us=100_000)
             self.assertEqual(broken.await_count, 1)
             real = mock.AsyncMock(return_value=False)
-            with mock.patch.object(leases, "_renew_through_peer", real):
-                leases._relay_now(target="10.9.9.9:7100")
+            with mock.patch.object(leases.relay, "_ask_peers", real):
+                leases.relay.start(target="10.9.9.9:7100")
                 await fleet.sleep(us=100_000)
             self.assertEqual(real.await_count, 1)
 
-        run_sim(seed=1, deployment=load(name="tiny"), story=story)
+        run_sim(seed=1, deployment=load(name="tiny"), scenario=scenario)
 
 
 async def an_edge_cut_off_from_all(fleet: SimFleet, day: Day) -> None:
@@ -333,7 +335,7 @@
     def test_most_edges_start_again_an_hour_earlier(self) -> None:
         stepped_back_us = 3_600_000_000
 
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             names = ["node-02", "node-03", "node-04", "node-05"]
             for name in names:
@@ -357,7 +359,7 @@
                 self.assertEqual(len(swim.live()), len(machines(fleet=fleet)), node.name)
 
         for seed in SEEDS:
-            run_sim(seed=seed, deployment=load(name="tiny"), story=story)
+            run_sim(seed=seed, deployment=load(name="tiny"), scenario=scenario)
 
 
 class SupersededReadings(unittest.TestCase):
@@ -369,51 +371,51 @@
     def two_rolls(self) -> tuple[EndpointList, EndpointList]:
         """A reader, and a node that took its first reading."""
         first, node = EndpointList(me="first", own="first:1"), EndpointList(me="node", own="node:1")
-        first.take_reading(instances=[self.LIFE], read_us=0, now_us=1_000)
-        node.take_news(news=first.news(now_us=1_000), now_us=2_000)
+        first.apply_listing(instances=[self.LIFE], read_us=0, now_us=1_000)
+        node.apply_update(update=first.update(now_us=1_000), now_us=2_000)
         return first, node
 
     def test_a_late_reading_of_a_reader_before(self) -> None:
         first, node = self.two_rolls()
-        first.take_reading(instances=[self.LIFE], read_us=500_000, now_us=501_000)
-        late = first.news(now_us=501_000)  # 1 ms old as it is sent; it lies in the link
+        first.apply_listing(instances=[self.LIFE], read_us=500_000, now_us=501_000)
+        late = first.update(now_us=501_000)  # 1 ms old as it is sent; it lies in the link
         second = EndpointList(me="second", own="second:1")
-        second.take_news(news=node.news(now_us=600_000, is_whole=True), now_us=601_000)
+        second.apply_update(update=node.update(now_us=600_000, is_whole=True), now_us=601_000)
         draining = replace(self.LIFE, is_draining=True)
         for turn in range(3, 10):
             now_us = turn * 1_000_000
-            second.take_reading(instances=[draining], read_us=now_us, now_us=now_us)
-            node.take_news(news=second.news(now_us=now_us), now_us=now_us + 10_000)
+            second.apply_listing(instances=[draining], read_us=now_us, now_us=now_us)
+            node.apply_update(update=second.update(now_us=now_us), now_us=now_us + 10_000)
         self.assertTrue(node.instances["i"].is_draining)
-        node.take_news(news=late, now_us=9_500_000)
+        node.apply_update(update=late, now_us=9_500_000)
         self.assertTrue(node.instances["i"].is_draining)
         self.assertEqual(node.reader, "second")
         self.assertEqual(node.fresh_us, 9_010_000)
 
     def test_a_late_reading_that_says_the_same_does_not_count_as_fresh(self) -> None:
         first, node = self.two_rolls()
-        late = first.news(now_us=2_000)
+        late = first.update(now_us=2_000)
         second = EndpointList(me="second", own="second:1")
-        second.take_news(news=node.news(now_us=600_000, is_whole=True), now_us=601_000)
-        second.take_reading(instances=[self.LIFE], read_us=3_000_000, now_us=3_000_000)
-        node.take_news(news=second.news(now_us=3_000_000), now_us=3_000_000)
-        node.take_news(news=late, now_us=9_000_000)
+        second.apply_update(update=node.update(now_us=600_000, is_whole=True), now_us=601_000)
+        second.apply_listing(instances=[self.LIFE], read_us=3_000_000, now_us=3_000_000)
+        node.apply_update(update=second.update(now_us=3_000_000), now_us=3_000_000)
+        node.apply_update(update=late, now_us=9_000_000)
         self.assertEqual(node.fresh_us, 3_000_000)
         self.assertEqual(node.reader, "second")
 
     def test_a_reader_that_began_anew_goes_on_above_what_it_hears(self) -> None:
         first, node = self.two_rolls()
         for turn in range(1, 6):
-            first.take_reading(instances=[self.LIFE], read_us=turn, now_us=turn)
-        node.take_news(news=first.news(now_us=10), now_us=10)
+            first.apply_listing(instances=[self.LIFE], read_us=turn, now_us=turn)
+        node.apply_update(update=first.update(now_us=10), now_us=10)
         fresh = EndpointList(me="fresh", own="fresh:1")
         other = replace(self.LIFE, instance_id="j")
-        fresh.take_reading(instances=[other], read_us=2_000_000, now_us=2_000_000)
-        node.take_news(news=fresh.news(now_us=2_000_000, is_whole=True), now_us=2_000_000)
+        fresh.apply_listing(instances=[other], read_us=2_000_000, now_us=2_000_000)
+        node.apply_update(update=fresh.update(now_us=2_000_000, is_whole=True), now_us=2_000_000)
         self.assertEqual(list(node.instances), ["i"])  # its first number counts for little
-        fresh.take_news(news=node.news(now_us=2_100_000), now_us=2_100_000)
-        fresh.take_reading(instances=[other], read_us=3_000_000, now_us=3_000_000)
-        node.take_news(news=fresh.news(now_us=3_000_000, is_whole=True), now_us=3_000_000)
+        fresh.apply_update(update=node.update(now_us=2_100_000), now_us=2_100_000)
+        fresh.apply_listing(instances=[other], read_us=3_000_000, now_us=3_000_000)
+        node.apply_update(update=fresh.update(now_us=3_000_000, is_whole=True), now_us=3_000_000)
         self.assertEqual(list(node.instances), ["j"])
 
 
@@ -430,8 +432,8 @@
 class PlantedFaults(unittest.TestCase):
     """The watch is shown to notice faults of its kind."""
 
-    def watched(self, story: Story) -> str:
-        return " ".join(run_day(story, seed=1).watch.violations)
+    def watched(self, scenario: Story) -> str:
+        return " ".join(run_day(scenario, seed=1).watch.violations)
 
     def test_leases_renewed_by_a_deposed_leader(self) -> None:
         with (
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -12,7 +12,7 @@
 from kelpstage.testbed.checkers.register import CHECKERS
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.fleet.fleet import Fleet
-from kelpstage.testbed.fleet.record import write_day
+from kelpstage.testbed.fleet.record import write_recording
 from kelpstage.testbed.fleet.scenario import bring_up
 
 CALLS = 120
@@ -24,7 +24,7 @@
         await fleet.callers.call(kind=fleet.deployment.kinds[number % 3])
 
 
-async def story(fleet: Fleet) -> None:
+async def scenario(fleet: Fleet) -> None:
     await bring_up(fleet=fleet, say=lambda text: None)
     await call_until(fleet=fleet, count=CALLS)
     reply = await fleet.put(document=fleet.configuration(note="two"), expected=1, put_id="two")
@@ -119,7 +119,7 @@
     got, out, err = await tool("cli", "explain", search, *edge)
     assert got == 0 and "planned under configuration" in out and "first; window" in out, (out, err)
     day, result = str(fleet.folder / "a.day"), str(fleet.folder / "a.result")
-    write_day(path=day, history=[r for r in fleet.history if r["event"] == "call"][-60:])
+    write_recording(path=day, history=[r for r in fleet.history if r["event"] == "call"][-60:])
     got, out, err = await tool("replay", "run", day, "--out", result, "--speed", "4", *edge)
     assert got == 0 and json.loads(out)["ends"]["ok"] >= 45, (got, out, err)
     got, out, err = await tool("replay", "diff", result, result)
@@ -162,7 +162,7 @@
         async def run() -> Fleet:
             fleet = Fleet(deployment=load(name="tiny"), pause_share=0.0)
             try:
-                await story(fleet)
+                await scenario(fleet)
             finally:
                 fleet.stop()
             return fleet
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -783,7 +783,7 @@
         """The new one comes first; the old one is told to stop, leader or not; some time
         after that one has gone another disk is lost for good."""
 
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await self.begin(cores)
             cores.add(name="c3", zone="d0")
             await cores.start("c3", seeds=cores.names[:3])
@@ -801,20 +801,20 @@
             cores.names.remove(lost)
             self.assertEqual(cores.version, (await cores.read())[0])
 
-        return story
+        return scenario
 
     def test_a_loss_at_any_moment_after_a_planned_replacement(self) -> None:
         states: list[str] = []
         spans: list[int] = []
         for place in range(20):
             with self.subTest(place=place):
-                story = self.replacement(
+                scenario = self.replacement(
                     is_leader=bool(place % 2),
                     after_us=place // 2 * 100_000,
                     states=states,
                     spans=spans,
                 )
-                play(story, seed=place, count=3, tolerance=1)
+                play(scenario, seed=place, count=3, tolerance=1)
         self.assertEqual({"REPLACED"}, set(states))
         self.assertLess(max(spans), 1_500_000)
 
@@ -822,15 +822,15 @@
         async def go(self: Leaving) -> LeaveOutcome:
             return LeaveOutcome(state=LeaveState.REPLACED)
 
-        story = self.replacement(is_leader=False, after_us=0, states=[], spans=[])
+        scenario = self.replacement(is_leader=False, after_us=0, states=[], spans=[])
         with (
             mock.patch.object(Leaving, "run", go),
             self.assertRaisesRegex(AssertionError, "not read back"),
         ):
-            play(story, seed=0, count=3, tolerance=1)
+            play(scenario, seed=0, count=3, tolerance=1)
 
     def test_without_a_replacement_it_goes_and_says_what_is_left(self) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await self.begin(cores)
             gone = cores.leader()
             state, took_us = await self.stopped(cores, gone)
@@ -846,10 +846,10 @@
             self.assertEqual(1, cores.daemons[cores.leader()].task.raft.margin()["losses_borne"])
 
         for seed in range(3):
-            play(story, seed=seed, count=3, tolerance=1)
+            play(scenario, seed=seed, count=3, tolerance=1)
 
     def test_six_are_restarted_in_turn(self) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await self.begin(cores)
             await cores.wait_for(
                 lambda: len(cores.daemons[cores.leader()].task.raft.members.current) == 6
@@ -865,25 +865,25 @@
                 )
                 await cores.sleep(300_000)
 
-        play(story, seed=1, count=6, tolerance=2)
+        play(scenario, seed=1, count=6, tolerance=2)
 
     def test_all_are_told_to_stop_at_once(self) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await self.begin(cores)
             ends = await asyncio.gather(*(self.stopped(cores, name) for name in cores.names))
             self.assertLess(max(took_us for _, took_us in ends), 4_500_000)
             await cores.start()
             self.assertEqual(cores.version, (await cores.read())[0])
 
-        play(story, seed=1, count=3, tolerance=1)
+        play(scenario, seed=1, count=3, tolerance=1)
 
     def test_one_alone_stops_at_once(self) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await self.begin(cores)
             _, took_us = await self.stopped(cores, cores.names[0])
             self.assertLess(took_us, 100_000)
 
-        play(story, seed=1, count=1, tolerance=0)
+        play(scenario, seed=1, count=1, tolerance=0)
 
 
 class FoundingMembersTest(unittest.TestCase):
@@ -891,7 +891,7 @@
         """It writes them into the snapshot that it begins with, where no truncation of the
         log could undo a change that never came to be."""
 
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             core = cores.daemons[cores.leader()]
@@ -901,4 +901,4 @@
             self.assertTrue(core.task.raft.members.has(replica="new"))
             self.assertEqual(committed, core.seed_state().members)
 
-        play(story, seed=1, count=3, tolerance=1)
+        play(scenario, seed=1, count=3, tolerance=1)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -258,7 +258,7 @@
     """Operators at work while machines of the core suffer what is to be borne."""
     sites: list[OrderSite] = []
 
-    async def story(site: OrderSite) -> None:
+    async def scenario(site: OrderSite) -> None:
         sites.append(site)
         rand = random.Random(f"orders/{seed}")
         await site.start(is_first=True)
@@ -294,7 +294,7 @@
             for member in site.names:
                 await site.send(write, member=member)
 
-    play(story, seed=seed, count=count, tolerance=(count - 1) // 2, make=OrderSite)
+    play(scenario, seed=seed, count=count, tolerance=(count - 1) // 2, make=OrderSite)
     return sites[0]
 
 
@@ -370,7 +370,7 @@
         order's sender is answered, and then everybody."""
         out: list[Any] = []
 
-        async def story(site: OrderSite) -> None:
+        async def scenario(site: OrderSite) -> None:
             await site.start(is_first=True)
             await site.wait_for(lambda: len(site.voters()) == 3)
             first = site.lease_table.order(key="first", base=0, version=3)
@@ -402,7 +402,7 @@
                 await site.read_once(member=member)
             out.extend((site, answer))
 
-        play(story, seed=seed, count=3, tolerance=1, make=OrderSite)
+        play(scenario, seed=seed, count=3, tolerance=1, make=OrderSite)
         return out[0], out[1]
 
     async def patient(self, site: OrderSite, write: Write, *, member: str) -> Answer:
@@ -459,7 +459,7 @@
     """Copies of orders at several members at the same time."""
 
     def test_one_order_at_every_member_at_once(self) -> None:
-        async def story(site: OrderSite) -> None:
+        async def scenario(site: OrderSite) -> None:
             await site.start(is_first=True)
             await site.wait_for(lambda: len(site.voters()) == 3)
             for turn in range(6):
@@ -473,12 +473,12 @@
             self.assertEqual(6, len(puts), "each was taken once")
             self.assertEqual([], site.lease_table.anomalies())
 
-        play(story, seed=7, count=3, tolerance=1, make=OrderSite)
+        play(scenario, seed=7, count=3, tolerance=1, make=OrderSite)
 
     def test_two_under_one_number_in_every_order_of_arrival(self) -> None:
         """Each at one of the members, `gap_us` apart, each repeated everywhere after it."""
 
-        async def story(site: OrderSite) -> None:
+        async def scenario(site: OrderSite) -> None:
             await site.start(is_first=True)
             await site.wait_for(lambda: len(site.voters()) == 3)
             base = 0
@@ -503,7 +503,7 @@
                     base += 2
             self.assertEqual([], site.lease_table.anomalies())
 
-        play(story, seed=8, count=3, tolerance=1, make=OrderSite)
+        play(scenario, seed=8, count=3, tolerance=1, make=OrderSite)
 
     async def send_later(
         self, site: OrderSite, write: Write, *, member: str, after_us: int
@@ -518,7 +518,7 @@
     def test_what_an_edge_gave_back_is_acknowledged_again_and_what_lies_between_unclear(
         self,
     ) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()  # version 1
             left = next(name for name in fleet.core_address if name != fleet.leader())
             others = [name for name in fleet.core_address if name != left]
@@ -556,7 +556,7 @@
             late = await send(3, core=left, document=rival, put_id="rival")
             self.assertEqual("version_mismatch", late["end"], "its version is another's")
 
-        run_sim(seed=1, deployment=fleet_deployment(name="tiny"), story=story)
+        run_sim(seed=1, deployment=fleet_deployment(name="tiny"), scenario=scenario)
 
 
 class NotSettled(unittest.TestCase):
@@ -571,7 +571,7 @@
         """How many unclear answers came first; a refusal or an early 200 fails the test."""
         counts: list[int] = []
 
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             edge = fleet.daemons["edge/node-05"]
             fleet.processes["edge/node-05"].freeze()
@@ -606,7 +606,7 @@
                 again = await fleet.put(core=core, **order_row)
                 self.assertEqual(200, again["status"])
 
-        run_sim(seed=2, deployment=fleet_deployment(name="tiny"), story=story)
+        run_sim(seed=2, deployment=fleet_deployment(name="tiny"), scenario=scenario)
         return counts[0]
 
 
--- a/tests/test_platform_sim.py
+++ b/tests/test_platform_sim.py
@@ -10,21 +10,19 @@
 from kelpstage.edge.forward.sealed_answer import SealedCodec
 from kelpstage.edge.retries.budget import Budget
 from kelpstage.testbed.platform_model.scenario import (
-    CLOSINGS,
-    TROUBLES,
+    CLOSING_FAULTS,
+    PLATFORM_FAULTS,
     Outcome,
     Plan,
     as_text,
-    play_day,
+    play_scenario,
 )
 from kelpstage.testbed.platform_model.shape import SHAPES
 
 
-def play(
-    *, deployment: str = "senegal", troubles: tuple = (), closing: str = "", **more
-) -> Outcome:
+def play(*, deployment: str = "senegal", faults: tuple = (), closing: str = "", **more) -> Outcome:
     fields = {"seed": 1, "seconds": 5, "rate": 0.12, "start_us": 6_000_000, "settle_s": 2, **more}
-    return play_day(plan=Plan(deployment=deployment, troubles=troubles, closing=closing, **fields))
+    return play_scenario(plan=Plan(deployment=deployment, faults=faults, closing=closing, **fields))
 
 
 class Days(unittest.TestCase):
@@ -44,61 +42,60 @@
 
     def test_the_same_plan_gives_the_same_day(self):
         first, again = (
-            play(seconds=1, rate=0.1, settle_s=0, troubles=("srv_crash", "garble"))
-            for _ in range(2)
+            play(seconds=1, rate=0.1, settle_s=0, faults=("srv_crash", "garble")) for _ in range(2)
         )
         self.assertEqual(first.counts, again.counts)
         self.assertEqual(as_text(outcome=first), as_text(outcome=again))
 
     def test_backends_crash_leave_and_answer_badly(self):
-        outcome = self.clean(troubles=("garble", "srv_drain", "srv_crash"))
-        self.assertTrue(outcome.day.shown)
+        outcome = self.clean(faults=("garble", "srv_drain", "srv_crash"))
+        self.assertTrue(outcome.history.shown)
 
     def test_backends_reset_fall_silent_and_forget_connections(self):
-        self.clean(troubles=("srv_reset", "srv_dark", "idle_race"))
+        self.clean(faults=("srv_reset", "srv_dark", "idle_race"))
 
     def test_the_index_is_cut_again_and_operators_race(self):
-        outcome = self.clean(troubles=("reshard", "config_race"))
-        self.assertTrue(any(order.refused_us for order in outcome.day.orders))
+        outcome = self.clean(faults=("reshard", "config_race"))
+        self.assertTrue(any(order.refused_us for order in outcome.history.orders))
 
     def test_eight_orders_at_once_whose_answers_are_lost(self):
-        outcome = self.clean(troubles=("ack_lost",))
+        outcome = self.clean(faults=("ack_lost",))
         self.assertGreaterEqual(outcome.counts["acked"], 4)
-        repeats = [order for order in outcome.day.orders if len(order.tries) > 2]
+        repeats = [order for order in outcome.history.orders if len(order.tries) > 2]
         self.assertGreater(len(repeats), 4)
 
     def test_two_operators_with_one_number_while_the_core_is_killed(self):
-        outcome = self.clean(deployment="netherlands", troubles=("one_number",))
+        outcome = self.clean(deployment="netherlands", faults=("one_number",))
         self.assertGreaterEqual(outcome.counts["acked"], 4)
-        self.assertTrue(any(order.refused_us for order in outcome.day.orders))
+        self.assertTrue(any(order.refused_us for order in outcome.history.orders))
 
     def test_two_operators_race_while_a_core_machine_is_cut_off(self):
         for seed in (1, 2):
-            outcome = self.clean(troubles=("race_in_cut",), seconds=8, seed=seed)
+            outcome = self.clean(faults=("race_in_cut",), seconds=8, seed=seed)
             self.assertGreaterEqual(outcome.counts["acked"], 3)
 
     def test_what_was_acknowledged_is_sent_again(self):
-        outcome = self.clean(troubles=("order_repeated",))
+        outcome = self.clean(faults=("order_repeated",))
         self.assertGreaterEqual(outcome.counts["acked"], 4)
 
     def test_invalid_configurations_are_refused(self):
-        outcome = self.clean(troubles=("config_invalid",))
+        outcome = self.clean(faults=("config_invalid",))
         self.assertEqual(outcome.counts["acked"], 1)
 
     def test_changes_whose_answers_are_lost_while_machines_are_killed(self):
-        self.clean(deployment="netherlands", troubles=("config_changes", "node_kill"), least=0.8)
+        self.clean(deployment="netherlands", faults=("config_changes", "node_kill"), least=0.8)
 
     def test_machines_are_stopped_in_turn(self):
-        self.clean(troubles=("roll_term",))
+        self.clean(faults=("roll_term",))
 
     def test_the_core_is_cut_and_changed(self):
-        self.clean(troubles=("core_cut",), seconds=8)
+        self.clean(faults=("core_cut",), seconds=8)
 
     def test_a_core_machine_is_replaced(self):
-        self.clean(troubles=("replace_core", "seed_turnover"))
+        self.clean(faults=("replace_core", "seed_turnover"))
 
     def test_a_disk_is_gone_right_after_an_acknowledgement(self):
-        self.clean(troubles=("after_ack_wipe", "disk_stall"))
+        self.clean(faults=("after_ack_wipe", "disk_stall"))
 
     def test_every_machine_loses_power_at_the_close(self):
         self.clean(closing="closing_power", least=0.5)
@@ -111,27 +108,27 @@
     """The days notice a product that breaks a rule."""
 
     def lines(self, **fields) -> set[str]:
-        return {violation.line for violation in play(**fields).violations}
+        return {violation.rule for violation in play(**fields).violations}
 
     def test_a_budget_that_allows_all(self):
         with mock.patch.object(Budget, "take", lambda self, **_: True):
-            found = self.lines(troubles=("many_slow",), rate=0.3)
+            found = self.lines(faults=("many_slow",), rate=0.3)
         self.assertIn("BUDGET", found)
 
     def test_drains_that_are_not_heeded(self):
         with mock.patch.object(BackendRegistry, "refusal_of_instance", lambda self, **_: ""):
-            found = self.lines(troubles=("srv_drain",), seconds=10)
+            found = self.lines(faults=("srv_drain",), seconds=10)
         self.assertIn("DRAIN", found)
 
     def test_answers_that_are_not_told_apart(self):
         with mock.patch.object(SealedCodec, "_refused", lambda self, **_: None):
-            found = self.lines(troubles=("garble",) * 4, rate=0.3)
+            found = self.lines(faults=("garble",) * 4, rate=0.3)
         self.assertIn("MIXED", found)
 
 
 class Names(unittest.TestCase):
     def test_every_trouble_says_what_it_does_by_its_name(self):
-        for name in (*TROUBLES, *CLOSINGS):
+        for name in (*PLATFORM_FAULTS, *CLOSING_FAULTS):
             self.assertRegex(name, r"^[a-z]+(_[a-z]+)*$")
 
     def test_every_deployment_has_more_backends_than_machines_can_lose(self):
--- a/tests/test_points.py
+++ b/tests/test_points.py
@@ -7,9 +7,9 @@
 import unittest
 
 import kelpstage
-from kelpstage.testbed.checkers.register import judge
+from kelpstage.testbed.checkers.register import find_violations
 from kelpstage.testbed.fleet.deployment import load
-from kelpstage.testbed.simulation.failpoints import POINTS, is_core_point
+from kelpstage.testbed.simulation.failpoints import FAILPOINTS, is_core_failpoint
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from kelpstage.testbed.simulation.world import SimProcess
 
@@ -21,13 +21,13 @@
         named = set()
         for path in SOURCE.rglob("*.py"):
             named |= set(re.findall(r"point\(\"([a-z_.]+)\"\)", path.read_text(encoding="utf-8")))
-        self.assertEqual(set(POINTS.values()), named)
+        self.assertEqual(set(FAILPOINTS.values()), named)
 
 
-def story_at(*, point: str, visit: int):
+def story_at(*, failpoint: str, visit: int):
     """Kill whoever passes the point for the n-th time; bring it back; go on."""
 
-    async def story(fleet: SimFleet) -> None:
+    async def scenario(fleet: SimFleet) -> None:
         world = fleet.world
         hits: list[str] = []
         fallen: list[str] = []
@@ -50,32 +50,32 @@
             return True
 
         number = fleet.fault(
-            what=f"point {point}",
-            excuses=[] if is_core_point(name=point) else ["edge"],
+            what=f"point {failpoint}",
+            excuses=[] if is_core_failpoint(name=failpoint) else ["edge"],
             nodes=fallen,
             after_us=1_000_000,
         )
-        world.armed[point] = fall
+        world.armed[failpoint] = fall
         for _ in range(4):
             await fleet.put_next(wait_us=6_000_000)
             if hits:
                 break
             await force_snapshot(fleet=fleet)
-        del world.armed[point]
+        del world.armed[failpoint]
         await fleet.sleep(us=1_500_000)
         for process_name in hits:
             kind, _, name = process_name.partition("/")
             await (fleet.start_core if kind == "core" else fleet.start_edge)(name=name)
         fleet.fault_end(fault=number)
         fleet.note({"event": "hits", "names": hits})
-        fleet.note({"event": "returned", "what": point})
+        fleet.note({"event": "returned", "what": failpoint})
         await fleet.sleep(us=16_000_000)
         await fleet.put_next()
         await fleet.sleep(us=500_000)
         await fleet.drain_callers()
         await fleet.read_back()
 
-    return story
+    return scenario
 
 
 async def force_snapshot(*, fleet: SimFleet) -> None:
@@ -90,25 +90,25 @@
 class Visits(unittest.TestCase):
     """One test for each point; see below."""
 
-    def visit(self, *, number: int, point: str) -> None:
+    def visit(self, *, number: int, failpoint: str) -> None:
         fleet = run_sim(
             seed=number,
             deployment=load(name="tiny"),
-            story=story_at(point=point, visit=1 + number % 2),
+            scenario=story_at(failpoint=failpoint, visit=1 + number % 2),
             rate=0.15,
         )
         hits = [row["names"] for row in fleet.history if row["event"] == "hits"]
         self.assertTrue(hits and hits[0], "the point was not passed")
-        self.assertEqual([], judge(history=fleet.history))
+        self.assertEqual([], find_violations(history=fleet.history))
         self.assertEqual([], fleet.world.broken)
 
 
-def _add(number: int, point: str) -> None:
+def _add(number: int, failpoint: str) -> None:
     def test(self: Visits) -> None:
-        self.visit(number=number, point=point)
+        self.visit(number=number, failpoint=failpoint)
 
-    setattr(Visits, f"test_{number:02d}_{point.replace('.', '_')}", test)
+    setattr(Visits, f"test_{number:02d}_{failpoint.replace('.', '_')}", test)
 
 
-for _number, _point in POINTS.items():
+for _number, _point in FAILPOINTS.items():
     _add(_number, _point)
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -27,7 +27,7 @@
 
 class LiveHttp(unittest.TestCase):
     def test_outcomes_are_typed(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             ports = live_ports(data_folder=None)
             address = free_address()
             seen: list[HttpCall] = []
@@ -72,7 +72,7 @@
             listener.close()
             never.set()
 
-        asyncio.run(story())
+        asyncio.run(scenario())
 
 
 class LiveStreams(unittest.TestCase):
@@ -80,7 +80,7 @@
         """Both ends ask the system for it; daemons run only where the system has the option."""
         option = socket.TCP_USER_TIMEOUT
 
-        async def story() -> None:
+        async def scenario() -> None:
             ports = live_ports(data_folder=None)
             address = free_address()
             accepted: asyncio.Future = asyncio.get_running_loop().create_future()
@@ -101,4 +101,4 @@
                 stream.close()
             listener.close()
 
-        asyncio.run(story())
+        asyncio.run(scenario())
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -9,7 +9,7 @@
 from collections import Counter
 
 from kelpstage.common.event_journal import Journal
-from kelpstage.common.transport.connections import Lines
+from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import (
     AppendEntries,
     AppendEntriesReply,
@@ -390,7 +390,7 @@
         task = ReplicaTask(
             ports=process.ports,
             store=store,
-            lines=Lines(ports=process.ports, counts=Counter()),
+            transport=Transport(ports=process.ports, counts=Counter()),
             journal=Journal(now=process.ports.clock.now_us),
             recovered=await store.recover(identity=identity),
             own="10.0.0.1:7100",
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -21,11 +21,11 @@
 from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.backend.reply import SealedPart
 from kelpstage.edge.backend.selection import options
-from kelpstage.edge.gather.context import World
+from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.latency import LatencyEstimates
 from kelpstage.edge.gather.messages import BackendReplied, ChildReplied
 from kelpstage.edge.gather.record_order import pack_records
-from kelpstage.edge.gather.request_state import GATHERS, ROOT, Cell, Child, Gathering
+from kelpstage.edge.gather.request_state import GATHERING, ROOT, Child, RequestState, ShardState
 from kelpstage.edge.gather.stages.merge import take
 from kelpstage.edge.gather.tree import Subtree
 from kelpstage.edge.gossip.swim import Swim
@@ -64,17 +64,21 @@
 
     def test_one_that_lied_is_asked_last_for_a_while(self) -> None:
         self.assertEqual(["b-01", "b-02"], self.order(0))
-        self.registry.lied(name="b-01", now_us=0)
+        self.registry.note_invalid_reply(name="b-01", now_us=0)
         self.assertEqual(["b-02", "b-01"], self.order(1))
         self.assertEqual(["b-01", "b-02"], self.order(60_000_000))
 
     def test_others_hear_of_the_lie(self) -> None:
-        self.registry.lied(name="b-01", now_us=0)
-        [backend_state] = [r for r in self.registry.backend_states(now_us=1) if r.state == LYING]
+        self.registry.note_invalid_reply(name="b-01", now_us=0)
+        [backend_state] = [
+            r
+            for r in self.registry.backend_states(now_us=1)
+            if r.state == BackendState.INVALID_REPLIES
+        ]
         other = BackendRegistry(me="m")
         other.declare(configuration=self.configuration, listed={})
         self.assertTrue(other.on_backend_state_received(backend_state=backend_state, now_us=5))
-        self.assertTrue(other.is_distrusted(name="b-01", now_us=6))
+        self.assertTrue(other.is_suspected(name="b-01", now_us=6))
 
     def test_one_that_was_slow_gives_way_and_is_tried_again(self) -> None:
         for _ in range(20):
@@ -88,7 +92,7 @@
         """Cold windows of 10 ms and backends that take 150: the root used to spend
         its budget and fail with most of the caller's time left."""
 
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             for name in fleet.backends:
                 await fleet.set_backend(name=name, slow_us=150_000)
@@ -106,7 +110,7 @@
             count = sum(r["event"] == "receipt" for r in fleet.history)
             self.assertLess(count - len(firsts), 40)
 
-        run_sim(seed=1, deployment=load(name="tiny"), story=story)
+        run_sim(seed=1, deployment=load(name="tiny"), scenario=scenario)
 
 
 class LateChild(unittest.TestCase):
@@ -117,7 +121,7 @@
         configuration = read_configuration(
             data=configuration_of(deployment=load(name="tiny"), addresses={}), version=1
         )
-        world = World(
+        world = GatherContext(
             me="r",
             zone="east",
             own="",
@@ -135,18 +139,18 @@
             journal=Journal(now=lambda: 0),
         )
         child = Child(slot=0, subtree=Subtree(node="k", shards=("s1", "s2")), is_sent=True)
-        record = Gathering(
+        record = RequestState(
             key=1,
             kind=ROOT,
             collection="tiny",
             arrived_us=0,
             due_us=10,
             version=1,
-            stage=GATHERS,
+            phase=GATHERING,
             configuration=configuration,
             route=configuration.route(collection="tiny"),
             children=[child],
-            cells={"s1": Cell(shard="s1", is_extra=True)},
+            shard_states={"s1": ShardState(shard="s1", is_extra=True)},
         )
         own = SealedPart(shard="s1", cut="c1", stamp="x", count=1, records=[(-5, b"own")])
         take(
@@ -175,7 +179,7 @@
     def test_a_put_to_a_leader_just_elected_is_not_refused(self) -> None:
         """It had not heard its edges yet and said that most were missing."""
 
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             old = fleet.leader()
             fleet.kill_core(name=old)
@@ -187,12 +191,12 @@
             )
             self.assertEqual("ok", row["end"])
 
-        run_sim(seed=1, deployment=load(name="tiny"), story=story)
+        run_sim(seed=1, deployment=load(name="tiny"), scenario=scenario)
 
 
 class DamagedDisk(unittest.TestCase):
     def test_a_core_with_damaged_files_comes_back_as_a_new_voter(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             name = next(n for n in fleet.core_address if n != fleet.leader())
             before = fleet.daemons[f"core/{name}"].task.me
@@ -209,7 +213,7 @@
             self.assertEqual(1, core.journal.counts["SetAside"])
             self.assertEqual(200, (await fleet.put_next())["status"])
 
-        run_sim(seed=2, deployment=load(name="tiny"), story=story)
+        run_sim(seed=2, deployment=load(name="tiny"), scenario=scenario)
 
 
 class RestartWithoutCores(unittest.TestCase):
@@ -219,7 +223,7 @@
     def run_story(self, restarted: list[str]) -> tuple[SimFleet, list[str]]:
         seen: list[str] = []
 
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             for name in fleet.core_address:
                 fleet.kill_core(name=name)
@@ -231,13 +235,13 @@
             await fleet.sleep(us=4_000_000)
             seen.extend(fleet.ready_edges())
 
-        return run_sim(seed=3, deployment=load(name="tiny"), story=story), seen
+        return run_sim(seed=3, deployment=load(name="tiny"), scenario=scenario), seen
 
     def test_two_of_six_serve_again(self) -> None:
         fleet, ready = self.run_story(["node-02", "node-05"])
         self.assertEqual([n.name for n in fleet.deployment.nodes], ready)
         lease_holder = fleet.daemons["edge/node-02"].lease_holder
-        self.assertFalse(lease_holder.vouches)
+        self.assertFalse(lease_holder.may_confirm_epochs)
         self.assertEqual(1, lease_holder.configuration.version)
 
     def test_half_of_six_forgot_and_nobody_serves(self) -> None:
@@ -267,7 +271,7 @@
     """A peer that gossip reaches but queries do not is asked last, longer each time."""
 
     def test_shyness_grows_until_a_reply(self) -> None:
-        world = World(
+        world = GatherContext(
             me="n",
             zone="d",
             own="",
@@ -283,14 +287,14 @@
         for _ in range(4):
             world.note_late(name="k")
             start_us = world.now_us
-            while world.is_shy(name="k"):
+            while world.is_late(name="k"):
                 world.now_us += 100_000
             spans.append(world.now_us - start_us)
         self.assertEqual([1_000_000, 2_000_000, 4_000_000, 8_000_000], spans)
         world.note_reply(name="k")
         world.note_late(name="k")
         world.now_us += 1_000_000
-        self.assertFalse(world.is_shy(name="k"))
+        self.assertFalse(world.is_late(name="k"))
 
 
 class TwoSidesOfACut(unittest.TestCase):
@@ -310,7 +314,9 @@
         for peer in ("k", "l"):
             for name in configuration.backends:
                 registry.on_backend_state_received(
-                    backend_state=BackendStateMsg(backend=name, state=DARK, seen_by=peer),
+                    backend_state=BackendStateMsg(
+                        backend=name, state=BackendState.UNREACHABLE, seen_by=peer
+                    ),
                     now_us=1_000,
                 )
         ranked = options(
@@ -324,6 +330,6 @@
             rand=None,
         )
         self.assertEqual(["", ""], [option.refusal for option in ranked])
-        self.assertTrue(all(option.is_distrusted for option in ranked))
-        registry.heard_back(name="b-02", now_us=2_500)
-        self.assertFalse(registry.is_distrusted(name="b-02", now_us=3_000))
+        self.assertTrue(all(option.is_suspected for option in ranked))
+        registry.note_response(name="b-02", now_us=2_500)
+        self.assertFalse(registry.is_suspected(name="b-02", now_us=3_000))
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -13,22 +13,22 @@
 from kelpstage.common.recording.format import HEAD, pack_row, read_day
 from kelpstage.replay.main import diff, load, run_day, save, show
 from kelpstage.testbed.fleet.deployment import load as load_deployment
-from kelpstage.testbed.fleet.record import day_of
+from kelpstage.testbed.fleet.record import recording_of
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 
 
 def record_day(*, seed: int) -> list[dict]:
     """A few seconds of calls on a simulated fleet, as a day."""
 
-    async def story(fleet: SimFleet) -> None:
+    async def scenario(fleet: SimFleet) -> None:
         await fleet.bring_up()
         fleet.history.clear()
         fleet.start_callers()
         await fleet.sleep(us=3_000_000)
         await fleet.drain_callers()
 
-    fleet = run_sim(seed=seed, deployment=load_deployment(name="tiny"), story=story)
-    return day_of(history=fleet.history)
+    fleet = run_sim(seed=seed, deployment=load_deployment(name="tiny"), scenario=scenario)
+    return recording_of(history=fleet.history)
 
 
 def quietly(work, **arguments: object) -> tuple[int, str, str]:
@@ -114,7 +114,7 @@
 
 class EdgeWrites(unittest.TestCase):
     def test_an_edge_records_calls_and_a_full_disk_does_not_slow_it(self) -> None:
-        async def story(fleet: SimFleet) -> None:
+        async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             edge = fleet.daemons["edge/node-04"]
             from kelpstage.common.recording.writer import DayWriter
@@ -134,4 +134,4 @@
             self.assertEqual(len(asked), sum(r["what"] == "call" for r in rows))
             self.assertTrue(all(r["end"] == "ok" for r in asked))
 
-        run_sim(seed=4, deployment=load_deployment(name="tiny"), story=story)
+        run_sim(seed=4, deployment=load_deployment(name="tiny"), scenario=scenario)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -21,21 +21,21 @@
 
 
 class StoreTest(unittest.TestCase):
-    def run_story(self, story, seed: int = 1) -> None:
+    def run_story(self, scenario, seed: int = 1) -> None:
         loop = VirtualLoop()
         asyncio.set_event_loop(loop)
         try:
-            loop.run_until_complete(self._with_disk(loop, story, seed))
+            loop.run_until_complete(self._with_disk(loop, scenario, seed))
         finally:
             asyncio.set_event_loop(None)
             loop.close()
 
-    async def _with_disk(self, loop, story, seed: int) -> None:
+    async def _with_disk(self, loop, scenario, seed: int) -> None:
         world = World(seed=seed, loop=loop)
         machine = world.add_machine(name="m", zone="d")
         self.platter = machine.platter
         self.process = SimProcess(world=world, name="p", machine=machine, instance=1)
-        await story()
+        await scenario()
 
     async def fresh(self) -> Store:
         store = Store(ports=self.process.ports)
@@ -53,7 +53,7 @@
         for seed in range(30):
             with self.subTest(seed=seed):
 
-                async def story(seed: int = seed) -> None:
+                async def scenario(seed: int = seed) -> None:
                     rand = random.Random(seed)
                     store = await self.fresh()
                     written = 0
@@ -73,10 +73,10 @@
                     self.assertNotIsInstance(found, LogDamagedError)
                     self.assertIn(found.log.last_index, (written, written + 1))
 
-                self.run_story(story, seed=seed)
+                self.run_story(scenario, seed=seed)
 
     def test_damage_before_a_good_record_counts_the_replica_as_empty(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             store = await self.fresh()
             for index in (1, 2, 3):
                 await store.append(steps=[DiskStep(entries=[entry(index)])])
@@ -86,10 +86,10 @@
             found = await self.reopened()
             self.assertIsInstance(found, LogDamagedError)
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_damaged_identity_and_snapshot_are_told(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             store = await self.fresh()
             await store.append(steps=[DiskStep(entries=[entry(1), entry(2)])])
             snapshot = DiskSnapshot(index=2, term=1, state=b"s", cluster="c")
@@ -106,10 +106,10 @@
                 await Store(ports=self.process.ports).read_identity(), LogDamagedError
             )
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_files_of_another_format_are_no_damage(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             store = await self.fresh()
             await store.append(steps=[DiskStep(entries=[entry(1)])])
             file = self.platter.files["log/r-00000001.seg"]
@@ -117,10 +117,10 @@
             found = await self.reopened()
             self.assertEqual(("format_mismatch", 7), (found.kind, found.theirs))
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_full_disk_is_a_typed_error_and_harms_nothing_written(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             store = await self.fresh()
             await store.append(steps=[DiskStep(entries=[entry(1)])])
             self.platter.is_full = True
@@ -131,13 +131,13 @@
             found = await self.reopened()
             self.assertEqual(1, found.log.last_index)
 
-        self.run_story(story)
+        self.run_story(scenario)
 
     def test_snapshot_cut_at_every_moment_leaves_a_readable_folder(self) -> None:
         for moment in range(1, 14):
             with self.subTest(moment=moment):
 
-                async def story(moment: int = moment) -> None:
+                async def scenario(moment: int = moment) -> None:
                     store = await self.fresh()
                     await store.append(
                         steps=[
@@ -165,4 +165,4 @@
                     self.assertNotIsInstance(found, LogDamagedError)
                     self.assertEqual((3, 1, "r"), (found.log.last_index, found.term, found.vote))
 
-                self.run_story(story, seed=moment)
+                self.run_story(scenario, seed=moment)
--- a/tests/test_worst_days.py
+++ b/tests/test_worst_days.py
@@ -103,10 +103,10 @@
     await cores.start(fresh, seeds=[gone, *cores.names[:2]])
 
 
-def day_of(*, seed: int) -> Callable[[Cores], Awaitable[None]]:
+def recording_of(*, seed: int) -> Callable[[Cores], Awaitable[None]]:
     """The whole day, as it broke on the users' platform."""
 
-    async def story(cores: Cores) -> None:
+    async def scenario(cores: Cores) -> None:
         rand = random.Random(f"{seed}/story")
         await cores.start(is_first=True)
         await cores.wait_for(lambda: len(cores.voters()) == 3)
@@ -142,14 +142,14 @@
         await cores.start()
         await changes.register.read(rand)
 
-    return story
+    return scenario
 
 
 class HundredsOfChanges(unittest.TestCase):
     def test_the_day_that_broke(self) -> None:
         for seed in range(2):
             with self.subTest(seed=seed):
-                play(day_of(seed=seed), seed=seed, count=3, tolerance=1)
+                play(recording_of(seed=seed), seed=seed, count=3, tolerance=1)
 
     def test_with_connections_of_bounded_windows(self) -> None:
         """What a returned or new member lacks is under way for a second and more; it is
@@ -157,7 +157,7 @@
         for seed in range(3):
             with self.subTest(seed=seed):
                 play(
-                    day_of(seed=seed),
+                    recording_of(seed=seed),
                     seed=seed,
                     count=3,
                     tolerance=1,
@@ -168,7 +168,7 @@
 def losses_of(*, seed: int, turns: int) -> Callable[[Cores], Awaitable[None]]:
     """A loss each time that the one before counts as made good."""
 
-    async def story(cores: Cores) -> None:
+    async def scenario(cores: Cores) -> None:
         rand = random.Random(f"{seed}/wipes")
         await cores.start(is_first=True)
         await cores.wait_for(lambda: len(cores.voters()) == 3)
@@ -193,7 +193,7 @@
         await cores.start()
         await changes.register.read(rand)
 
-    return story
+    return scenario
 
 
 class OneLossAfterTheOther(unittest.TestCase):
@@ -273,7 +273,7 @@
     connection from before is waited for."""
 
     def play_absence(self, *, seed: int, is_cut: bool, away_us: int) -> None:
-        async def story(cores: Cores) -> None:
+        async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             changes = Changes(cores, seed=seed)
@@ -295,7 +295,7 @@
             await changes.go_on(after=f"{away_us} us away")
             await changes.end()
 
-        play(story, seed=seed, count=3, tolerance=1)
+        play(scenario, seed=seed, count=3, tolerance=1)
 
     def test_after_a_loss_of_power(self) -> None:
         for seed, away_us in enumerate((3_000_000, 10_000_000, 30_000_000)):
