--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -76,11 +76,8 @@
         allowed=(
             Allowed(pattern="part" + "ner_lost"),
             Allowed(pattern='"part' + 'ners"', folder="kelpstage/edge/web/"),
-            Allowed(pattern='"part' + 'ners"', folder="kelpstage/cli/commands/"),
+            Allowed(pattern='"part' + 'ners"', folder="kelpstage/cli/views/"),
             Allowed(pattern='"part' + 'ners"', folder="tests/test_explain.py"),
-            # Not renamed yet.
-            Allowed(pattern='"part' + 'ners"', folder="kelpstage/edge/gossip/"),
-            Allowed(pattern="Part" + "ners that may", folder="kelpstage/edge/gather/context.py"),
         ),
     ),
     Word(word="kee" + "per"),
