--- a/kelpstage/cli/views/status.py
+++ b/kelpstage/cli/views/status.py
@@ -6,6 +6,8 @@
 
 from kelpstage.cli.output import table
 
+CONTROL_PROGRAMS = ("kelpstage-control", "kelpc")  # the second: its name until version 0.1.0
+
 
 def membership_text(*, view: dict[str, Any]) -> str:
     """The membership as a table.
@@ -29,9 +31,8 @@
 
 def status_text(*, view: dict[str, Any]) -> str:
     """A core's or an edge's status."""
-    return (
-        _core_text(view=view) if view["program"] == "kelpstage-control" else _edge_text(view=view)
-    )
+    is_core = view["program"] in CONTROL_PROGRAMS
+    return _core_text(view=view) if is_core else _edge_text(view=view)
 
 
 def _core_text(*, view: dict[str, Any]) -> str:
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -10,6 +10,7 @@
 from typer.testing import CliRunner
 
 from kelpstage.cli.main import app
+from kelpstage.cli.views.status import status_text
 from kelpstage.core.main import app as core_app
 from kelpstage.edge.main import app as edge_app
 from kelpstage.testbed.fleet.deployment import configuration_of, load
@@ -37,6 +38,20 @@
 """
 
 
+class Status(unittest.TestCase):
+    def test_a_core_of_before_its_rename_is_shown_as_one(self) -> None:
+        view = {
+            "address": "127.0.0.1:7201",
+            "domain": "a",
+            "replica": "r",
+            "waits_for": "the seeds",
+        }
+        for program in ("kelpc", "kelpstage-control"):
+            with self.subTest(program=program):
+                text = status_text(view={**view, "program": program})
+                self.assertIn("replica r\n  waits for: the seeds", text)
+
+
 class Offline(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
