--- a/kelpstage/testbed/checkers/base.py
+++ b/kelpstage/testbed/checkers/base.py
@@ -56,6 +56,7 @@
     kinds: frozenset = frozenset()
 
     def overlaps(self, *, begin_us: int, end_us: int) -> bool:
+        """Does the span share a moment with `begin_us` to `end_us`, both ends included?"""
         return begin_us <= self.end_us and end_us >= self.begin_us
 
     def covers(self, *, node: str | None, begin_us: int, end_us: int) -> bool:
--- a/kelpstage/testbed/checkers/history.py
+++ b/kelpstage/testbed/checkers/history.py
@@ -13,9 +13,11 @@
     serial: int = 0
 
     def now_us(self) -> int:
+        """The clock that rows are stamped with, in microseconds; subclasses supply it."""
         raise NotImplementedError
 
     def note(self, row: dict) -> None:
+        """Append a row; without an `at_us` of its own it is stamped with the current time."""
         row.setdefault("at_us", self.now_us())
         self.history.append(row)
 
@@ -26,4 +28,5 @@
         return self.serial
 
     def fault_end(self, *, fault: int) -> None:
+        """Note the end of the fault that `fault` returned this number for."""
         self.note({"event": "fault_end", "fault": fault})
--- a/kelpstage/testbed/checkers/linearizable.py
+++ b/kelpstage/testbed/checkers/linearizable.py
@@ -58,6 +58,7 @@
 
     @property
     def sent_us(self) -> int:
+        """When its first try was sent; raises `ValueError` if there was none."""
         return min(one.sent_us for one in self.tries)
 
     @property
@@ -66,10 +67,12 @@
         return min((t.done_us for t in self.of(Answer.ACKNOWLEDGED)), default=NEVER_US)
 
     def of(self, *answers: Answer) -> list[Try]:
+        """The tries that got one of these answers, in the order they were noted."""
         return [one for one in self.tries if one.answer in answers]
 
     @property
     def is_refused(self) -> bool:
+        """Was any try refused, for its base version or as invalid?"""
         return bool(self.of(Answer.CONFLICT, Answer.INVALID))
 
 
--- a/kelpstage/testbed/fleet/deployment.py
+++ b/kelpstage/testbed/fleet/deployment.py
@@ -17,6 +17,8 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Node:
+    """A machine of a deployment: every one runs an edge, one with a disk also a core."""
+
     name: str
     zone: str
     has_disk: bool
@@ -24,6 +26,8 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BackendSpec:
+    """A backend of a deployment: its zone and the one shard that it serves."""
+
     name: str
     zone: str
     shard: str
--- a/kelpstage/testbed/fleet/fleet.py
+++ b/kelpstage/testbed/fleet/fleet.py
@@ -76,6 +76,7 @@
         )
 
     def now_us(self) -> int:
+        """The live clock in microseconds; it stamps the rows of the history."""
         return self.ports.clock.now_us()
 
     # --- starting --------------------------------------------------------------------
@@ -130,6 +131,10 @@
         return list(self.core_own.values())
 
     def start_core(self, *, name: str) -> Process:
+        """Start a core's process, or start it again on the same data folder and ports.
+
+        The name of a replacement ends in `-new`; it runs in the zone of the core it replaces.
+        """
         node = next(n for n in self.deployment.nodes if n.name == name.removesuffix("-new"))
         process = self.processes.all.get(f"core-{name}")
         if process is None:
@@ -150,6 +155,7 @@
         return process
 
     def start_edge(self, *, name: str) -> Process:
+        """Start an edge's process, or start it again with the same settings and ports."""
         node = next(n for n in self.deployment.nodes if n.name == name)
         process = self.processes.all.get(f"edge-{name}")
         if process is None:
@@ -170,6 +176,7 @@
     # --- asking ------------------------------------------------------------------------
 
     async def get(self, *, address: str, path: str, wait_us: int = 2_000_000) -> Any:
+        """The JSON body of a GET; `None` on any error or a status other than 200."""
         reply = await self.ports.net.fetch(
             call=HttpCall(method="GET", url=f"http://{address}{path}", wait_us=wait_us)
         )
@@ -204,12 +211,15 @@
         return None
 
     async def has_leader(self) -> bool:
+        """Does any running core report that it is the leader?"""
         return await self.leader() is not None
 
     async def edge_status(self, *, name: str) -> dict | None:
+        """An edge's `/v1/status`; `None` while it doesn't answer."""
         return await self.get(address=self.edge_http[name], path="/v1/status")
 
     async def all_ready(self) -> bool:
+        """Does every edge whose process runs answer `/ready` with 200?"""
         for name, address in self.edge_http.items():
             if not self.processes.all[f"edge-{name}"].is_running:
                 continue
@@ -218,6 +228,7 @@
         return True
 
     async def membership_is_whole(self) -> bool:
+        """Does the first core list as many edges as the deployment has nodes?"""
         view = await self.get(address=next(iter(self.core_http.values())), path="/v1/roster")
         return view is not None and len(view["edges"]) == len(self.deployment.nodes)
 
@@ -374,6 +385,7 @@
                 return
 
     async def restart_core(self, *, name: str) -> None:
+        """Stop a core by SIGTERM, start it on the same data and wait until it is ready."""
         process = self.processes.all[f"core-{name}"]
         self.signal_core(name=name, number=signal.SIGTERM)
         await self.wait_for(what=f"core {name} to end", is_there=lambda: _is_ended(process))
@@ -381,12 +393,17 @@
         await self.wait_for(what=f"core {name}", is_there=lambda: self._core_ready(name=name))
 
     async def is_ready(self, *, name: str) -> bool:
+        """Does this edge answer `/ready` with 200?"""
         return await self.get(address=self.edge_http[name], path="/ready") is not None
 
     async def _core_ready(self, *, name: str) -> bool:
         return await self.get(address=self.core_http[name], path="/ready") is not None
 
     def configuration(self, *, cut: Cut | None = None, note: str = "", **more: Any) -> bytes:
+        """A configuration document for this deployment at the backends' live addresses.
+
+        `cut` replaces the deployment's own; `more` goes to `configuration_of` as it is.
+        """
         return configuration_of(
             deployment=self.deployment,
             addresses=self.backend_address,
--- a/kelpstage/testbed/fleet/processes.py
+++ b/kelpstage/testbed/fleet/processes.py
@@ -30,6 +30,7 @@
         self._given: set[int] = set()
 
     def take(self) -> str:
+        """A loopback address, `host:port`, that this pool never returned before."""
         while True:
             port = self._rand.randrange(LOW_PORT, HIGH_PORT)
             if port in self._given or not self._is_free(port=port):
@@ -58,6 +59,7 @@
     child: subprocess.Popen | None = None
 
     def start(self) -> None:
+        """Start the command; its output is appended to the log file."""
         with open(self.log, "ab") as log:
             self.child = subprocess.Popen(
                 self.command, stdout=log, stderr=log, stdin=subprocess.DEVNULL
@@ -65,17 +67,21 @@
 
     @property
     def is_running(self) -> bool:
+        """Was the process started, and has it not ended since?"""
         return self.child is not None and self.child.poll() is None
 
     def send(self, *, number: int) -> None:
+        """Send a signal by its number; no effect on a process that has ended."""
         if self.is_running:
             self.child.send_signal(number)
 
     def kill(self) -> None:
+        """End the process by SIGKILL and reap it."""
         self.send(number=signal.SIGKILL)
         self.reap()
 
     def reap(self) -> None:
+        """Wait up to 30 s for the process to end; raises `TimeoutExpired` after that."""
         if self.child is not None:
             self.child.wait(timeout=30)
 
@@ -98,6 +104,10 @@
     def add(
         self, *, name: str, module: str, settings: dict | None, arguments: list[str]
     ) -> Process:
+        """Register a Python module as a process under a unique name, without starting it.
+
+        `settings` are written to a file of the folder, which the command gets as `--env`.
+        """
         command = [sys.executable, "-m", module, *arguments]
         if settings is not None:
             path = self.folder / f"{name}.json"
--- a/kelpstage/testbed/hollow/load.py
+++ b/kelpstage/testbed/hollow/load.py
@@ -78,6 +78,7 @@
 
     @staticmethod
     def address(*, n: int) -> str:
+        """The virtual address, `host:port`, of backend number `n`."""
         return f"10.253.{n // 250}.{n % 250 + 1}:{PORT}"
 
     async def open(self) -> None:
--- a/kelpstage/testbed/hollow/metered_network.py
+++ b/kelpstage/testbed/hollow/metered_network.py
@@ -51,12 +51,17 @@
     )
 
     def way(self, *, source: Machine, target: Machine) -> str:
+        """The class of distance between two machines: same zone, same region or far."""
         if source.zone == target.zone:
             return SAME_ZONE
         is_same = self.regions.get(source.zone) == self.regions.get(target.zone)
         return SAME_REGION if is_same else FAR
 
     def delay_us(self, *, source: Machine, target: Machine) -> int:
+        """The one-way delay in microseconds: uniform within the range of the distance.
+
+        Within one machine it is 30.
+        """
         if source is target:
             return 30
         low, high = self.one_way_us[self.way(source=source, target=target)]
@@ -78,17 +83,20 @@
         self.ports.net = HollowNet(process=self)
 
     def spawn(self, work: Awaitable) -> asyncio.Future:
+        """Start a task whose callbacks are charged to this process."""
         if OWNER.get() is self:
             return super().spawn(work)
         return self.context.copy().run(super().spawn, work)
 
     def deliver(self, callback: Callable[[], None]) -> None:
+        """Run an incoming callback and charge its processor time to this process."""
         charge(
             owner=self,
             work=lambda: self.context.copy().run(super(HollowProcess, self).deliver, callback),
         )
 
     def note_sent(self, *, target: Machine, size: int, kind: str) -> None:
+        """Count one packet of `size` bytes; bytes within a machine are left out of the sums."""
         self.packets += 1
         if target is not self.machine:
             self.sent[self.world.way(source=self.machine, target=target)] += size
@@ -149,7 +157,13 @@
 
 
 class HollowStream(SimStream):
+    """A TCP stream that counts the bytes written to it, headers included."""
+
     def write(self, *, data: bytes) -> None:
+        """Count the bytes by distance and message type, then send them.
+
+        The sum includes `SEGMENT_HEAD` for each write; the bytes by message type do not.
+        """
         if not self.is_closed:
             target = self.other.process.machine
             self.process.note_sent(target=target, size=len(data) + SEGMENT_HEAD, kind="tcp")
@@ -161,7 +175,10 @@
 
 
 class HollowDatagrams(SimDatagrams):
+    """A UDP endpoint that counts the bytes sent from it, headers included."""
+
     def send(self, *, address: str, data: bytes) -> None:
+        """Count `data` and `DATAGRAM_HEAD` if the address has a machine, then send it."""
         target = self._process.world.machine_at(address=address)
         if target is not None:
             self._process.note_sent(target=target, size=len(data) + DATAGRAM_HEAD, kind="udp")
@@ -172,12 +189,18 @@
     """The simulator's network, metered."""
 
     async def datagrams(self, *, address: str, on_datagram: Callable) -> Any:
+        """Bind a metered UDP endpoint, or return why that failed."""
         outcome = await super().datagrams(address=address, on_datagram=on_datagram)
         if isinstance(outcome, KelpstageError):
             return outcome
         return HollowDatagrams(process=self._process, address=address)
 
     async def connect(self, *, address: str, wait_us: int, lost_after_us: int = 0) -> Any:
+        """Open a metered stream after one round trip, or return why that failed.
+
+        `CONNECT_BYTES` stand for the handshake. An unreachable machine times out after
+        `wait_us`; an address without a listener is refused after the round trip.
+        """
         process, world = self._process, self._process.world
         here, there = process.machine, world.machine_at(address=address)
         if there is None or not world.is_round_open(a=here, b=there):
--- a/kelpstage/testbed/hollow/report.py
+++ b/kelpstage/testbed/hollow/report.py
@@ -29,6 +29,7 @@
     worst: float
 
     def at(self, *, n: float) -> float:
+        """The value of the fitted line at `n`."""
         return self.at_zero + self.slope * n
 
 
--- a/kelpstage/testbed/main.py
+++ b/kelpstage/testbed/main.py
@@ -319,6 +319,7 @@
 
 
 def run() -> None:
+    """The entry point of the `kelpstage-testbed` command."""
     app()
 
 
--- a/kelpstage/testbed/measure/http.py
+++ b/kelpstage/testbed/measure/http.py
@@ -45,6 +45,7 @@
 
 
 def free_address() -> str:
+    """A loopback address, `host:port`, whose port was free a moment ago."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
--- a/kelpstage/testbed/measure/tornado_http.py
+++ b/kelpstage/testbed/measure/tornado_http.py
@@ -24,6 +24,10 @@
         self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=1000)
 
     async def fetch(self, *, call: HttpCall) -> HttpReply | KelpstageError:
+        """Send a request by curl on a connection of its own, within `wait_us`.
+
+        Every failure of the transport comes back as `ConnectionLostError`.
+        """
         request = HTTPRequest(
             call.url,
             method=call.method,
@@ -47,6 +51,10 @@
         )
 
     async def serve_http(self, *, address: str, on_call: Callable, body_limit: int) -> Any:
+        """Listen with tornado's HTTP server; `body_limit` is in bytes.
+
+        A header may have 32 KiB and a connection be idle for 120 s.
+        """
         host, port = split_address(address=address)
         server = httpserver.HTTPServer(
             _Delegate(on_call=on_call),
--- a/kelpstage/testbed/platform_model/backends.py
+++ b/kelpstage/testbed/platform_model/backends.py
@@ -385,6 +385,7 @@
         backend.process.freeze()
 
     def wake(self, *, backend: Backend) -> None:
+        """Resume a backend that `go_silent` suspended."""
         backend.process.thaw()
 
     def drain(self, *, backend: Backend) -> None:
@@ -417,6 +418,7 @@
         self._free.append((self.world.now_us() + self._reuse_us, backend.address))
 
     def of(self, *, service: str) -> list[Backend]:
+        """The backends of a service that have neither ended nor begun to drain."""
         return [b for b in self.live.values() if b.service.name == service and not b.is_draining]
 
     # --- the list -----------------------------------------------------------------------------
@@ -468,6 +470,10 @@
         return body + self.rand.randbytes(5) if self.rand.random() < 0.1 else body
 
     def seal(self, *, arrival: Arrival, status: int, body: bytes) -> str:
+        """Register a reply in the history and return the unique seal that identifies it.
+
+        Backends send the seal along; the rules trace a client's reply back by it.
+        """
         self._seals += 1
         seal = f"{self._seals:x}.{status:x}.{self.rand.getrandbits(32):08x}"
         self.history.stamped[seal] = Stamped(
--- a/kelpstage/testbed/platform_model/clients.py
+++ b/kelpstage/testbed/platform_model/clients.py
@@ -47,10 +47,16 @@
         self._regions = shape.zones
 
     def add(self, *, node: FrontNode) -> None:
+        """Register a node and poll its readiness once a second until it is removed.
+
+        It receives no connections before its first successful poll, unless fewer
+        than half of its zone's nodes are ready.
+        """
         self.nodes[node.name] = node
         self._process.spawn(self._poll(node=node))
 
     def remove(self, *, name: str) -> None:
+        """Stop polling a node and sending it new connections."""
         self.nodes.pop(name, None)
 
     async def _poll(self, *, node: FrontNode) -> None:
@@ -158,6 +164,7 @@
         ]
 
     def start(self) -> None:
+        """Begin open-loop arrivals of every kind of request."""
         for kind in self._shape.kinds:
             self._world.loop.create_task(self._run(kind=kind))
 
@@ -186,6 +193,11 @@
     # --- one request with its further tries ---------------------------------------------------
 
     async def ask(self, *, client: Client, kind: KindShape, draft: RouteDraft) -> None:
+        """Send one request, with the retries that its kind allows, and settle its worth.
+
+        The deadline is the shorter of the kind's and the route's, both from the first try.
+        An abusive client retries `ABUSIVE_TRIES` times more, without a pause.
+        """
         self.in_flight += 1
         started_us = self._world.now_us()
         due_us = started_us + min(kind.deadline_us, draft.deadline_ms * 1_000)
--- a/kelpstage/testbed/platform_model/eligibility.py
+++ b/kelpstage/testbed/platform_model/eligibility.py
@@ -73,6 +73,7 @@
         return not any(a <= end_us and b >= begin_us for a, b in self._spans.get(node, ()))
 
     def running_core(self, *, at_us: int) -> list[str]:
+        """The core machines that had joined and were not down at `at_us`, sorted by name."""
         return sorted(
             name
             for name in self._history.core
@@ -81,6 +82,7 @@
         )
 
     def is_cut(self, *, a: str, b: str, begin_us: int, end_us: int) -> bool:
+        """Was the path between two machines cut at some moment of the span?"""
         return any(
             {cut.a, cut.b} == {a, b} and cut.begin_us <= end_us and cut.end_us >= begin_us
             for cut in self._history.cuts
--- a/kelpstage/testbed/platform_model/history.py
+++ b/kelpstage/testbed/platform_model/history.py
@@ -55,6 +55,7 @@
     tries: int = 2
 
     def allows(self, *, service: str) -> bool:
+        """May a request of this route be sent to the service?"""
         return service in self.services or service in self.fan_out
 
 
@@ -105,6 +106,7 @@
         return max(fitting, key=lambda route: len(route.prefix), default=None)
 
     def allows(self, *, host: str, target: str, service: str) -> bool:
+        """Does the route that this configuration has for the request allow the service?"""
         route = self.route_for(host=host, target=target)
         return route is not None and route.allows(service=service)
 
@@ -145,6 +147,7 @@
 
     @property
     def is_success(self) -> bool:
+        """Was the try answered with a status of 2xx?"""
         return self.end == "answered" and 200 <= self.status < 300
 
 
@@ -271,4 +274,5 @@
         return out
 
     def requests_by_attempt(self) -> dict[str, Request]:
+        """The clients' tries by their attempt identifiers, which are unique."""
         return {request.attempt: request for request in self.requests}
--- a/kelpstage/testbed/platform_model/machines.py
+++ b/kelpstage/testbed/platform_model/machines.py
@@ -44,18 +44,22 @@
 
     @property
     def roles(self) -> tuple[str, ...]:
+        """The daemons that run here: an edge, and a core if the machine has a disk."""
         return ("core", "edge") if self.has_disk else ("edge",)
 
     @property
     def front(self) -> str:
+        """The address, `host:port`, at which clients are served."""
         return f"{self.ip}:{FRONT}"
 
     @property
     def control(self) -> str:
+        """The address, `host:port`, at which operators are served."""
         return f"{self.ip}:{CONTROL}"
 
     @property
     def readiness(self) -> str:
+        """The address, `host:port`, of the readiness check."""
         return f"{self.ip}:{READY}"
 
 
@@ -97,6 +101,7 @@
         self.note_controls()
 
     def add(self, *, zone: str, has_disk: bool) -> Node:
+        """Add a machine with a new name and address to a zone, without starting its daemons."""
         self._serial += 1
         name = f"{zone}-{self._serial}"
         place = list(self.shape.zones).index(zone) + 1
@@ -117,14 +122,20 @@
         return node
 
     def core(self) -> list[Node]:
+        """The machines with a disk that have not been taken away."""
         return [node for node in self.nodes.values() if node.has_disk and node.is_there]
 
     def there(self) -> list[Node]:
+        """The machines that have not been taken away, running or not."""
         return [node for node in self.nodes.values() if node.is_there]
 
     # --- the list of nodes that serve control ---------------------------------------------
 
     def note_controls(self) -> None:
+        """Record the current control addresses; call it when the set of cores changes.
+
+        `controls` returns them to operators `seed_lag_us` later.
+        """
         self._controls.append((self.world.now_us(), [node.control for node in self.core()]))
 
     def controls(self) -> list[str]:
@@ -248,6 +259,7 @@
         return self.world.loop.create_task(begin())
 
     async def start_all(self) -> None:
+        """Start every daemon of every machine, each after a random delay."""
         await asyncio.gather(
             *(
                 self._later(us=0, node=node, role=role)
@@ -258,6 +270,7 @@
         self.is_first_start = False
 
     def instance_of(self, name: str) -> int:
+        """How often the edge of the named machine was started; 0 for never."""
         return self.nodes[name].instances.get("edge", 0)
 
     def _begin_fault(self, *, node: Node, what: str, is_planned: bool = False) -> MachineFault:
@@ -310,6 +323,7 @@
         await self._back(node=node, roles=node.roles, for_us=0, fault=fault)
 
     async def freeze(self, *, node: Node, for_us: int) -> None:
+        """Suspend the live processes of a machine for `for_us` microseconds."""
         fault = self._begin_fault(node=node, what="freeze")
         frozen = [p for p in node.processes.values() if p.is_alive]
         for process in frozen:
@@ -366,6 +380,7 @@
             self.reread(node=node)
 
     def reread(self, *, node: Node) -> None:
+        """Deliver the current settings to every live daemon of a machine, as SIGHUP would."""
         fault = self._begin_fault(node=node, what="reread", is_planned=True)
         fault.end_us = fault.begin_us
         for role, process in node.processes.items():
@@ -387,6 +402,7 @@
         fault.end_us = self.world.now_us()
 
     def end(self) -> None:
+        """Kill all processes at the end of a scenario."""
         self.is_over = True
         for node in self.nodes.values():
             for process in node.processes.values():
--- a/kelpstage/testbed/platform_model/net.py
+++ b/kelpstage/testbed/platform_model/net.py
@@ -32,6 +32,10 @@
     slowed: dict[str, int] = field(default_factory=dict)  # machine -> extra one way
 
     def delay_us(self, *, source: Machine, target: Machine) -> int:
+        """The one-way delay in microseconds: by distance, -5 % to +10 %, and what is slowed.
+
+        Within one machine it is 30.
+        """
         if source is target:
             return 30
         extra = self.slowed.get(source.name, 0) + self.slowed.get(target.name, 0)
@@ -92,6 +96,10 @@
             self.on_own_end(task.exception())
 
     def kill(self, *, is_power: bool = False) -> None:
+        """End the process and its connections, served and opened.
+
+        A served connection is reset in the middle of an exchange, and closed otherwise.
+        """
         if not self.is_alive:
             return
         super().kill(is_power=is_power)
@@ -129,15 +137,18 @@
 
     @property
     def caller(self) -> Machine:
+        """The machine that opened the connection."""
         return self.net.process.machine
 
     @property
     def server(self) -> Machine:
+        """The machine that accepted the connection."""
         return self.listener.process.machine
 
     # --- the caller's side ---------------------------------------------------------------
 
     def is_usable(self) -> bool:
+        """May the caller begin another exchange on this connection now?"""
         return self.is_open and self.world.now_us() < self.use_until_us
 
     async def exchange(self, *, call: HttpCall, deadline_us: int) -> HttpReply | KelpstageError:
@@ -359,6 +370,10 @@
         body_limit: int,
         limits: Callable[[], HttpLimits] | None = None,
     ) -> Any:
+        """Listen for HTTP at an address; `body_limit` and `limits` are not modelled.
+
+        Closing the listener closes its idle connections; busy ones finish their exchange.
+        """
         outcome = self._listen(key=f"http/{address}", kind="http", on_event=on_call)
         if isinstance(outcome, KelpstageError):
             return outcome
@@ -402,6 +417,10 @@
         return line
 
     async def fetch(self, *, call: HttpCall) -> HttpReply | KelpstageError:
+        """Send a request within `wait_us`, on a pooled connection if the call allows any.
+
+        A connection returns to its pool only if it is open and fit for another exchange.
+        """
         deadline_us = self.process.world.now_us() + call.wait_us
         address = call.url.removeprefix("http://").partition("/")[0]
         if call.connection_limit <= 0:
--- a/kelpstage/testbed/platform_model/operator.py
+++ b/kelpstage/testbed/platform_model/operator.py
@@ -54,6 +54,11 @@
         routes: tuple[RouteSpec, ...],
         is_valid: bool = True,
     ) -> Order:
+        """A configuration to send, with a key from its place in the history.
+
+        `base` is the revision that it replaces; `is_valid` is false for a document that
+        the product must refuse.
+        """
         return Order(
             key=f"o{len(self._history.orders)}-{revision}",
             revision=revision,
--- a/kelpstage/testbed/platform_model/rules/writes.py
+++ b/kelpstage/testbed/platform_model/rules/writes.py
@@ -27,6 +27,7 @@
         )
 
     def may_be_in_force(self, *, floor: int, until_us: int) -> list[Order]:
+        """The possible versions from `floor` on that were sent by `until_us`."""
         return [o for o in self.possible if o.revision >= floor and o.sent_us <= until_us]
 
     def allowing(self, *, host: str, target: str, service: str, until_us: int) -> list[int]:
--- a/kelpstage/testbed/platform_model/scenario.py
+++ b/kelpstage/testbed/platform_model/scenario.py
@@ -132,6 +132,7 @@
         return HttpProcess(world=self.world, name=name, machine=there, instance=1)
 
     def later(self, work: Awaitable) -> None:
+        """Run something as a task; `run` waits up to 90 s for all such tasks before the end."""
         self._work.append(self.world.loop.create_task(work))
 
     @contextlib.asynccontextmanager
@@ -154,6 +155,10 @@
     # --- what is asked for --------------------------------------------------------------------
 
     def kind_of(self, *, host: str, target: str) -> Any:
+        """The kind of request that a host and target belong to; `None` if no route has them.
+
+        Cached by host and folder of the path. Backends shape their replies by it.
+        """
         path = target.partition("?")[0]
         key = (host, path.rpartition("/")[0])
         if key not in self._kind_of:
@@ -165,6 +170,7 @@
         return [*self.routes_in_use.values(), *self.drafts.routes.values()]
 
     def drafts_in_use(self, kind: str) -> list[RouteDraft]:
+        """The routes of a kind that clients use at present."""
         return [draft for draft in self.routes_in_use.values() if draft.kind == kind]
 
     def start_services(self, *, names: tuple[str, ...], is_cold: bool = True) -> None:
@@ -177,6 +183,7 @@
                 self.park.start(service=service, zone=zone, is_cold=is_cold)
 
     def add_front(self, *, node: Node) -> None:
+        """Announce a machine to the platform's front, with a random share of its connections."""
         self.front.add(
             node=FrontNode(
                 name=node.name,
@@ -317,6 +324,7 @@
     # --- the day ------------------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Run the whole scenario: start, traffic, faults, closing fault, final reads."""
         shape = self.shape
         self.start_services(names=(*shape.index, shape.single, shape.other), is_cold=False)
         self.later(self.fleet.start_all())
--- a/kelpstage/testbed/platform_model/traffic.py
+++ b/kelpstage/testbed/platform_model/traffic.py
@@ -69,14 +69,17 @@
         return draft
 
     def kind(self, *, name: str) -> KindShape:
+        """The kind of request of this name; raises `StopIteration` for an unknown one."""
         return next(kind for kind in self.shape.kinds if kind.name == name)
 
     def of_kind(self, *, name: str) -> list[RouteDraft]:
+        """The drafted routes of a kind, oldest first."""
         return [draft for draft in self.routes.values() if draft.kind == name]
 
     # --- changes -----------------------------------------------------------------------------
 
     def change_time_out(self) -> None:
+        """Set a random route's deadline to its kind's and 1 to 199 ms more."""
         draft = self.rand.choice(list(self.routes.values()))
         deadline_ms = self.kind(name=draft.kind).deadline_us // 1_000
         self.routes[draft.name] = replace(
@@ -97,6 +100,7 @@
         self.routes[draft.name] = replace(draft, services=((other, 1),))
 
     def split(self) -> None:
+        """Divide a random repeatable route that is not gathered between the two services."""
         draft = self._single()
         shares = ((self.shape.single, self.rand.randrange(1, 9)), (self.shape.other, 2))
         self.routes[draft.name] = replace(draft, services=shares)
@@ -109,6 +113,7 @@
                 self.routes[draft.name] = replace(draft, fan_out=new)
 
     def drop(self) -> RouteDraft | None:
+        """Remove a random late route and return it; `None` if there is none."""
         late = [draft for draft in self.routes.values() if draft.is_late]
         if not late:
             return None
@@ -117,6 +122,7 @@
     # --- how it is written --------------------------------------------------------------------
 
     def specs(self) -> tuple[RouteSpec, ...]:
+        """The drafted routes as the rules' checkers read them."""
         return tuple(self._spec(draft=draft) for draft in self.routes.values())
 
     def _spec(self, *, draft: RouteDraft) -> RouteSpec:
--- a/kelpstage/testbed/simulation/fleet.py
+++ b/kelpstage/testbed/simulation/fleet.py
@@ -125,6 +125,7 @@
             )
 
     def now_us(self) -> int:
+        """Virtual time in microseconds; it stamps the rows of the history."""
         return self.world.now_us()
 
     # --- starting --------------------------------------------------------------------
--- a/kelpstage/testbed/simulation/loop.py
+++ b/kelpstage/testbed/simulation/loop.py
@@ -57,7 +57,9 @@
         self._virtual_s += seconds
 
     def time(self) -> float:
+        """Virtual seconds since the loop was made; asyncio schedules by it."""
         return self._virtual_s
 
     def now_us(self) -> int:
+        """Virtual time since the loop was made, in whole microseconds."""
         return round(self._virtual_s * 1_000_000)
--- a/kelpstage/testbed/stand_ins/backend.py
+++ b/kelpstage/testbed/stand_ins/backend.py
@@ -56,6 +56,7 @@
     signed_us: int = 0
 
     async def open(self) -> None:
+        """Listen at the address; raises `OSError` if that fails."""
         outcome = await self.ports.net.serve_http(
             address=self.address, on_call=self.answer, body_limit=4 * 1024 * 1024
         )
@@ -65,6 +66,7 @@
         self.mode.is_listening = True
 
     def close(self) -> None:
+        """Stop listening; it may be opened again."""
         self.mode.is_listening = False
         if self.listener is not None:
             self.listener.close()
--- a/kelpstage/testbed/stand_ins/callers.py
+++ b/kelpstage/testbed/stand_ins/callers.py
@@ -54,6 +54,10 @@
                 self.ports.spawn(self.call(kind=kind))
 
     async def call(self, *, kind: Kind) -> None:
+        """Send one call by a ready node and note its outcome as a row of the history.
+
+        Without a ready node the row ends in `no_node` at once.
+        """
         rand = self.ports.rand
         self.serial += 1
         name = f"{kind.name}-{self.serial}"
@@ -180,6 +184,7 @@
 
 
 def error_kind(*, body: bytes) -> str:
+    """The kind that an error's body names, else `untyped`."""
     try:
         return json.loads(body)["defect"]["kind"]
     except (ValueError, KeyError, TypeError):
--- a/kelpstage/testbed/stand_ins/host.py
+++ b/kelpstage/testbed/stand_ins/host.py
@@ -18,6 +18,8 @@
 
 
 class Host:
+    """The stand-in backends of one process, as a plan in JSON describes them."""
+
     def __init__(self, *, plan: dict) -> None:
         self.ports = live_ports(data_folder=None)
         self.ports.rand = random.Random(plan["seed"])
@@ -36,6 +38,7 @@
         }
 
     async def open(self) -> None:
+        """Open every backend, then the control address; raises `OSError` on failure."""
         for backend in self.backends.values():
             await backend.open()
         outcome = await self.ports.net.serve_http(
@@ -45,6 +48,11 @@
             raise OSError(str(outcome))
 
     async def steer(self, call: HttpCall) -> HttpReply:
+        """Serve the control address, for the fleet runner.
+
+        POST sets the mode of a backend; GET returns the receipts. `/receipts/take` returns and
+        removes those of finished requests.
+        """
         if call.method == "POST":
             ask = json.loads(call.body)
             await self.backends[ask.pop("backend")].set_mode(**ask)
@@ -63,6 +71,7 @@
 
 
 async def main(path: str) -> None:
+    """Serve the plan in a file until SIGTERM or SIGINT."""
     with open(path, encoding="utf-8") as file:  # noqa: ASYNC230 -- before anything is served
         host = Host(plan=json.load(file))
     stop = asyncio.Event()
--- a/kelpstage/testbed/stand_ins/platform.py
+++ b/kelpstage/testbed/stand_ins/platform.py
@@ -30,6 +30,10 @@
     _server: Listener | None = None
 
     async def open(self) -> None:
+        """List all backends as running, poll the nodes, and serve the list if there is an address.
+
+        Raises `OSError` if the address can't be opened.
+        """
         self.listed = {name: (address, "running") for name, address in self.backends.items()}
         self.ports.spawn(self._ask_all())
         if self.address:
@@ -46,6 +50,7 @@
             self._server.close()
 
     async def serve(self, call: HttpCall) -> HttpReply:
+        """Answer any request with the list of backends, as JSON."""
         rows = [
             {"name": name, "address": address, "state": state}
             for name, (address, state) in sorted(self.listed.items())
@@ -95,4 +100,8 @@
         return None
 
     def forget(self, *, name: str) -> None:
+        """Treat a node as not ready until its next successful poll.
+
+        Callers do so when it refuses a connection.
+        """
         self.ready[name] = False
--- a/kelpstage/testbed/stand_ins/records.py
+++ b/kelpstage/testbed/stand_ins/records.py
@@ -28,6 +28,7 @@
     shards: tuple[str, ...]
 
     def shard_of(self, *, number: int) -> str:
+        """The shard that holds the record of this number: numbers go round the shards."""
         return self.shards[number % len(self.shards)]
 
 
@@ -81,6 +82,7 @@
 
 
 def stamp(*, rows: list[bytes]) -> str:
+    """SHA-256 in hexadecimal over each row's length, 8 bytes big-endian, and its bytes."""
     digest = hashlib.sha256()
     for row in rows:
         digest.update(struct.pack("!Q", len(row)) + row)
