--- a/kelpstage/testbed/bench_scenarios.py
+++ b/kelpstage/testbed/bench_scenarios.py
@@ -1,4 +1,4 @@
-"""Plays the days of `kelpstage.testbed/days` on the users' bench and collects its verdicts.
+"""Runs the scenarios of `kelpstage/testbed/days` on the users' bench and collects its results.
 
 The bench is a program outside this repository; its path is an argument. It runs in the
 working directory, builds what is there, and leaves its own journal entries.
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ScenarioResult:
-    """What the bench said of one day on one site."""
+    """What the bench reported of one scenario on one site."""
 
     site: str
     day: str
@@ -28,12 +28,12 @@
 
     @property
     def is_kept(self) -> bool:
-        """Was the day played to its end, with no rule broken and no fault?"""
+        """Did the scenario run to its end, with no rule broken and no fault?"""
         return bool(self.row) and not self.faults
 
 
 def scenario_files(*, names: list[str]) -> list[Path]:
-    """The files of the named days, or of all.
+    """The files of the named scenarios, or of all.
 
     >>> [path.name for path in scenario_files(names=["wipes"])]
     ['wipes.toml']
@@ -43,7 +43,7 @@
 
 
 def read_result(*, site: str, day: str, output: str) -> ScenarioResult:
-    """Find the day's row and all that speaks against it in what the bench printed.
+    """Parse the bench's output: the scenario's row, and the lines that report a fault.
 
     >>> output = '''day          own/srv  score
     ... wipes          12/11   0.00
@@ -74,7 +74,7 @@
 def play_scenario(
     *, bench: str, site: Path, day: Path, why: str, options: list[str]
 ) -> ScenarioResult:
-    """Run the bench on one day of one site."""
+    """Run the bench on one scenario of one site."""
     command = [bench, "run", str(site), str(day), "--why", why, *options]
     try:
         played = subprocess.run(
@@ -90,7 +90,7 @@
 def play_scenarios(
     *, bench: str, sites: list[Path], names: list[str], why: str, options: list[str]
 ) -> list[ScenarioResult]:
-    """Play each day on each site, one after the other, and print each verdict."""
+    """Run each scenario on each site, one after the other, and print each result."""
     results = []
     for site in sites:
         for day in scenario_files(names=names):
--- a/kelpstage/testbed/checkers/answers.py
+++ b/kelpstage/testbed/checkers/answers.py
@@ -1,4 +1,4 @@
-"""Lines of the brief about what an answer says and holds."""
+"""Checkers of the content of replies: omissions, bodies, versions and quorum."""
 
 from __future__ import annotations
 
@@ -92,8 +92,8 @@
         for row in rows_of(history=history, event="put")
         if row.get("status") == 200 and row.get("quorum")
     }
-    # A put that its operator was not told the end of may be in force under a version
-    # that nobody knows; its cut tells what it demands.
+    # A put whose operator got no final reply may be in force under an unknown version;
+    # its cut identifies the quorum that it demands.
     unsettled = {row.get("cut"): row.get("quorum") for row in unsettled_puts(history=history)}
     return [
         _of(rule=rule, row=row, why=f"{len(row['parts'])} shards")
@@ -105,7 +105,7 @@
 
 
 def garbled_part(history: list[dict]) -> list[Violation]:
-    """A part of a backend that was lying all the while."""
+    """A part of a backend that sent invalid replies during the whole call."""
     rule = "garbled part"
     calls = good_calls(history=history)
     if not calls:
--- a/kelpstage/testbed/checkers/base.py
+++ b/kelpstage/testbed/checkers/base.py
@@ -1,7 +1,7 @@
 """What checkers share: violations, and plain ways to look at a history.
 
-Checkers judge what callers, stand-ins and operators saw. They use no code of
-the daemons.
+Checkers examine what callers, stand-ins and operators observed. They use no code
+of the daemons.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Violation:
-    """A line of the brief that was broken."""
+    """A requirement that a history violates; `rule` names the checker's rule."""
 
     rule: str
     why: str
@@ -40,7 +40,7 @@
 
 
 def empty(*, rule: str, what: str) -> list[Violation]:
-    """A history with nothing to judge is no kelpstage.testbed."""
+    """The violation of a history without the rows that a checker needs."""
     return [Violation(rule=rule, why=f"nothing to judge: no {what}", at_us=0)]
 
 
@@ -67,9 +67,9 @@
 
 def excuses(*, history: list[dict], kinds: tuple[str, ...]) -> list[Excuse]:
     """Spans of faults that excuse one of `kinds`: "edge" (what was at the `nodes`),
-    "line" (news that could not travel to or from the `nodes`), "backend" (what only
-    the `backends` could have served), "machine" (late verdicts: the machine of a live
-    rig was taken by others).
+    "line" (updates that could not travel to or from the `nodes`), "backend" (what only
+    the `backends` could have served), "machine" (late replies: other work took the
+    machine of a live test).
 
     A fault without an `end` row lasts to the end of the history.
     """
@@ -100,7 +100,7 @@
 
 
 def blind_spans(*, history: list[dict]) -> list[Excuse]:
-    """Spans in which nobody can tell what was acknowledged: no two cores are up, and
+    """Spans in which no node can know what was acknowledged: no two cores are up, and
     so many edges have started since two were that those left are no majority. None
     may serve then, until two cores have been up for as long as an election and a
     renewal take. Worked out from starts and ends alone.
@@ -114,7 +114,7 @@
         if row["event"] == "core" or row["event"] in ("started", "ended") and "edge" in row
     ]
     if not any(row["event"] == "core" for row in rows):
-        return []  # nobody said anything of cores: nothing to excuse
+        return []  # the history has no rows of cores: nothing to excuse
     cores: set = set()
     knowing: dict[str, bool] = {}  # edges that are up: have they had time for a lease?
     led_us: int | None = None
@@ -164,7 +164,7 @@
     )
 
 
-LINE_US = 60_000  # a verdict's way to its caller, beside the distance
+LINE_US = 60_000  # for a reply to reach its caller, in addition to the distance
 
 
 def line_us(*, history: list[dict]) -> int:
@@ -193,7 +193,7 @@
 
 
 def acknowledged(*, history: list[dict]) -> list[Put]:
-    """Writes whose verdict was a success, by version."""
+    """Puts that were acknowledged with status 200, by version."""
     puts = [
         Put(
             put_id=row["put_id"],
@@ -213,7 +213,7 @@
 
 
 def in_force(*, puts: list[Put], begin_us: int, end_us: int, late_us: int = 0) -> list[Put]:
-    """Writes under which something between two moments may have been handled: the
+    """Puts under which something between two moments may have been handled: the
     newest acknowledged before (by `late_us`), and those that came after it.
 
     >>> in_force(puts=[], begin_us=0, end_us=9)
@@ -228,7 +228,7 @@
 
 
 def unsettled_puts(*, history: list[dict]) -> list[dict]:
-    """Writes that their operator was not told the end of: they may be in force."""
+    """Puts whose operator got no final reply: they may be in force."""
     return [
         row
         for row in rows_of(history=history, event="put")
--- a/kelpstage/testbed/checkers/configurations.py
+++ b/kelpstage/testbed/checkers/configurations.py
@@ -1,4 +1,4 @@
-"""Lines of the brief about configurations: old ones, lost ones, refused ones."""
+"""Checkers of configurations: old ones, lost ones, refused ones."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 def old_configuration(history: list[dict]) -> list[Violation]:
     """A request handled by an old configuration more than 3 s after the new one was
-    acknowledged: a verdict or a error that names it, or a send to a backend under
+    acknowledged: a reply or an error that names it, or a send to a backend under
     its cut. A single fetch ends under the version that it began with."""
     rule = "old configuration"
     puts, calls = acknowledged(history=history), good_calls(history=history)
--- a/kelpstage/testbed/checkers/history.py
+++ b/kelpstage/testbed/checkers/history.py
@@ -6,8 +6,11 @@
 
 
 class HistoryWriter:
-    """Rows in the order they happened; the class that mixes this in tells the time
-    and keeps `history` and `serial`."""
+    """A mixin that appends rows to a history in the order they happened.
+
+    The class that uses it supplies the clock and keeps `history` and `serial`, the
+    number of the last fault.
+    """
 
     history: list[dict]
     serial: int = 0
--- a/kelpstage/testbed/checkers/linearizable.py
+++ b/kelpstage/testbed/checkers/linearizable.py
@@ -5,7 +5,7 @@
 order (`Write`) takes the register from its base version to its own, once, at one moment
 after its first try was sent and before its first acknowledgement. An order without a
 clear answer may be taken at any later moment, or never. One that was refused is never
-taken, and one that was taken is never refused, whatever other tries of it hear. A read
+taken, and one that was taken is never refused, whatever other tries of it are answered. A read
 returns what the register held at one moment while it was under way.
 
 Since versions only rise, the orders that were taken form one chain from 0, each on top
@@ -14,7 +14,7 @@
 extend. Moments are then assigned from the left, each as early as it can be. Both are
 nearly linear in the length of the history.
 
-One thing is judged more mildly than it might be: a refusal sent before its base version
+One check is weaker than it might be: a refusal sent before its base version
 need have been current counts as justified without a further look.
 """
 
--- a/kelpstage/testbed/checkers/register.py
+++ b/kelpstage/testbed/checkers/register.py
@@ -1,4 +1,4 @@
-"""All checkers, one for each line of what must never happen."""
+"""The register of all checkers, one for each rule that must never break."""
 
 from __future__ import annotations
 
--- a/kelpstage/testbed/checkers/sends.py
+++ b/kelpstage/testbed/checkers/sends.py
@@ -1,4 +1,4 @@
-"""Lines of the brief about what is sent to backends."""
+"""Checkers of what is sent to backends: late sends and extra tries."""
 
 from __future__ import annotations
 
@@ -70,8 +70,11 @@
 
 
 def _is_cut_off(*, row: dict, cuts: list, since_us: int) -> bool:
-    """Could the news not have reached the sender? One that nobody named (a live rig's
-    stand-ins can't tell their callers apart) may be any."""
+    """Could a cut have kept the update from the sender?
+
+    An unnamed sender may be any node: the stand-ins of a live test can't distinguish
+    their callers.
+    """
     sender = row.get("by", "").rpartition("/")[2]
     return any(
         cut.covers(node=sender, begin_us=since_us, end_us=row["at_us"])
--- a/kelpstage/testbed/checkers/serving.py
+++ b/kelpstage/testbed/checkers/serving.py
@@ -1,4 +1,4 @@
-"""Lines of the brief about serving: dropped, refused, held back, slow to come back."""
+"""Checkers of serving: dropped, refused or late calls, slow recovery after faults."""
 
 from __future__ import annotations
 
@@ -133,11 +133,11 @@
 
 def held_back(history: list[dict]) -> list[Violation]:
     """A refusal without a time to come back, one that came well after it was
-    certain, and any verdict that came past the time left.
+    certain, and any reply that came past the time left.
 
     A refusal that needs no backend is certain at once. One for want of answers is
     certain when the last backend that was asked has answered, as the stand-ins saw
-    it, unless a node or line that may still have brought an answer was gone.
+    it, unless a node or connection that may still have brought an answer was gone.
     """
     rule = "no final answer at once"
     calls = rows_of(history=history, event="call")
@@ -191,8 +191,8 @@
 def slow_return(history: list[dict]) -> list[Violation]:
     """Serving below a quarter of normal more than 12 s after machines return.
 
-    A return is judged from the last moment at which machines or backends that were
-    away with it came back; a day none of whose returns could be judged proves
+    A return is measured from the last moment at which machines or backends that were
+    away with it came back; a history none of whose returns could be measured proves
     nothing, and fails.
     """
     rule = "slow return"
--- a/kelpstage/testbed/fleet/fleet.py
+++ b/kelpstage/testbed/fleet/fleet.py
@@ -83,7 +83,7 @@
 
     async def start(self) -> None:
         """Start everything and wait until every edge that can be reached is known."""
-        # The rig itself may be late by what its watch of the machine does not yet call noise.
+        # The test process may lag by up to the threshold at which the machine counts as noisy.
         self.note({"event": "lines", "one_way_us": NOISY_LAG_US // 2})
         for cut in self.cuts.values():
             self.note({"event": "cut", "cut": cut.name, "shards": list(cut.shards)})
@@ -201,7 +201,7 @@
         return True
 
     async def leader(self) -> str | None:
-        """The node whose core leads, by its own word."""
+        """The node whose core reports that it leads; `None` if none does."""
         for name, address in list(self.core_http.items()):
             if not self.processes.all[f"core-{name}"].is_running:
                 continue
@@ -243,7 +243,7 @@
         core: str | None = None,
         wait_us: int = 10_000_000,
     ) -> HttpReply | KelpstageError:
-        """Put a configuration and note what was said."""
+        """Put a configuration and note the reply."""
         address = self.core_http[core or next(iter(self.core_http))]
         sent_us = self.ports.clock.now_us()
         reply = await self.ports.net.fetch(
@@ -299,7 +299,7 @@
         self.processes.all[f"core-{name}"].send(number=number)
 
     async def restart_edge(self, *, name: str) -> None:
-        """A planned restart: told, waited for, started again, waited for."""
+        """Stop an edge by SIGTERM, wait for its end, start it again, wait until it is ready."""
         process = self.processes.all[f"edge-{name}"]
         self.signal_edge(name=name, number=signal.SIGTERM)
         await self.wait_for(what=f"{name} to end", is_there=lambda: _is_ended(process))
@@ -364,7 +364,7 @@
         return fresh
 
     async def read_back(self) -> None:
-        """Read the configuration back at the end of the day."""
+        """Read the configuration back at the end of the scenario."""
         sent_us = self.now_us()
         for address in self.core_http.values():
             reply = await self.ports.net.fetch(
@@ -422,7 +422,7 @@
                 self.history.append(row)
 
     async def drain_callers(self) -> None:
-        """No new calls; wait for the verdicts that are due."""
+        """Stop new calls; wait up to 10 s for the replies that are due."""
         self.callers.is_open = False
 
         async def is_quiet() -> bool:
--- a/kelpstage/testbed/fleet/machine.py
+++ b/kelpstage/testbed/fleet/machine.py
@@ -1,4 +1,4 @@
-"""How much of the machine this run had: time stolen by others, lag of the rig."""
+"""How much of the machine this run had: time stolen by others, lag of the test process."""
 
 from __future__ import annotations
 
@@ -24,9 +24,11 @@
 
 
 async def watch_machine(*, notes: HistoryWriter, clock: Any) -> None:
-    """Note each second's share of stolen time and the rig's own lag. A second in
-    which others took more than a tenth of the machine, or the rig itself came a
-    quarter of a second late, excuses slow verdicts, and says so in the history."""
+    """Note each second's share of stolen time and this process's own lag.
+
+    A second in which more than `NOISY_SHARE` was stolen, or the lag exceeded
+    `NOISY_LAG_US`, is noted as a fault that excuses late replies.
+    """
     total, stolen = read_times()
     while True:
         due_us = clock.now_us() + SECOND_US
--- a/kelpstage/testbed/fleet/processes.py
+++ b/kelpstage/testbed/fleet/processes.py
@@ -51,7 +51,7 @@
 
 @dataclass(kw_only=True)
 class Process:
-    """One child of the rig."""
+    """One child process of the test, with its command and log file."""
 
     name: str
     command: list[str]
--- a/kelpstage/testbed/fleet/record.py
+++ b/kelpstage/testbed/fleet/record.py
@@ -1,4 +1,4 @@
-"""A run's history as a day that `kelpstage-replay` can replay."""
+"""A run's history as a recording that `kelpstage-replay` can replay."""
 
 from __future__ import annotations
 
@@ -34,6 +34,6 @@
 
 
 def write_recording(*, path: str, history: list[dict]) -> None:
-    """Write a history as a day's file."""
+    """Write a history as a file that `kelpstage-replay` can replay."""
     with open(path, "wb") as file:
         file.write(HEAD + b"".join(pack_row(row=row) for row in recording_of(history=history)))
--- a/kelpstage/testbed/fleet/scenario.py
+++ b/kelpstage/testbed/fleet/scenario.py
@@ -1,5 +1,5 @@
-"""A day in the life of a deployment, shortened: traffic, a configuration changed, a
-backend and an edge killed, a rolling restart."""
+"""A scenario of a live deployment: traffic, a configuration changed, a backend and an
+edge killed, a rolling restart."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
 
 
 async def _faults(*, fleet: Fleet, until: Any, say: Any) -> None:
-    """The day's faults, at shares of its length, each with what it excuses."""
+    """The scenario's faults, at shares of its length, each with what it excuses."""
     deployment = fleet.deployment
     version = 1
 
@@ -166,7 +166,7 @@
     await until(0.91)
     await put("last")
     fleet.note({"event": "returned", "what": "everything"})
-    await fleet.ports.clock.sleep(us=RETURN_US + LOOK_US + 1_000_000)  # so that it can be judged
+    await fleet.ports.clock.sleep(us=RETURN_US + LOOK_US + 1_000_000)  # for the checker
 
 
 async def _kill_herd(*, fleet: Fleet, say: Any) -> None:
--- a/kelpstage/testbed/hollow/options.py
+++ b/kelpstage/testbed/hollow/options.py
@@ -1,4 +1,4 @@
-"""What a hollow fleet is to be, and why a wish is refused before anything starts."""
+"""Options of a hollow fleet, and why some are refused before anything starts."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Refused:
-    """A wish that can't be met, and why."""
+    """Options that can't be met, and why."""
 
     why: str
 
--- a/kelpstage/testbed/main.py
+++ b/kelpstage/testbed/main.py
@@ -1,4 +1,4 @@
-"""`kelpstage-testbed`: the test rig. It is the one program here that starts processes."""
+"""`kelpstage-testbed`: the test bed. It is the one program here that starts processes."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     cpu: bool = typer.Option(True, help="Charge processor time; without, days mostly repeat."),
     seed: Optional[int] = typer.Option(None, help="Another seed than the days' own."),
 ) -> None:
-    """Play the days of kelpstage.testbed/days on the users' bench; fails if one is not kept."""
+    """Run the scenarios of kelpstage/testbed/days on the users' bench; fail if a rule breaks."""
     options = ["--jobs", str(jobs)]
     options += [] if cpu else ["--no-cpu"]
     options += [] if seed is None else ["--seed", str(seed)]
@@ -123,7 +123,7 @@
     first_port: int = typer.Option(7501, min=1024, max=60_000, help="First loopback port."),
     configuration: str = typer.Option(..., help="Write a fitting configuration here."),
 ) -> None:
-    """Serve stand-in backends in this process until it is told to stop."""
+    """Serve stand-in backends in this process until SIGTERM or SIGINT."""
     asyncio.run(
         serve_demo(
             collection=collection, count=shards, first_port=first_port, configuration=configuration
@@ -147,7 +147,7 @@
     ),
     workers: int = typer.Option(8, min=1, max=64, help="Worlds run side by side."),
 ) -> None:
-    """Run simulated worlds from seeds, judge each by every checker."""
+    """Run simulated worlds from seeds and apply every checker to each history."""
     shapes = ["netherlands", "senegal"] if deployment == "both" else [deployment]
     if not set(shapes) <= set(names()):
         _say_bad(f"no deployment {deployment!r}; there are: {', '.join(names())}, both")
@@ -188,7 +188,7 @@
     rate: float = typer.Option(0.15, help="Share of the deployment's call rate, as in sim."),
     history: Optional[str] = typer.Option(None, help="Write the history here (JSON lines)."),
 ) -> None:
-    """Run one failing seed again with as few of its faults as still break a line."""
+    """Run one failing seed again with as few of its faults as still violate the same rule."""
     if deployment not in names():
         _say_bad(f"no deployment {deployment!r}; there are: {', '.join(names())}")
     plan = plan_combination(seed=seed, count=count)
--- a/kelpstage/testbed/measure/choices.py
+++ b/kelpstage/testbed/measure/choices.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Choice:
-    """What is compared, by which story."""
+    """What is compared, by which scenario."""
 
     why: str
     variants: tuple[Variant, ...]
@@ -65,7 +65,7 @@
             setattr(owner, last, value)
 
 
-# --- stories ---------------------------------------------------------------------
+# --- scenarios -------------------------------------------------------------------
 
 
 def _note_calls(*, fleet: SimFleet, numbers: Numbers) -> None:
@@ -91,7 +91,7 @@
 
 
 async def bad_day(fleet: SimFleet, numbers: Numbers) -> None:
-    """Traffic while backends lie, slow down and an edge is killed."""
+    """Traffic while backends send invalid replies, slow down and an edge is killed."""
     await fleet.bring_up()
     fleet.start_callers()
     await fleet.sleep(us=2 * SECOND)
--- a/kelpstage/testbed/measure/tornado_http.py
+++ b/kelpstage/testbed/measure/tornado_http.py
@@ -18,7 +18,7 @@
 
 
 class TornadoHttp:
-    """The old ways to fetch and to serve; failures are not told apart here."""
+    """The baseline client and server; it has one error type for all failures."""
 
     def __init__(self) -> None:
         self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=1000)
--- a/kelpstage/testbed/model/actions.py
+++ b/kelpstage/testbed/model/actions.py
@@ -54,7 +54,7 @@
     step_us = STEPS_US[b % len(STEPS_US)]
     cluster.now_us += step_us
     if step_us >= SILENCE_US:
-        cluster.lost.update(cluster.nodes)  # nobody heard anybody for that long
+        cluster.lost.update(cluster.nodes)  # no messages were received for that long
     if node.runs:
         node.tick()
 
@@ -143,7 +143,7 @@
 
 @action
 def isolate(cluster: Cluster, a: int, b: int) -> None:
-    """Both ways, or with `b` 1 only what the machine sends, with 2 only what it hears."""
+    """Both ways, or with `b` 1 only what the machine sends, with 2 only what it receives."""
     one = cluster.node_at(a).address
     cluster.lost.add(one)
     for other in cluster.nodes:
--- a/kelpstage/testbed/model/adapter.py
+++ b/kelpstage/testbed/model/adapter.py
@@ -167,7 +167,7 @@
 
 
 def knows_leader(replica: Replica) -> bool:
-    """Has it heard a leader of its term?"""
+    """Does it know the leader of its term?"""
     return bool(replica.leader)
 
 
@@ -183,7 +183,7 @@
 
 
 def fetched_event(*, snapshot: DiskSnapshot, offer: FetchOffered) -> SnapshotFetched:
-    """What the daemon tells its replica when a snapshot has arrived whole."""
+    """The event by which a daemon hands a completely fetched snapshot to its replica."""
     return SnapshotFetched(
         index=snapshot.index,
         term=snapshot.term,
@@ -209,23 +209,23 @@
 
 
 def order_digest(*, expected: int, version: int, document: bytes) -> bytes:
-    """What tells a repeat of an order from another one."""
+    """The digest by which a repeat of an order is recognized."""
     return put_digest(document=document, expected=expected, version=version)
 
 
 def decided(*, machine: Machine, order: Any) -> Any:
-    """What became of an order, as far as the state machine's records tell."""
+    """The outcome of an order, as far as the state machine's records hold it."""
     put = PutConfiguration(put_id=order.put_id, expected=order.expected, version=order.version)
     return machine.decided(put=put, digest=order.digest)
 
 
 def is_unclear(outcome: Any) -> bool:
-    """Would the operator hear that nobody knows what became of the order?"""
+    """Would the operator be answered that the outcome of the order is unknown?"""
     return isinstance(as_result(outcome=outcome, put_id=""), WriteUnresolvedError)
 
 
 def is_refusal(outcome: Any) -> bool:
-    """Would the operator hear that the order was refused for good?"""
+    """Would the operator be answered that the order was finally refused?"""
     return isinstance(as_result(outcome=outcome, put_id=""), KelpstageError) and not is_unclear(
         outcome
     )
@@ -268,7 +268,7 @@
 def lease_table_hears(
     lease_table: LeaseTable, *, edge: str, incarnation: int, epoch: int, now_us: int
 ) -> None:
-    """The leader hears what an edge has installed."""
+    """The leader receives an edge's heartbeat: the epoch that it has installed."""
     lease_table.heard(edge=edge, incarnation=incarnation, epoch=epoch, contact=None, now_us=now_us)
 
 
--- a/kelpstage/testbed/model/calls.py
+++ b/kelpstage/testbed/model/calls.py
@@ -25,7 +25,7 @@
 
     @functools.cached_property
     def digest(self) -> bytes:
-        """What tells a repeat from another order."""
+        """The digest by which a repeat of the order is recognized."""
         return core.order_digest(
             expected=self.expected, version=self.version, document=self.document
         )
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OrderAnswer:
-    """What the operator hears of an order."""
+    """The reply to an operator's order."""
 
     order: Order
     is_refused: bool
--- a/kelpstage/testbed/model/checks.py
+++ b/kelpstage/testbed/model/checks.py
@@ -279,7 +279,7 @@
         self.took_effect.add(order.digest)
 
     def acknowledged_order(self, *, order: Order, version: int, epoch: int) -> None:
-        """An operator is told that the order is in force everywhere."""
+        """Check a reply that acknowledges an order as in force everywhere."""
         known = self.acknowledged.setdefault(order.expected, order.digest)
         if known != order.digest:
             self.fail(ONE_ORDER_A_BASE, f"{order} beside another on {order.expected}")
@@ -289,7 +289,7 @@
             self.edge_changed(edge=edge)
 
     def refused_order(self, *, order: Order) -> None:
-        """An operator is told that the order was refused for good."""
+        """Check a reply that finally refuses an order."""
         if order.digest in self.took_effect:
             self.fail(NO_LATE_REFUSAL, f"{order} is refused on repeat")
         self.refused.add(order.digest)
--- a/kelpstage/testbed/model/cluster.py
+++ b/kelpstage/testbed/model/cluster.py
@@ -17,7 +17,7 @@
 RENEW_US = 400_000
 PACKET_LIMIT = 600
 CATCH_UP_US = 5_000_000  # of undisturbed time; a replaced machine counts as repaired after it
-HEARD_AGAIN_US = 500_000  # of undisturbed time; the leader has heard every member since
+HEARD_AGAIN_US = 500_000  # of undisturbed time; every member has answered the leader since
 
 
 class Cluster:
--- a/kelpstage/testbed/model/main.py
+++ b/kelpstage/testbed/model/main.py
@@ -131,7 +131,7 @@
 
 
 def show_walks(*, outcomes: list[Outcome], seconds: float) -> str:
-    """What some walks came to, in one line.
+    """A summary of some walks, as one line of text.
 
     >>> show_walks(outcomes=[], seconds=1.0)
     '0 of 0 walks kept; 0 steps, 0 entries, 0 orders, 0 membership changes, 0 snapshots, 1.0 s'
--- a/kelpstage/testbed/model/node.py
+++ b/kelpstage/testbed/model/node.py
@@ -194,7 +194,7 @@
         self.world.ask_place(node=self)
 
     def sync(self, *, count: int) -> None:
-        """The oldest `count` writes become durable, and the replica is told so."""
+        """Make the oldest `count` writes durable and notify the replica."""
         for _ in range(min(count, len(self.disk.queue))):
             write = self.disk.queue[0]
             self.disk.write_next()
--- a/kelpstage/testbed/model/search.py
+++ b/kelpstage/testbed/model/search.py
@@ -124,8 +124,11 @@
 
 
 def _orders(world: World) -> Iterator[list[str]]:
-    """The orders of the nodes that are worth trying: by what tells them apart at a
-    glance, and each order of those that look the same."""
+    """The orderings of the nodes to try for the canonical form.
+
+    Nodes are sorted by what distinguishes them cheaply; nodes that are equal in that are
+    tried in every order.
+    """
     marks = {name: repr(_glance(world, name)) for name in world.nodes}
     groups = [
         [name for name in world.nodes if marks[name] == mark]
--- a/kelpstage/testbed/model/sessions.py
+++ b/kelpstage/testbed/model/sessions.py
@@ -174,8 +174,10 @@
         self._propose(node=node, token=token, work=work)
 
     def _propose(self, *, node: NodeView, token: int, work: Work) -> None:
-        """Propose the order when the change before it is settled; the state machine
-        judges it once more, by what is in force at its place in the log."""
+        """Propose the order when the change before it is settled.
+
+        The state machine checks it once more, against what is in force at its index.
+        """
         order, state = work.call.order, node.machine.state
         if not core.lease_table_settled(
             node.lease_table, state=state, epoch=state.epoch, now_us=self.world.now_us
@@ -259,7 +261,7 @@
                 self._propose(node=node, token=token, work=work)
 
     def node_ended(self, *, node: NodeView) -> None:
-        """The calls at a process that ended hear nothing."""
+        """Drop the calls that are pending at a process that ended; they get no reply."""
         self._work = {t: w for t, w in self._work.items() if w.address != node.address}
 
     # --- answers arrive ---------------------------------------------------------------------------
--- a/kelpstage/testbed/platform_model/backends.py
+++ b/kelpstage/testbed/platform_model/backends.py
@@ -297,7 +297,7 @@
 
 
 class Park:
-    """All backends of a day, and the platform's list of them."""
+    """All backends of a scenario, and the platform's list of them."""
 
     def __init__(
         self,
--- a/kelpstage/testbed/platform_model/eligibility.py
+++ b/kelpstage/testbed/platform_model/eligibility.py
@@ -69,7 +69,7 @@
     # --- the three conditions -----------------------------------------------------------
 
     def is_calm(self, *, node: str, begin_us: int, end_us: int) -> bool:
-        """(1): no trouble of the machine's own in the span."""
+        """Condition 1: no fault of the machine's own in the span."""
         return not any(a <= end_us and b >= begin_us for a, b in self._spans.get(node, ()))
 
     def running_core(self, *, at_us: int) -> list[str]:
@@ -112,7 +112,7 @@
         return max(1, there - fresh)
 
     def is_settled(self, *, begin_us: int, end_us: int) -> bool:
-        """(2): no event of the core's in the span, none of it slow, most of it up."""
+        """Condition 2: no event of the core's in the span, none of it slow, most of it up."""
         place = bisect_left(self._events, begin_us)
         if place < len(self._events) and self._events[place] <= end_us:
             return False
@@ -122,7 +122,7 @@
         return self._has_majority(at_us=end_us)
 
     def has_paths(self, *, node: str, begin_us: int, end_us: int) -> bool:
-        """(3): a path to every running core machine that reaches most of the core."""
+        """Condition 3: a path to every running core machine that reaches most of the core."""
         return not any(
             self.is_cut(a=node, b=name, begin_us=begin_us, end_us=end_us)
             for name in self._joined_core(at_us=end_us)
@@ -141,7 +141,7 @@
         )
 
     def is_outer(self, *, node: str, at_us: int, since_us: int) -> bool:
-        """Meets (1) and (3), and most of the core was up all the while: the bound of
+        """Meets conditions 1 and 3, and most of the core was up all the while: the bound of
         configuration is stretched, not lifted."""
         begin_us = since_us - self._touch_us
         if not self.is_calm(node=node, begin_us=begin_us, end_us=at_us):
@@ -155,7 +155,7 @@
         return all(self._has_majority(at_us=moment) for moment in moments)
 
     def is_calm_day(self, *, begin_us: int, end_us: int, is_planned_fine: bool = False) -> bool:
-        """No trouble of any machine or line in the span (planned work may be let pass)."""
+        """No fault of any machine or network path in the span; planned work may be allowed."""
         for fault in self._history.faults:
             if fault.is_planned and is_planned_fine or fault.what in QUIET_WORDS:
                 continue
@@ -167,5 +167,5 @@
         )
 
     def is_held_up(self, *, a: str, b: str, at_us: int) -> bool:
-        """Was the line between two machines cut in the last `TouchMs`?"""
+        """Was the path between two machines cut in the last `TouchMs`?"""
         return self.is_cut(a=a, b=b, begin_us=at_us - self._touch_us, end_us=at_us)
--- a/kelpstage/testbed/platform_model/history.py
+++ b/kelpstage/testbed/platform_model/history.py
@@ -1,8 +1,9 @@
-"""What clients, backends, the operator and the platform saw in one day.
+"""What clients, backends, the operator and the platform observed in one scenario.
 
 Nothing here comes from the code under test: a request as its client saw it, an arrival as
 a backend saw it, an order as its operator saw it, and what the platform did to machines.
-Times are whole microseconds of the day; 0 stands for "not" where a time may be missing.
+Times are whole microseconds since the scenario began; 0 stands for "not" where a time may
+be missing.
 """
 
 from __future__ import annotations
@@ -186,7 +187,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Shown:
-    """The list told a machine, for the first time, that a backend drains or is gone."""
+    """When the list first showed a machine that a backend drains or is gone."""
 
     instance_id: str
     node: str
@@ -241,7 +242,7 @@
 
 @dataclass(kw_only=True)
 class History:
-    """One day's history."""
+    """The history of one scenario."""
 
     bounds: Bounds = field(default_factory=Bounds)
     machines: frozenset[str] = frozenset()
@@ -257,7 +258,7 @@
     cuts: list[Cut] = field(default_factory=list)
     outages: list[tuple[int, int]] = field(default_factory=list)
     read_backs: list[ReadBack] = field(default_factory=list)
-    reads: list[ReadBack] = field(default_factory=list)  # every one of the day; 0 for none
+    reads: list[ReadBack] = field(default_factory=list)  # every read; revision 0 for none
     crashes: dict[str, int] = field(default_factory=dict)  # instance -> when
     traffic_us: int = 0
     end_us: int = 0
--- a/kelpstage/testbed/platform_model/machines.py
+++ b/kelpstage/testbed/platform_model/machines.py
@@ -308,7 +308,7 @@
         fault.end_us = self.world.now_us()
 
     async def cut_power(self, *, node: Node, for_us: int, is_disk: bool = False) -> None:
-        """The machine loses power: nobody hears of it, unsynced bytes go."""
+        """Cut a machine's power for `for_us`: no peer is notified, unsynced bytes are lost."""
         fault = self._begin_fault(node=node, what="power")
         node.machine.is_on = False
         for process in node.processes.values():
@@ -375,7 +375,7 @@
         return fresh
 
     def reread_all(self) -> None:
-        """The settings files have changed; every process is told so."""
+        """Have every process reread its settings files."""
         for node in self.there():
             self.reread(node=node)
 
--- a/kelpstage/testbed/platform_model/main.py
+++ b/kelpstage/testbed/platform_model/main.py
@@ -1,4 +1,4 @@
-"""`kelpstage-testbed platform`: seeded days of the users' platform, judged by its rules."""
+"""`kelpstage-testbed platform`: seeded scenarios of the users' platform, checked by its rules."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @app.callback()
 def platform() -> None:
-    """The users' platform as their pages tell it, in virtual time."""
+    """The users' platform as their pages describe it, in virtual time."""
 
 
 def plan_mix(
@@ -43,7 +43,7 @@
 
 
 def run_one(plan: Plan) -> tuple[Plan, list[str], str, dict]:
-    """A day in a process of its own: which rules broke, the text, worth earned and owed."""
+    """Run a scenario in a process of its own: broken rules, text, worth earned and owed."""
     try:
         outcome: Outcome = play_scenario(plan=plan)
     except Exception:
@@ -69,7 +69,7 @@
     workers: int = typer.Option(4, min=1, max=64, help="Days played side by side."),
     only_bad: bool = typer.Option(False, help="Print only days that broke a rule."),
 ) -> None:
-    """Play seeded days; print what broke, with its seed, and the worth by kind."""
+    """Run seeded scenarios; print violations with their seed, and the worth by kind."""
     try:
         numbers = read_seeds(text=seeds)
     except ValueError:
--- a/kelpstage/testbed/platform_model/net.py
+++ b/kelpstage/testbed/platform_model/net.py
@@ -152,7 +152,7 @@
         return self.is_open and self.world.now_us() < self.use_until_us
 
     async def exchange(self, *, call: HttpCall, deadline_us: int) -> HttpReply | KelpstageError:
-        """Send a request, wait for its answer; given up or cancelled, the line closes."""
+        """Send a request, wait for its reply; timeout or cancellation closes the connection."""
         self._future = asyncio.get_running_loop().create_future()
         self._asked = call
         self.read_us = 0
@@ -354,7 +354,7 @@
 
 
 class PlatformNet(SimNet):
-    """A process's lines; HTTP goes over connections that are kept or opened anew."""
+    """A process's network: HTTP over pooled connections or new ones."""
 
     def __init__(self, *, process: SimProcess) -> None:
         super().__init__(process=process)
--- a/kelpstage/testbed/platform_model/operator.py
+++ b/kelpstage/testbed/platform_model/operator.py
@@ -156,7 +156,7 @@
             await asyncio.sleep(0.3)
 
     async def read_back(self, *, for_us: int, most_us: int = 30_000_000) -> None:
-        """At the end of the day: over and over; what the last answers say counts."""
+        """Read the configuration repeatedly for `for_us`; the last answers count."""
         started_us = self._world.now_us()
         last: tuple[int, bytes] | None = None
         while True:
--- a/kelpstage/testbed/platform_model/rules/recovery.py
+++ b/kelpstage/testbed/platform_model/rules/recovery.py
@@ -92,7 +92,7 @@
 
 
 def fault(history: History) -> list[Violation]:
-    """A process that ends, or a task that breaks, by itself; a day that serves nothing."""
+    """A process that ends, or a task that fails, by itself; a scenario that serves nothing."""
     out = [
         Violation(rule="FAULT", why=f"{name}: {why}", at_us=at_us)
         for at_us, name, why in history.own_ends
--- a/kelpstage/testbed/platform_model/rules/register.py
+++ b/kelpstage/testbed/platform_model/rules/register.py
@@ -40,7 +40,7 @@
 
 
 def find_violations(*, history: History) -> list[Violation]:
-    """Every violation of a day. A day in which nothing was asked proves nothing.
+    """Every violation of a scenario; one without requests is itself a violation.
 
     >>> [v.rule for v in find_violations(history=History())]
     ['FAULT']
--- a/kelpstage/testbed/platform_model/rules/writes.py
+++ b/kelpstage/testbed/platform_model/rules/writes.py
@@ -6,7 +6,7 @@
 
 
 class Orders:
-    """A day's configurations by what their operators know of them.
+    """A scenario's configurations by what their operators know of them.
 
     >>> order = Order(key="k", revision=3, base=0, body=b"", acked_us=5)
     >>> orders = Orders(history=History(orders=[order]))
--- a/kelpstage/testbed/platform_model/scenario.py
+++ b/kelpstage/testbed/platform_model/scenario.py
@@ -1,4 +1,4 @@
-"""One day from a seed: the platform's model around the product, then every rule's checker."""
+"""One scenario from a seed: the platform's model around the product, then every checker."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Plan:
-    """A day to play."""
+    """A scenario to run: deployment, seed, faults and length."""
 
     deployment: str
     seed: int
@@ -40,13 +40,13 @@
     closing: str = ""
     has_orders: bool = True
     start_us: int = 0  # when traffic starts, if not when the deployment says
-    settle_s: int = 6  # calm after the last trouble
+    settle_s: int = 6  # without faults, after the last one has ended
     message_us: int = 150  # processor time of a node for each thing that comes in
 
 
 @dataclass(kw_only=True)
 class Outcome:
-    """What a day came to."""
+    """The result of a scenario: violations, worth by kind, counts and history."""
 
     plan: Plan
     violations: list[Violation]
@@ -56,7 +56,7 @@
 
 
 class Play:
-    """Everything of one day, while it runs."""
+    """The state of one scenario while it runs."""
 
     def __init__(self, *, plan: Plan, world: PlatformWorld, shape: Shape) -> None:
         self.plan = plan
@@ -137,8 +137,11 @@
 
     @contextlib.asynccontextmanager
     async def loss(self, *, node: Node | None) -> AsyncIterator[None]:
-        """MachineFault of a machine that counts: no more at once than is to be borne, and one
-        that is back counts on for a while."""
+        """Hold a place among the core faults that are tolerated at the same time.
+
+        A machine without a disk needs none. The place is released `catch_up_us` after the
+        fault has ended.
+        """
         if node is not None and not node.has_disk:
             yield
             return
@@ -321,7 +324,7 @@
                     self.clients.ask_node(node=node, draft=draft, kind=self.kinds[draft.kind])
                 )
 
-    # --- the day ------------------------------------------------------------------------------
+    # --- the scenario -------------------------------------------------------------------------
 
     async def run(self) -> None:
         """Run the whole scenario: start, traffic, faults, closing fault, final reads."""
@@ -362,7 +365,7 @@
         await PLATFORM_FAULTS[name](self, rand)
 
     async def _finish_work(self) -> None:
-        """Troubles end, and some calm follows."""
+        """Wait up to 90 s for the faults to end, then `settle_s` more."""
         ends_s = self.world.loop.time() + 90
         while any(not task.done() for task in self._work) and self.world.loop.time() < ends_s:
             pending = [task for task in self._work if not task.done()]
@@ -383,7 +386,7 @@
 
 
 def play_scenario(*, plan: Plan) -> Outcome:
-    """Play a day and judge it; the same plan gives the same day."""
+    """Run a scenario and check its history; the same plan gives the same history."""
     shape = SHAPES[plan.deployment]()
     if plan.has_orders:
         shape = with_orders(shape=shape)
@@ -439,7 +442,7 @@
 
 
 def as_text(*, outcome: Outcome) -> str:
-    """A day in a few lines."""
+    """A scenario's result as a few lines of text."""
     plan = outcome.plan
     head = f"{plan.deployment} seed {plan.seed} [{', '.join(plan.faults)}"
     head += f"; {plan.closing}]" if plan.closing else "]"
--- a/kelpstage/testbed/simulation/failpoints.py
+++ b/kelpstage/testbed/simulation/failpoints.py
@@ -1,7 +1,7 @@
 """The register of numbered fault points: every place that daemons pass by name.
 
 Each is visited in turn by a test that ends a process right there, with the
-power where a disk is concerned, and then has the whole history judged.
+power where a disk is concerned, and then has the whole history checked.
 """
 
 from __future__ import annotations
--- a/kelpstage/testbed/simulation/faults/configuration.py
+++ b/kelpstage/testbed/simulation/faults/configuration.py
@@ -81,8 +81,11 @@
 
 
 async def recut(fleet: SimFleet, rand: random.Random) -> None:
-    """The index is cut into other shards under load. Callers that fetch single
-    records by the old cut's shards are told so until they know."""
+    """The index is cut into other shards under load.
+
+    Callers that fetch single records by the old cut's shards get an error until they
+    use the new ones.
+    """
     number = fleet.fault(what="recut", excuses=[])
     other = [c for name, c in sorted(fleet.cuts.items()) if name != fleet.cut_in_force][0]
     await fleet.put_next(cut=other)
--- a/kelpstage/testbed/simulation/faults/edges.py
+++ b/kelpstage/testbed/simulation/faults/edges.py
@@ -54,7 +54,7 @@
 
 
 async def rolling_restart(fleet: SimFleet, rand: random.Random) -> None:
-    """Every edge in turn is told to stop, and started again when it has ended."""
+    """Stop every edge in turn, and start it again when it has ended."""
     number = fleet.fault(what="rolling_restart", excuses=[])
     for node in fleet.deployment.nodes:
         if not fleet.processes[f"edge/{node.name}"].is_alive:
--- a/kelpstage/testbed/simulation/faults/network.py
+++ b/kelpstage/testbed/simulation/faults/network.py
@@ -46,7 +46,7 @@
     hold_us: int,
     nodes: list[str],
 ) -> None:
-    """Cut lines one way for a while; calls are excused nothing."""
+    """Cut network paths one way for a while; calls are excused nothing."""
     number = fleet.fault(what=what, excuses=["line"], nodes=nodes, after_us=3 * SECOND)
     for a, b in pairs:
         fleet.world.cut(a=a, b=b, is_one_way=True)
--- a/kelpstage/testbed/simulation/fleet.py
+++ b/kelpstage/testbed/simulation/fleet.py
@@ -158,7 +158,7 @@
         self.backends[name] = stand_in
 
     def is_up(self, *, process: str) -> bool:
-        """Has another fault's story started it already?"""
+        """Is the process up, perhaps started again by another fault?"""
         return process in self.processes and self.processes[process].is_alive
 
     async def start_core(self, *, name: str, seeds: list[str] | None = None) -> None:
@@ -230,7 +230,7 @@
         return None
 
     def is_core_whole(self) -> bool:
-        """Does the leader have three voters, all of them heard of just now?"""
+        """Does the leader have three voters, all of which answered it lately?"""
         name = self.leader()
         if name is None:
             return False
@@ -271,7 +271,7 @@
         core: str | None = None,
         wait_us: int = 10_000_000,
     ) -> dict:
-        """Put a configuration through any core that is up, and note the verdict."""
+        """Put a configuration through any core that is up, and note the reply."""
         name = core or self._some_core()
         row: dict[str, Any] = {
             "event": "put",
@@ -383,7 +383,7 @@
         """The machines have power again; their processes start."""
         for name in back:
             self.processes[name].machine.is_on = True
-        self.world.flush()  # lines to the processes that were are broken now
+        self.world.flush()  # connections to the former processes are broken now
         for name in back:
             kind, _, machine = name.partition("/")
             if kind == "core":
@@ -408,7 +408,7 @@
         return fresh
 
     async def stop_edge(self, *, name: str) -> None:
-        """A planned stop: told, given its grace, ended."""
+        """Stop an edge as planned: ask it to stop, wait for its grace, end it."""
         process = self.processes[f"edge/{name}"]
         done = process.spawn(self.daemons[f"edge/{name}"].stop())
         await asyncio.wait({done}, timeout=6.0)
@@ -479,7 +479,7 @@
     rate: float = 0.15,
     far_us: int = 0,
 ) -> SimFleet:
-    """Run a story in a world of its own; the same seed gives the same history. With
+    """Run a scenario in a world of its own; the same seed gives the same history. With
     `far_us`, zones are so far apart, one way, with jitter and lost datagrams."""
     from kelpstage.testbed.simulation.loop import VirtualLoop
 
--- a/kelpstage/testbed/simulation/scenario.py
+++ b/kelpstage/testbed/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""Stories: a quiet beginning, faults by a plan, a quiet end, the configuration read back."""
+"""Scenarios: a quiet beginning, planned faults, a quiet end, the configuration read back."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def scenario_of(*, seed: int, plan: list[Planned]) -> Callable[[SimFleet], Awaitable[None]]:
-    """The story that runs a plan."""
+    """The scenario that runs a plan."""
 
     async def scenario(fleet: SimFleet) -> None:
         await fleet.bring_up()
@@ -86,7 +86,7 @@
 def run_plan(
     *, seed: int, deployment: str, plan: list[Planned], rate: float = 0.15, far_us: int = 0
 ) -> tuple[Outcome, SimFleet | None]:
-    """Run a plan and judge its history; tasks that broke count as violations."""
+    """Run a plan and check its history; tasks that failed count as violations."""
     fleet: SimFleet | None = None
     shape: Deployment = load(name=deployment)
     try:
@@ -123,7 +123,7 @@
 
 
 def shrink(*, outcome: Outcome, rate: float = 0.15) -> Outcome:
-    """Leave out faults one at a time while the run still breaks the same line."""
+    """Leave out faults one at a time while the run still violates the same rule."""
     lines = {violation.rule for violation in outcome.violations}
     best = outcome
     is_smaller = True
@@ -139,7 +139,7 @@
 
 
 def as_text(*, outcome: Outcome) -> str:
-    """One run in a few lines.
+    """A run's result as a line of text, and one for each violation.
 
     >>> as_text(outcome=Outcome(seed=1, deployment="d", plan=[], violations=[], calls=3, good=3))
     'seed 1 d [] calls 3 good 3: clean'
--- a/kelpstage/testbed/simulation/world.py
+++ b/kelpstage/testbed/simulation/world.py
@@ -1,4 +1,4 @@
-"""The simulated world: machines, processes, lines between them, one seed."""
+"""The simulated world: machines, processes, the network between them, one seed."""
 
 from __future__ import annotations
 
@@ -134,7 +134,7 @@
 
     def kill(self, *, is_power: bool = False) -> None:
         """The process ends at once; its machine closes what it had open, unless it is
-        without power itself: then nobody is told."""
+        without power itself: then no peer is notified."""
         if not self.is_alive:
             return
         self.is_alive = False
@@ -166,10 +166,10 @@
 
 
 class SimStream:
-    """One end of a TCP connection; bytes arrive in order, after the line's delay.
+    """One end of a TCP connection; bytes arrive in order, after the network's delay.
 
     What can't pass waits for the next retransmission, each twice as long after the one
-    before: a line that is open again is of use only from then on. If `lost_after_us` is
+    before: a path that is open again is of use only from then on. If `lost_after_us` is
     given, an end whose bytes wait for so long is broken. A process that loses power says
     no goodbye; the other end learns of it by a reset, once something gets through.
     """
@@ -331,7 +331,7 @@
 
 
 class SimNet:
-    """A process's lines."""
+    """A process's network interface: streams, datagrams and HTTP."""
 
     def __init__(self, *, process: SimProcess) -> None:
         self._process = process
@@ -458,7 +458,7 @@
     def __post_init__(self) -> None:
         self.rand = random.Random(f"{self.seed}/world")
 
-    # --- time and lines -----------------------------------------------------------
+    # --- time and network ---------------------------------------------------------
 
     def now_us(self) -> int:
         """Microseconds since the run began."""
@@ -513,8 +513,10 @@
             self.cuts.add((b, a))
 
     def heal(self) -> None:
-        """All lines are open again; what waited in them goes out with the next
-        retransmission, calls at once."""
+        """Open all network paths again.
+
+        What waited in them goes out with the next retransmission, calls at once.
+        """
         self.cuts.clear()
         self.flush()
 
@@ -525,7 +527,7 @@
             callback()
 
     def note_silence(self, *, address: str) -> None:
-        """Two calls to a machine without power that ran out tell it from a pause."""
+        """Note a call that timed out; the second to a machine without power proves it gone."""
         machine = self.machine_at(address=address)
         if machine is None or machine.is_on:
             return
--- a/kelpstage/testbed/stand_ins/backend.py
+++ b/kelpstage/testbed/stand_ins/backend.py
@@ -85,7 +85,7 @@
             await self.open()
 
     async def answer(self, call: HttpCall) -> HttpReply | None:
-        """Answer one call, or break its line (None)."""
+        """Answer one call; `None` breaks its connection."""
         if call.url == "/v1/health":
             self._keep(receipt=self._receipt(event="probe", call=call))
             state = "draining" if self.mode.is_draining else "up"
--- a/kelpstage/testbed/stand_ins/callers.py
+++ b/kelpstage/testbed/stand_ins/callers.py
@@ -1,4 +1,4 @@
-"""Stand-in callers: open-loop arrivals by kind, each verdict checked on the spot."""
+"""Stand-in callers: open-loop arrivals by kind, each reply checked on arrival."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(kw_only=True)
 class Callers:
-    """Sends calls at the rates of a deployment and judges what comes back."""
+    """Sends calls at the rates of a deployment and checks the replies."""
 
     ports: Ports
     platform: Platform
@@ -44,7 +44,7 @@
     errors: list[str] = field(default_factory=list)
 
     async def run(self, *, kind: Kind) -> None:
-        """Arrivals at random, never waiting for verdicts."""
+        """Open-loop arrivals of one kind, by a random process that never waits for replies."""
         rand, clock = self.ports.rand, self.ports.clock
         due_us = clock.now_us()
         while self.is_open:
@@ -126,7 +126,7 @@
     def judge(
         self, *, kind: Kind, reply: HttpReply, query: str, single: tuple[str, int] | None
     ) -> dict[str, Any]:
-        """Compare a verdict with the oracle, byte for byte."""
+        """Compare a reply with the oracle, byte for byte; the fields for its history row."""
         row: dict[str, Any] = {"status": reply.status}
         if reply.status != 200:
             row["retry_after"] = reply.headers.get("retry-after")
@@ -161,7 +161,7 @@
 
 
 def split_verdict(*, body: bytes) -> tuple[dict, bytes]:
-    """A verdict's head, and the exact bytes between its records' brackets.
+    """A reply's head, and the exact bytes between its records' brackets.
 
     >>> split_verdict(body=b'{"a":1,"records":[{},{}]}')
     ({'a': 1}, b'{},{}')
@@ -172,7 +172,7 @@
 
 
 def error_version(*, body: bytes) -> int | None:
-    """The configuration that a error names, if it names one.
+    """The version of the configuration that an error names, if it names one.
 
     >>> error_version(body=b'{"defect":{"kind":"k","configuration":3}}')
     3
--- a/kelpstage/testbed/stand_ins/platform.py
+++ b/kelpstage/testbed/stand_ins/platform.py
@@ -62,7 +62,7 @@
         )
 
     def note_backend(self, *, name: str, state: str) -> None:
-        """The list hears of a change only after a while."""
+        """Apply a backend's change of state to the list after `LAG_US`."""
 
         async def later() -> None:
             await self.ports.clock.sleep(us=LAG_US)
