--- a/kelpstage/testbed/checkers/base.py
+++ b/kelpstage/testbed/checkers/base.py
@@ -60,7 +60,7 @@
         return begin_us <= self.end_us and end_us >= self.begin_us
 
     def covers(self, *, node: str | None, begin_us: int, end_us: int) -> bool:
-        """Does it excuse something at this node, or at nobody's in particular?"""
+        """Does it excuse something at this node, or at every node, in the span?"""
         is_node = self.nodes is None or node in self.nodes
         return is_node and self.overlaps(begin_us=begin_us, end_us=end_us)
 
@@ -153,7 +153,7 @@
 
 def is_excused(*, row: dict, spans: list[Excuse]) -> bool:
     """Does a fault excuse what became of this call?"""
-    if row.get("node") is None:  # the platform had nobody to hand it to
+    if row.get("node") is None:  # the platform had no ready node for it
         return any(
             "away" in span.kinds and span.overlaps(begin_us=row["sent_us"], end_us=row["done_us"])
             for span in spans
--- a/kelpstage/testbed/checkers/writes.py
+++ b/kelpstage/testbed/checkers/writes.py
@@ -51,7 +51,7 @@
 
 
 def reads_of(*, history: list[dict]) -> list[Read]:
-    """What was read back, by anybody."""
+    """The successful reads of all operators."""
     return [
         Read(
             sent_us=row.get("sent_us", row["at_us"]),
--- a/kelpstage/testbed/fleet/demo.py
+++ b/kelpstage/testbed/fleet/demo.py
@@ -1,4 +1,4 @@
-"""A handful of stand-in backends for a fleet that somebody starts by hand."""
+"""A few stand-in backends for a fleet that is started by hand."""
 
 from __future__ import annotations
 
--- a/kelpstage/testbed/fleet/fleet.py
+++ b/kelpstage/testbed/fleet/fleet.py
@@ -277,7 +277,7 @@
         return reply
 
     async def steer(self, *, backend: str, **mode: Any) -> None:
-        """Change how a stand-in behaves; lies are noted for the checkers."""
+        """Change how a stand-in behaves; invalid replies are noted for the checkers."""
         if "lie" in mode:
             self.note({"event": "lie", "backend": backend, "lie": mode["lie"]})
         if {"is_listening", "is_draining"} & set(mode):
--- a/kelpstage/testbed/hollow/fleet.py
+++ b/kelpstage/testbed/hollow/fleet.py
@@ -211,7 +211,7 @@
         )
 
     def ready_to_put(self) -> bool:
-        """Is everybody on the membership and granted?"""
+        """Is every edge in the membership and does it hold a lease?"""
         core = self.cores[self.leader()]
         if len(core.task.machine.state.membership) < self.options.nodes:
             return False
--- a/kelpstage/testbed/hollow/load.py
+++ b/kelpstage/testbed/hollow/load.py
@@ -120,7 +120,7 @@
         return serve
 
     async def run(self, *, seconds: int) -> None:
-        """Searches at an even rate, each at a node drawn by lot."""
+        """Send searches at an even rate, each to a random node."""
         fleet = self.fleet
         gap_us = SECOND // fleet.options.queries
         for _ in range(seconds * fleet.options.queries):
--- a/kelpstage/testbed/model/cluster.py
+++ b/kelpstage/testbed/model/cluster.py
@@ -123,7 +123,7 @@
             self.packets.popleft()
 
     def deliver(self, packet: Packet) -> None:
-        """A packet arrives, unless its way is cut or nobody is there."""
+        """Deliver a packet, unless its path is cut or the receiver is down."""
         if (packet.source, packet.to) in self.cuts:
             return
         if {packet.source, packet.to} & self.muted:
--- a/kelpstage/testbed/model/search.py
+++ b/kelpstage/testbed/model/search.py
@@ -29,7 +29,7 @@
 
 
 class EvenRandom(random.Random):
-    """Always the middle: a search chooses by its branches, not by lot."""
+    """A generator that always returns the middle: a search branches instead of drawing."""
 
     def random(self) -> float:
         """A half."""
--- a/kelpstage/testbed/platform_model/backends.py
+++ b/kelpstage/testbed/platform_model/backends.py
@@ -30,7 +30,7 @@
 
 @dataclass(kw_only=True)
 class Mood:
-    """What is wrong with a backend just now."""
+    """The present faults of a backend: how much slower it works, and shares of bad requests."""
 
     slow: float = 1.0
     fail_share: float = 0.0
@@ -53,7 +53,7 @@
 
 @dataclass(kw_only=True)
 class Backend:
-    """One life."""
+    """One instance of a backend, from its start to its end, with its queue and slots."""
 
     instance_id: str
     service: ServiceShape
@@ -92,7 +92,7 @@
                 return
             if line.requests == seen and line.call is None:
                 if self.mood.forgets_idle:
-                    line.is_served = False  # forgotten without a word
+                    line.is_served = False  # dropped without a FIN or RST
                     self.line_gone(line=line)
                 else:
                     line.server_ends(how="closed")
@@ -335,7 +335,7 @@
     # --- lives -----------------------------------------------------------------------------
 
     def start(self, *, service: ServiceShape, zone: str, is_cold: bool = True) -> Backend:
-        """A new life, at a new address or at one whose time is over."""
+        """Start an instance, at a new address or at one that is free for reuse."""
         self._serial += 1
         now_us = self.world.now_us()
         instance_id = f"i-{self._serial:05x}{self.rand.getrandbits(20):05x}"
--- a/kelpstage/testbed/platform_model/clients.py
+++ b/kelpstage/testbed/platform_model/clients.py
@@ -101,7 +101,7 @@
 
 @dataclass(kw_only=True)
 class Client:
-    """Somebody who asks; `keeps` connections or opens a new one for each request."""
+    """A client that `keeps` connections or opens a new one for each request."""
 
     name: str
     zone: str
--- a/kelpstage/testbed/platform_model/faults/backends.py
+++ b/kelpstage/testbed/platform_model/faults/backends.py
@@ -11,7 +11,7 @@
 def pick_backends(
     play: Any, rand: random.Random, *, count: int, gathered: bool | None = None
 ) -> list:
-    """Some backends that do not drain, by lot; `gathered` asks for one kind of service."""
+    """Random backends that do not drain; `gathered` selects one kind of service."""
     found = [
         b
         for b in play.park.live.values()
@@ -115,7 +115,7 @@
 
 
 async def idle_race(play: Any, rand: random.Random) -> None:
-    """Idle connections are forgotten without a word."""
+    """Idle connections are dropped without a FIN or RST."""
     chosen = pick_backends(play, rand, count=12)
     for backend in chosen:
         backend.mood.forgets_idle = True
--- a/kelpstage/testbed/platform_model/faults/network.py
+++ b/kelpstage/testbed/platform_model/faults/network.py
@@ -11,7 +11,7 @@
 
 
 async def core_cut(play: Any, rand: random.Random) -> None:
-    """The core is cut in two, or a machine of it off from everybody."""
+    """The core is cut in two, or one of its machines off from all others."""
     async with play.loss(node=None):
         await _cut_for_a_while(play, rand)
 
--- a/kelpstage/testbed/simulation/faults/targets.py
+++ b/kelpstage/testbed/simulation/faults/targets.py
@@ -15,7 +15,7 @@
 
 
 def random_backend(*, fleet: SimFleet, rand: random.Random) -> str:
-    """Some backend, by lot."""
+    """A random backend."""
     return rand.choice(sorted(fleet.backends))
 
 
--- a/kelpstage/testbed/simulation/fleet.py
+++ b/kelpstage/testbed/simulation/fleet.py
@@ -423,7 +423,7 @@
         process.kill()
 
     async def bring_up(self) -> None:
-        """Start all, put the first configuration, wait until everybody serves."""
+        """Start all, put the first configuration, wait until every edge serves."""
         await self.start()
         await self.wait_for(what="a whole membership", is_there=self.is_membership_whole)
         row = await self.put(document=self.configuration(), expected=0, put_id="first")
@@ -450,7 +450,7 @@
         )
 
     async def set_backend(self, *, name: str, **mode: Any) -> None:
-        """Change how a stand-in behaves; lies are noted for the checkers."""
+        """Change how a stand-in behaves; invalid replies are noted for the checkers."""
         if "lie" in mode:
             self.note({"event": "lie", "backend": name, "lie": mode["lie"]})
         if {"is_listening", "is_draining"} & set(mode):
--- a/kelpstage/testbed/simulation/world.py
+++ b/kelpstage/testbed/simulation/world.py
@@ -69,7 +69,7 @@
 
 
 class SimProcess:
-    """One process: its tasks, its doors to the world, its end."""
+    """One process: its tasks, its ports (clock, network, disk) and its end."""
 
     def __init__(self, *, world: "World", name: str, machine: Machine, instance: int) -> None:
         self.world = world
@@ -170,8 +170,8 @@
 
     What can't pass waits for the next retransmission, each twice as long after the one
     before: a path that is open again is of use only from then on. If `lost_after_us` is
-    given, an end whose bytes wait for so long is broken. A process that loses power says
-    no goodbye; the other end learns of it by a reset, once something gets through.
+    given, an end whose bytes wait for so long is broken. A process that loses power sends
+    no FIN; the other end learns of it by a reset, once something gets through.
     """
 
     def __init__(self, *, process: SimProcess, address: str, lost_after_us: int = 0) -> None:
@@ -391,7 +391,7 @@
             return ReplyTimeoutError(address=address, after_us=wait_us)
         await self._process.ports.clock.sleep(us=2 * world.delay_us(source=here, target=there))
         if f"http/{address}" in world.listeners:
-            return _Closer(close=lambda: None)  # a knock: nothing is written
+            return _Closer(close=lambda: None)  # a probe: it only connects
         listener = world.listeners.get(f"tcp/{address}")
         if listener is None:
             return ConnectError(address=address)
--- a/kelpstage/testbed/stand_ins/backend.py
+++ b/kelpstage/testbed/stand_ins/backend.py
@@ -170,7 +170,7 @@
 
 
 def damaged_body(*, body: bytes, lie: str, shard: str) -> bytes:
-    """A reply bent in one way.
+    """A reply made invalid in one way.
 
     >>> damaged_body(body=b'{"shard": "s"}', lie="shard", shard="s")
     b'{"shard": "not-s"}'
