--- a/kelpstage/testbed/checkers/history.py
+++ b/kelpstage/testbed/checkers/history.py
@@ -6,16 +6,21 @@
 
 
 class HistoryWriter:
-    """Rows in the order they happened; the class that mixes this in tells the time
-    and keeps `history` and `serial`."""
+    """A mixin that appends rows to a history in the order they happened.
+
+    The class that uses it supplies the clock and keeps `history` and `serial`, the
+    number of the last fault.
+    """
 
     history: list[dict]
     serial: int = 0
 
     def now_us(self) -> int:
+        """The clock that rows are stamped with, in microseconds; subclasses supply it."""
         raise NotImplementedError
 
     def note(self, row: dict) -> None:
+        """Append a row; without an `at_us` of its own it is stamped with the current time."""
         row.setdefault("at_us", self.now_us())
         self.history.append(row)
 
@@ -26,4 +31,5 @@
         return self.serial
 
     def fault_end(self, *, fault: int) -> None:
+        """Note the end of the fault that `fault` returned this number for."""
         self.note({"event": "fault_end", "fault": fault})
--- a/kelpstage/testbed/checkers/linearizable.py
+++ b/kelpstage/testbed/checkers/linearizable.py
@@ -5,7 +5,7 @@
 order (`Write`) takes the register from its base version to its own, once, at one moment
 after its first try was sent and before its first acknowledgement. An order without a
 clear answer may be taken at any later moment, or never. One that was refused is never
-taken, and one that was taken is never refused, whatever other tries of it hear. A read
+taken, and one that was taken is never refused, whatever other tries of it are answered. A read
 returns what the register held at one moment while it was under way.
 
 Since versions only rise, the orders that were taken form one chain from 0, each on top
@@ -14,7 +14,7 @@
 extend. Moments are then assigned from the left, each as early as it can be. Both are
 nearly linear in the length of the history.
 
-One thing is judged more mildly than it might be: a refusal sent before its base version
+One check is weaker than it might be: a refusal sent before its base version
 need have been current counts as justified without a further look.
 """
 
@@ -58,6 +58,7 @@
 
     @property
     def sent_us(self) -> int:
+        """When its first try was sent; raises `ValueError` if there was none."""
         return min(one.sent_us for one in self.tries)
 
     @property
@@ -66,10 +67,12 @@
         return min((t.done_us for t in self.of(Answer.ACKNOWLEDGED)), default=NEVER_US)
 
     def of(self, *answers: Answer) -> list[Try]:
+        """The tries that got one of these answers, in the order they were noted."""
         return [one for one in self.tries if one.answer in answers]
 
     @property
     def is_refused(self) -> bool:
+        """Was any try refused, for its base version or as invalid?"""
         return bool(self.of(Answer.CONFLICT, Answer.INVALID))
 
 
--- a/kelpstage/testbed/model/search.py
+++ b/kelpstage/testbed/model/search.py
@@ -29,7 +29,7 @@
 
 
 class EvenRandom(random.Random):
-    """Always the middle: a search chooses by its branches, not by lot."""
+    """A generator that always returns the middle: a search branches instead of drawing."""
 
     def random(self) -> float:
         """A half."""
@@ -124,8 +124,11 @@
 
 
 def _orders(world: World) -> Iterator[list[str]]:
-    """The orders of the nodes that are worth trying: by what tells them apart at a
-    glance, and each order of those that look the same."""
+    """The orderings of the nodes to try for the canonical form.
+
+    Nodes are sorted by what distinguishes them cheaply; nodes that are equal in that are
+    tried in every order.
+    """
     marks = {name: repr(_glance(world, name)) for name in world.nodes}
     groups = [
         [name for name in world.nodes if marks[name] == mark]
--- a/kelpstage/testbed/platform_model/backends.py
+++ b/kelpstage/testbed/platform_model/backends.py
@@ -30,7 +30,7 @@
 
 @dataclass(kw_only=True)
 class Mood:
-    """What is wrong with a backend just now."""
+    """The present faults of a backend: how much slower it works, and shares of bad requests."""
 
     slow: float = 1.0
     fail_share: float = 0.0
@@ -53,7 +53,7 @@
 
 @dataclass(kw_only=True)
 class Backend:
-    """One life."""
+    """One instance of a backend, from its start to its end, with its queue and slots."""
 
     instance_id: str
     service: ServiceShape
@@ -92,7 +92,7 @@
                 return
             if line.requests == seen and line.call is None:
                 if self.mood.forgets_idle:
-                    line.is_served = False  # forgotten without a word
+                    line.is_served = False  # dropped without a FIN or RST
                     self.line_gone(line=line)
                 else:
                     line.server_ends(how="closed")
@@ -297,7 +297,7 @@
 
 
 class Park:
-    """All backends of a day, and the platform's list of them."""
+    """All backends of a scenario, and the platform's list of them."""
 
     def __init__(
         self,
@@ -335,7 +335,7 @@
     # --- lives -----------------------------------------------------------------------------
 
     def start(self, *, service: ServiceShape, zone: str, is_cold: bool = True) -> Backend:
-        """A new life, at a new address or at one whose time is over."""
+        """Start an instance, at a new address or at one that is free for reuse."""
         self._serial += 1
         now_us = self.world.now_us()
         instance_id = f"i-{self._serial:05x}{self.rand.getrandbits(20):05x}"
@@ -385,6 +385,7 @@
         backend.process.freeze()
 
     def wake(self, *, backend: Backend) -> None:
+        """Resume a backend that `go_silent` suspended."""
         backend.process.thaw()
 
     def drain(self, *, backend: Backend) -> None:
@@ -417,6 +418,7 @@
         self._free.append((self.world.now_us() + self._reuse_us, backend.address))
 
     def of(self, *, service: str) -> list[Backend]:
+        """The backends of a service that have neither ended nor begun to drain."""
         return [b for b in self.live.values() if b.service.name == service and not b.is_draining]
 
     # --- the list -----------------------------------------------------------------------------
@@ -468,6 +470,10 @@
         return body + self.rand.randbytes(5) if self.rand.random() < 0.1 else body
 
     def seal(self, *, arrival: Arrival, status: int, body: bytes) -> str:
+        """Register a reply in the history and return the unique seal that identifies it.
+
+        Backends send the seal along; the rules trace a client's reply back by it.
+        """
         self._seals += 1
         seal = f"{self._seals:x}.{status:x}.{self.rand.getrandbits(32):08x}"
         self.history.stamped[seal] = Stamped(
--- a/kelpstage/testbed/platform_model/operator.py
+++ b/kelpstage/testbed/platform_model/operator.py
@@ -54,6 +54,11 @@
         routes: tuple[RouteSpec, ...],
         is_valid: bool = True,
     ) -> Order:
+        """A configuration to send, with a key from its place in the history.
+
+        `base` is the revision that it replaces; `is_valid` is false for a document that
+        the product must refuse.
+        """
         return Order(
             key=f"o{len(self._history.orders)}-{revision}",
             revision=revision,
@@ -151,7 +156,7 @@
             await asyncio.sleep(0.3)
 
     async def read_back(self, *, for_us: int, most_us: int = 30_000_000) -> None:
-        """At the end of the day: over and over; what the last answers say counts."""
+        """Read the configuration repeatedly for `for_us`; the last answers count."""
         started_us = self._world.now_us()
         last: tuple[int, bytes] | None = None
         while True:
--- a/kelpstage/testbed/simulation/fleet.py
+++ b/kelpstage/testbed/simulation/fleet.py
@@ -125,6 +125,7 @@
             )
 
     def now_us(self) -> int:
+        """Virtual time in microseconds; it stamps the rows of the history."""
         return self.world.now_us()
 
     # --- starting --------------------------------------------------------------------
@@ -157,7 +158,7 @@
         self.backends[name] = stand_in
 
     def is_up(self, *, process: str) -> bool:
-        """Has another fault's story started it already?"""
+        """Is the process up, perhaps started again by another fault?"""
         return process in self.processes and self.processes[process].is_alive
 
     async def start_core(self, *, name: str, seeds: list[str] | None = None) -> None:
@@ -229,7 +230,7 @@
         return None
 
     def is_core_whole(self) -> bool:
-        """Does the leader have three voters, all of them heard of just now?"""
+        """Does the leader have three voters, all of which answered it lately?"""
         name = self.leader()
         if name is None:
             return False
@@ -270,7 +271,7 @@
         core: str | None = None,
         wait_us: int = 10_000_000,
     ) -> dict:
-        """Put a configuration through any core that is up, and note the verdict."""
+        """Put a configuration through any core that is up, and note the reply."""
         name = core or self._some_core()
         row: dict[str, Any] = {
             "event": "put",
@@ -382,7 +383,7 @@
         """The machines have power again; their processes start."""
         for name in back:
             self.processes[name].machine.is_on = True
-        self.world.flush()  # lines to the processes that were are broken now
+        self.world.flush()  # connections to the former processes are broken now
         for name in back:
             kind, _, machine = name.partition("/")
             if kind == "core":
@@ -407,7 +408,7 @@
         return fresh
 
     async def stop_edge(self, *, name: str) -> None:
-        """A planned stop: told, given its grace, ended."""
+        """Stop an edge as planned: ask it to stop, wait for its grace, end it."""
         process = self.processes[f"edge/{name}"]
         done = process.spawn(self.daemons[f"edge/{name}"].stop())
         await asyncio.wait({done}, timeout=6.0)
@@ -422,7 +423,7 @@
         process.kill()
 
     async def bring_up(self) -> None:
-        """Start all, put the first configuration, wait until everybody serves."""
+        """Start all, put the first configuration, wait until every edge serves."""
         await self.start()
         await self.wait_for(what="a whole membership", is_there=self.is_membership_whole)
         row = await self.put(document=self.configuration(), expected=0, put_id="first")
@@ -449,7 +450,7 @@
         )
 
     async def set_backend(self, *, name: str, **mode: Any) -> None:
-        """Change how a stand-in behaves; lies are noted for the checkers."""
+        """Change how a stand-in behaves; invalid replies are noted for the checkers."""
         if "lie" in mode:
             self.note({"event": "lie", "backend": name, "lie": mode["lie"]})
         if {"is_listening", "is_draining"} & set(mode):
@@ -478,7 +479,7 @@
     rate: float = 0.15,
     far_us: int = 0,
 ) -> SimFleet:
-    """Run a story in a world of its own; the same seed gives the same history. With
+    """Run a scenario in a world of its own; the same seed gives the same history. With
     `far_us`, zones are so far apart, one way, with jitter and lost datagrams."""
     from kelpstage.testbed.simulation.loop import VirtualLoop
 
--- a/kelpstage/testbed/stand_ins/backend.py
+++ b/kelpstage/testbed/stand_ins/backend.py
@@ -56,6 +56,7 @@
     signed_us: int = 0
 
     async def open(self) -> None:
+        """Listen at the address; raises `OSError` if that fails."""
         outcome = await self.ports.net.serve_http(
             address=self.address, on_call=self.answer, body_limit=4 * 1024 * 1024
         )
@@ -65,6 +66,7 @@
         self.mode.is_listening = True
 
     def close(self) -> None:
+        """Stop listening; it may be opened again."""
         self.mode.is_listening = False
         if self.listener is not None:
             self.listener.close()
@@ -83,7 +85,7 @@
             await self.open()
 
     async def answer(self, call: HttpCall) -> HttpReply | None:
-        """Answer one call, or break its line (None)."""
+        """Answer one call; `None` breaks its connection."""
         if call.url == "/v1/health":
             self._keep(receipt=self._receipt(event="probe", call=call))
             state = "draining" if self.mode.is_draining else "up"
@@ -168,7 +170,7 @@
 
 
 def damaged_body(*, body: bytes, lie: str, shard: str) -> bytes:
-    """A reply bent in one way.
+    """A reply made invalid in one way.
 
     >>> damaged_body(body=b'{"shard": "s"}', lie="shard", shard="s")
     b'{"shard": "not-s"}'
