--- a/kelpstage/testbed/checkers/base.py
+++ b/kelpstage/testbed/checkers/base.py
@@ -17,7 +17,7 @@
 class Violation:
     """A line of the brief that was broken."""
 
-    line: str
+    rule: str
     why: str
     at_us: int
 
@@ -39,9 +39,9 @@
     return [row for row in rows_of(history=history, event="call") if row.get("end") == "ok"]
 
 
-def empty(*, line: str, what: str) -> list[Violation]:
+def empty(*, rule: str, what: str) -> list[Violation]:
     """A history with nothing to judge is no kelpstage.testbed."""
-    return [Violation(line=line, why=f"nothing to judge: no {what}", at_us=0)]
+    return [Violation(rule=rule, why=f"nothing to judge: no {what}", at_us=0)]
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/kelpstage/testbed/checkers/configurations.py
+++ b/kelpstage/testbed/checkers/configurations.py
@@ -31,10 +31,10 @@
     """A request handled by an old configuration more than 3 s after the new one was
     acknowledged: a verdict or a error that names it, or a send to a backend under
     its cut. A single fetch ends under the version that it began with."""
-    line = "old configuration"
+    rule = "old configuration"
     puts, calls = acknowledged(history=history), good_calls(history=history)
     if not puts or not calls:
-        return empty(line=line, what="acknowledged puts or good calls")
+        return empty(rule=rule, what="acknowledged puts or good calls")
     way_us = line_us(history=history)
     out = []
     for row in rows_of(history=history, event="call"):
@@ -47,7 +47,7 @@
         if late_us > OLD_US + way_us:
             out.append(
                 Violation(
-                    line=line,
+                    rule=rule,
                     why=f"{row['call']} at {row['node']} under {version}, {late_us} us late",
                     at_us=row["done_us"],
                 )
@@ -66,7 +66,7 @@
         if cuts and row["cut"] not in cuts:
             out.append(
                 Violation(
-                    line="old configuration",
+                    rule="old configuration",
                     why=f"{row['call']} sent to {row['backend']} under cut {row['cut']}",
                     at_us=at_us,
                 )
@@ -77,10 +77,10 @@
 def slide_back(history: list[dict]) -> list[Violation]:
     """A node back at an older configuration more than 250 ms after it moved on; a restart
     in between changes nothing."""
-    line = "slide back"
+    rule = "slide back"
     calls = good_calls(history=history)
     if not calls:
-        return empty(line=line, what="good calls")
+        return empty(rule=rule, what="good calls")
     way_us = line_us(history=history)
     moved: dict[str, tuple[int, int]] = {}
     out = []
@@ -94,7 +94,7 @@
         if row["version"] < version and mark_us - since_us > SLIDE_US + way_us:
             out.append(
                 Violation(
-                    line=line,
+                    rule=rule,
                     why=f"{node} answered {row['call']} under {row['version']} after {version}",
                     at_us=row["done_us"],
                 )
@@ -105,18 +105,18 @@
 def lost_or_undead(history: list[dict]) -> list[Violation]:
     """An acknowledged configuration that is lost, or a refused one that is in force: read
     back, or served under a version that no put accounts for."""
-    line = "lost or undead configuration"
+    rule = "lost or undead configuration"
     reads = [row for row in rows_of(history=history, event="read_back") if row["status"] == 200]
     puts = acknowledged(history=history)
     if not reads or not puts:
-        return empty(line=line, what="acknowledged puts or configurations read back")
+        return empty(rule=rule, what="acknowledged puts or configurations read back")
     out = []
     by_version: dict[int, str] = {}
     for put in puts:
         if by_version.setdefault(put.version, put.document) != put.document:
             out.append(
                 Violation(
-                    line=line, why=f"version {put.version} acknowledged twice", at_us=put.acked_us
+                    rule=rule, why=f"version {put.version} acknowledged twice", at_us=put.acked_us
                 )
             )
     refused = {
@@ -127,7 +127,7 @@
     if not unsettled_puts(history=history):
         out += [
             Violation(
-                line=line,
+                rule=rule,
                 why=f"{row['call']} was served under {row['version']}, which nobody put",
                 at_us=row["done_us"],
             )
@@ -140,7 +140,7 @@
         if read["version"] < newest:
             out.append(
                 Violation(
-                    line=line,
+                    rule=rule,
                     why=f"version {newest} was acknowledged, {read['version']} is read back",
                     at_us=read["at_us"],
                 )
@@ -149,7 +149,7 @@
         if known is not None and known != read["digest"]:
             out.append(
                 Violation(
-                    line=line,
+                    rule=rule,
                     why=f"version {read['version']} is read back with other bytes",
                     at_us=read["at_us"],
                 )
@@ -157,7 +157,7 @@
         if read["digest"] in refused:
             out.append(
                 Violation(
-                    line=line,
+                    rule=rule,
                     why=f"a refused put is in force as version {read['version']}",
                     at_us=read["at_us"],
                 )
--- a/kelpstage/testbed/checkers/history.py
+++ b/kelpstage/testbed/checkers/history.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 
-class Notes:
+class HistoryWriter:
     """Rows in the order they happened; the class that mixes this in tells the time
     and keeps `history` and `serial`."""
 
--- a/kelpstage/testbed/checkers/register.py
+++ b/kelpstage/testbed/checkers/register.py
@@ -34,10 +34,10 @@
 }
 
 
-def judge(*, history: list[dict]) -> list[Violation]:
+def find_violations(*, history: list[dict]) -> list[Violation]:
     """Run every checker over a history.
 
-    >>> len(judge(history=[])) >= len(CHECKERS) - 1
+    >>> len(find_violations(history=[])) >= len(CHECKERS) - 1
     True
     """
     return [violation for check in CHECKERS.values() for violation in check(history)]
--- a/kelpstage/testbed/fleet/fleet.py
+++ b/kelpstage/testbed/fleet/fleet.py
@@ -16,7 +16,7 @@
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.common.ports.live import live_ports
-from kelpstage.testbed.checkers.history import Notes
+from kelpstage.testbed.checkers.history import HistoryWriter
 from kelpstage.testbed.fleet.deployment import Deployment, configuration_of, digest_of, facts_of
 from kelpstage.testbed.fleet.machine import NOISY_LAG_US
 from kelpstage.testbed.fleet.processes import Process, Processes
@@ -28,12 +28,12 @@
 LONG_WAIT_US = 90_000_000
 
 
-class FleetStuck(Exception):
+class FleetTimeoutError(Exception):
     """A condition that had to come did not come."""
 
 
 @dataclass(kw_only=True)
-class Fleet(Notes):
+class Fleet(HistoryWriter):
     """Cores, edges, stand-ins; every event goes into `history`."""
 
     deployment: Deployment
@@ -184,7 +184,7 @@
         until_us = self.ports.clock.now_us() + us
         while not await is_there():
             if self.ports.clock.now_us() > until_us:
-                raise FleetStuck(what)
+                raise FleetTimeoutError(what)
             await self.ports.clock.sleep(us=100_000)
 
     async def _hosts_are_up(self) -> bool:
--- a/kelpstage/testbed/fleet/machine.py
+++ b/kelpstage/testbed/fleet/machine.py
@@ -5,7 +5,7 @@
 import pathlib
 from typing import Any
 
-from kelpstage.testbed.checkers.history import Notes
+from kelpstage.testbed.checkers.history import HistoryWriter
 
 SECOND_US = 1_000_000
 NOISY_SHARE = 0.10
@@ -23,7 +23,7 @@
     return sum(numbers[:8]), numbers[7]
 
 
-async def watch_machine(*, notes: Notes, clock: Any) -> None:
+async def watch_machine(*, notes: HistoryWriter, clock: Any) -> None:
     """Note each second's share of stolen time and the rig's own lag. A second in
     which others took more than a tenth of the machine, or the rig itself came a
     quarter of a second late, excuses slow verdicts, and says so in the history."""
--- a/kelpstage/testbed/fleet/record.py
+++ b/kelpstage/testbed/fleet/record.py
@@ -5,10 +5,10 @@
 from kelpstage.common.recording.format import HEAD, Row, pack_row
 
 
-def day_of(*, history: list[dict]) -> list[Row]:
+def recording_of(*, history: list[dict]) -> list[Row]:
     """Calls, puts and faults by their times, counted from the first of them.
 
-    >>> rows = day_of(history=[{"event": "call", "sent_us": 7, "ask": {"path": "/p"}}])
+    >>> rows = recording_of(history=[{"event": "call", "sent_us": 7, "ask": {"path": "/p"}}])
     >>> rows == [{"what": "call", "path": "/p", "at_us": 0}]
     True
     """
@@ -33,7 +33,7 @@
     return [{**row, "at_us": row["at_us"] - begin_us} for row in rows]
 
 
-def write_day(*, path: str, history: list[dict]) -> None:
+def write_recording(*, path: str, history: list[dict]) -> None:
     """Write a history as a day's file."""
     with open(path, "wb") as file:
-        file.write(HEAD + b"".join(pack_row(row=row) for row in day_of(history=history)))
+        file.write(HEAD + b"".join(pack_row(row=row) for row in recording_of(history=history)))
--- a/kelpstage/testbed/hollow/fleet.py
+++ b/kelpstage/testbed/hollow/fleet.py
@@ -45,7 +45,7 @@
 GRACE_US = 5 * SECOND  # a node that was down so lately is no false alarm
 
 
-class HollowStuck(Exception):
+class HollowTimeoutError(Exception):
     """A condition that had to come did not come in its virtual time."""
 
 
@@ -212,7 +212,7 @@
     async def _open(self, *, process: HollowProcess, daemon: Any) -> None:
         error = await process.spawn(daemon.open())
         if isinstance(error, KelpstageError):
-            raise HollowStuck(f"open: {error}")
+            raise HollowTimeoutError(f"open: {error}")
 
     async def serve_list(self) -> None:
         """The list of backends, a thousand a page."""
@@ -251,7 +251,7 @@
         started_us = self.world.now_us()
         while not is_there():
             if self.world.now_us() - started_us > us:
-                raise HollowStuck(what)
+                raise HollowTimeoutError(what)
             await self.sleep(us=50_000)
         return self.world.now_us() - started_us
 
@@ -418,7 +418,7 @@
         is_there=lambda: fleet.leader() != "" and fleet.ready_to_put(),
     )
     if not await fleet.put():
-        raise HollowStuck("the first configuration was not taken")
+        raise HollowTimeoutError("the first configuration was not taken")
     await fleet.wait_for(
         what="everybody serving",
         us=60 * SECOND,
@@ -686,7 +686,7 @@
     loop.set_exception_handler(lambda _, context: None)
     world = HollowWorld(seed=options.seed, loop=loop)
 
-    async def story() -> dict:
+    async def scenario() -> dict:
         fleet = HollowFleet(world=world, options=options, say=say)
         try:
             return await measure(fleet=fleet)
@@ -697,7 +697,7 @@
 
     try:
         with metered_loop():
-            return loop.run_until_complete(story())
+            return loop.run_until_complete(scenario())
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
--- a/kelpstage/testbed/main.py
+++ b/kelpstage/testbed/main.py
@@ -12,10 +12,10 @@
 
 import typer
 
-from kelpstage.testbed.bench_scenarios import play_days
+from kelpstage.testbed.bench_scenarios import play_scenarios
 from kelpstage.testbed.fleet.demo import serve_demo
 from kelpstage.testbed.fleet.deployment import configuration_of, load, names
-from kelpstage.testbed.fleet.record import write_day
+from kelpstage.testbed.fleet.record import write_recording
 from kelpstage.testbed.fleet.scenario import run_day, show
 from kelpstage.testbed.hollow import report
 from kelpstage.testbed.hollow.fleet import run_hollow
@@ -54,10 +54,10 @@
     options = ["--jobs", str(jobs)]
     options += [] if cpu else ["--no-cpu"]
     options += [] if seed is None else ["--seed", str(seed)]
-    verdicts = play_days(bench=bench, sites=site, names=day, why=why, options=options)
-    kept = sum(verdict.is_kept for verdict in verdicts)
-    print(f"{kept} of {len(verdicts)} kept")
-    if kept < len(verdicts):
+    results = play_scenarios(bench=bench, sites=site, names=day, why=why, options=options)
+    kept = sum(result.is_kept for result in results)
+    print(f"{kept} of {len(results)} kept")
+    if kept < len(results):
         raise typer.Exit(code=1)
 
 
@@ -84,7 +84,7 @@
     if history:
         write_history(path=history, rows=rows)
     if record:
-        write_day(path=record, history=rows)
+        write_recording(path=record, history=rows)
     print(show(result=result))
     is_good = (
         not result["violations"]
--- a/kelpstage/testbed/measure/choices.py
+++ b/kelpstage/testbed/measure/choices.py
@@ -34,7 +34,7 @@
 
     why: str
     variants: tuple[Variant, ...]
-    story: Callable[[SimFleet, Numbers], Awaitable[None]]
+    scenario: Callable[[SimFleet, Numbers], Awaitable[None]]
     rate: float = 0.15
 
 
@@ -245,12 +245,12 @@
             Variant(name="stretched"),
             Variant(name="fixed", constants={LATENCY: _fixed}),
         ),
-        story=pauses,
+        scenario=pauses,
     ),
     "fan_out": Choice(
         why="the tree's fan-out, the node itself counted",
         variants=tuple(Variant(name=str(n), fields={"fan_out": n}) for n in (2, 3, 5, 8)),
-        story=pauses,
+        scenario=pauses,
     ),
     "budget": Choice(
         why="extra rounds: one in so many first sends",
@@ -261,7 +261,7 @@
             )
             for n in (7, 10, 20)
         ),
-        story=bad_day,
+        scenario=bad_day,
         rate=0.3,
     ),
     "lease": Choice(
@@ -276,7 +276,7 @@
             )
             for n in (1, 2, 4)
         ),
-        story=dead_edge_put,
+        scenario=dead_edge_put,
     ),
     "gossip": Choice(
         why="how often a peer is probed",
@@ -290,7 +290,7 @@
             )
             for n in (100, 200, 400)
         ),
-        story=detection,
+        scenario=detection,
     ),
     "probe": Choice(
         why="how often a backend is probed",
@@ -301,22 +301,22 @@
             )
             for n in (500, 1_000, 2_000)
         ),
-        story=silent_backend,
+        scenario=silent_backend,
     ),
     "drain": Choice(
         why="how long until no edge chooses a drained backend",
         variants=(Variant(name="as is"),),
-        story=drains,
+        scenario=drains,
     ),
     "replacement": Choice(
         why="how long until a replaced core is a voter",
         variants=(Variant(name="as is"),),
-        story=replacement,
+        scenario=replacement,
     ),
     "election": Choice(
         why="times of election and roll-out as they are",
         variants=(Variant(name="as is"),),
-        story=election,
+        scenario=election,
     ),
 }
 
@@ -330,14 +330,14 @@
     one = next(v for v in chosen.variants if v.name == variant)
     numbers: Numbers = {}
 
-    async def story(fleet: SimFleet) -> None:
-        await chosen.story(fleet, numbers)
+    async def scenario(fleet: SimFleet) -> None:
+        await chosen.scenario(fleet, numbers)
 
     with constants_set(constants=one.constants):
         run_sim(
             seed=seed,
             deployment=dataclasses.replace(shape, **one.fields),
-            story=story,
+            scenario=scenario,
             rate=chosen.rate,
             far_us=far_us,
         )
--- a/kelpstage/testbed/platform_model/backends.py
+++ b/kelpstage/testbed/platform_model/backends.py
@@ -1,4 +1,4 @@
-"""Backends as the users' page describes them: lives with slots, a queue, pauses, troubles."""
+"""Backends as the users' page describes them: lives with slots, a queue, pauses, faults."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
-from kelpstage.testbed.platform_model.history import Arrival, Day, Leaver, Stamped
+from kelpstage.testbed.platform_model.history import Arrival, History, Leaver, Stamped
 from kelpstage.testbed.platform_model.net import (
     CUT_OFF,
     GARBAGE,
@@ -34,7 +34,7 @@
 
     slow: float = 1.0
     fail_share: float = 0.0
-    health_lie: str = ""
+    false_health: str = ""
     reset_share: float = 0.0
     bad_share: float = 0.0  # garbled, cut off, doubled or late answers
     forgets_idle: bool = False
@@ -127,7 +127,7 @@
             body=call.body,
             ran=False,
         )
-        self.park.day.arrivals.append(arrival)
+        self.park.history.arrivals.append(arrival)
         self.park.note_headers(call=call, arrival=arrival)
         expected = call.headers.get(EXPECT)
         if expected and expected != self.instance_id:
@@ -150,8 +150,8 @@
     def _health(self, *, line: HttpLine) -> None:
         self.park.counts["probes"] += 1
         is_well = not self.is_draining
-        if self.mood.health_lie:
-            is_well = self.mood.health_lie == "good"
+        if self.mood.false_health:
+            is_well = self.mood.false_health == "good"
         if len(self.queue) >= QUEUE:
             is_well = False
         self._send(
@@ -303,7 +303,7 @@
         self,
         *,
         world: PlatformWorld,
-        day: Day,
+        history: History,
         rand: Any,
         kind_of: Any,
         lag_us: int,
@@ -315,7 +315,7 @@
         from collections import Counter
 
         self.world = world
-        self.day = day
+        self.history = history
         self.rand = rand
         self.kind_of = kind_of
         self.counts: Counter = Counter()
@@ -374,13 +374,13 @@
     def crash(self, *, backend: Backend) -> None:
         """It ends at once; the list keeps it for some seconds."""
         if not backend.is_ended:
-            self.day.crashes[backend.instance_id] = self.world.now_us()
+            self.history.crashes[backend.instance_id] = self.world.now_us()
         self._end(backend=backend)
         self.world.at(
             us=self.world.now_us() + CRASH_LISTED_US, verb=lambda: self._unlist(backend=backend)
         )
 
-    def go_dark(self, *, backend: Backend) -> None:
+    def go_silent(self, *, backend: Backend) -> None:
         """It says nothing any more, and takes everything."""
         backend.process.freeze()
 
@@ -397,7 +397,7 @@
         leaver = Leaver(
             instance_id=backend.instance_id, listed_us=self.world.now_us() + self._lag_us
         )
-        self.day.leavers.append(leaver)
+        self.history.leavers.append(leaver)
 
         def end() -> None:
             leaver.ended_us = self.world.now_us()
@@ -469,7 +469,7 @@
     def seal(self, *, arrival: Arrival, status: int, body: bytes) -> str:
         self._seals += 1
         seal = f"{self._seals:x}.{status:x}.{self.rand.getrandbits(32):08x}"
-        self.day.stamped[seal] = Stamped(
+        self.history.stamped[seal] = Stamped(
             seal=seal,
             attempt=arrival.attempt,
             service=arrival.service,
--- a/kelpstage/testbed/platform_model/clients.py
+++ b/kelpstage/testbed/platform_model/clients.py
@@ -10,7 +10,7 @@
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.errors.transport import ConnectError, ConnectionLostError, ReplyTimeoutError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
-from kelpstage.testbed.platform_model.history import PROMISES, Day, Request
+from kelpstage.testbed.platform_model.history import PROMISES, History, Request
 from kelpstage.testbed.platform_model.net import GARBAGE, HttpLine, HttpProcess, PlatformWorld
 from kelpstage.testbed.platform_model.shape import KindShape, Shape
 from kelpstage.testbed.platform_model.traffic import RouteDraft
@@ -124,7 +124,7 @@
         *,
         world: PlatformWorld,
         shape: Shape,
-        day: Day,
+        history: History,
         front: Front,
         processes: dict[str, HttpProcess],
         rand: random.Random,
@@ -133,7 +133,7 @@
     ) -> None:
         self._world = world
         self._shape = shape
-        self._day = day
+        self._history = history
         self._front = front
         self._rand = rand
         self._rate = rate
@@ -264,7 +264,7 @@
         if isinstance(line, KelpstageError) or line is None:
             row.end, row.done_us = "unconnected", row.sent_us
             return row
-        self._day.requests.append(row)
+        self._history.requests.append(row)
         await self.exchange(row=row, line=line, due_us=due_us, is_repeatable=kind.is_repeatable)
         is_over = self._world.now_us() + 1 >= line.use_until_us
         if line.is_open and line.is_fit and client.keeps and not is_over:
@@ -392,7 +392,7 @@
         if isinstance(line, KelpstageError):
             row.end, row.done_us = "unconnected", self._world.now_us()
             return row
-        self._day.requests.append(row)
+        self._history.requests.append(row)
         await self.exchange(row=row, line=line, due_us=due_us, is_repeatable=kind.is_repeatable)
         line.close()
         return row
--- a/kelpstage/testbed/platform_model/cloud.py
+++ b/kelpstage/testbed/platform_model/cloud.py
@@ -8,7 +8,7 @@
 
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.testbed.platform_model.backends import Park
-from kelpstage.testbed.platform_model.history import Day, Shown
+from kelpstage.testbed.platform_model.history import History, Shown
 from kelpstage.testbed.platform_model.net import WHOLE, HttpLine, PlatformWorld
 
 PAGE = 50
@@ -19,11 +19,11 @@
     """Serves `GET /instances`; one sweep's pages come from one look at the list."""
 
     def __init__(
-        self, *, world: PlatformWorld, park: Park, day: Day, per_s: float, page: int = PAGE
+        self, *, world: PlatformWorld, park: Park, history: History, per_s: float, page: int = PAGE
     ) -> None:
         self._world = world
         self._park = park
-        self._day = day
+        self._history = history
         self._per_s = per_s
         self._page = page
         self._times: deque[int] = deque()
@@ -88,6 +88,6 @@
             if (instance_id, node) in self._told:
                 continue
             self._told.add((instance_id, node))
-            self._day.shown.append(
+            self._history.shown.append(
                 Shown(instance_id=instance_id, node=node, at_us=self._world.now_us())
             )
--- a/kelpstage/testbed/platform_model/faults/backends.py
+++ b/kelpstage/testbed/platform_model/faults/backends.py
@@ -78,7 +78,7 @@
     """Backends fall silent, and take everything."""
     chosen = pick_backends(play, rand, count=2)
     for backend in chosen:
-        play.park.go_dark(backend=backend)
+        play.park.go_silent(backend=backend)
     await sleep(s=6)
     for backend in chosen:
         play.park.wake(backend=backend)
@@ -88,20 +88,20 @@
     """They fail part of their requests while their health answer is good."""
     chosen = pick_backends(play, rand, count=4)
     for backend in chosen:
-        backend.mood.fail_share, backend.mood.health_lie = rand.choice((0.2, 0.8)), "good"
+        backend.mood.fail_share, backend.mood.false_health = rand.choice((0.2, 0.8)), "good"
     await sleep(s=9)
     for backend in chosen:
-        backend.mood.fail_share, backend.mood.health_lie = 0.0, ""
+        backend.mood.fail_share, backend.mood.false_health = 0.0, ""
 
 
 async def srv_lying_health(play: Any, rand: random.Random) -> None:
     """Backends' health answers say nothing of how they are."""
     chosen = pick_backends(play, rand, count=8)
     for backend in chosen:
-        backend.mood.health_lie = rand.choice(("good", "bad"))
+        backend.mood.false_health = rand.choice(("good", "bad"))
     await sleep(s=10)
     for backend in chosen:
-        backend.mood.health_lie = ""
+        backend.mood.false_health = ""
 
 
 async def srv_flap(play: Any, rand: random.Random) -> None:
@@ -154,7 +154,7 @@
             play.park.crash(backend=backend)
             play.later(_start_again(play, backend=backend, after_s=6))
         else:
-            play.park.go_dark(backend=backend)
+            play.park.go_silent(backend=backend)
             dark.append(backend)
     await sleep(s=7)
     for backend in dark:
--- a/kelpstage/testbed/platform_model/faults/disks.py
+++ b/kelpstage/testbed/platform_model/faults/disks.py
@@ -12,7 +12,7 @@
 async def _faulty_disk(play: Any, rand: random.Random, *, how: str) -> None:
     async with play.loss(node=None):
         node = rand.choice(play.fleet.core())
-        fault = play.fleet.trouble_disk(node=node, how=how, for_us=6_000_000)
+        fault = play.fleet.disturb_disk(node=node, how=how, for_us=6_000_000)
         await asyncio.gather(fault, config_change(play, rand))
 
 
--- a/kelpstage/testbed/platform_model/faults/network.py
+++ b/kelpstage/testbed/platform_model/faults/network.py
@@ -25,7 +25,7 @@
     for other in others:
         play.world.cut(a=node.name, b=other.name)
         cut = Cut(a=node.name, b=other.name, begin_us=play.world.now_us())
-        play.day.cuts.append(cut)
+        play.history.cuts.append(cut)
         cuts.append(cut)
     await sleep(s=1.5)
     play.later(config_change(play, rand))
--- a/kelpstage/testbed/platform_model/history.py
+++ b/kelpstage/testbed/platform_model/history.py
@@ -191,7 +191,7 @@
 
 
 @dataclass(kw_only=True)
-class Trouble:
+class MachineFault:
     """Something that the bench did to a machine: from `begin_us` to `end_us`.
 
     `what`: "kill", "power", "freeze", "slow", "disk", "stop" (SIGTERM), "reread" (SIGHUP),
@@ -237,7 +237,7 @@
 
 
 @dataclass(kw_only=True)
-class Day:
+class History:
     """One day's history."""
 
     bounds: Bounds = field(default_factory=Bounds)
@@ -250,7 +250,7 @@
     orders: list[Order] = field(default_factory=list)
     shown: list[Shown] = field(default_factory=list)
     leavers: list[Leaver] = field(default_factory=list)
-    troubles: list[Trouble] = field(default_factory=list)
+    faults: list[MachineFault] = field(default_factory=list)
     cuts: list[Cut] = field(default_factory=list)
     outages: list[tuple[int, int]] = field(default_factory=list)
     read_backs: list[ReadBack] = field(default_factory=list)
--- a/kelpstage/testbed/platform_model/operator.py
+++ b/kelpstage/testbed/platform_model/operator.py
@@ -10,7 +10,7 @@
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.testbed.checkers.linearizable import Answer, Try
-from kelpstage.testbed.platform_model.history import Day, Order, ReadBack, RouteSpec
+from kelpstage.testbed.platform_model.history import History, Order, ReadBack, RouteSpec
 from kelpstage.testbed.platform_model.net import HttpProcess, PlatformWorld
 
 CONFLICTS = frozenset((409, 412))
@@ -31,13 +31,13 @@
         *,
         world: PlatformWorld,
         process: HttpProcess,
-        day: Day,
+        history: History,
         rand: random.Random,
         addresses: Callable[[], list[str]],
     ) -> None:
         self._world = world
         self._process = process
-        self._day = day
+        self._history = history
         self._rand = rand
         self._addresses = addresses
         self.lose_share = 0.0
@@ -55,7 +55,7 @@
         is_valid: bool = True,
     ) -> Order:
         return Order(
-            key=f"o{len(self._day.orders)}-{revision}",
+            key=f"o{len(self._history.orders)}-{revision}",
             revision=revision,
             base=base,
             body=body,
@@ -66,7 +66,7 @@
     async def send(self, *, order: Order, give_up_us: int = 40_000_000) -> Order:
         """Send an order until there is a clear answer; 0 for `give_up_us` means never."""
         order.sent_us = self._world.now_us()
-        self._day.orders.append(order)
+        self._history.orders.append(order)
         pause_us, others = FIRST_PAUSE_US, 0
         while not give_up_us or self._world.now_us() < order.sent_us + give_up_us:
             status = await self.send_once(order=order)
@@ -133,7 +133,7 @@
         if reply.status == 200:
             revision, body = _revision_of(body=reply.body), reply.body
         now_us = self._world.now_us()
-        self._day.reads.append(
+        self._history.reads.append(
             ReadBack(at_us=now_us, sent_us=sent_us, revision=revision, body=body)
         )
         if reply.status == NOTHING_YET:
@@ -159,14 +159,14 @@
             now_us = self._world.now_us()
             if found is not None:
                 last = found
-                self._day.read_backs.append(
+                self._history.read_backs.append(
                     ReadBack(at_us=now_us, revision=found[0], body=found[1])
                 )
             if now_us - started_us >= (for_us if last is not None else most_us):
                 break
             await asyncio.sleep(0.3)
         if last is not None:
-            self._day.read_backs.append(
+            self._history.read_backs.append(
                 ReadBack(at_us=self._world.now_us(), revision=last[0], body=last[1], is_last=True)
             )
 
--- a/kelpstage/testbed/platform_model/rules/writes.py
+++ b/kelpstage/testbed/platform_model/rules/writes.py
@@ -2,19 +2,20 @@
 
 from __future__ import annotations
 
-from kelpstage.testbed.platform_model.history import Arrival, Day, Order, Request
+from kelpstage.testbed.platform_model.history import Arrival, History, Order, Request
 
 
 class Orders:
     """A day's configurations by what their operators know of them.
 
-    >>> orders = Orders(day=Day(orders=[Order(key="k", revision=3, base=0, body=b"", acked_us=5)]))
+    >>> order = Order(key="k", revision=3, base=0, body=b"", acked_us=5)
+    >>> orders = Orders(history=History(orders=[order]))
     >>> orders.floor(at_us=4), orders.floor(at_us=5)
     (0, 3)
     """
 
-    def __init__(self, *, day: Day) -> None:
-        self.all = sorted(day.orders, key=lambda order: (order.revision, order.sent_us))
+    def __init__(self, *, history: History) -> None:
+        self.all = sorted(history.orders, key=lambda order: (order.revision, order.sent_us))
         self.possible = [o for o in self.all if o.is_valid and not o.refused_us]
         self._allowed: dict[tuple, tuple[int, ...]] = {}
         self._missing: dict[tuple, tuple[int, ...]] = {}
--- a/kelpstage/testbed/platform_model/shape.py
+++ b/kelpstage/testbed/platform_model/shape.py
@@ -323,4 +323,4 @@
     rate: float = 1.0
     seconds: int = 60
     seed: int = 1
-    troubles: tuple[str, ...] = field(default=())
+    faults: tuple[str, ...] = field(default=())
--- a/kelpstage/testbed/simulation/failpoints.py
+++ b/kelpstage/testbed/simulation/failpoints.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-POINTS: dict[int, str] = {
+FAILPOINTS: dict[int, str] = {
     1: "file.before_step",
     2: "file.after_rename_sync",
     3: "log.before_append",
@@ -30,10 +30,10 @@
 }
 
 
-def is_core_point(*, name: str) -> bool:
+def is_core_failpoint(*, name: str) -> bool:
     """Does a core pass this point?
 
-    >>> is_core_point(name="log.before_sync"), is_core_point(name="edge.before_renew")
+    >>> is_core_failpoint(name="log.before_sync"), is_core_failpoint(name="edge.before_renew")
     (True, False)
     """
     return not name.startswith("edge.")
--- a/kelpstage/testbed/simulation/fleet.py
+++ b/kelpstage/testbed/simulation/fleet.py
@@ -11,7 +11,7 @@
 from kelpstage.common.ports.interfaces import HttpCall
 from kelpstage.core.app import Core
 from kelpstage.edge.app import Edge
-from kelpstage.testbed.checkers.history import Notes
+from kelpstage.testbed.checkers.history import HistoryWriter
 from kelpstage.testbed.fleet.deployment import (
     Deployment,
     Node,
@@ -25,12 +25,12 @@
 from kelpstage.testbed.stand_ins.platform import Platform
 
 
-class SimStuck(Exception):
+class SimulationTimeoutError(Exception):
     """A condition that had to come did not come in its virtual time."""
 
 
 @dataclass(kw_only=True)
-class SimFleet(Notes):
+class SimFleet(HistoryWriter):
     """One deployment in one world."""
 
     world: World
@@ -209,7 +209,7 @@
         started_us = self.world.now_us()
         while not is_there():
             if self.world.now_us() - started_us > us:
-                raise SimStuck(what)
+                raise SimulationTimeoutError(what)
             await self.sleep(us=20_000)
         return self.world.now_us() - started_us
 
@@ -415,7 +415,7 @@
         await self.wait_for(what="a whole membership", is_there=self.is_membership_whole)
         row = await self.put(document=self.configuration(), expected=0, put_id="first")
         if row["status"] != 200:
-            raise SimStuck(f"first put: {row}")
+            raise SimulationTimeoutError(f"first put: {row}")
         await self.wait_for(
             what="all ready",
             is_there=lambda: len(self.ready_edges()) == len(self.deployment.nodes),
@@ -454,14 +454,14 @@
 async def _open(*, daemon: Any) -> None:
     error = await daemon.open()
     if isinstance(error, KelpstageError):
-        raise SimStuck(f"open: {error}")
+        raise SimulationTimeoutError(f"open: {error}")
 
 
 def run_sim(
     *,
     seed: int,
     deployment: Deployment,
-    story: Callable[[SimFleet], Awaitable[None]],
+    scenario: Callable[[SimFleet], Awaitable[None]],
     rate: float = 0.15,
     far_us: int = 0,
 ) -> SimFleet:
@@ -477,7 +477,7 @@
         world.far_us, world.loss = (far_us, far_us * 13 // 10), 0.01
     try:
         fleet = loop.run_until_complete(
-            _tell(world=world, deployment=deployment, story=story, rate=rate)
+            _play(world=world, deployment=deployment, scenario=scenario, rate=rate)
         )
     finally:
         for task in asyncio.all_tasks(loop):
@@ -488,10 +488,10 @@
     return fleet
 
 
-async def _tell(*, world: World, deployment: Deployment, story: Any, rate: float) -> SimFleet:
+async def _play(*, world: World, deployment: Deployment, scenario: Any, rate: float) -> SimFleet:
     fleet = SimFleet(world=world, deployment=deployment, rate=rate)
     try:
-        await story(fleet)
+        await scenario(fleet)
     finally:
         fleet.end()
         await asyncio.sleep(0)
--- a/kelpstage/testbed/simulation/world.py
+++ b/kelpstage/testbed/simulation/world.py
@@ -82,7 +82,7 @@
             disk=None,  # type: ignore[arg-type]
             rand=rand,
             spawn=self.spawn,
-            point=lambda point: world.at_point(process=self, point=point),
+            point=lambda point: world.at_failpoint(process=self, point=point),
         )
         self.ports.disk = SimDisk(clock=self.ports.clock, platter=machine.platter, rand=rand)
 
@@ -587,7 +587,7 @@
 
     # --- fault points --------------------------------------------------------------------
 
-    def at_point(self, *, process: SimProcess, point: str) -> None:
+    def at_failpoint(self, *, process: SimProcess, point: str) -> None:
         """A daemon passes a numbered point; a fault may be armed there."""
         self.visits[point] = self.visits.get(point, 0) + 1
         armed = self.armed.get(point)
--- a/kelpstage/testbed/stand_ins/backend.py
+++ b/kelpstage/testbed/stand_ins/backend.py
@@ -13,7 +13,7 @@
 SEARCH = re.compile(r"/v1/shards/([^/]+)/search")
 RECORD = re.compile(r"/v1/shards/([^/]+)/records/([^/]+)")
 SENDER_HEADER = "kelp-rig-by"  # set by the simulator alone
-LIES = (
+INVALID_REPLIES = (
     "stamp",
     "shard",
     "cut",
@@ -164,13 +164,13 @@
             return self._json(body=body, kind="text/html")
         if lie == "status":
             return self._json(body=body, status=500)
-        return self._json(body=bent_body(body=body, lie=lie, shard=shard))
+        return self._json(body=damaged_body(body=body, lie=lie, shard=shard))
 
 
-def bent_body(*, body: bytes, lie: str, shard: str) -> bytes:
+def damaged_body(*, body: bytes, lie: str, shard: str) -> bytes:
     """A reply bent in one way.
 
-    >>> bent_body(body=b'{"shard": "s"}', lie="shard", shard="s")
+    >>> damaged_body(body=b'{"shard": "s"}', lie="shard", shard="s")
     b'{"shard": "not-s"}'
     """
     if lie == "stamp":
