--- a/kelpstage/core/raft/__init__.py
+++ b/kelpstage/core/raft/__init__.py
@@ -1,1 +1,1 @@
-"""Raft, plain: events in, effects out."""
+"""The Raft consensus algorithm as a state machine: events in, effects out."""
--- a/kelpstage/core/raft/elections.py
+++ b/kelpstage/core/raft/elections.py
@@ -1,9 +1,9 @@
 """Leader election, with pre-vote (thesis, 9.6) and leader stickiness (4.2.3).
 
-Invariants: a replica votes once in a term, and only for a log at least as up to date as
-its own; term and vote are on disk before they are sent to anybody, the candidate's own as
-well; a replica in contact with a leader grants no vote against it, except in a transfer of
-leadership that the leader itself has requested.
+Invariants: a replica votes once in a term, and only for a candidate whose log is at least as
+up to date as its own. Term and vote are on disk before they are sent, the candidate's vote
+for itself included. A replica in contact with a leader grants no vote that could replace it,
+except in a leadership transfer that the leader has requested.
 """
 
 from __future__ import annotations
@@ -14,41 +14,43 @@
 from kelpstage.core.raft.state import RaftState
 from kelpstage.core.raft.types import CANDIDATE, LEADER, PRE_CANDIDATE
 
-FIRST_CAMPAIGN_US = 250_000
+FIRST_CAMPAIGN_DELAY_US = 250_000
 
 
 def tick_elections(state: RaftState) -> None:
-    """After an election timeout without a leader: forget it, and campaign if allowed.
+    """After an election timeout without contact, clear the leader and campaign if allowed.
 
-    A learner forgets its leader too: it may have been removed without being notified,
-    and requests membership again only when it knows of no leader.
+    A learner clears its leader too: it may have been removed without being notified, and it
+    requests membership again only when it knows of no leader.
     """
     if state.now_us < state.election_due_us:
         return
     state.leader = ""
     state.leader_address = ""
     if state.is_sync_stalled or not state.members.is_voter(replica=state.me):
-        reset_election_timeout(state)  # neither a stalled disk nor a learner may campaign
+        reset_election_timeout(state)  # no campaign with a stalled disk or as a learner
         return
     _start_pre_vote(state)
 
 
-def hasten_first_campaign(state: RaftState) -> None:
-    """Of a cluster that was founded a moment ago, the member with the least name
-    campaigns first and soon; there is no leader yet whom that could disturb."""
+def schedule_first_campaign(state: RaftState) -> None:
+    """Let one member of a newly founded cluster campaign after a short delay.
+
+    It is the voter with the lowest name. No leader exists yet that the campaign could disturb.
+    """
     names = [m.replica for m in state.members.current if m.is_voter]
     is_new = state.term <= 1 and not state.log.entries and not state.vote
     if is_new and state.me == min(names, default=""):
-        state.election_due_us = state.now_us + FIRST_CAMPAIGN_US
+        state.election_due_us = state.now_us + FIRST_CAMPAIGN_DELAY_US
 
 
 def _start_pre_vote(state: RaftState) -> None:
-    """Ask whether an election could be won, before a term is spent on it."""
+    """Request pre-votes, so that an election that cannot be won starts no new term."""
     become(state, role=PRE_CANDIDATE)
     state.leader = ""
     state.votes = {state.me}
     reset_election_timeout(state)
-    hasten_first_campaign(state)
+    schedule_first_campaign(state)
     if state.members.is_majority(names=state.votes):
         _campaign(state, is_transfer=False)
         return
@@ -67,8 +69,11 @@
 
 
 def _request_votes(state: RaftState, *, term: int, is_pre_vote: bool, is_transfer: bool) -> None:
-    """Ask the other voters; for a vote that counts only when the term, this replica's
-    own vote in it and the log that it tells of are on its disk."""
+    """Request votes from the other voters.
+
+    A request for a vote is sent only when the term, this replica's vote for itself and the
+    log that the request describes are on disk. A pre-vote does not wait for the disk.
+    """
     for member in state.members.others(replica=state.me):
         if not member.is_voter:
             continue
@@ -85,12 +90,12 @@
                 is_transfer=is_transfer,
                 address=state.members.address(replica=state.me),
             ),
-            is_promise=not is_pre_vote,
+            is_after_sync=not is_pre_vote,
         )
 
 
 def on_request_vote(state: RaftState, request: RequestVote) -> None:
-    """Grant a vote, or say in a pre-vote whether one would be granted."""
+    """Reply to a vote request; a pre-vote reply says whether a vote would be granted."""
     if _has_leader(state) and not request.is_transfer:
         if request.is_pre_vote:
             _reply_request_vote(state, request=request, is_granted=False)
@@ -116,14 +121,14 @@
 
 
 def _has_leader(state: RaftState) -> bool:
-    if state.now_us - state.heard_leader_us < state.timing.election_low_us:
+    if state.now_us - state.last_leader_contact_us < state.timing.election_low_us:
         return True
     return state.role == LEADER and state.has_quorum_contact()
 
 
 def _is_up_to_date(state: RaftState, *, request: RequestVote) -> bool:
-    theirs = (request.last_log_term, request.last_log_index)
-    return theirs >= (state.log.last_term, state.log.last_index)
+    candidate_log = (request.last_log_term, request.last_log_index)
+    return candidate_log >= (state.log.last_term, state.log.last_index)
 
 
 def _reply_request_vote(state: RaftState, *, request: RequestVote, is_granted: bool) -> None:
@@ -135,11 +140,11 @@
         is_pre_vote=request.is_pre_vote,
         is_granted=is_granted,
     )
-    state.send(to=request.sender, message=reply, is_promise=True, address=request.address)
+    state.send(to=request.sender, message=reply, is_after_sync=True, address=request.address)
 
 
 def on_request_vote_reply(state: RaftState, reply: RequestVoteReply) -> None:
-    """Count a vote; a majority of pre-votes begins the election, one of votes wins it."""
+    """Count a vote. A majority of pre-votes starts the election, a majority of votes wins it."""
     if reply.term > state.term and not (reply.is_pre_vote and reply.is_granted):
         become_follower(state, term=reply.term)
         return
@@ -149,9 +154,10 @@
         if state.role == PRE_CANDIDATE and reply.term == state.term + 1:
             _count_pre_vote(state, voter=reply.sender)
         return
-    # A grant before the own vote is on disk is for an earlier life of this replica.
-    is_asked = state.writes.is_synced(number=state.self_vote_number)
-    if state.role == CANDIDATE and reply.term == state.term and is_asked:
+    # Vote requests wait until the candidate's own vote is on disk. A grant that arrives before
+    # that answers a request from before a restart of this replica.
+    is_vote_requested = state.writes.is_synced(number=state.self_vote_number)
+    if state.role == CANDIDATE and reply.term == state.term and is_vote_requested:
         _count_vote(state, voter=reply.sender)
 
 
@@ -174,7 +180,7 @@
 
 
 def on_timeout_now(state: RaftState, message: TimeoutNow) -> None:
-    """Campaign at once: the leader hands leadership to this replica."""
+    """Campaign immediately: the leader transfers leadership to this replica."""
     if message.term != state.term or not state.members.is_voter(replica=state.me):
         return
     if state.is_sync_stalled:
--- a/kelpstage/core/raft/leadership.py
+++ b/kelpstage/core/raft/leadership.py
@@ -1,18 +1,18 @@
-"""What a leader does: on its election, each tick, each reply, each sync.
+"""The actions of a leader: on its election, on each tick, reply and proposal, and on commits.
 
-Invariant: a leader acts only while it has contact to a majority and its own disk answers
-(check-quorum); it begins its term with an entry of its own, so that it can commit.
+Invariants: a leader stays leader only while it has contact with a majority and its own disk
+responds (check-quorum). It starts its term with an entry of that term, so that it can commit.
 """
 
 from __future__ import annotations
 
 from kelpstage.common.transport.messages import AppendEntriesReply
-from kelpstage.core.raft.membership import carry_silence, maintain_membership
-from kelpstage.core.raft.reads import begin_early_reads, confirm_reads
+from kelpstage.core.raft.membership import carry_over_leader_contact, maintain_membership
+from kelpstage.core.raft.reads import confirm_reads, start_deferred_reads
 from kelpstage.core.raft.replication import (
     advance_commit_index,
     append_own,
-    has_large_under_way,
+    has_large_in_flight,
     replicate_all,
     send_append_entries,
     send_heartbeats,
@@ -24,23 +24,26 @@
 
 
 def become_leader(state: RaftState) -> None:
-    """Lead the term that a majority has voted for."""
+    """Take over as leader after a majority has voted for this replica."""
     state.leader = state.me
-    state.led_since_us = state.now_us
+    state.leader_since_us = state.now_us
     state.progress = {}
     state.join_requests = {}
     state.leave_requests = {}
     state.losses_borne = None
     state.heartbeat += 1
     become(state, role=LEADER)
-    state.members_changed()
-    carry_silence(state)
+    state.on_members_changed()
+    carry_over_leader_contact(state)
     append_own(state, kind=NOOP, data=b"")
     replicate_all(state)
 
 
 def tick_leader(state: RaftState) -> None:
-    """Step down without a majority or a disk; else send heartbeats, tend the members."""
+    """Send due heartbeats and maintain the membership.
+
+    The leader steps down if it has no contact with a majority, or if its disk is stalled.
+    """
     if state.is_sync_stalled or not state.has_quorum_contact():
         become_follower(state, term=state.term)
         state.leader = ""
@@ -53,7 +56,7 @@
 
 
 def on_propose(state: RaftState, event: Propose) -> None:
-    """Append an entry, unless this replica does not lead or is handing the lead on."""
+    """Append an entry, or emit `NotLeader` on a non-leader and during a leadership transfer."""
     if state.role != LEADER or state.transfer_target:
         state.emit(NotLeader(token=event.token))
         return
@@ -63,15 +66,15 @@
 
 
 def on_append_entries_reply(state: RaftState, reply: AppendEntriesReply) -> None:
-    """Note how far a replica is; commit, hand on, and answer reads that waited for it."""
+    """Update a replica's progress, and commit entries and confirm reads that waited for it."""
     if reply.term > state.term:
         become_follower(state, term=reply.term)
         return
     progress = state.progress.get(reply.sender)
     if state.role != LEADER or reply.term != state.term or progress is None:
         return
-    progress.heard_us = state.now_us
-    progress.is_awaited = False
+    progress.last_contact_us = state.now_us
+    progress.is_reply_pending = False
     progress.heartbeat = max(progress.heartbeat, reply.heartbeat)
     if reply.is_ok:
         _on_match(state, reply=reply, progress=progress)
@@ -84,28 +87,28 @@
     progress.match_index = max(progress.match_index, reply.match_index)
     progress.next_index = max(progress.next_index, progress.match_index + 1)
     was_probing, progress.is_probing = progress.is_probing, False
-    if has_large_under_way(state, progress=progress):
-        progress.next_index = max(progress.next_index, progress.large_to + 1)
+    if has_large_in_flight(state, progress=progress):
+        progress.next_index = max(progress.next_index, progress.large_last_index + 1)
     commit_replicated(state)
     is_behind = progress.next_index <= state.log.last_index
-    is_nothing_sent = progress.match_index == progress.next_index - 1
-    if state.role == LEADER and is_behind and (was_probing or is_nothing_sent):
+    is_nothing_in_flight = progress.match_index == progress.next_index - 1
+    if state.role == LEADER and is_behind and (was_probing or is_nothing_in_flight):
         send_append_entries(state, name=reply.sender, has_entries=True)
     try_transfer(state)
 
 
 def _on_mismatch(state: RaftState, *, reply: AppendEntriesReply, progress: Progress) -> None:
     next_index = max(progress.match_index + 1, min(reply.conflict_index + 1, progress.next_index))
-    if has_large_under_way(state, progress=progress):
-        if next_index >= progress.large_from:
-            return  # what it lacks is on its way
-        progress.large_to = 0  # it will be refused as well
+    if has_large_in_flight(state, progress=progress):
+        if next_index >= progress.large_first_index:
+            return  # the missing entries are in flight
+        progress.large_last_index = 0  # the replica will reject the large message too
     progress.is_probing = True
     progress.next_index = next_index
     send_append_entries(state, name=reply.sender, has_entries=True)
 
 
 def commit_replicated(state: RaftState) -> None:
-    """Commit what a majority has on disk, and begin the reads that waited for it."""
+    """Commit entries that a majority has on disk, and start the reads that waited for that."""
     if advance_commit_index(state):
-        begin_early_reads(state)
+        start_deferred_reads(state)
--- a/kelpstage/core/raft/log.py
+++ b/kelpstage/core/raft/log.py
@@ -1,4 +1,4 @@
-"""The log as a replica holds it in memory: entries behind a snapshot."""
+"""The in-memory log of a replica: the entries after a snapshot."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class MemoryLog:
-    """Entries `first..last`; what is before `first` is in a snapshot.
+    """The entries after `base_index`; a snapshot covers those up to it.
 
     >>> log = MemoryLog(base_index=0, base_term=0)
     >>> log.add(LogEntry(index=1, term=1)); log.last_index, log.term_at(index=1)
@@ -24,16 +24,16 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry, or that of the snapshot before the log."""
+        """The index of the last entry, or of the snapshot if the log is empty."""
         return self.base_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """The term of that."""
+        """The term of the last entry, or of the snapshot if the log is empty."""
         return self.entries[-1].term if self.entries else self.base_term
 
     def term_at(self, *, index: int) -> int | None:
-        """The term of the entry, or `None` if it is not here."""
+        """Return the term of an entry or of the snapshot, or `None` if the log does not have it."""
         if index == self.base_index:
             return self.base_term
         if not self.base_index < index <= self.last_index:
@@ -41,19 +41,19 @@
         return self.entries[index - self.base_index - 1].term
 
     def add(self, entry: LogEntry) -> None:
-        """Append an entry; its index is the next."""
+        """Append an entry, whose index must be the next one."""
         self.entries.append(entry)
 
     def cut(self, *, index: int) -> None:
-        """Drop the entries from `index` on."""
+        """Truncate the log: remove the entries from `index` on."""
         del self.entries[max(0, index - self.base_index - 1) :]
 
     def slice(self, *, start: int, stop: int) -> list[LogEntry]:
-        """Entries `start..stop`, both included."""
+        """Return the entries `start..stop`, both included."""
         return self.entries[start - self.base_index - 1 : stop - self.base_index]
 
     def batch(self, *, start: int, limit: int) -> list[LogEntry]:
-        """Entries from `start` on, one at least, up to `limit` bytes."""
+        """Return entries from `start` on, up to `limit` bytes but at least one."""
         out: list[LogEntry] = []
         size = 0
         for entry in self.entries[start - self.base_index - 1 :]:
@@ -64,7 +64,7 @@
         return out
 
     def compact(self, *, index: int) -> None:
-        """Forget the entries up to `index`: a snapshot has them."""
+        """Remove the entries up to `index`, which a snapshot covers."""
         term = self.term_at(index=index)
         if term is None or index <= self.base_index:
             return
--- a/kelpstage/core/raft/members.py
+++ b/kelpstage/core/raft/members.py
@@ -1,4 +1,4 @@
-"""The replicas of the log, as the newest membership entry states them."""
+"""The members of the Raft group, as the newest membership entry defines them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def write_members(*, members: list[CoreMember]) -> bytes:
-    """Members as the bytes of a log entry, in the order of their names.
+    """Encode members as the data of a log entry, sorted by name.
 
     >>> read_members(data=write_members(members=[CoreMember(replica="a")]))[0].replica
     'a'
@@ -28,7 +28,7 @@
 
 
 def read_members(*, data: bytes) -> list[CoreMember]:
-    """The reverse of `write_members`.
+    """Decode members from the data of a log entry.
 
     >>> read_members(data=b"")
     []
@@ -37,7 +37,7 @@
 
 
 class MemberList:
-    """Membership takes effect when its entry is in the log, committed or not.
+    """The memberships of the log. Each takes effect when its entry is appended.
 
     >>> one = CoreMember(replica="a", is_voter=True)
     >>> members = MemberList(base=[one], entries=[], base_index=0)
@@ -46,73 +46,73 @@
     """
 
     def __init__(self, *, base: list[CoreMember], entries: list[LogEntry], base_index: int) -> None:
-        self._steps: list[tuple[int, list[CoreMember]]] = [(base_index, list(base))]
+        self._history: list[tuple[int, list[CoreMember]]] = [(base_index, list(base))]
         for entry in entries:
             self.append(entry=entry)
 
     @property
     def current(self) -> list[CoreMember]:
-        """The members in force."""
-        return self._steps[-1][1]
+        """The current members."""
+        return self._history[-1][1]
 
     @property
     def index(self) -> int:
-        """The log index that the current members come from."""
-        return self._steps[-1][0]
+        """The log index of the entry or snapshot that defines the current members."""
+        return self._history[-1][0]
 
     def at(self, *, index: int) -> list[CoreMember]:
-        """The members in force at a log index."""
-        fitting = [members for step, members in self._steps if step <= index]
-        return fitting[-1] if fitting else self._steps[0][1]
+        """Return the members that were current at a log index."""
+        fitting = [members for step, members in self._history if step <= index]
+        return fitting[-1] if fitting else self._history[0][1]
 
     def append(self, *, entry: LogEntry) -> None:
-        """Put a membership entry in force; other entries change nothing."""
+        """Apply a membership entry; entries of other kinds change nothing."""
         if entry.kind == MEMBERSHIP:
-            self._steps.append((entry.index, read_members(data=entry.data)))
+            self._history.append((entry.index, read_members(data=entry.data)))
 
     def cut(self, *, index: int) -> None:
-        """Entries from `index` on are dropped, and so is what they changed."""
-        self._steps = [self._steps[0]] + [s for s in self._steps[1:] if s[0] < index]
+        """Undo the membership changes of entries from `index` on, which the log truncates."""
+        self._history = [self._history[0]] + [s for s in self._history[1:] if s[0] < index]
 
     def rebase(self, *, index: int) -> None:
-        """A snapshot holds everything up to `index`."""
+        """Merge the memberships up to `index`, which a snapshot covers, into one."""
         members = self.at(index=index)
-        self._steps = [(index, members)] + [s for s in self._steps if s[0] > index]
+        self._history = [(index, members)] + [s for s in self._history if s[0] > index]
 
     def get(self, *, replica: str) -> CoreMember | None:
-        """A member by its name."""
+        """Return a member by name, or `None`."""
         return next((m for m in self.current if m.replica == replica), None)
 
     def has(self, *, replica: str) -> bool:
-        """Is the replica a member?"""
+        """True when the replica is a member."""
         return self.get(replica=replica) is not None
 
     def address(self, *, replica: str) -> str:
-        """A member's address; empty if it is none."""
+        """Return a member's address; empty if the replica is not a member."""
         member = self.get(replica=replica)
         return member.address if member else ""
 
     def is_voter(self, *, replica: str) -> bool:
-        """Does the replica vote?"""
+        """True when the replica is a voter."""
         member = self.get(replica=replica)
         return bool(member and member.is_voter)
 
     def others(self, *, replica: str) -> list[CoreMember]:
-        """All members but this one."""
+        """Return all members except this one."""
         return [m for m in self.current if m.replica != replica]
 
     @property
     def voters(self) -> list[CoreMember]:
-        """The members that vote."""
+        """The current members that are voters."""
         return [m for m in self.current if m.is_voter]
 
     def is_majority(self, *, names: set[str]) -> bool:
-        """Are these names a majority of the voters in force?"""
+        """True when these names include a majority of the current voters."""
         return is_majority_of(members=self.current, names=names)
 
 
 def quorum_size(*, voters: int) -> int:
-    """The least majority of so many voters.
+    """Return the size of the smallest majority.
 
     >>> [quorum_size(voters=count) for count in (1, 2, 3, 4, 5)]
     [1, 2, 2, 3, 3]
@@ -121,6 +121,6 @@
 
 
 def is_majority_of(*, members: list[CoreMember], names: set[str]) -> bool:
-    """Are these names a majority of the voters among the members?"""
+    """True when these names include a majority of the voters among the members."""
     voters = {m.replica for m in members if m.is_voter}
     return bool(voters) and len(voters & names) >= quorum_size(voters=len(voters))
--- a/kelpstage/core/raft/pending_writes.py
+++ b/kelpstage/core/raft/pending_writes.py
@@ -1,9 +1,9 @@
-"""Which writes of a replica are on its disk.
+"""Tracks which writes of a replica are on its disk.
 
-Writes are numbered in the order in which they are given to the disk; `Synced` events
-tell how far it has come. Invariant: `durable` is an index up to which the log in memory
-is on disk, entry for entry. It falls when entries are dropped from the log, and a write
-from before that proves nothing about what took their place.
+Writes are numbered in the order in which they are issued; `Synced` events report the last
+number that is on disk. Invariant: the log in memory up to `durable` is on disk, entry for
+entry. `durable` decreases when the log is truncated, and a write from before the truncation
+does not count for the entries that replace the removed ones.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PendingWrite:
-    """A write under way: the log's last index as of it, and when it was given."""
+    """A write in progress: the last log index that it covers, and when it was issued."""
 
     number: int
     last_index: int
@@ -21,7 +21,7 @@
 
 
 class PendingWrites:
-    """The numbers of writes, and what their syncs prove.
+    """The writes in progress, and the log index that is durable.
 
     >>> writes = PendingWrites(durable=4)
     >>> writes.begin(last_index=5, now_us=0)
@@ -39,10 +39,10 @@
         self.synced_number = 0
         self.durable = durable
         self._pending: list[PendingWrite] = []
-        self._valid_from = 0  # writes before this number hold entries that were dropped
+        self._valid_from = 0  # writes below this number may contain truncated entries
 
     def begin(self, *, last_index: int, now_us: int) -> int:
-        """Count one write more; its number."""
+        """Record a new write and return its number."""
         self.last_number += 1
         self._pending.append(
             PendingWrite(number=self.last_number, last_index=last_index, begun_us=now_us)
@@ -50,12 +50,12 @@
         return self.last_number
 
     def drop_behind(self, *, index: int) -> None:
-        """Entries behind `index` are dropped from the log."""
+        """Record that the entries after `index` are truncated from the log."""
         self.durable = min(self.durable, index)
         self._valid_from = self.last_number + 1
 
     def on_synced(self, *, number: int) -> None:
-        """All writes up to `number` are on disk."""
+        """Record that all writes up to `number` are on disk."""
         self.synced_number = max(self.synced_number, number)
         while self._pending and self._pending[0].number <= number:
             write = self._pending.pop(0)
@@ -63,9 +63,9 @@
                 self.durable = max(self.durable, write.last_index)
 
     def is_synced(self, *, number: int) -> bool:
-        """Is the write of this number on disk?"""
+        """True when the write with this number is on disk."""
         return number <= self.synced_number
 
     def is_stalled(self, *, now_us: int, limit_us: int) -> bool:
-        """Has the oldest write under way taken longer than `limit_us`?"""
+        """True when the oldest write in progress has taken longer than `limit_us`."""
         return bool(self._pending) and now_us - self._pending[0].begun_us > limit_us
--- a/kelpstage/core/raft/reads.py
+++ b/kelpstage/core/raft/reads.py
@@ -1,9 +1,9 @@
-"""The read index (thesis, 6.4): linearizable reads without the log.
+"""The read index (thesis, 6.4): linearizable reads without a log entry.
 
-Invariant: a read is answered at the commit index that the leader had when it was requested,
-after a majority of the voters has answered a heartbeat that was sent later than that; and
-never before an entry of the leader's own term is committed, since until then it does not
-know what is committed.
+Invariants: a read is served at the commit index that the leader had when it started the read,
+after a majority of the voters has replied to a heartbeat that was sent later. A read does not
+start before an entry of the leader's own term is committed, because until then the leader does
+not know which entries are committed.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 def on_read_index(state: RaftState, event: ReadIndex) -> None:
-    """Begin a round of heartbeats for a read."""
+    """Start a heartbeat round for a read, or defer the read until the term's first commit."""
     if state.role != LEADER:
         state.emit(ReadLost(token=event.token))
         return
     if not state.is_term_committed:
-        state.early_reads.append(event.token)
+        state.deferred_reads.append(event.token)
         return
     state.heartbeat += 1
     state.reads.append(
@@ -29,15 +29,15 @@
     confirm_reads(state)
 
 
-def begin_early_reads(state: RaftState) -> None:
-    """Take up the reads that waited for the first commit of the term."""
-    early, state.early_reads = state.early_reads, []
-    for token in early:
+def start_deferred_reads(state: RaftState) -> None:
+    """Start the reads that waited for the first commit of the term."""
+    tokens, state.deferred_reads = state.deferred_reads, []
+    for token in tokens:
         on_read_index(state, ReadIndex(token=token))
 
 
 def confirm_reads(state: RaftState) -> None:
-    """Answer the reads whose heartbeat a majority has answered."""
+    """Emit `ReadReady` for the reads whose heartbeat a majority has replied to."""
     answered = {name: one.heartbeat for name, one in state.progress.items()}
     answered[state.me] = state.heartbeat
     waiting = []
--- a/kelpstage/core/raft/replica.py
+++ b/kelpstage/core/raft/replica.py
@@ -1,9 +1,9 @@
-"""One replica of the log: an event goes in, effects come out; no I/O, no clock of its own.
+"""A Raft replica: each event produces a list of effects, without I/O and without a clock.
 
-The rules are in the modules beside this one, each with its invariants: `elections`,
-`leadership`, `replication`, `reads`, `snapshots`, `membership`, `transfer`, over the one
-state in `state`. Messages that promise something on disk carry the number of the write
-that they wait for.
+The other modules of this package implement the algorithm, each with its invariants:
+`elections`, `leadership`, `replication`, `reads`, `snapshots`, `membership` and `transfer`.
+They share the state in `state`. A message that relies on data on disk carries the number of
+the write that it waits for.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 )
 from kelpstage.core.raft.elections import (
     count_own_vote,
-    hasten_first_campaign,
     on_request_vote,
     on_request_vote_reply,
     on_timeout_now,
+    schedule_first_campaign,
     tick_elections,
 )
 from kelpstage.core.raft.leadership import (
@@ -113,7 +113,7 @@
 
 
 class Replica:
-    """One replica of the log.
+    """A Raft replica that processes one event at a time.
 
     >>> me = CoreMember(replica="a", address="127.0.0.1:1", is_voter=True)
     >>> one = Replica(me="a", cluster="c", members=[me], rand=random.Random(1), now_us=0)
@@ -139,7 +139,7 @@
         timing: Timing = Timing(),
         voters: int = 3,
     ) -> None:
-        """`members` are those that the snapshot before the log names."""
+        """Create a replica from its log and from the `members` of the snapshot before the log."""
         log = log or MemoryLog(base_index=0, base_term=0)
         self.state = RaftState(
             me=me,
@@ -154,14 +154,14 @@
             members=MemberList(base=members, entries=log.entries, base_index=log.base_index),
             writes=PendingWrites(durable=log.last_index),
             commit_index=log.base_index,
-            began_with_log=log.last_index > 0 and term > 1,
+            started_with_log=log.last_index > 0 and term > 1,
         )
         self.state.has_been_member = self.state.members.has(replica=me)
         reset_election_timeout(self.state)
-        hasten_first_campaign(self.state)
+        schedule_first_campaign(self.state)
 
     def step(self, *, now_us: int, event: Event) -> list[Effect]:
-        """Take one event, give the effects."""
+        """Process one event and return its effects."""
         state = self.state
         term, commit_index = state.term, state.commit_index
         state.now_us = max(state.now_us, now_us)
@@ -169,64 +169,64 @@
         state.check(term_before=term, commit_index_before=commit_index)
         return state.take_effects()
 
-    # --- what others may read ----------------------------------------------------------
+    # --- read access for other packages ------------------------------------------------
 
     @property
     def me(self) -> str:
-        """This replica's name."""
+        """The name of this replica."""
         return self.state.me
 
     @property
     def role(self) -> Role:
-        """Follower, pre-candidate, candidate or leader."""
+        """The role: follower, pre-candidate, candidate or leader."""
         return self.state.role
 
     @property
     def term(self) -> int:
-        """The newest term that this replica knows."""
+        """The current term: the highest that this replica knows."""
         return self.state.term
 
     @property
     def vote(self) -> str:
-        """Whom it has voted for in that term, if anybody."""
+        """The replica that it has voted for in the current term; empty if none."""
         return self.state.vote
 
     @property
     def log(self) -> MemoryLog:
-        """The log behind the newest snapshot."""
+        """The log after the newest snapshot."""
         return self.state.log
 
     @property
     def members(self) -> MemberList:
-        """The members in force, and those before."""
+        """The current members, with the earlier memberships of the log."""
         return self.state.members
 
     @property
     def commit_index(self) -> int:
-        """Up to where the log is committed, as far as this replica knows."""
+        """The highest index that this replica knows to be committed."""
         return self.state.commit_index
 
     @property
     def durable(self) -> int:
-        """Up to where the log is on this replica's disk."""
+        """The index up to which the log is on this replica's disk."""
         return self.state.writes.durable
 
     @property
     def leader(self) -> str:
-        """The leader of the term, if known."""
+        """The leader of the current term; empty if unknown."""
         return self.state.leader
 
     @property
     def leader_address(self) -> str:
-        """The address that the leader has stated; empty if none is known."""
+        """The address that the leader sent; empty if unknown."""
         return self.state.leader_address
 
     def leave_status(self, *, replica: str, term: int, last_index: int) -> LeaveStatus:
-        """May a member stop that has this term and this last index?"""
+        """Return whether a member with this term and last index may stop."""
         return leave_status(self.state, replica=replica, term=term, last_index=last_index)
 
     def margin(self) -> dict[str, Any] | None:
-        """How many losses the voters bear now, for status pages; only a leader knows."""
+        """Return how many losses the voters tolerate now, for status pages; only on a leader."""
         state = self.state
         if state.role != LEADER or state.losses_borne is None:
             return None
@@ -237,7 +237,7 @@
         }
 
     def lag(self) -> list[dict[str, Any]]:
-        """How far each replica is, for status pages; only a leader knows."""
+        """Return the replication progress of each member, for status pages; only on a leader."""
         state = self.state
         return [
             {
@@ -249,7 +249,7 @@
                 else progress.match_index,
                 "heard_us_ago": 0
                 if member.replica == state.me
-                else state.now_us - progress.heard_us,
+                else state.now_us - progress.last_contact_us,
             }
             for member in state.members.current
             for progress in [state.progress.get(member.replica, Progress(next_index=0))]
--- a/kelpstage/core/raft/replication.py
+++ b/kelpstage/core/raft/replication.py
@@ -1,9 +1,9 @@
-"""Log replication: AppendEntries and its answer, and the commit index.
+"""Log replication: AppendEntries, its reply, and the commit index.
 
-Invariants: an entry is appended behind one that matches the leader's in index and term
-(log matching); an answer that says "up to here" waits until that is on disk; a leader
-counts a majority of durable copies, its own among them only once it is synced, and
-commits by counting only entries of its own term; nothing committed is dropped.
+Invariants: an entry is appended only after an entry that matches the leader's in index and
+term (log matching). A reply that acknowledges entries waits until they are on disk. A leader
+counts durable copies, its own only once it is synced, and commits by counting only entries of
+its own term. Committed entries are never truncated.
 """
 
 from __future__ import annotations
@@ -27,24 +27,27 @@
     size_of,
 )
 
-# An entry that was sent and not answered is sent again with a heartbeat after so many.
+# Unacknowledged entries are sent again with a heartbeat after this many heartbeat intervals.
 RESEND_HEARTBEATS = 4
 
 
-# --- the leader's side ---------------------------------------------------------------
+# --- leader --------------------------------------------------------------------------
 
 
 def append_own(state: RaftState, *, kind: EntryKind, data: bytes) -> int:
-    """Append an entry of the leader's own; its index."""
+    """Append an entry of the leader's current term to its log and return its index."""
     entry = LogEntry(index=state.log.last_index + 1, term=state.term, kind=kind, data=data)
     state.append(entries=[entry])
     if kind == MEMBERSHIP:
-        state.members_changed()
+        state.on_members_changed()
     return entry.index
 
 
 def replicate_all(state: RaftState) -> None:
-    """Send what is new to all others, but for those that are being probed."""
+    """Send new entries to all other members.
+
+    A member that is being probed gets them at most once per heartbeat interval.
+    """
     for member in state.members.others(replica=state.me):
         _replicate(state, name=member.replica)
 
@@ -59,13 +62,13 @@
 
 
 def send_heartbeats(state: RaftState) -> None:
-    """Send a heartbeat to all others, with entries where answers are overdue."""
+    """Send a heartbeat to all other members, with entries where a reply is overdue."""
     state.heartbeat_due_us = state.now_us + state.timing.heartbeat_us
     for member in state.members.others(replica=state.me):
         progress = state.progress.get(member.replica)
         if progress is None:
             continue
-        _probe_if_silent(state, progress=progress)
+        _probe_if_unresponsive(state, progress=progress)
         is_behind = progress.next_index <= state.log.last_index
         since_us = state.now_us - progress.sent_us
         is_overdue = since_us > RESEND_HEARTBEATS * state.timing.heartbeat_us
@@ -77,24 +80,27 @@
 
 
 def send_append_entries(state: RaftState, *, name: str, has_entries: bool) -> None:
-    """Send AppendEntries behind what the replica has, or offer it a snapshot."""
+    """Send AppendEntries from the replica's next index on.
+
+    Offers a snapshot instead if the log no longer has the entry before that index.
+    """
     progress = state.progress[name]
-    is_large_under_way = has_large_under_way(state, progress=progress)
+    is_large_in_flight = has_large_in_flight(state, progress=progress)
     previous = progress.next_index - 1
-    if is_large_under_way and not progress.is_probing:
+    if is_large_in_flight and not progress.is_probing:
         previous = max(progress.match_index, state.log.base_index)
     previous_term = state.log.term_at(index=previous)
     if previous_term is None:
         _offer_snapshot(state, name=name)
         return
     entries: list[LogEntry] = []
-    if has_entries and not is_large_under_way and _may_send_entries(progress):
+    if has_entries and not is_large_in_flight and _may_send_entries(progress):
         entries = state.log.batch(start=progress.next_index, limit=state.timing.batch_bytes)
     if entries:
         progress.sent_us = state.now_us
-        progress.is_awaited = True
+        progress.is_reply_pending = True
         if is_large(entries):
-            _note_large(state, progress=progress, entries=entries)
+            _track_large_message(state, progress=progress, entries=entries)
         if not progress.is_probing:
             progress.next_index = entries[-1].index + 1
     state.send(
@@ -114,33 +120,40 @@
     )
 
 
-def has_large_under_way(state: RaftState, *, progress: Progress) -> bool:
-    """Is a large message on its way to a replica? It takes its time on a connection of
-    its own. Until it is answered no further entries are sent, and what overtakes it names
-    what is known to match: a replica would else refuse it, and be sent all of it again."""
-    if progress.large_to <= progress.match_index:
+def has_large_in_flight(state: RaftState, *, progress: Progress) -> bool:
+    """True while a large message to a replica is unacknowledged and has not timed out.
+
+    Large messages use a separate connection, and smaller ones overtake them. Until the reply no
+    further entries are sent, and `prev_log_index` is one that is known to match; otherwise the
+    replica would reject the overtaking message and all entries would be sent again.
+    """
+    if progress.large_last_index <= progress.match_index:
         return False
-    return state.now_us <= progress.large_until_us
+    return state.now_us <= progress.large_deadline_us
 
 
-def _note_large(state: RaftState, *, progress: Progress, entries: list[LogEntry]) -> None:
-    """Remember what is under way, and until when it may be."""
-    progress.large_from, progress.large_to = entries[0].index, entries[-1].index
+def _track_large_message(state: RaftState, *, progress: Progress, entries: list[LogEntry]) -> None:
+    """Record the entries of a large message and the time when it counts as lost."""
+    progress.large_first_index, progress.large_last_index = entries[0].index, entries[-1].index
     transfer_us = int(size_of(entries) / state.timing.large_bytes_per_us)
-    progress.large_until_us = state.now_us + state.timing.large_lost_us + transfer_us
+    progress.large_deadline_us = state.now_us + state.timing.large_timeout_us + transfer_us
 
 
 def _may_send_entries(progress: Progress) -> bool:
-    """Entries go once to a replica that is being probed, until it answers: one that is
-    silent would else be sent all that is new with each heartbeat and each read."""
-    return not (progress.is_probing and progress.is_awaited)
+    """False while a probed replica has not replied to the entries sent to it.
+
+    Otherwise each heartbeat and each read would send all new entries to an unresponsive replica.
+    """
+    return not (progress.is_probing and progress.is_reply_pending)
 
 
-def _probe_if_silent(state: RaftState, *, progress: Progress) -> None:
-    """Take back what was sent to a replica that does not answer any more; when it does,
-    it gets what it lacks."""
-    is_silent = state.now_us - progress.heard_us > state.timing.election_low_us
-    if is_silent and progress.is_awaited and not progress.is_probing:
+def _probe_if_unresponsive(state: RaftState, *, progress: Progress) -> None:
+    """Return to probing from the last match when a replica with entries pending does not reply.
+
+    When it replies again, the leader sends the entries that it lacks.
+    """
+    is_unresponsive = state.now_us - progress.last_contact_us > state.timing.election_low_us
+    if is_unresponsive and progress.is_reply_pending and not progress.is_probing:
         progress.is_probing = True
         progress.next_index = progress.match_index + 1
 
@@ -162,7 +175,10 @@
 
 
 def advance_commit_index(state: RaftState) -> bool:
-    """Commit what a majority has on disk, if it is of this term; has that advanced it?"""
+    """Commit entries that a majority has on disk, if the last of them is of the current term.
+
+    Returns true when the commit index advanced and this replica is still the leader.
+    """
     match_indexes = sorted(
         (state.match_index_of(name=m.replica) for m in state.members.current if m.is_voter),
         reverse=True,
@@ -181,8 +197,11 @@
 
 
 def commit_to(state: RaftState, *, index: int) -> None:
-    """Raise the commit index, as far as the log goes. A replica that the membership
-    leaves out steps down when the entry that does so is committed, not before."""
+    """Raise the commit index, at most to the end of the log.
+
+    A replica that the membership no longer contains steps down when the entry that removed it
+    is committed, not before.
+    """
     index = min(index, state.log.last_index)
     if index <= state.commit_index:
         return
@@ -195,23 +214,23 @@
         state.emit(Removed())
 
 
-# --- the follower's side -------------------------------------------------------------
+# --- follower ------------------------------------------------------------------------
 
 
 def on_append_entries(state: RaftState, message: AppendEntries) -> None:
-    """Append the entries if what is before them matches, and say up to where."""
+    """Append the entries if the entry before them matches, and reply with the match index."""
     sender = message.sender
     if state.role == LEADER and message.term == state.term:
-        raise InvariantViolated(f"{sender} leads in term {state.term} as well")
+        raise InvariantViolated(f"{sender} is another leader in term {state.term}")
     if not accept_leader(state, term=message.term, leader=sender, address=message.leader_address):
         reply_append_entries(state, to=sender, is_ok=False)
         return
     previous = message.prev_log_index
     entries = message.entries
     if previous < state.log.base_index:
-        # What a snapshot holds is committed, so it matches.
-        held = state.log.base_index - previous
-        if len(entries) < held:
+        # Entries that the snapshot covers are committed, so they match.
+        covered = state.log.base_index - previous
+        if len(entries) < covered:
             reply_append_entries(
                 state,
                 to=sender,
@@ -220,7 +239,7 @@
                 heartbeat=message.heartbeat,
             )
             return
-        entries = entries[held:]
+        entries = entries[covered:]
         previous = state.log.base_index
     elif state.log.term_at(index=previous) != message.prev_log_term:
         reply_append_entries(
@@ -240,12 +259,15 @@
 
 
 def _last_before_conflict(state: RaftState, *, index: int) -> int:
-    """The last index that may match where the entry at `index` does not: that before its
-    term began here, or the end of the log; never less than what is committed."""
+    """Return the last index that may match when the entry at `index` does not.
+
+    It is the index before the first local entry of the conflicting term, or the end of the log,
+    and never below the commit index.
+    """
     if index > state.log.last_index:
         return state.log.last_index
     if index <= state.commit_index:
-        raise InvariantViolated(f"entry {index} conflicts, {state.commit_index} is committed")
+        raise InvariantViolated(f"entry {index} conflicts; commit index is {state.commit_index}")
     conflict_term = state.log.term_at(index=index)
     while index > state.commit_index and state.log.term_at(index=index) == conflict_term:
         index -= 1
@@ -253,27 +275,27 @@
 
 
 def _append_received(state: RaftState, *, entries: list[LogEntry]) -> None:
-    """Append what is not in the log yet; an entry of another term, and all behind it, goes."""
-    known = 0
-    while known < len(entries) and _is_in_log(state, entry=entries[known]):
-        known += 1
-    new = entries[known:]
+    """Append the entries that are not in the log yet; a conflicting entry truncates the log."""
+    known_count = 0
+    while known_count < len(entries) and _is_in_log(state, entry=entries[known_count]):
+        known_count += 1
+    new = entries[known_count:]
     if not new:
         return
     cut_from = new[0].index if new[0].index <= state.log.last_index else None
     if cut_from is not None:
-        _drop_from(state, index=cut_from)
+        _truncate_from(state, index=cut_from)
     state.append(entries=new, cut_from=cut_from)
-    state.members_changed()
+    state.on_members_changed()
 
 
 def _is_in_log(state: RaftState, *, entry: LogEntry) -> bool:
     return state.log.term_at(index=entry.index) == entry.term
 
 
-def _drop_from(state: RaftState, *, index: int) -> None:
+def _truncate_from(state: RaftState, *, index: int) -> None:
     if index <= state.commit_index:
-        raise InvariantViolated(f"entry {index} conflicts, {state.commit_index} is committed")
+        raise InvariantViolated(f"entry {index} conflicts; commit index is {state.commit_index}")
     state.log.cut(index=index)
     state.members.cut(index=index)
     state.writes.drop_behind(index=index - 1)
@@ -288,7 +310,7 @@
     conflict_index: int = 0,
     heartbeat: int = 0,
 ) -> None:
-    """Answer a leader, when all that was persisted so far is on disk."""
+    """Reply to a leader once all earlier writes are on disk."""
     reply = AppendEntriesReply(
         cluster=state.cluster,
         sender=state.me,
@@ -299,4 +321,4 @@
         conflict_index=conflict_index,
         heartbeat=heartbeat,
     )
-    state.send(to=to, message=reply, is_promise=True)
+    state.send(to=to, message=reply, is_after_sync=True)
--- a/kelpstage/core/raft/snapshots.py
+++ b/kelpstage/core/raft/snapshots.py
@@ -1,9 +1,9 @@
-"""Log compaction, and snapshots from a leader (the paper's figure 13).
+"""Log compaction, and installation of snapshots from a leader (the Raft paper, figure 13).
 
-Invariant: a snapshot holds committed state only, so the log may begin behind it; and
-what this replica has acknowledged behind a snapshot's last entry stays in the log when
-that entry is in the log with the same term. A fetch takes its time, so it is checked against
-what holds on its arrival, not by what held when it was offered.
+Invariants: a snapshot contains committed state only, so the log may start after it. If the log
+has the snapshot's last entry with the same term, the entries after it stay in the log, because
+this replica may have acknowledged them. A fetched snapshot is checked against the state at its
+arrival, not against the state at the time of the offer.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 
 def on_snapshot_taken(state: RaftState, event: SnapshotTaken) -> None:
-    """Begin the log behind a snapshot of this replica's own."""
+    """Compact the log up to a snapshot that this replica has taken."""
     if event.index <= state.log.base_index:
-        return  # a newer one was installed in the meantime
+        return  # a newer snapshot was installed in the meantime
     state.members.rebase(index=event.index)
     state.log.compact(index=event.index)
 
 
 def on_install_snapshot(state: RaftState, offer: InstallSnapshot) -> None:
-    """Fetch what a leader offers, unless this replica has all that it holds."""
+    """Fetch the snapshot that a leader offers, unless the log already covers it."""
     sender = offer.sender
     if not accept_leader(state, term=offer.term, leader=sender, address=offer.leader_address):
         reply_append_entries(state, to=sender, is_ok=False)
@@ -66,8 +66,11 @@
 
 
 def on_snapshot_fetched(state: RaftState, event: SnapshotFetched) -> None:
-    """Begin the log behind a snapshot that has arrived. In the meantime other entries may
-    have come, from another leader in a later term, and been acknowledged."""
+    """Install a fetched snapshot and start the log after it.
+
+    Since the offer this replica may have acknowledged further entries, also from the leader of a
+    later term.
+    """
     if state.role == LEADER or event.index <= state.commit_index:
         return
     if state.log.term_at(index=event.index) == event.term:
@@ -83,10 +86,10 @@
     state.emit(
         SaveSnapshot(number=number, term=state.term, vote=state.vote, tail=list(state.log.entries))
     )
-    state.members_changed()
+    state.on_members_changed()
     if event.leader_term == state.term:
-        # Of an older term the heartbeat must not be answered: in the present term it
-        # would count as contact with a leader that began to count anew.
+        # The heartbeat number of an older term must not be sent in the current term: the new
+        # leader may number its heartbeats from the start and would count it as a later reply.
         reply_append_entries(
             state,
             to=event.leader,
--- a/kelpstage/core/raft/transfer.py
+++ b/kelpstage/core/raft/transfer.py
@@ -1,8 +1,8 @@
 """Leadership transfer (thesis, 3.10).
 
-Invariant: while a transfer is under way nothing is proposed; the target is told to
-campaign only when it has the leader's complete log; a transfer that has not come to its end
-within the shortest election timeout is given up, and the leader goes on.
+Invariants: no entry is proposed during a transfer. The leader sends TimeoutNow only when the
+target has its complete log. A transfer that does not finish within the shortest election
+timeout is cancelled, and the leader continues.
 """
 
 from __future__ import annotations
@@ -13,8 +13,10 @@
 
 
 def on_transfer_leadership(state: RaftState, event: TransferLeadership) -> None:
-    """Begin to hand leadership to the voter that is furthest on; to one that leaves
-    itself only if there is no other."""
+    """Start a transfer to the active voter with the highest match index.
+
+    A voter that is leaving itself is chosen only if there is no other.
+    """
     if state.role != LEADER or state.transfer_target:
         return
     candidates = [
@@ -25,12 +27,12 @@
     if not candidates:
         return
     state.transfer_target = max(candidates)[-1]
-    state.transfer_until_us = state.now_us + state.timing.election_low_us
+    state.transfer_deadline_us = state.now_us + state.timing.election_low_us
     try_transfer(state)
 
 
 def try_transfer(state: RaftState) -> None:
-    """Tell the target to campaign, once it has all."""
+    """Send TimeoutNow to the target once it has the complete log."""
     target = state.transfer_target
     progress = state.progress.get(target)
     if not target or progress is None or progress.match_index < state.log.last_index:
@@ -40,6 +42,6 @@
 
 
 def expire_transfer(state: RaftState) -> None:
-    """Give a transfer up that has taken too long."""
-    if state.transfer_target and state.now_us > state.transfer_until_us:
+    """Cancel a transfer whose deadline has passed."""
+    if state.transfer_target and state.now_us > state.transfer_deadline_us:
         state.transfer_target = ""
--- a/kelpstage/core/raft/types.py
+++ b/kelpstage/core/raft/types.py
@@ -1,4 +1,4 @@
-"""Events that a replica takes in and effects that it gives out."""
+"""The events that a replica processes and the effects that it returns."""
 
 from __future__ import annotations
 
@@ -27,24 +27,27 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What an entry of the log holds; the numbers stand on disk and never change."""
+    """The kind of a log entry. The values are stored on disk and never change."""
 
-    NOOP = 0  # the first of a leader's term
-    MEMBERSHIP = 1  # the members from here on
-    COMMAND = 2  # for the state machine
+    NOOP = 0  # first entry of a leader's term
+    MEMBERSHIP = 1  # the members from this entry on
+    COMMAND = 2  # input of the state machine
 
 
 NOOP, MEMBERSHIP, COMMAND = EntryKind
 
-# Messages whose entries are larger go by another connection, which smaller ones overtake.
+# Messages with more entry data than this use a separate connection, so that smaller messages
+# can overtake them.
 LARGE_BYTES = 64 * 1024
 
 
 class Role(enum.StrEnum):
-    """What a replica is in its term; the values stand in status views and metrics."""
+    """The role of a replica in its term. Status views and metrics show the values."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "pre_candidate"  # asks whether it could win, without a new term
+    PRE_CANDIDATE = (
+        "pre_candidate"  # asks whether it would win an election, without starting a new term
+    )
     CANDIDATE = "candidate"
     LEADER = "leader"
 
@@ -54,17 +57,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Timing:
-    """Timeouts and limits of Raft; times in microseconds."""
+    """Timeouts and limits of Raft. Times are in microseconds."""
 
     heartbeat_us: int = 100_000
     election_low_us: int = 800_000
     election_high_us: int = 1_600_000
-    wake_low_us: int = 150_000  # in a process that had no contact to a leader yet
-    wake_high_us: int = 500_000
+    startup_election_low_us: int = (
+        150_000  # for a process that has had no contact with a leader yet
+    )
+    startup_election_high_us: int = 500_000
     sync_limit_us: int = 1_500_000
     batch_bytes: int = 256_000
-    large_lost_us: int = 300_000  # unanswered for so long, a large message is sent again,
-    large_bytes_per_us: float = 0.5  # and for what its bytes take at this rate
+    # A large message without a reply is sent again after this timeout plus the time that its
+    # bytes take at this rate.
+    large_timeout_us: int = 300_000
+    large_bytes_per_us: float = 0.5
 
 
 # --- events --------------------------------------------------------------------
@@ -72,19 +79,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Tick:
-    """Time has passed; it comes every 20 ms."""
+    """Time has passed. A tick arrives every 20 ms."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Received:
-    """A message of another replica."""
+    """A message from another replica has arrived."""
 
     message: Message
 
 
 @dataclass(frozen=True, kw_only=True)
 class Propose:
-    """Append an entry; `Proposed` or `NotLeader` answers with the token."""
+    """Append an entry. The result is `Proposed` or `NotLeader` with the same token."""
 
     kind: EntryKind
     data: bytes
@@ -93,34 +100,36 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReadIndex:
-    """Tell me (by `ReadReady`) when this leader is confirmed as of now."""
+    """Request a linearizable read. The result is `ReadReady` or `ReadLost` with the same token."""
 
     token: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class Synced:
-    """All that was persisted up to this number is on disk for good."""
+    """All writes up to this number are synced to disk."""
 
     number: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class TransferLeadership:
-    """Give leadership to the voter that is furthest on."""
+    """Transfer leadership to the voter with the most complete log."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class SnapshotTaken:
-    """The state machine's state up to `index` is on disk as a snapshot."""
+    """A snapshot of the state machine up to `index` is on disk."""
 
     index: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class SnapshotFetched:
-    """The snapshot that a leader offered has arrived; `leader_term` is the term of that
-    offer, which may be over by now."""
+    """The snapshot that a leader offered has arrived.
+
+    `leader_term` is the term of the offer, which may have ended in the meantime.
+    """
 
     index: int
     term: int
@@ -132,14 +141,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class JoinRequested:
-    """A replica requests membership, or states its new address."""
+    """A replica requests membership, or reports its new address."""
 
     member: CoreMember
 
 
 @dataclass(frozen=True, kw_only=True)
 class LeaveRequested:
-    """A member is about to stop; it repeats the request until that is granted."""
+    """A member is about to stop. It repeats the request until the leader grants it."""
 
     replica: str
 
@@ -159,17 +168,17 @@
 
 
 class LeaveState(enum.IntEnum):
-    """What a leader says to a member that is about to stop."""
+    """A leader's reply to a member that is about to stop."""
 
     NOT_LEADER = 0
-    WAIT = 1  # a replacement is under way, or the others lack what it holds
+    WAIT = 1  # a replacement is in progress, or the other voters lack entries that it stores
     REPLACED = 2  # its removal is committed
-    COPIED = 3  # none can replace it; the others hold all that it holds
+    COPIED = 3  # no learner can replace it; the other voters store all of its entries
 
 
 @dataclass(frozen=True, kw_only=True)
 class LeaveStatus:
-    """How far a leaving has come, and how many further losses the log then bears."""
+    """The state of a member's leave, and how many losses the voters tolerate without it."""
 
     state: LeaveState
     losses_borne: int = 0
@@ -181,7 +190,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Send:
-    """Send once everything persisted up to `after` is synced."""
+    """Send the message once all writes up to number `after` are synced."""
 
     to: CoreMember
     message: Message
@@ -190,8 +199,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Persist:
-    """Write to the log: first drop from `cut_from` on, then the entries, then
-    the vote; `number` comes back in `Synced`."""
+    """Write to the log: truncate it from `cut_from` on, append the entries, store the vote.
+
+    `Synced` reports the number when the write is on disk.
+    """
 
     number: int
     cut_from: int | None = None
@@ -202,7 +213,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SaveSnapshot:
-    """Keep the fetched snapshot; the log goes on behind it with the entries of `tail`."""
+    """Store the fetched snapshot. The log continues after it with the entries of `tail`."""
 
     number: int
     term: int
@@ -212,14 +223,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Commit:
-    """Apply these entries, which follow those applied before."""
+    """Apply these entries, which directly follow those applied before."""
 
     entries: list[LogEntry]
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReadReady:
-    """The read may be answered from the state as of `index` or later."""
+    """The read may be served from the state at `index` or later."""
 
     token: int
     index: int
@@ -227,14 +238,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReadLost:
-    """The read cannot be answered here: this replica does not lead."""
+    """The read cannot be served here because this replica is not the leader."""
 
     token: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class Proposed:
-    """The entry is in the leader's log, not committed yet."""
+    """The entry is appended to the leader's log and not committed yet."""
 
     token: int
     index: int
@@ -243,14 +254,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NotLeader:
-    """Nothing was proposed: this replica does not lead, or is handing the lead on."""
+    """Nothing was appended: this replica is not the leader, or is transferring leadership."""
 
     token: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class RoleChanged:
-    """This replica has another role from now on."""
+    """The role of this replica has changed."""
 
     role: str
     term: int
@@ -258,7 +269,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FetchOffered:
-    """Fetch the snapshot that the leader of a term offers."""
+    """Fetch the snapshot that the leader of `leader_term` offers."""
 
     leader: str
     leader_address: str
@@ -270,7 +281,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MarginChanged:
-    """How many voters the leader can lose now and still have a majority."""
+    """The number of voters that can be lost now without losing the majority has changed."""
 
     losses_borne: int
     losses_wanted: int
@@ -278,7 +289,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Removed:
-    """This replica is in no configuration any more."""
+    """This replica is no longer a member."""
 
 
 Effect = (
@@ -298,7 +309,7 @@
 
 
 def size_of(entries: list[LogEntry]) -> int:
-    """The bytes of the entries' data.
+    """Return the total size of the entries' data in bytes.
 
     >>> size_of([LogEntry(data=b"ab"), LogEntry(data=b"c")])
     3
@@ -307,7 +318,7 @@
 
 
 def is_large(entries: list[LogEntry]) -> bool:
-    """Do these entries go by the connection for large messages?
+    """Return true when the entries are sent on the connection for large messages.
 
     >>> is_large([LogEntry(data=bytes(LARGE_BYTES))]), is_large([LogEntry(data=b"x" * 70_000)])
     (False, True)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -673,7 +673,7 @@
         self.assertGreater(leader.commit_index, behind)
         committed = leader.commit_index
         for match_index, is_raised in ((committed - 1, False), (committed, True)):
-            progress.heard_us = leader.state.now_us  # it is there, and has this much
+            progress.last_contact_us = leader.state.now_us  # it is there, and has this much
             progress.match_index = match_index
             membership.maintain_membership(leader.state)
             self.assertEqual(is_raised, leader.members.is_voter(replica="d"))
@@ -730,7 +730,7 @@
         membership._propose(state, members=members)
         cluster.run_until(lambda: leader.commit_index >= leader.members.index, us=500_000)
         others = [n for n in "abc" if n != leader.me]
-        state.progress[others[1]].heard_us = state.progress["d"].heard_us = state.now_us - 900_000
+        state.progress[others[1]].last_contact_us = state.progress["d"].last_contact_us = state.now_us - 900_000
         cluster.step(leader.me, t.LeaveRequested(replica=others[0]))
         membership.maintain_membership(state)
         self.assertTrue(leader.members.has(replica=others[0]))
