--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,9 +1,9 @@
-"""Changes of membership: every loss at every step of a leaving, at three and five voters.
+"""Membership changes: every tolerated loss at every step of a leave, with 3 and 5 voters.
 
-A small cluster of the product's own replicas runs over simulated time, disks and network.
-While a voter leaves, and after it has left, the run is copied at each step, and in each
-copy machines are lost for good, as many as the voters are to bear; the others go on or
-lose power. Then there must be a leader that has all that was acknowledged and commits more.
+A cluster of `Replica` objects runs over simulated time, disks and network. While a voter
+leaves, and for a while after it, the run is copied at each step. In each copy as many machines
+as the voters must tolerate are lost permanently, and the others continue or lose power. After
+that a leader must exist that has all acknowledged entries and commits more.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
 from tests.test_cores import Cores, play
 
 TICK_US = 20_000
-LEAVE_ASK_US = 100_000
-PROPOSE_US = 37_000
+LEAVE_REQUEST_INTERVAL_US = 100_000
+PROPOSE_INTERVAL_US = 37_000
 SYNC_US = (500, 4_000)
 LATENCY_US = (1_000, 6_000)
-AFTER_US = 200_000  # how long losses are tried after the leaving one has gone
+LOSSES_AFTER_LEAVE_US = 200_000  # for how long losses are tried after the member has left
 
 
 def voter(name: str) -> CoreMember:
@@ -50,7 +50,7 @@
 
 @dataclass
 class Disk:
-    """What a node has synced."""
+    """The synced state of a node."""
 
     term: int
     vote: str
@@ -72,11 +72,11 @@
     is_alive: bool = True
     synced: int = 0
     unsynced: list[t.Persist] = field(default_factory=list)
-    held: list[t.Send] = field(default_factory=list)
+    waiting_sends: list[t.Send] = field(default_factory=list)
 
 
 class Cluster:
-    """Replicas over a heap of events; copying it copies the whole run."""
+    """Replicas driven by a heap of events. A copy of the cluster is a copy of the whole run."""
 
     def __init__(self, *, voters: int, learners: int, seed: int) -> None:
         self.rand = random.Random(seed)
@@ -91,16 +91,16 @@
         for name in names:
             self.start(name, Disk(term=1, vote=""))
         self.are_messages_lost = True
-        self.far: dict[str, int] = {}  # name -> how much longer its messages take, us
+        self.extra_latency_us: dict[str, int] = {}  # name -> additional latency of its messages, us
         self.token = 0
         self.proposed: dict[int, bytes] = {}  # token -> data
         self.acknowledged: dict[int, bytes] = {}  # index -> data
         self.leaving = ""
         self.left_us = 0
         self.statuses: list[LeaveState] = []
-        self.schedule(PROPOSE_US, "propose", "")
+        self.schedule(PROPOSE_INTERVAL_US, "propose", "")
 
-    # --- the run -------------------------------------------------------------------------
+    # --- events -------------------------------------------------------------------------
 
     def start(self, name: str, disk: Disk) -> None:
         instance = self.nodes[name].instance + 1 if name in self.nodes else 1
@@ -123,8 +123,8 @@
         entry = (self.now + after_us, next(self.serial), kind, name, instance, what)
         heapq.heappush(self.heap, entry)
 
-    def turn(self) -> str:
-        """Take the next event; its kind."""
+    def process_next_event(self) -> str:
+        """Process the next event and return its kind."""
         self.now, _, kind, name, instance, what = heapq.heappop(self.heap)
         if name:
             node = self.nodes[name]
@@ -146,17 +146,17 @@
         node.disk.apply(write)
         node.synced = write.number
         self.step(name, t.Synced(number=write.number))
-        while node.held and node.held[0].after <= node.synced:
-            self.dispatch(node.held.pop(0))
+        while node.waiting_sends and node.waiting_sends[0].after <= node.synced:
+            self.dispatch(node.waiting_sends.pop(0))
 
     def do_propose(self, name: str, what: object) -> None:
         leader = self.leader()
         if leader:
             self.propose(leader)
-        self.schedule(PROPOSE_US, "propose", "")
+        self.schedule(PROPOSE_INTERVAL_US, "propose", "")
 
     def do_ask_leave(self, name: str, what: object) -> None:
-        """The leaving member asks the leader, as `core/graceful_leave.py` does."""
+        """The leaving member sends a leave request, as `core/graceful_leave.py` does."""
         replica = self.nodes[name].replica
         if replica.role == t.LEADER:
             self.step(name, t.TransferLeadership())
@@ -171,18 +171,18 @@
                 self.nodes[name].is_alive = False
                 self.left_us = self.now
                 return
-        self.schedule(LEAVE_ASK_US, "ask_leave", name)
+        self.schedule(LEAVE_REQUEST_INTERVAL_US, "ask_leave", name)
 
     def step(self, name: str, event: object) -> None:
         node = self.nodes[name]
         for effect in node.replica.step(now_us=self.now, event=event):
             if isinstance(effect, t.Persist):
                 node.unsynced.append(effect)
-                busy = SYNC_US[1] * (len(node.unsynced) - 1)
-                self.schedule(busy + self.rand.randrange(*SYNC_US), "sync", name)
+                queue_us = SYNC_US[1] * (len(node.unsynced) - 1)
+                self.schedule(queue_us + self.rand.randrange(*SYNC_US), "sync", name)
             elif isinstance(effect, t.Send):
                 if effect.after > node.synced:
-                    node.held.append(effect)
+                    node.waiting_sends.append(effect)
                 else:
                     self.dispatch(effect)
             elif isinstance(effect, t.Commit) and node.replica.role == t.LEADER:
@@ -192,8 +192,10 @@
     def dispatch(self, send: t.Send) -> None:
         to = send.to.replica
         if to in self.nodes:
-            far_us = max(self.far.get(to, 0), self.far.get(send.message.sender, 0))
-            after_us = far_us + self.rand.randrange(*LATENCY_US)
+            extra_us = max(
+                self.extra_latency_us.get(to, 0), self.extra_latency_us.get(send.message.sender, 0)
+            )
+            after_us = extra_us + self.rand.randrange(*LATENCY_US)
             self.schedule(after_us, "message", to, send.message)
 
     def propose(self, leader: str) -> int:
@@ -202,10 +204,10 @@
         self.step(leader, t.Propose(kind=t.COMMAND, data=data, token=self.token))
         return self.token
 
-    # --- what tests ask ------------------------------------------------------------------
+    # --- test interface ------------------------------------------------------------------
 
     def leader(self) -> str:
-        """The living leader of the highest term, if any."""
+        """Return the running leader with the highest term; empty if there is none."""
         leaders = [
             (node.replica.term, name)
             for name, node in self.nodes.items()
@@ -216,12 +218,12 @@
     def voter_names(self) -> list[str]:
         return [m.replica for m in self.nodes[self.leader()].replica.members.voters]
 
-    def run_until(self, is_there: Callable[[], bool], *, us: int) -> bool:
+    def run_until(self, condition: Callable[[], bool], *, us: int) -> bool:
         until_us = self.now + us
-        while not is_there():
+        while not condition():
             if self.now > until_us:
                 return False
-            self.turn()
+            self.process_next_event()
         return True
 
     def join(self, *names: str) -> None:
@@ -239,7 +241,7 @@
         self.schedule(0, "ask_leave", name)
 
     def lose(self, *names: str) -> None:
-        """Machines are gone for good, and what they had sent is still on its way or is not."""
+        """Lose machines permanently, and with `are_messages_lost` also their messages in flight."""
         for name in names:
             self.nodes[name].is_alive = False
         if self.are_messages_lost:
@@ -248,13 +250,13 @@
             self.heap = kept
 
     def cut_power(self) -> None:
-        """All that live lose what they have not synced, and start again."""
+        """Restart all running nodes; they lose their unsynced writes."""
         for name, node in self.nodes.items():
             if node.is_alive:
                 self.start(name, node.disk)
 
     def recovers(self, *, us: int = 8_000_000) -> str:
-        """Empty if a leader has all that was acknowledged and commits more; else why not."""
+        """Return why no leader has all acknowledged entries and commits more; empty if one does."""
         acknowledged = dict(self.acknowledged)
         last = max(acknowledged, default=0)
 
@@ -268,11 +270,11 @@
             return f"nothing more is committed, leader {self.leader() or 'none'}"
         log = self.nodes[self.leader()].replica.log
         kept = {entry.index: bytes(entry) for entry in log.entries}
-        gone = [index for index, data in acknowledged.items() if kept.get(index) != data]
-        return f"acknowledged entries {gone} are gone" if gone else ""
+        lost = [index for index, data in acknowledged.items() if kept.get(index) != data]
+        return f"acknowledged entries {lost} are lost" if lost else ""
 
     def signature(self) -> tuple:
-        """What tells one step from another: logs, disks, commits, members, roles."""
+        """Return the state that distinguishes steps: logs, disks, commits, members and roles."""
         return tuple(
             (
                 name,
@@ -289,7 +291,7 @@
 
 @dataclass
 class Exploration:
-    """What came of all runs of `explore_leave`."""
+    """The results of all runs of an exploration."""
 
     runs: int = 0
     problems: list[str] = field(default_factory=list)
@@ -297,31 +299,31 @@
 
 
 def explore_leave(
-    *, voters: int, leaver: str, seed: int, is_power: bool = False, learners: int = 1
+    *, voters: int, leaver: str, seed: int, has_power_loss: bool = False, learners: int = 1
 ) -> Exploration:
-    """Let a voter leave; at each step, and for a while after it has left, lose each set of
-    machines that the voters are to bear."""
+    """Let a voter leave. At each step, and for a while after it has left, lose each set of
+    machines whose loss the voters must tolerate."""
     cluster = Cluster(voters=voters, learners=learners, seed=seed)
     cluster.settle(learners=[n for n in cluster.nodes if n not in cluster.voter_names_at_start])
     name = cluster.leader() if leaver == "leader" else a_follower(cluster)
     cluster.begin_leave(name)
     seen: set[tuple] = set()
     found = Exploration(statuses=cluster.statuses)
-    while not cluster.left_us or cluster.now < cluster.left_us + AFTER_US:
+    while not cluster.left_us or cluster.now < cluster.left_us + LOSSES_AFTER_LEAVE_US:
         if cluster.now > 10_000_000:
-            found.problems.append("it never left")
+            found.problems.append("the member never left")
             break
-        cluster.turn()
+        cluster.process_next_event()
         signature = cluster.signature()
         if signature not in seen:
             seen.add(signature)
-            lose_each(cluster=cluster, found=found, is_power=is_power)
+            lose_each(cluster=cluster, found=found, has_power_loss=has_power_loss)
     return found
 
 
-def explore_replacement(*, is_leader: bool, seed: int, is_power: bool) -> Exploration:
-    """One of five is lost while a learner is there; at each step from the first change of
-    members on lose one more, as many as five are to bear."""
+def explore_replacement(*, is_leader: bool, seed: int, has_power_loss: bool) -> Exploration:
+    """Lose one of five voters while a learner exists. At each step from the first membership
+    change on lose one more, which is as many as five voters must tolerate."""
     cluster = Cluster(voters=5, learners=1, seed=seed)
     cluster.settle(learners=["f"])
     lost = cluster.leader() if is_leader else a_follower(cluster)
@@ -331,30 +333,32 @@
         lambda: any(node.replica.members.index > before for node in cluster.nodes.values()),
         us=6_000_000,
     )
-    until_us = cluster.now + AFTER_US
+    until_us = cluster.now + LOSSES_AFTER_LEAVE_US
     seen: set[tuple] = set()
     found = Exploration()
     while cluster.now < until_us:
         signature = cluster.signature()
         if signature not in seen:
             seen.add(signature)
-            lose_each(cluster=cluster, found=found, is_power=is_power, count=1)
-        cluster.turn()
+            lose_each(cluster=cluster, found=found, has_power_loss=has_power_loss, count=1)
+        cluster.process_next_event()
     if lost in cluster.voter_names() or "f" not in cluster.voter_names():
-        found.problems.append("it was not replaced")
+        found.problems.append("the lost voter was not replaced")
     return found
 
 
 def lose_each(
-    *, cluster: Cluster, found: Exploration, is_power: bool, count: int | None = None
+    *, cluster: Cluster, found: Exploration, has_power_loss: bool, count: int | None = None
 ) -> None:
-    """Copy the run for each set of `count` machines, by default as many as the voters are to
-    bear the loss of."""
+    """Copy the run for each set of `count` machines and lose the set in the copy.
+
+    By default `count` is the number of losses that the voters must tolerate.
+    """
     alive = [name for name, node in cluster.nodes.items() if node.is_alive]
     for lost in itertools.combinations(alive, count or (cluster.voters - 1) // 2):
         fork = copy.deepcopy(cluster)
         fork.lose(*lost)
-        if is_power:
+        if has_power_loss:
             fork.cut_power()
         found.runs += 1
         why = fork.recovers()
@@ -363,11 +367,11 @@
 
 
 def a_follower(cluster: Cluster) -> str:
-    """A voter that does not lead."""
+    """Return a voter that is not the leader."""
     return next(n for n in cluster.voter_names() if n != cluster.leader())
 
 
-class EveryLossAtEveryStepTest(unittest.TestCase):
+class LossDuringLeaveTest(unittest.TestCase):
     def explore(self, **choices) -> None:
         found = explore_leave(**choices)
         self.assertEqual([], found.problems[:5])
@@ -380,63 +384,65 @@
     def test_the_leader_of_three_is_replaced(self) -> None:
         self.explore(voters=3, leaver="leader", seed=2)
 
-    def test_one_of_three_is_replaced_and_the_power_fails_as_well(self) -> None:
+    def test_one_of_three_is_replaced_during_power_losses(self) -> None:
         for seed in range(3, 6):
-            self.explore(voters=3, leaver="follower", seed=seed, is_power=True)
-            self.explore(voters=3, leaver="leader", seed=seed, is_power=True)
+            self.explore(voters=3, leaver="follower", seed=seed, has_power_loss=True)
+            self.explore(voters=3, leaver="leader", seed=seed, has_power_loss=True)
 
     def test_a_follower_of_five_is_replaced(self) -> None:
         self.explore(voters=5, leaver="follower", seed=6)
 
-    def test_the_leader_of_five_is_replaced_and_the_power_fails_as_well(self) -> None:
-        self.explore(voters=5, leaver="leader", seed=7, is_power=True)
+    def test_the_leader_of_five_is_replaced_during_power_losses(self) -> None:
+        self.explore(voters=5, leaver="leader", seed=7, has_power_loss=True)
 
 
-class ASecondLossTest(unittest.TestCase):
-    def test_at_every_step_while_the_first_of_five_is_replaced(self) -> None:
-        for is_leader, is_power, seed in ((False, True, 41), (True, False, 42)):
-            found = explore_replacement(is_leader=is_leader, seed=seed, is_power=is_power)
+class LossDuringReplacementTest(unittest.TestCase):
+    def test_a_second_loss_at_every_step_while_the_first_of_five_is_replaced(self) -> None:
+        for is_leader, has_power_loss, seed in ((False, True, 41), (True, False, 42)):
+            found = explore_replacement(
+                is_leader=is_leader, seed=seed, has_power_loss=has_power_loss
+            )
             self.assertEqual([], found.problems[:5])
             self.assertGreater(found.runs, 100)
 
 
 def remove_first(state: RaftState) -> bool:
-    """A planted fault: the leaving voter is removed before a learner is raised."""
+    """An injected fault: the leaving voter is removed before a learner is promoted."""
     for member in state.members.voters:
         if member.replica in state.leave_requests:
             return membership._remove(state, member=member)
     return False
 
 
-class PlantedFaultTest(unittest.TestCase):
-    """The exploration above finds what it is there to find."""
+class InjectedFaultTest(unittest.TestCase):
+    """The exploration above detects injected faults."""
 
     def problems(self, **choices) -> list[str]:
         return explore_leave(**{"voters": 3, "leaver": "follower", "seed": 1} | choices).problems
 
-    def test_removing_before_raising_is_found(self) -> None:
+    def test_removal_before_promotion_is_detected(self) -> None:
         with mock.patch.object(membership, "_replace_leaving", remove_first):
             self.assertIn("nothing more is committed", self.problems()[0])
 
-    def test_going_without_being_replaced_is_found(self) -> None:
-        go = t.LeaveStatus(state=LeaveState.COPIED)
-        with mock.patch.object(Replica, "leave_status", lambda self, **asked: go):
+    def test_leaving_without_replacement_is_detected(self) -> None:
+        granted = t.LeaveStatus(state=LeaveState.COPIED)
+        with mock.patch.object(Replica, "leave_status", lambda self, **request: granted):
             self.assertIn("nothing more is committed", self.problems()[0])
 
-    def test_going_before_the_removal_is_committed_is_found(self) -> None:
-        def status(self: Replica, *, replica: str, **asked) -> t.LeaveStatus:
+    def test_leaving_before_the_removal_is_committed_is_detected(self) -> None:
+        def status(self: Replica, *, replica: str, **request) -> t.LeaveStatus:
             is_member = self.members.has(replica=replica)
             state = LeaveState.WAIT if is_member else LeaveState.REPLACED
             return t.LeaveStatus(state=state)
 
         with (
             mock.patch.object(Replica, "leave_status", status),
-            mock.patch("tests.test_membership.LEAVE_ASK_US", 1_000),
+            mock.patch("tests.test_membership.LEAVE_REQUEST_INTERVAL_US", 1_000),
         ):
             self.assertIn("nothing more is committed", self.problems()[0])
 
 
-class OtherLeavingsTest(unittest.TestCase):
+class LeaveEdgeCasesTest(unittest.TestCase):
     def test_two_of_five_leave_at_once(self) -> None:
         cluster = Cluster(voters=5, learners=2, seed=31)
         cluster.settle(learners=["f", "g"])
@@ -446,7 +452,7 @@
             cluster.begin_leave(name)
         until_us = cluster.now + 2_000_000
         while cluster.now < until_us:
-            cluster.turn()
+            cluster.process_next_event()
             least = min(least, len(cluster.voter_names()))
         self.assertEqual(5, least)
         stayed = set("abcdefg") - set(leaving)
@@ -454,7 +460,7 @@
         self.assertFalse(any(cluster.nodes[name].is_alive for name in leaving))
         self.assertEqual("", cluster.recovers())
 
-    def test_it_dies_when_the_learner_has_been_raised(self) -> None:
+    def test_a_leaving_voter_is_lost_after_the_learner_was_promoted(self) -> None:
         cluster = Cluster(voters=3, learners=1, seed=32)
         cluster.settle(learners=["d"])
         name = a_follower(cluster)
@@ -464,8 +470,8 @@
         self.assertTrue(cluster.run_until(lambda: len(cluster.voter_names()) == 3, us=500_000))
         self.assertNotIn(name, cluster.voter_names())
 
-    def test_it_is_killed_and_asks_no_more(self) -> None:
-        """A learner is there but has not been raised yet: silence removes the lost one."""
+    def test_a_voter_is_lost_without_a_leave_request(self) -> None:
+        """A learner exists but is not promoted yet: lack of contact removes the lost voter."""
         cluster = Cluster(voters=3, learners=1, seed=33)
         cluster.settle(learners=["d"])
         name = a_follower(cluster)
@@ -476,8 +482,8 @@
         )
 
 
-class LeavingWithoutReplacementTest(unittest.TestCase):
-    """No learner is there: a leaving voter may go once the others hold all that it has."""
+class LeaveWithoutReplacementTest(unittest.TestCase):
+    """Without a learner, a voter may leave once the others store all of its entries."""
 
     def cluster(self, *, voters: int = 3) -> tuple[Cluster, str]:
         cluster = Cluster(voters=voters, learners=0, seed=11)
@@ -486,10 +492,10 @@
 
     def status(self, cluster: Cluster, name: str, **more) -> t.LeaveStatus:
         replica = cluster.nodes[name].replica
-        asked = {"term": replica.term, "last_index": replica.log.last_index} | more
-        return cluster.nodes[cluster.leader()].replica.leave_status(replica=name, **asked)
+        request = {"term": replica.term, "last_index": replica.log.last_index} | more
+        return cluster.nodes[cluster.leader()].replica.leave_status(replica=name, **request)
 
-    def test_it_goes_when_all_is_copied_and_is_told_what_is_left(self) -> None:
+    def test_a_voter_leaves_when_all_is_copied_and_gets_the_remaining_margin(self) -> None:
         cluster, name = self.cluster()
         cluster.begin_leave(name)
         self.assertTrue(cluster.run_until(lambda: bool(cluster.left_us), us=2_000_000))
@@ -499,7 +505,7 @@
         self.assertIn(name, cluster.voter_names())
         self.assertEqual("", cluster.recovers())
 
-    def test_it_waits_while_another_lacks_what_it_holds(self) -> None:
+    def test_a_voter_waits_while_another_lacks_its_entries(self) -> None:
         cluster, name = self.cluster()
         leader = cluster.leader()
         slow = next(n for n in cluster.nodes if n not in (name, leader))
@@ -509,12 +515,12 @@
         last = cluster.nodes[slow].replica.log.last_index
         self.assertEqual(LeaveState.COPIED, self.status(cluster, name, last_index=last).state)
 
-    def test_a_leader_of_an_older_term_is_not_believed(self) -> None:
+    def test_a_leader_of_an_older_term_does_not_grant_a_leave(self) -> None:
         cluster, name = self.cluster()
         term = cluster.nodes[name].replica.term + 1
         self.assertEqual(LeaveState.NOT_LEADER, self.status(cluster, name, term=term).state)
 
-    def test_the_leader_tells_when_the_voters_bear_less_than_wanted(self) -> None:
+    def test_the_leader_reports_a_reduced_loss_margin(self) -> None:
         cluster, name = self.cluster()
         replica = cluster.nodes[cluster.leader()].replica
         self.assertEqual(1, replica.margin()["losses_borne"])
@@ -525,8 +531,8 @@
         self.assertGreater(margin["since_us_ago"], 0)
 
 
-class ReplacingLostTest(unittest.TestCase):
-    """A voter is lost for good while a learner is there."""
+class LostVoterReplacementTest(unittest.TestCase):
+    """A voter is lost permanently while a learner exists."""
 
     def replaced_after_us(self, *, of_leader: bool, seed: int) -> int:
         cluster = Cluster(voters=3, learners=1, seed=seed)
@@ -547,9 +553,9 @@
         self.assertTrue(cluster.run_until(is_replaced, us=10_000_000))
         return cluster.now - began_us
 
-    def test_a_lost_leader_is_replaced_as_soon_as_a_lost_follower(self) -> None:
-        """Its successor counts the silence from when it heard the leader last, not from its
-        own election: the next loss may come four seconds after this one."""
+    def test_a_lost_leader_is_replaced_as_fast_as_a_lost_follower(self) -> None:
+        """The new leader measures from its last contact with the old leader, not from its own
+        election, because the next loss may come four seconds after this one."""
         for seed in range(5):
             with self.subTest(seed=seed):
                 self.assertLess(self.replaced_after_us(of_leader=False, seed=seed), 2_800_000)
@@ -557,7 +563,7 @@
 
 
 class SingleServerChangeTest(unittest.TestCase):
-    """The rules of the thesis, 4.1 and 4.2, and the correction to them."""
+    """The rules for single-server changes (thesis, 4.1 and 4.2, with the correction)."""
 
     def cluster(self, *, learners: int = 1, seed: int = 21) -> tuple[Cluster, Replica]:
         cluster = Cluster(voters=3, learners=learners, seed=seed)
@@ -568,7 +574,7 @@
         cluster, old = self.cluster()
         cluster.lose(old.me)
         while not cluster.leader():
-            cluster.turn()
+            cluster.process_next_event()
         leader = cluster.nodes[cluster.leader()].replica
         last = leader.log.last_index
         self.assertNotEqual(leader.term, leader.log.term_at(index=leader.commit_index))
@@ -578,7 +584,7 @@
         self.assertTrue(cluster.run_until(lambda: leader.members.has(replica="z"), us=500_000))
         self.assertEqual(leader.term, leader.log.term_at(index=leader.commit_index))
 
-    def test_no_change_while_one_is_not_committed(self) -> None:
+    def test_no_change_while_another_is_uncommitted(self) -> None:
         cluster, leader = self.cluster()
         for name in ("x", "y"):
             cluster.step(leader.me, t.JoinRequested(member=CoreMember(replica=name, address=name)))
@@ -616,18 +622,18 @@
         cluster.step(follower.me, t.Received(message=message))
         self.assertEqual(before, [m.replica for m in follower.members.current])
 
-    def test_a_removed_member_disturbs_nobody(self) -> None:
+    def test_a_removed_member_disrupts_no_leader(self) -> None:
         cluster, leader = self.cluster()
         removed = a_follower(cluster)
         cluster.begin_leave(removed)
         self.assertTrue(cluster.run_until(lambda: bool(cluster.left_us), us=2_000_000))
-        cluster.start(removed, cluster.nodes[removed].disk)  # with the membership of before
+        cluster.start(removed, cluster.nodes[removed].disk)  # it still has the old membership
         term = leader.term
         cluster.run_until(lambda: False, us=5_000_000)
         self.assertEqual((t.LEADER, term), (leader.role, leader.term))
         self.assertNotIn(removed, cluster.voter_names())
 
-    def test_a_removed_leader_steps_down_only_when_that_is_committed(self) -> None:
+    def test_a_removed_leader_steps_down_only_when_the_removal_is_committed(self) -> None:
         cluster, leader = self.cluster(learners=0)
         rest = [m for m in leader.members.current if m.replica != leader.me]
         membership._propose(leader.state, members=rest)
@@ -663,35 +669,35 @@
         cluster.step(leader.me, t.Received(message=reply))
         self.assertLess(leader.commit_index, leader.members.index)
 
-    def test_a_learner_is_raised_only_with_what_was_committed_a_moment_ago(self) -> None:
+    def test_a_learner_is_promoted_only_with_recently_committed_entries(self) -> None:
         cluster, leader = self.cluster()
         progress = leader.state.progress["d"]
         behind = progress.match_index
-        cluster.far["d"] = 10_000_000  # nothing reaches it from here on
+        cluster.extra_latency_us["d"] = 10_000_000  # no message reaches it from now on
         cluster.run_until(lambda: False, us=900_000)
         cluster.step(leader.me, t.LeaveRequested(replica=a_follower(cluster)))
         self.assertGreater(leader.commit_index, behind)
         committed = leader.commit_index
-        for match_index, is_raised in ((committed - 1, False), (committed, True)):
-            progress.last_contact_us = leader.state.now_us  # it is there, and has this much
+        for match_index, is_promoted in ((committed - 1, False), (committed, True)):
+            progress.last_contact_us = leader.state.now_us  # it is active and stores this much
             progress.match_index = match_index
             membership.maintain_membership(leader.state)
-            self.assertEqual(is_raised, leader.members.is_voter(replica="d"))
+            self.assertEqual(is_promoted, leader.members.is_voter(replica="d"))
 
-    def test_a_distant_learner_is_raised_while_changes_go_on(self) -> None:
-        """It never has what is committed this moment: a change comes each 4 ms, and it is
-        40 ms away."""
+    def test_a_distant_learner_is_promoted_while_writes_continue(self) -> None:
+        """The learner never has the newest committed entries: a write is proposed every 4 ms,
+        and messages to the learner take 40 ms longer."""
         for seed in range(3):
             cluster, _ = self.cluster(seed=seed)
-            cluster.far["d"] = 40_000
-            with mock.patch("tests.test_membership.PROPOSE_US", 4_000):
+            cluster.extra_latency_us["d"] = 40_000
+            with mock.patch("tests.test_membership.PROPOSE_INTERVAL_US", 4_000):
                 cluster.run_until(lambda: False, us=500_000)
                 cluster.begin_leave(a_follower(cluster))
                 left = cluster.run_until(lambda c=cluster: bool(c.left_us), us=3_000_000)
             self.assertTrue(left)
             self.assertEqual(LeaveState.REPLACED, cluster.statuses[-1])
 
-    def test_none_is_removed_before_the_newcomer_holds_the_change_that_raised_it(self) -> None:
+    def test_no_voter_is_removed_before_the_new_voter_stores_its_promotion(self) -> None:
         cluster, leader = self.cluster()
         leaving = a_follower(cluster)
         cluster.begin_leave(leaving)
@@ -701,17 +707,17 @@
         while leader.members.has(replica=leaving):
             self.assertEqual(change, leader.members.index)
             held = progress.match_index
-            cluster.turn()
+            cluster.process_next_event()
         self.assertGreaterEqual(held, change)
 
-    def test_a_vote_of_a_learner_counts_for_nothing(self) -> None:
+    def test_a_vote_of_a_learner_is_not_counted(self) -> None:
         cluster, leader = self.cluster()
         follower = cluster.nodes[a_follower(cluster)].replica
         cluster.lose(*(n for n in "abc" if n != follower.me))
         while follower.role != t.PRE_CANDIDATE:
-            cluster.turn()
-        asked = [e for e in cluster.heap if isinstance(e[5], RequestVote)]
-        self.assertEqual({n for n in "abc" if n != follower.me}, {e[3] for e in asked})
+            cluster.process_next_event()
+        requests = [e for e in cluster.heap if isinstance(e[5], RequestVote)]
+        self.assertEqual({n for n in "abc" if n != follower.me}, {e[3] for e in requests})
         grant = RequestVoteReply(
             cluster="k",
             sender="d",
@@ -723,19 +729,21 @@
         cluster.step(follower.me, t.Received(message=grant))
         self.assertEqual(t.PRE_CANDIDATE, follower.role)
 
-    def test_nobody_is_removed_if_those_in_reach_could_not_commit_it(self) -> None:
+    def test_no_removal_that_the_reachable_members_cannot_commit(self) -> None:
         cluster, leader = self.cluster(learners=0)
         state = leader.state
         members = [voter(name) for name in "abcd"]
         membership._propose(state, members=members)
         cluster.run_until(lambda: leader.commit_index >= leader.members.index, us=500_000)
         others = [n for n in "abc" if n != leader.me]
-        state.progress[others[1]].last_contact_us = state.progress["d"].last_contact_us = state.now_us - 900_000
+        state.progress[others[1]].last_contact_us = state.progress["d"].last_contact_us = (
+            state.now_us - 900_000
+        )
         cluster.step(leader.me, t.LeaveRequested(replica=others[0]))
         membership.maintain_membership(state)
         self.assertTrue(leader.members.has(replica=others[0]))
 
-    def test_a_request_to_leave_lapses_if_it_is_not_repeated(self) -> None:
+    def test_a_leave_request_expires_if_it_is_not_repeated(self) -> None:
         cluster, leader = self.cluster(learners=0)
         name = a_follower(cluster)
         cluster.step(leader.me, t.LeaveRequested(replica=name))
@@ -744,7 +752,7 @@
         cluster.run_until(lambda: False, us=300_000)
         self.assertNotIn(name, leader.state.leave_requests)
 
-    def test_the_lead_goes_to_one_that_stays(self) -> None:
+    def test_leadership_is_transferred_to_a_voter_that_stays(self) -> None:
         cluster, leader = self.cluster(learners=0)
         others = [n for n in "abc" if n != leader.me]
         leaving = max(others)
@@ -752,17 +760,17 @@
         cluster.step(leader.me, t.TransferLeadership())
         self.assertEqual(min(others), leader.state.transfer_target)
 
-    def test_members_in_an_entry_are_read_as_they_were_written(self) -> None:
+    def test_members_are_decoded_as_they_were_encoded(self) -> None:
         members = [voter("b"), CoreMember(replica="a", address="x", http="y")]
         read = read_members(data=write_members(members=members))
         self.assertEqual(["a", "b"], [m.replica for m in read])
 
 
 class PlannedStopTest(unittest.TestCase):
-    """Whole cores are told to stop: the simulated daemons, with their lines and disks."""
+    """Planned stops of complete core daemons over simulated connections and disks."""
 
-    async def stopped(self, cores: Cores, name: str) -> tuple[str, int]:
-        """Stop a core as the platform does; how the others let it go, and after how long."""
+    async def stop_core(self, cores: Cores, name: str) -> tuple[str, int]:
+        """Stop a core as the platform does; return the final leave state and the duration."""
         core = cores.daemons[name]
         began_us = cores.world.now_us()
         await asyncio.wait({cores.processes[name].spawn(core.stop())}, timeout=6.0)
@@ -771,7 +779,7 @@
         ends = [e for e in core.journal.tail(limit=50) if e["event"] == "LeaveEnded"]
         return (ends[-1]["state"] if ends else "none"), took_us
 
-    async def begin(self, cores: Cores) -> None:
+    async def start_cores(self, cores: Cores) -> None:
         await cores.start(is_first=True)
         voters = min(2 * cores.tolerance + 1, len(cores.names))
         await cores.wait_for(lambda: len(cores.voters()) == voters)
@@ -780,21 +788,23 @@
     def replacement(
         self, *, is_leader: bool, after_us: int, states: list[str], spans: list[int]
     ) -> Callable:
-        """The new one comes first; the old one is told to stop, leader or not; some time
-        after that one has gone another disk is lost for good."""
+        """Return a scenario that adds a core, stops an old one and later loses another disk.
+
+        The core that stops is the leader or not; the disk is lost `after_us` after the stop.
+        """
 
         async def scenario(cores: Cores) -> None:
-            await self.begin(cores)
+            await self.start_cores(cores)
             cores.add(name="c3", zone="d0")
             await cores.start("c3", seeds=cores.names[:3])
             await cores.sleep(1_500_000)
             await cores.put()
             leader = cores.leader()
-            gone = leader if is_leader else next(n for n in cores.names[:3] if n != leader)
-            state, took_us = await self.stopped(cores, gone)
+            stopping = leader if is_leader else next(n for n in cores.names[:3] if n != leader)
+            state, took_us = await self.stop_core(cores, stopping)
             states.append(state)
             spans.append(took_us)
-            cores.names.remove(gone)
+            cores.names.remove(stopping)
             await cores.sleep(after_us)
             lost = cores.leader() or cores.names[0]
             cores.kill(lost, is_disk=True)
@@ -818,29 +828,29 @@
         self.assertEqual({"REPLACED"}, set(states))
         self.assertLess(max(spans), 1_500_000)
 
-    def test_going_at_once_is_found(self) -> None:
-        async def go(self: Leaving) -> LeaveOutcome:
+    def test_leaving_without_waiting_is_detected(self) -> None:
+        async def leave_at_once(self: Leaving) -> LeaveOutcome:
             return LeaveOutcome(state=LeaveState.REPLACED)
 
         scenario = self.replacement(is_leader=False, after_us=0, states=[], spans=[])
         with (
-            mock.patch.object(Leaving, "run", go),
+            mock.patch.object(Leaving, "run", leave_at_once),
             self.assertRaisesRegex(AssertionError, "not read back"),
         ):
             play(scenario, seed=0, count=3, tolerance=1)
 
-    def test_without_a_replacement_it_goes_and_says_what_is_left(self) -> None:
+    def test_without_a_replacement_a_core_leaves_and_the_margin_is_reported(self) -> None:
         async def scenario(cores: Cores) -> None:
-            await self.begin(cores)
-            gone = cores.leader()
-            state, took_us = await self.stopped(cores, gone)
+            await self.start_cores(cores)
+            stopping = cores.leader()
+            state, took_us = await self.stop_core(cores, stopping)
             self.assertEqual("COPIED", state)
             self.assertLess(took_us, 3_000_000)
-            await cores.wait_for(lambda: cores.leader() not in (None, gone))
+            await cores.wait_for(lambda: cores.leader() not in (None, stopping))
             await cores.sleep(1_500_000)
             margin = cores.daemons[cores.leader()].task.raft.margin()
             self.assertEqual((0, 1), (margin["losses_borne"], margin["losses_wanted"]))
-            await cores.start(gone)
+            await cores.start(stopping)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             await cores.sleep(300_000)
             self.assertEqual(1, cores.daemons[cores.leader()].task.raft.margin()["losses_borne"])
@@ -848,14 +858,14 @@
         for seed in range(3):
             play(scenario, seed=seed, count=3, tolerance=1)
 
-    def test_six_are_restarted_in_turn(self) -> None:
+    def test_rolling_restart_of_six_cores(self) -> None:
         async def scenario(cores: Cores) -> None:
-            await self.begin(cores)
+            await self.start_cores(cores)
             await cores.wait_for(
                 lambda: len(cores.daemons[cores.leader()].task.raft.members.current) == 6
             )
             for name in list(cores.names):
-                state, _ = await self.stopped(cores, name)
+                state, _ = await self.stop_core(cores, name)
                 self.assertEqual("REPLACED", state)
                 self.assertEqual(5, len(cores.voters()))
                 await cores.put()
@@ -867,29 +877,29 @@
 
         play(scenario, seed=1, count=6, tolerance=2)
 
-    def test_all_are_told_to_stop_at_once(self) -> None:
+    def test_all_cores_stop_at_once(self) -> None:
         async def scenario(cores: Cores) -> None:
-            await self.begin(cores)
-            ends = await asyncio.gather(*(self.stopped(cores, name) for name in cores.names))
+            await self.start_cores(cores)
+            ends = await asyncio.gather(*(self.stop_core(cores, name) for name in cores.names))
             self.assertLess(max(took_us for _, took_us in ends), 4_500_000)
             await cores.start()
             self.assertEqual(cores.version, (await cores.read())[0])
 
         play(scenario, seed=1, count=3, tolerance=1)
 
-    def test_one_alone_stops_at_once(self) -> None:
+    def test_a_single_core_stops_immediately(self) -> None:
         async def scenario(cores: Cores) -> None:
-            await self.begin(cores)
-            _, took_us = await self.stopped(cores, cores.names[0])
+            await self.start_cores(cores)
+            _, took_us = await self.stop_core(cores, cores.names[0])
             self.assertLess(took_us, 100_000)
 
         play(scenario, seed=1, count=1, tolerance=0)
 
 
 class FoundingMembersTest(unittest.TestCase):
-    def test_a_late_seed_is_told_committed_members_only(self) -> None:
-        """It writes them into the snapshot that it begins with, where no truncation of the
-        log could undo a change that never came to be."""
+    def test_a_late_seed_receives_committed_members_only(self) -> None:
+        """A seed writes the members into its first snapshot, where no truncation of the log
+        could undo a change that is never committed."""
 
         async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
