--- a/kelpstage/core/raft/reads.py
+++ b/kelpstage/core/raft/reads.py
@@ -38,7 +38,7 @@
 
 def confirm_reads(state: RaftState) -> None:
     """Emit `ReadReady` for the reads whose heartbeat a majority has replied to."""
-    answered = {name: one.heartbeat for name, one in state.progress.items()}
+    answered = {name: progress.heartbeat for name, progress in state.progress.items()}
     answered[state.me] = state.heartbeat
     waiting = []
     for read in state.reads:
--- a/kelpstage/core/raft/state.py
+++ b/kelpstage/core/raft/state.py
@@ -137,7 +137,9 @@
         if self.now_us - self.leader_since_us < limit:
             return True
         reachable = {self.me} | {
-            name for name, one in self.progress.items() if self.now_us - one.last_contact_us < limit
+            name
+            for name, progress in self.progress.items()
+            if self.now_us - progress.last_contact_us < limit
         }
         return self.members.is_majority(names=reachable)
 
--- a/kelpstage/core/raft/types.py
+++ b/kelpstage/core/raft/types.py
@@ -45,9 +45,7 @@
     """The role of a replica in its term. Status views and metrics show the values."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = (
-        "pre_candidate"  # asks whether it would win an election, without starting a new term
-    )
+    PRE_CANDIDATE = "pre_candidate"  # requests pre-votes without starting a new term
     CANDIDATE = "candidate"
     LEADER = "leader"
 
@@ -62,9 +60,8 @@
     heartbeat_us: int = 100_000
     election_low_us: int = 800_000
     election_high_us: int = 1_600_000
-    startup_election_low_us: int = (
-        150_000  # for a process that has had no contact with a leader yet
-    )
+    # Election timeout in a process that has had no contact with a leader yet.
+    startup_election_low_us: int = 150_000
     startup_election_high_us: int = 500_000
     sync_limit_us: int = 1_500_000
     batch_bytes: int = 256_000
