--- a/kelpstage/core/app.py
+++ b/kelpstage/core/app.py
@@ -1,7 +1,7 @@
 """A core process, built from its parts: the composition root of `kelpstage.core`.
 
-Listens for other processes and for operators, and runs one replica after the other: after
-an error of its disk a replica is stopped and rebuilt from what is on the disk.
+Listens for other processes and for operators, and runs one replica at a time. After a disk
+error the replica is stopped and rebuilt from the disk.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 from kelpstage.core.graceful_leave import Leaving
 from kelpstage.core.handlers import handle
 from kelpstage.core.leases.lease_service import LeaseService
-from kelpstage.core.membership_requests import keep_membership
+from kelpstage.core.membership_requests import send_join_requests
 from kelpstage.core.raft import types as raft
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot
@@ -53,10 +53,10 @@
 from kelpstage.core.web.metrics import core_families
 from kelpstage.core.web.operators import serve_operators
 
-RESTART_US = 300_000  # after an error of the disk
-LEAVE_SHARE = 0.6  # of the grace for a stop, spent on leaving
-SEED_PROBE_US = 500_000  # that a seed is waited for
-BOOTSTRAP_LOOK_US = 100_000  # while this core belongs to no cluster
+RESTART_DELAY_US = 300_000  # after a disk error
+LEAVE_FRACTION = 0.6  # of the stop grace period, available for leaving the cluster
+SEED_PROBE_TIMEOUT_US = 500_000
+BOOTSTRAP_INTERVAL_US = 100_000  # between attempts while this core belongs to no cluster
 OPERATOR_BODY_LIMIT = 4 * 1024 * 1024 + 1024
 log = logger(name="core")
 
@@ -64,8 +64,8 @@
 class Core:
     """One core process.
 
-    Owner of the identity, the running replica and its lease service; the last two are there
-    together, from the start of a replica to its end.
+    Owns the identity, the running replica and its lease service. `task` and `lease_service`
+    are set together while a replica runs, and are None otherwise.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         self.is_stopping = False
         self.waits_for = "starting"
         self._edge_contacts = EdgeContacts(ports=ports)
-        self._broken: asyncio.Event = asyncio.Event()
+        self._disk_failed: asyncio.Event = asyncio.Event()
         self._http_listener: Any = None
         self._metrics_listener: Listener | None = None
 
@@ -120,7 +120,7 @@
                 collect=lambda: core_families(core=self),
             )
         self.ports.keep(self._run_replicas())
-        self.ports.keep(keep_membership(core=self))
+        self.ports.keep(send_join_requests(core=self))
         return None
 
     async def _on_message(self, message: Any, source: str) -> Any:
@@ -130,11 +130,11 @@
         while not self.is_stopping:
             recovered = await self._recover()
             if isinstance(recovered, KelpstageError):
-                self._note_disk(error=recovered)
-                await self.ports.clock.sleep(us=RESTART_US)
+                self._report_disk_error(error=recovered)
+                await self.ports.clock.sleep(us=RESTART_DELAY_US)
                 continue
             if recovered is None:
-                await self.ports.clock.sleep(us=BOOTSTRAP_LOOK_US)
+                await self.ports.clock.sleep(us=BOOTSTRAP_INTERVAL_US)
                 continue
             await self._run_replica(recovered=recovered)
 
@@ -158,14 +158,16 @@
         return recovered
 
     async def _set_aside(self, *, damage: LogDamagedError) -> KelpstageError | None:
-        """Drop a damaged replica: this core comes back as a new, empty one."""
-        log.error("{} at {}: {}; this replica begins anew", damage.path, damage.offset, damage.why)
+        """Discard a damaged replica; this core restarts as a new, empty replica."""
+        log.error(
+            "{} at {}: {}; restarting as an empty replica", damage.path, damage.offset, damage.why
+        )
         self.journal.add(SetAside(path=damage.path, why=damage.why))
         self.identity = None
         return await self.store.set_aside()
 
     async def _run_replica(self, *, recovered: Recovered) -> None:
-        self._broken.clear()
+        self._disk_failed.clear()
         self.waits_for = ""
         self.journal.add(Started(replica=recovered.identity.replica))
         self.task = ReplicaTask(
@@ -188,10 +190,10 @@
             own=self.own,
             tolerance=self.bounds.tolerance,
         )
-        await self._broken.wait()
+        await self._disk_failed.wait()
         self.task.stop()
         self.task, self.lease_service = None, None
-        await self.ports.clock.sleep(us=RESTART_US)
+        await self.ports.clock.sleep(us=RESTART_DELAY_US)
 
     def _on_applied(self, outcome: object, index: int) -> None:
         if self.lease_service is not None:
@@ -202,10 +204,10 @@
             self.lease_service.took_lead()
 
     def _on_disk_error(self, error: KelpstageError) -> None:
-        self._note_disk(error=error)
-        self._broken.set()
+        self._report_disk_error(error=error)
+        self._disk_failed.set()
 
-    def _note_disk(self, *, error: Any) -> None:
+    def _report_disk_error(self, *, error: Any) -> None:
         waits_for = f"the disk ({error.kind}: {error.why})"
         if self.waits_for != waits_for:
             log.error("disk: {} {} {}", error.path, getattr(error, "op", ""), error.why)
@@ -213,10 +215,10 @@
         self.journal.add(DiskFailed(path=error.path, op=getattr(error, "op", ""), why=error.why))
 
     def seed_state(self) -> SeedState:
-        """What this core reports of itself to one that looks for a cluster."""
+        """The state that this core reports to a core that is bootstrapping."""
         identity = self.identity or DiskIdentity()
         if identity.cluster and self.task is None:
-            identity = DiskIdentity()  # not started yet: neither empty nor a member
+            identity = DiskIdentity()  # replica not started: reported as neither empty nor a member
         members: list[CoreMember] = []
         if self.task is not None:
             replica = self.task.raft
@@ -239,12 +241,12 @@
             if seed == self.own:
                 return self.seed_state()
             reply: SeedState | KelpstageError = await self.transport.call(
-                address=seed, message=SeedProbe(replica=me), wait_us=SEED_PROBE_US
+                address=seed, message=SeedProbe(replica=me), wait_us=SEED_PROBE_TIMEOUT_US
             )
             return reply
 
         states = await asyncio.gather(*(probe(seed) for seed in self.seeds))
-        # A core that has not read its disk yet is neither empty nor a member.
+        # A seed that has not read its disk yet is neither empty nor a member: left out.
         return [state for state in states if isinstance(state, KelpstageError) or state.replica]
 
     async def _found_or_join(self) -> Recovered | None | KelpstageError:
@@ -259,24 +261,26 @@
         if isinstance(step, JoinCluster):
             self.journal.add(JoinedCluster(cluster=step.cluster))
             if step.members:
-                return await self._found(identity, cluster=step.cluster, members=step.members)
+                return await self._become_founding_member(
+                    identity, cluster=step.cluster, members=step.members
+                )
             return await self._become_member(identity, cluster=step.cluster)
         cluster = f"{self.ports.rand.getrandbits(64):016x}"
         self.journal.add(Founded(cluster=cluster))
-        return await self._found(identity, cluster=cluster, members=step.members)
+        return await self._become_founding_member(identity, cluster=cluster, members=step.members)
 
-    async def _found(
-        self, empty: DiskIdentity, *, cluster: str, members: list[CoreMember]
+    async def _become_founding_member(
+        self, empty_identity: DiskIdentity, *, cluster: str, members: list[CoreMember]
     ) -> KelpstageError | None:
-        """Become a member of a new cluster, from the founding snapshot on."""
+        """Become a founding member of a new cluster, starting from its founding snapshot."""
         snapshot = founding_snapshot(cluster=cluster, members=members)
-        return await self._become_member(empty, cluster=cluster, snapshot=snapshot)
+        return await self._become_member(empty_identity, cluster=cluster, snapshot=snapshot)
 
     async def _become_member(
-        self, empty: DiskIdentity, *, cluster: str, snapshot: DiskSnapshot | None = None
+        self, empty_identity: DiskIdentity, *, cluster: str, snapshot: DiskSnapshot | None = None
     ) -> KelpstageError | None:
-        """Become a member of a cluster, with a snapshot to begin from or without."""
-        identity = DiskIdentity(replica=empty.replica, cluster=cluster)
+        """Become a member of a cluster, starting from `snapshot` if there is one."""
+        identity = DiskIdentity(replica=empty_identity.replica, cluster=cluster)
         term = FOUNDING_TERM if snapshot else 0
         error = await self.store.begin_member(identity=identity, snapshot=snapshot, term=term)
         if error is None:
@@ -284,24 +288,24 @@
         return error
 
     def reread(self, *, settings: dict[str, Any]) -> None:
-        """Apply the settings that may change while a core runs: its seeds."""
+        """Apply the settings that may change while a core runs: the seeds."""
         self.seeds = list(settings["seeds"])
         self.settings = self.settings | {"seeds": self.seeds}
 
-    def meet(self, *, contact: EdgeContact) -> None:
-        """Remember the contact of an edge."""
-        self._edge_contacts.note(contact=contact)
+    def add_edge_contact(self, *, contact: EdgeContact) -> None:
+        """Record the contact of an edge."""
+        self._edge_contacts.record(contact=contact)
 
-    def some_peers(self) -> list[EdgeContact]:
-        """Contacts that help an edge to find the others."""
+    def sample_edge_contacts(self) -> list[EdgeContact]:
+        """Contacts through which an edge can find the others."""
         return self._edge_contacts.sample()
 
     def core_addresses(self) -> list[str]:
-        """Addresses of all members; none before this core is one."""
+        """Addresses of all members of the cluster; empty while no replica runs."""
         return [member.address for member in self.task.raft.members.current] if self.task else []
 
     async def stop(self) -> None:
-        """Planned stop: leave the cluster gracefully if time allows, then close."""
+        """Stop as planned: leave the cluster gracefully if time allows, then close."""
         self.is_stopping = True
         task = self.task
         if task is not None:
@@ -309,7 +313,7 @@
                 task=task,
                 transport=self.transport,
                 clock=self.ports.clock,
-                limit_us=int(self.bounds.grace_us * LEAVE_SHARE),
+                limit_us=int(self.bounds.grace_us * LEAVE_FRACTION),
             )
             outcome = await leaving.run()
             self.journal.add(
--- a/kelpstage/core/bootstrap.py
+++ b/kelpstage/core/bootstrap.py
@@ -1,15 +1,15 @@
-"""Founding and joining: how an empty core comes to belong to a cluster.
-
-A cluster is founded only when all seeds answer, all are empty, and most of them are
-in the first start of the whole system; of these, the one with the least name founds,
-on its own disk. The others learn of it by asking, as any empty core does, so no
-message that founds can arrive late.
-
-At any later start an empty core only joins: it may have lost its disk, and the seeds
-in its settings may be empty too, while the cluster is elsewhere. Most seeds in their
-first start prove that nothing was ever acknowledged: every cluster that was founded
-from these seeds needs most of them to commit anything. A seed that was restarted
-before the founding, and so may not found, thus stops nobody.
+"""Bootstrap: how an empty core founds a cluster or joins one.
+
+A cluster is founded only if all seeds answer, all are empty, and most of them are in the
+first start of the whole system. Of these, the one with the lowest replica name founds the
+cluster, on its own disk. The others learn of it by probing the seeds, as any empty core
+does, so there is no founding message that could arrive late.
+
+At any later start an empty core only joins: it may have lost its disk, and the seeds in its
+settings may be empty too while the cluster runs on other machines. If most seeds are in
+their first start, nothing was ever acknowledged: a cluster founded from these seeds needs
+most of them to commit an entry. A seed that was restarted before the founding, and that may
+therefore not found a cluster, does not block the others.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WaitForSeeds:
-    """Nothing can be done yet, for this reason."""
+    """Neither founding nor joining is possible yet, for this reason."""
 
     why: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class JoinCluster:
-    """Join this cluster; `members` are its founders if this core is one of them."""
+    """Join this cluster; `members` are its founding members if this core is one of them."""
 
     cluster: str
     members: list[CoreMember]
@@ -50,7 +50,7 @@
 def decide_bootstrap(
     *, me: str, own: str, seeds: list[str], states: list[SeedState | KelpstageError]
 ) -> WaitForSeeds | JoinCluster | FoundCluster:
-    """What an empty core does next, from the states of the seeds that answer.
+    """The next bootstrap step of an empty core, from the states of the seeds that answer.
 
     >>> state = lambda r, a: SeedState(replica=r, address=a, is_empty=True)
     >>> three = [state("x", "1"), state("y", "2"), state("z", "3")]
@@ -92,7 +92,7 @@
 
 
 def founding_snapshot(*, cluster: str, members: list[CoreMember]) -> DiskSnapshot:
-    """The snapshot that every founding replica begins with.
+    """The snapshot that every founding replica starts from.
 
     >>> founding_snapshot(cluster="c", members=[]).index
     1
--- a/kelpstage/core/chunk_server.py
+++ b/kelpstage/core/chunk_server.py
@@ -11,8 +11,8 @@
 
 
 class ChunkServer:
-    """Two sources of chunks. What is newer replaces what is served, except for a peer that
-    has begun to fetch the older one."""
+    """Chunk sources for snapshots and for states. A newer value replaces the older one, which
+    stays available to a peer that has begun to fetch it."""
 
     def __init__(self, *, clock: Clock, cluster: str) -> None:
         self._clock = clock
@@ -21,7 +21,7 @@
         self._states = ChunkSource()
 
     def publish_snapshot(self, *, snapshot: DiskSnapshot) -> None:
-        """Serve this snapshot. Its index is the base of the log, which offers name."""
+        """Serve this snapshot. Its index is the base of the log, which leaders offer."""
         self.snapshots.publish(
             mark=snapshot.index,
             mark_term=snapshot.term,
@@ -41,7 +41,7 @@
         )
 
     def state_chunk(self, *, request: FetchState, machine: Machine) -> Chunk:
-        """A chunk of the newest applied state, or of the one that the edge has begun."""
+        """A chunk of the newest applied state, or of the one that the edge has begun to fetch."""
         now_us = self._clock.now_us()
         epoch = machine.state.epoch
         if self._states.mark != epoch:
--- a/kelpstage/core/cluster_recovery.py
+++ b/kelpstage/core/cluster_recovery.py
@@ -1,7 +1,7 @@
 """Recovery after the loss of a majority of cores: a new cluster from one survivor.
 
-Explicit, loud, and refused where it could lose what was acknowledged or leave two
-clusters that both believe in themselves. See docs/notes/recovery.md.
+Started explicitly by an operator. Refused where it could lose an acknowledged write or leave
+two clusters that both consider themselves valid. See docs/notes/recovery.md.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 from kelpstage.core.store.recovery import Recovered
 from kelpstage.core.store.store import Store
 
-ASK_US = 1_500_000
+QUERY_TIMEOUT_US = 1_500_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class RecoveredCluster:
-    """What the new cluster begins with."""
+    """The initial state of the new cluster; `was` is the name of the old one."""
 
     cluster: str
     was: str
@@ -51,19 +51,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EdgeEpoch:
-    """The epoch that an edge has installed, and the address at which it answered."""
+    """The epoch that an edge has installed, and the address from which it replied."""
 
     edge: str
     epoch: int
     address: str
 
 
-def newest_state(*, recovered: Recovered) -> CoreState:
+def replay_log(*, recovered: Recovered) -> CoreState:
     """The state with every entry in the survivor's log applied, committed or not.
 
-    An entry that was acknowledged is committed, but the survivor may not have
-    been notified. One that was never acknowledged may come into force by this; its
-    operator was told `unresolved`, never that it was refused.
+    An acknowledged entry is committed, but the survivor may not have been notified of the
+    commit. An entry that was never acknowledged may take effect this way: its operator
+    received `unresolved`, never a rejection.
     """
     state = CoreState(cluster=recovered.identity.cluster)
     if recovered.snapshot is not None:
@@ -75,10 +75,10 @@
     return machine.state
 
 
-def members_of(*, recovered: Recovered) -> list[CoreMember]:
-    """The newest members that the survivor knows of.
+def latest_members(*, recovered: Recovered) -> list[CoreMember]:
+    """The newest members of the cluster that the survivor knows.
 
-    >>> members_of(recovered=Recovered(identity=DiskIdentity(replica="r")))
+    >>> latest_members(recovered=Recovered(identity=DiskIdentity(replica="r")))
     []
     """
     members = list(recovered.snapshot.members) if recovered.snapshot else []
@@ -91,11 +91,12 @@
 async def recover_cluster(
     *, ports: Ports, own: str, http: str, edges: list[str]
 ) -> RecoveredCluster | KelpstageError:
-    """Make the survivor in this data folder the one voter of a new cluster.
+    """Make the survivor in this data folder the only voter of a new cluster.
 
-    `edges` are own-line addresses. More than half of the voting members must answer that they
-    may confirm their epoch: those that lack an acknowledged one and may are at most half of
-    them, so the newest epoch known to that many is at least the newest that was acknowledged.
+    `edges` are the edges' addresses for messages between processes. More than half of the
+    voting members must reply that they may confirm their epoch. At most half of the voting
+    members lack an acknowledged epoch and still may confirm theirs, so the newest epoch that
+    more than half report is at least the newest acknowledged one.
     """
     store = Store(ports=ports)
     identity = await store.read_identity()
@@ -130,18 +131,22 @@
     http: str,
     edges: list[str],
 ) -> RecoveredCluster | KelpstageError:
-    members = members_of(recovered=recovered)
-    alive = await _alive_cores(transport=transport, members=members, own=own)
-    if alive:
-        return RecoveryRefusedError(why=f"cores answer at {', '.join(alive)}: stop or use those")
-    state = newest_state(recovered=recovered)
-    answers = await _ask_edges(transport=transport, edges=edges, cluster=recovered.identity.cluster)
-    missing = _why_too_few(answers=answers, state=state)
+    members = latest_members(recovered=recovered)
+    reachable = await _reachable_cores(transport=transport, members=members, own=own)
+    if reachable:
+        return RecoveryRefusedError(
+            why=f"cores answer at {', '.join(reachable)}: stop them or use them"
+        )
+    state = replay_log(recovered=recovered)
+    answers = await _query_edges(
+        transport=transport, edges=edges, cluster=recovered.identity.cluster
+    )
+    missing = _missing_majority(answers=answers, state=state)
     if missing:
         return RecoveryRefusedError(
-            why=f"{missing}, to be sure of the newest configuration that was acknowledged"
+            why=f"{missing} to determine the newest acknowledged configuration"
         )
-    source = await _adopt_newest(
+    source = await _adopt_newest_state(
         transport=transport, clock=ports.clock, state=state, answers=answers
     )
     if isinstance(source, KelpstageError):
@@ -157,13 +162,13 @@
     )
 
 
-def _why_too_few(*, answers: list[EdgeEpoch], state: CoreState) -> str:
-    """Why so many answers are not enough; empty if they are.
+def _missing_majority(*, answers: list[EdgeEpoch], state: CoreState) -> str:
+    """The reason why too few voting members answered; empty if a majority did.
 
     >>> state = CoreState(membership=["a", "b", "c"], observers=["b", "c"])
-    >>> _why_too_few(answers=[EdgeEpoch(edge="a", epoch=1, address="a:1")], state=state)
+    >>> _missing_majority(answers=[EdgeEpoch(edge="a", epoch=1, address="a:1")], state=state)
     ''
-    >>> _why_too_few(answers=[EdgeEpoch(edge="b", epoch=1, address="b:1")], state=state)
+    >>> _missing_majority(answers=[EdgeEpoch(edge="b", epoch=1, address="b:1")], state=state)
     '0 of 1 edges of the membership answer; most are needed'
     """
     voters = edge_membership(state=state).voters
@@ -173,35 +178,42 @@
     return f"{count} of {len(voters)} edges of the membership answer; most are needed"
 
 
-async def _adopt_newest(
+async def _adopt_newest_state(
     *, transport: Transport, clock: Clock, state: CoreState, answers: list[EdgeEpoch]
 ) -> str | KelpstageError:
-    """Adopt the newest state that an edge has, if it is newer; where the state is from."""
+    """Adopt the newest state of an edge if it is newer; return the state's source."""
     epoch, address = max(((answer.epoch, answer.address) for answer in answers), default=(0, ""))
     if epoch <= state.epoch:
         return "this folder"
     doc = await _fetch_state(transport=transport, clock=clock, address=address, epoch=epoch)
     if doc is None:
         return RecoveryRefusedError(
-            why=f"the edge at {address} has epoch {epoch} but did not give it"
+            why=f"the edge at {address} has epoch {epoch} but did not return it"
         )
     adopt(state=state, doc=doc)
-    missing = _why_too_few(answers=answers, state=state)  # of the newest membership
+    missing = _missing_majority(answers=answers, state=state)  # by the adopted membership
     return RecoveryRefusedError(why=missing) if missing else f"the edge at {address}"
 
 
-async def _alive_cores(*, transport: Transport, members: list[CoreMember], own: str) -> list[str]:
+async def _reachable_cores(
+    *, transport: Transport, members: list[CoreMember], own: str
+) -> list[str]:
     addresses = sorted({m.address for m in members} | {own})
     replies = await asyncio.gather(
-        *(transport.call(address=a, message=SeedProbe(), wait_us=ASK_US) for a in addresses)
+        *(
+            transport.call(address=a, message=SeedProbe(), wait_us=QUERY_TIMEOUT_US)
+            for a in addresses
+        )
     )
     return [a for a, reply in zip(addresses, replies, strict=True) if isinstance(reply, SeedState)]
 
 
-async def _ask_edges(*, transport: Transport, edges: list[str], cluster: str) -> list[EdgeEpoch]:
+async def _query_edges(*, transport: Transport, edges: list[str], cluster: str) -> list[EdgeEpoch]:
     replies = await asyncio.gather(
         *(
-            transport.call(address=a, message=ConfirmEpoch(cluster=cluster), wait_us=ASK_US)
+            transport.call(
+                address=a, message=ConfirmEpoch(cluster=cluster), wait_us=QUERY_TIMEOUT_US
+            )
             for a in edges
         )
     )
--- a/kelpstage/core/context.py
+++ b/kelpstage/core/context.py
@@ -1,6 +1,6 @@
-"""What message handlers and the operators' interface need of a core.
+"""Protocols: what message handlers and the operators' interface need from a core.
 
-They depend on these protocols; `app.Core` satisfies both and is known to neither.
+`app.Core` implements both; its users depend on the protocols only.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class OperatorContext(Protocol):
-    """What answers to operators are made of.
+    """What the operators' interface needs from a core.
 
-    `task` and `lease_service` are there while the replica runs, `identity` as soon as it
-    was read from the disk; `waits_for` says what a core that is not up yet waits for.
+    `task` and `lease_service` are set while a replica runs, `identity` once it has been read
+    from the disk. `waits_for` states what a core without a running replica waits for.
     """
 
     ports: Ports
@@ -38,16 +38,16 @@
 
 
 class MessageContext(OperatorContext, Protocol):
-    """What the handlers of messages between processes need besides."""
+    """What the handlers of messages between processes need in addition."""
 
     def seed_state(self) -> SeedState:
-        """What this core reports of itself to one that looks for a cluster."""
+        """The state that this core reports to a core that is bootstrapping."""
 
-    def meet(self, *, contact: EdgeContact) -> None:
-        """Remember the contact of an edge."""
+    def add_edge_contact(self, *, contact: EdgeContact) -> None:
+        """Record the contact of an edge."""
 
-    def some_peers(self) -> list[EdgeContact]:
-        """Contacts that help an edge to find the others."""
+    def sample_edge_contacts(self) -> list[EdgeContact]:
+        """Contacts through which an edge can find the others."""
 
     def core_addresses(self) -> list[str]:
         """Addresses of all members of the cluster."""
--- a/kelpstage/core/events.py
+++ b/kelpstage/core/events.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Started(Event):
-    """The daemon runs, under this replica name."""
+    """A replica was started, under this name."""
 
     replica: str
 
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MembersChanged(Event):
-    """The cluster has other members: their addresses."""
+    """The members of the cluster changed: their addresses."""
 
     members: list[str]
 
 
 @dataclass(frozen=True, kw_only=True)
 class MarginNoted(Event):
-    """How many voters the leader can lose from now on with a majority left."""
+    """How many more voters the cluster can lose while a majority remains."""
 
     losses_borne: int
     losses_wanted: int
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LeaveEnded(Event):
-    """A planned stop has ended: how far the others had let this core leave."""
+    """A planned stop has ended: the final state of this core's removal."""
 
     state: str
     losses_borne: int
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EpochSettled(Event):
-    """No edge can serve an older epoch any more, `after_us` after its proposal."""
+    """No edge can serve an older epoch any longer, `after_us` after the proposal."""
 
     epoch: int
     after_us: int
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SnapshotFetchFailed(Event):
-    """A transfer of a snapshot failed; the next begins at the earliest after this."""
+    """A snapshot transfer failed; the next starts after `again_after_us` at the earliest."""
 
     index: int
     again_after_us: int
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SetAside(Event):
-    """A damaged replica was set aside; this core comes back under a new name."""
+    """A damaged replica was discarded; this core restarts under a new replica name."""
 
     path: str
     why: str
--- a/kelpstage/core/forwarding.py
+++ b/kelpstage/core/forwarding.py
@@ -35,7 +35,7 @@
 
 
 def unpack_body(*, message: Forwarded) -> Forwarded | None:
-    """The reverse of `pack_body`; None if the bytes are damaged.
+    """The message with its body decompressed; None if the bytes are damaged.
 
     >>> unpack_body(message=ForwardOperatorCallReply(packed=b"junk")) is None
     True
@@ -49,7 +49,7 @@
 async def forward_to_leader(
     *, core: OperatorContext, request: ForwardOperatorCall
 ) -> ForwardOperatorCallReply | KelpstageError:
-    """Forward an operator's call to the leader, on the lane for bulk.
+    """Forward an operator's call to the leader, on the bulk channel.
 
     The caller has checked that a leader is known.
     """
@@ -57,7 +57,7 @@
     reply: ForwardOperatorCallReply | KelpstageError = await core.transport.call(
         address=address,
         message=pack_body(message=request),
-        wait_us=request.wait_us * 19 // 20,  # so that the caller learns of a silent leader
+        wait_us=request.wait_us * 19 // 20,  # leaves time to report an unresponsive leader
         channel=frames.BULK,
     )
     if not isinstance(reply, ForwardOperatorCallReply):
--- a/kelpstage/core/graceful_leave.py
+++ b/kelpstage/core/graceful_leave.py
@@ -1,9 +1,9 @@
-"""A planned stop: how a core leaves its cluster gracefully.
+"""How a core leaves its cluster gracefully before a planned stop.
 
-Invariant: a member that is to stop goes when its removal is committed; or, if nobody
-can replace it, when enough others hold all that it has ever acknowledged, and it has
-stopped acknowledging by then. It waits no longer than its limit; what was still missing
-at the end is logged.
+Invariant: a stopping member exits once its removal is committed. If no other core can
+replace it, it exits once it has stopped acknowledging entries and enough other members
+hold every entry that it has acknowledged. It waits no longer than its limit, and logs
+the state of the removal if that was not granted by then.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from kelpstage.core.replica_task import ReplicaTask
 
 REQUEST_INTERVAL_US = 100_000
-ANSWER_US = 300_000
-NO_LEADER_US = 2_000_000  # longer than an election takes
+REPLY_TIMEOUT_US = 300_000
+NO_LEADER_TIMEOUT_US = 2_000_000  # longer than an election takes
 log = logger(name="core")
 
 
 @dataclass(frozen=True, kw_only=True)
 class LeaveOutcome:
-    """How it ended, and how many losses of voters the others tolerate from now on."""
+    """The final state of the removal, and how many losses the other voters tolerate."""
 
     state: LeaveState
     losses_borne: int = 0
@@ -34,7 +34,7 @@
 
 
 class Leaving:
-    """Asks the leader for the removal of this core until that is granted."""
+    """Requests the removal of this core from the leader until it is granted."""
 
     def __init__(
         self, *, task: ReplicaTask, transport: Transport, clock: Clock, limit_us: int
@@ -43,16 +43,16 @@
         self._task = task
         self._transport = transport
         self._clock = clock
-        self._until_us = clock.now_us() + limit_us
-        self._answered_us = clock.now_us()
+        self._deadline_us = clock.now_us() + limit_us
+        self._last_reply_us = clock.now_us()
 
     async def run(self) -> LeaveOutcome:
-        """Leave, within the limit."""
-        if not self._others():
+        """Leave the cluster within the time limit."""
+        if not self._other_addresses():
             return LeaveOutcome(state=LeaveState.COPIED)
         outcome = await self._request_until_granted()
         if outcome.state == LeaveState.COPIED:
-            # Nothing that is acknowledged from here on counts on this core's disk.
+            # No entry that is acknowledged from here on relies on this core's disk.
             self._task.stop()
             outcome = await self._request_until_granted()
         self._log_outcome(outcome=outcome)
@@ -72,16 +72,16 @@
 
     def _is_time_left(self) -> bool:
         now_us = self._clock.now_us()
-        return now_us < self._until_us and now_us - self._answered_us < NO_LEADER_US
+        return now_us < self._deadline_us and now_us - self._last_reply_us < NO_LEADER_TIMEOUT_US
 
     async def _request(self) -> LeaveOutcome | None:
-        """The answer of the leader; None if none answers."""
+        """Request the removal and return the leader's answer; None without one."""
         replies = await self._call(addresses=self._known_leader())
         if not replies:
-            replies = await self._call(addresses=self._others())
+            replies = await self._call(addresses=self._other_addresses())
         if not replies:
             return None
-        self._answered_us = self._clock.now_us()
+        self._last_reply_us = self._clock.now_us()
         return LeaveOutcome(
             state=LeaveState(replies[0].state),
             losses_borne=replies[0].losses_borne,
@@ -89,7 +89,7 @@
         )
 
     async def _call(self, *, addresses: list[str]) -> list[LeaveCoreReply]:
-        """Answers of those that lead, in a term that is not over for this core."""
+        """Replies of leaders; none if this core's term changed during the call."""
         raft = self._task.raft
         asked_term = raft.term
         request = LeaveCore(
@@ -99,7 +99,7 @@
             last_index=raft.log.last_index,
         )
         calls = [
-            self._transport.call(address=address, message=request, wait_us=ANSWER_US)
+            self._transport.call(address=address, message=request, wait_us=REPLY_TIMEOUT_US)
             for address in addresses
         ]
         replies = await asyncio.gather(*calls)
@@ -113,15 +113,17 @@
 
     def _known_leader(self) -> list[str]:
         address = self._task.leader_address
-        return [address] if address in self._others() else []
+        return [address] if address in self._other_addresses() else []
 
-    def _others(self) -> list[str]:
+    def _other_addresses(self) -> list[str]:
         members = self._task.raft.members.others(replica=self._task.me)
         return sorted({member.address for member in members})
 
     def _log_outcome(self, *, outcome: LeaveOutcome) -> None:
         if outcome.state not in (LeaveState.REPLACED, LeaveState.COPIED):
-            log.error("stops before its removal was granted: {}", outcome.state.name)
+            log.error(
+                "stopping before the removal from the cluster was granted: {}", outcome.state.name
+            )
         if outcome.losses_borne < outcome.losses_wanted:
-            text = "without this core the voters tolerate the loss of {} more, {} are wanted"
+            text = "without this core the voters tolerate {} more losses; {} are required"
             log.warning(text, outcome.losses_borne, outcome.losses_wanted)
--- a/kelpstage/core/handlers.py
+++ b/kelpstage/core/handlers.py
@@ -1,7 +1,7 @@
 """Handlers of the messages that other processes send to a core.
 
-One function a message type; `handle` dispatches by it. A handler returns the reply, None
-where none is due.
+One function for each message type; `handle` dispatches on the type. A handler returns the
+reply, or None for a message that has none.
 """
 
 from __future__ import annotations
@@ -38,18 +38,18 @@
 from kelpstage.core.raft.types import JoinRequested, LeaveRequested, LeaveState
 from kelpstage.core.web.operators import answer_as_leader
 
-FORWARD_WAIT_US = 1_500_000
+FORWARD_TIMEOUT_US = 1_500_000
 
 
 @singledispatch
 async def handle(message: object, core: MessageContext, source: str) -> Any:
-    """Answer a message of another process; one of an unknown type is counted."""
+    """Handle a message from another process; one of an unknown type is only counted."""
     core.counts["line_unexpected_message"] += 1
     return None
 
 
 async def on_raft_message(message: object, core: MessageContext, source: str) -> None:
-    """Queue a Raft message for the replica; without one it is lost, as on a network."""
+    """Queue a Raft message for the replica; without a running replica, drop the message."""
     if core.task is not None:
         core.task.heard(message=message)
 
@@ -67,13 +67,13 @@
 
 @handle.register
 async def on_seed_probe(message: SeedProbe, core: MessageContext, source: str) -> SeedState:
-    """Report what this core is to one that looks for a cluster."""
+    """Report this core's replica and cluster to a core that is bootstrapping."""
     return core.seed_state()
 
 
 @handle.register
 async def on_join_core(message: JoinCore, core: MessageContext, source: str) -> Done:
-    """Queue the request of a core to become a member; a follower forwards it once."""
+    """Queue a core's request to become a member; a follower forwards it once."""
     task = core.task
     if task is None or message.cluster != task.cluster:
         return Done(why="another cluster")
@@ -89,7 +89,7 @@
 
 @handle.register
 async def on_leave_core(message: LeaveCore, core: MessageContext, source: str) -> LeaveCoreReply:
-    """Queue the request of a member to leave, and report how far that is."""
+    """Queue a member's request to leave, and report the progress of its removal."""
     task = core.task
     if task is None or message.cluster != task.cluster or not task.is_leader:
         return LeaveCoreReply(state=LeaveState.NOT_LEADER)
@@ -109,7 +109,7 @@
     """Send a chunk of the newest snapshot."""
     if core.task is None:
         return Chunk(is_found=False)
-    return core.task.snapshot_chunk(ask=message)
+    return core.task.snapshot_chunk(request=message)
 
 
 @handle.register
@@ -124,11 +124,11 @@
 async def on_register_edge(
     message: RegisterEdge, core: MessageContext, source: str
 ) -> RegisterEdgeReply:
-    """Remember an edge, and tell it of other edges and of the cores."""
-    core.meet(contact=message.contact)
+    """Record the contact of an edge, and return contacts of other edges and the cores."""
+    core.add_edge_contact(contact=message.contact)
     return RegisterEdgeReply(
         cluster=core.identity.cluster if core.identity else "",
-        peers=core.some_peers(),
+        peers=core.sample_edge_contacts(),
         cores=core.core_addresses(),
     )
 
@@ -136,10 +136,10 @@
 @handle.register
 async def on_renew(message: Renew, core: MessageContext, source: str) -> LeaseReply:
     """Renew a lease as the leader; a follower forwards the request, at most twice."""
-    core.meet(contact=message.contact)
+    core.add_edge_contact(contact=message.contact)
     task, lease_service = core.task, core.lease_service
     if task is None or lease_service is None:
-        return LeaseReply(why="this core is not up", peers=core.some_peers())
+        return LeaseReply(why="this core is not up", peers=core.sample_edge_contacts())
     if task.is_leader:
         return await lease_service.renew(request=message)
     hint = LeaseReply(
@@ -147,13 +147,13 @@
         why="no leader known",
         leader_address=task.leader_address,
         cores=core.core_addresses(),
-        peers=core.some_peers(),
+        peers=core.sample_edge_contacts(),
     )
     if message.hops >= 2 or not task.leader_address:
         return hint
     message.hops += 1
     reply: LeaseReply | KelpstageError = await core.transport.call(
-        address=task.leader_address, message=message, wait_us=FORWARD_WAIT_US
+        address=task.leader_address, message=message, wait_us=FORWARD_TIMEOUT_US
     )
     if isinstance(reply, KelpstageError):
         hint.why = f"leader not reached: {reply.kind}"
@@ -169,5 +169,5 @@
     request = unpack_body(message=message)
     if request is None:
         core.counts["line_unreadable_body"] += 1
-        return None  # the caller takes no answer for a silent leader
+        return None  # no reply: the sender treats this leader as unreachable
     return pack_body(message=await answer_as_leader(core=core, request=request))
--- a/kelpstage/core/main.py
+++ b/kelpstage/core/main.py
@@ -16,18 +16,18 @@
 @app.command()
 def main(
     settings: Optional[str] = typer.Option(
-        None, "--settings", "--env", help="Settings file (JSON); flags go over it."
+        None, "--settings", "--env", help="Settings file (JSON); flags override it."
     ),
-    own: Optional[str] = typer.Option(None, help="IP:port for the lines between processes."),
+    own: Optional[str] = typer.Option(None, help="IP:port for messages between processes."),
     http: Optional[str] = typer.Option(None, help="IP:port for operators' HTTP."),
     zone: Optional[str] = typer.Option(
         None, "--zone", "--domain", help="The zone of this machine."
     ),
     seed: Optional[List[str]] = typer.Option(
-        None, help="IP:port of a core; give it three times. Founding needs all three."
+        None, help="IP:port of a seed core; give three. Founding a cluster needs all three."
     ),
     metrics: Optional[str] = typer.Option(
-        None, help="IP:port for metrics alone, beside /metrics at --http."
+        None, help="IP:port that serves only metrics, in addition to /metrics at --http."
     ),
     data: Optional[str] = typer.Option(None, help="Folder for the log, snapshots and identity."),
 ) -> None:
--- a/kelpstage/core/membership_requests.py
+++ b/kelpstage/core/membership_requests.py
@@ -1,6 +1,6 @@
-"""Asks for membership of the cluster while this replica has none, or has no leader.
+"""Requests membership of the cluster while this replica is no member or has no leader.
 
-A core whose address has changed asks as well, so that the members learn the new one.
+A core whose address has changed sends requests too, so that members learn the new address.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from kelpstage.common.transport.messages import CoreMember, JoinCore
 from kelpstage.core.replica_task import ReplicaTask
 
-REJOIN_US = 1_000_000
-JOIN_US = 250_000  # between two requests of a core that is not a member
+REJOIN_INTERVAL_US = 1_000_000  # between two requests of a member
+JOIN_INTERVAL_US = 250_000  # between two requests of a core that is not a member
 
 
 class JoiningCore(Protocol):
-    """What the requests need of a core."""
+    """What the requests need from a core."""
 
     ports: Ports
     transport: Transport
@@ -28,12 +28,12 @@
     is_stopping: bool
 
 
-async def keep_membership(*, core: JoiningCore) -> None:
-    """Ask again and again, as long as it is needed; runs until it is cancelled."""
+async def send_join_requests(*, core: JoiningCore) -> None:
+    """Send requests whenever one is needed, until the task is cancelled."""
     while True:
         task = core.task
         is_member = task is not None and task.raft.members.has(replica=task.me)
-        await core.ports.clock.sleep(us=REJOIN_US if is_member else JOIN_US)
+        await core.ports.clock.sleep(us=REJOIN_INTERVAL_US if is_member else JOIN_INTERVAL_US)
         task = core.task
         if task is None or core.is_stopping:
             continue
--- a/kelpstage/core/outgoing_messages.py
+++ b/kelpstage/core/outgoing_messages.py
@@ -16,7 +16,7 @@
 
 
 class OutgoingMessages:
-    """Sends messages in order of their writes. `Send.after` is the number of a write."""
+    """Sends messages in the order of their writes; `Send.after` is the number of a write."""
 
     def __init__(self, *, ports: Ports, transport: Transport) -> None:
         self._ports = ports
@@ -32,7 +32,7 @@
         self._dispatch(send)
 
     def release(self, *, synced: int) -> None:
-        """Send what waited for the writes up to this number."""
+        """Send the messages that depend on writes up to this number."""
         self._synced = max(self._synced, synced)
         while self._held and self._held[0].after <= self._synced:
             self._dispatch(self._held.popleft())
--- a/kelpstage/core/pending_proposals.py
+++ b/kelpstage/core/pending_proposals.py
@@ -1,4 +1,4 @@
-"""Proposals of this replica whose entries are in its log and not applied yet."""
+"""Proposals of this replica whose entries are in its log and not yet applied."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
         self._waiters = waiters
 
     def add(self, *, index: int, token: int, term: int) -> None:
-        """Note that the proposal of `token` became the entry of this index and term."""
+        """Record that the proposal of `token` is the entry with this index and term."""
         self[index] = Proposal(token, term)
 
     def settle(self, *, entry: LogEntry, outcome: object) -> None:
-        """Give the outcome of an applied entry to the waiter of its proposal, if any."""
+        """Pass the outcome of an applied entry to the waiter of its proposal, if any."""
         proposal = self.pop(entry.index, None)
         if proposal is None:
             return
@@ -42,10 +42,10 @@
             outcome = WriteUnresolvedError(put_id="", why=LEADERSHIP_LOST)
         self._waiters.settle(token=proposal.token, outcome=outcome)
 
-    def lose(self, *, start: int) -> None:
-        """Settle the proposals from index `start` on, whose entries left the log.
+    def fail_from(self, *, start: int) -> None:
+        """Settle as unresolved the proposals from index `start` on: their entries left the log.
 
-        Another replica may still hold such an entry and commit it: this is no refusal.
+        This is not a rejection, since another replica may still hold an entry and commit it.
         """
         for index in [index for index in self if index >= start]:
             proposal = self.pop(index)
--- a/kelpstage/core/replica_task.py
+++ b/kelpstage/core/replica_task.py
@@ -1,7 +1,7 @@
 """The replica's task: feeds events to Raft and performs the effects that it returns.
 
-The asynchronous shell around the sans-I/O replica. Events come through one queue; effects
-become messages, disk writes, applied commands and settled waiters.
+The asynchronous shell around the sans-I/O replica. Events arrive in one queue; effects
+become messages, disk writes, applied commands and outcomes for waiters.
 """
 
 from __future__ import annotations
@@ -51,11 +51,11 @@
 
 
 class ReplicaTask:
-    """One replica with its disk and its state machine.
+    """Runs one replica with its disk and its state machine.
 
-    Owner of the replica, the state machine and the index up to which it has applied.
+    Owns the replica, the state machine and the index up to which it has applied the log.
     `on_applied` is called after each applied command, `on_role` with each new Raft role,
-    `on_error` once when the disk fails, after which the replica is to be stopped.
+    and `on_error` once when the disk fails; the replica must then be stopped.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
             log=recovered.log,
             voters=voters,
         )
-        self.snapshot_us = ports.clock.now_us()  # when the newest was written, or the start
+        self.snapshot_us = ports.clock.now_us()  # of the last snapshot written, or of the start
         self.disk = DiskTask(
             store=store,
             now_us=ports.clock.now_us,
@@ -135,26 +135,26 @@
         ]
 
     def stop(self) -> None:
-        """End the tasks; nothing is answered any more."""
+        """Cancel the tasks; pending proposals and reads end with their timeouts."""
         for task in self._tasks:
             task.cancel()
 
     @property
     def snapshots(self) -> ChunkSource:
-        """The snapshot that members are offered."""
+        """The source of the newest snapshot, which is offered to members."""
         return self._chunks.snapshots
 
-    def snapshot_chunk(self, *, ask: FetchSnapshot) -> Chunk:
+    def snapshot_chunk(self, *, request: FetchSnapshot) -> Chunk:
         """A chunk of the newest snapshot, or of the one that the peer has begun to fetch."""
-        return self._chunks.snapshot_chunk(request=ask)
+        return self._chunks.snapshot_chunk(request=request)
 
     def state_chunk(self, *, request: FetchState) -> Chunk:
-        """A chunk of the newest applied state, or of the one that the edge has begun."""
+        """A chunk of the newest applied state, or of the one that the edge has begun to fetch."""
         return self._chunks.state_chunk(request=request, machine=self.machine)
 
     @property
     def is_leader(self) -> bool:
-        """Is this replica the leader, as far as it knows?"""
+        """True if this replica is the leader as far as it knows."""
         return self.raft.role == raft.LEADER
 
     @property
@@ -167,14 +167,14 @@
         return self.raft.members.address(replica=self.raft.leader) or self.raft.leader_address
 
     def snapshot_now(self) -> None:
-        """Write a snapshot of the applied state, unless one is being written."""
+        """Write a snapshot of the applied state, unless a write is pending or nothing is new."""
         self._snapshot_writer.take(machine=self.machine, applied=self.applied)
 
     async def propose(self, *, data: bytes, put_id: str, wait_us: int) -> Any:
         """Propose a command and return its outcome once it is committed and applied.
 
-        `WriteUnresolvedError` after `wait_us` microseconds, or if leadership is lost: it may
-        still be committed. `NoLeaderError` if it was never in the log.
+        Returns `WriteUnresolvedError` after `wait_us` microseconds or if leadership is lost: the
+        command may still be committed. Returns `NoLeaderError` if it was never in the log.
         """
         token, future = self.waiters.open()
         self.inbox.put_nowait(raft.Propose(kind=raft.COMMAND, data=data, token=token))
@@ -185,10 +185,10 @@
         return WriteUnresolvedError(put_id=put_id, why="not confirmed by a majority in time")
 
     async def confirm(self, *, wait_us: int) -> NoLeaderError | None:
-        """Confirm that this is the leader now and has applied all that was acknowledged.
+        """Confirm that this is the leader now and has applied every acknowledged entry.
 
-        The read index of the Raft thesis, section 6.4. None if confirmed; `NoLeaderError` if
-        not, or not within `wait_us` microseconds.
+        Uses the read index of the Raft thesis, section 6.4. Returns None if confirmed, and
+        `NoLeaderError` if not, or not within `wait_us` microseconds.
         """
         token, future = self.waiters.open()
         self.inbox.put_nowait(raft.ReadIndex(token=token))
@@ -199,7 +199,7 @@
         return outcome or NoLeaderError(why="no majority of cores confirmed the leader in time")
 
     def heard(self, *, message: Any) -> None:
-        """Queue a Raft message for the replica."""
+        """Queue a received Raft message for the replica."""
         self.inbox.put_nowait(raft.Received(message=message))
 
     async def _tick(self) -> None:
@@ -235,7 +235,7 @@
     @_perform.register
     def _perform_persist(self, effect: raft.Persist) -> None:
         if effect.cut_from is not None:
-            self._proposals.lose(start=effect.cut_from)
+            self._proposals.fail_from(start=effect.cut_from)
         self._snapshot_writer.add_entries(entries=effect.entries)
         self.disk.inbox.put_nowait(effect)
 
@@ -278,7 +278,7 @@
     @_perform.register
     def _perform_margin_changed(self, effect: raft.MarginChanged) -> None:
         if effect.losses_borne < effect.losses_wanted:
-            text = "the reachable voters tolerate the loss of {} more, {} are wanted"
+            text = "the reachable voters tolerate {} more losses; {} are required"
             log.warning(text, max(0, effect.losses_borne), effect.losses_wanted)
         self._journal.add(
             MarginNoted(losses_borne=effect.losses_borne, losses_wanted=effect.losses_wanted)
@@ -290,10 +290,10 @@
 
     @_perform.register
     def _perform_fetch_offered(self, effect: raft.FetchOffered) -> None:
-        self._fetcher.offered(offer=effect)
+        self._fetcher.on_offer(offer=effect)
 
     def _on_snapshot_fetched(self, offer: raft.FetchOffered, snapshot: DiskSnapshot) -> None:
-        """Install a fetched snapshot, if it is still ahead of what is committed here."""
+        """Install a fetched snapshot, unless this replica has committed up to its index."""
         if snapshot.index <= self.raft.commit_index:
             return
         self._fetched = snapshot
@@ -313,8 +313,8 @@
     def _perform_save_snapshot(self, effect: raft.SaveSnapshot) -> None:
         snapshot = self._fetched
         if snapshot is None:
-            raise RuntimeError("a snapshot is installed that was not fetched")
-        self._proposals.lose(start=0)
+            raise RuntimeError("the snapshot to install has not been fetched")
+        self._proposals.fail_from(start=0)
         self.machine = Machine(cluster=self.cluster, state=CoreState().parse(snapshot.state))
         self.applied = snapshot.index
         self._chunks.publish_snapshot(snapshot=snapshot)
--- a/kelpstage/core/snapshot_writer.py
+++ b/kelpstage/core/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Takes snapshots of the applied state and has them written, one at a time."""
+"""Takes snapshots of the applied state and passes them to the disk task, one at a time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 class SnapshotWriter:
     """Decides when a snapshot is taken, and publishes it once it is on the disk.
 
-    `write` hands a snapshot to the disk task. At most one that was taken here is pending.
+    `write` passes a snapshot to the disk task. At most one snapshot taken here is pending.
     """
 
     def __init__(
@@ -39,15 +39,15 @@
         self._journal = journal
         self._write = write
         self._policy = SnapshotPolicy()
-        self._pending: DiskSnapshot | None = None  # taken here, not on the disk yet
+        self._pending: DiskSnapshot | None = None  # taken here, not yet on the disk
         self._log_bytes = _data_bytes(entries=replica.log.entries)
 
     def add_entries(self, *, entries: list[LogEntry]) -> None:
-        """Count the bytes that the log has grown by."""
+        """Add the bytes of new entries to the size of the log."""
         self._log_bytes += _data_bytes(entries=entries)
 
     def take_if_due(self, *, machine: Machine, applied: int, now_us: int) -> None:
-        """Take a snapshot if the log has grown long; see `SnapshotPolicy`."""
+        """Take a snapshot if `SnapshotPolicy` says that one is due."""
         if self._pending is not None:
             return
         snapshots = self._chunks.snapshots
@@ -83,7 +83,7 @@
         )
 
     def write_installed(self, *, snapshot: DiskSnapshot, effect: raft.SaveSnapshot) -> None:
-        """Write a snapshot that was fetched from the leader and is installed."""
+        """Write a snapshot that was fetched from the leader and installed."""
         self._log_bytes = _data_bytes(entries=effect.tail)
         self._write(
             PersistRequest(
@@ -96,12 +96,12 @@
         )
 
     def on_written(self, *, index: int) -> None:
-        """The log begins behind this snapshot now, so members are offered this one."""
+        """Publish a written snapshot to members: the log now starts right after it."""
         log = self._replica.log
         snapshot = self._pending
         if snapshot is not None and snapshot.index == index:
             self._pending = None
-            if index == log.base_index:  # no fetched one was installed meanwhile
+            if index == log.base_index:  # no fetched snapshot was installed meanwhile
                 self._chunks.publish_snapshot(snapshot=snapshot)
         self._log_bytes = _data_bytes(entries=log.entries)
         self._journal.add(SnapshotKept(index=index))
--- a/kelpstage/core/waiters.py
+++ b/kelpstage/core/waiters.py
@@ -14,18 +14,18 @@
         self._futures: dict[int, asyncio.Future[Any]] = {}
 
     def open(self) -> tuple[int, asyncio.Future[Any]]:
-        """A new token, and the future that its outcome will settle."""
+        """A new token, and the future that receives its outcome."""
         self._next += 1
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self._futures[self._next] = future
         return self._next, future
 
     def settle(self, *, token: int, outcome: Any) -> None:
-        """Set the outcome of a token; without effect if nobody waits for it any more."""
+        """Set the outcome of a token; no effect if the token was dropped."""
         future = self._futures.pop(token, None)
         if future is not None and not future.done():
             future.set_result(outcome)
 
     def drop(self, *, token: int) -> None:
-        """Forget a token whose outcome nobody waits for any more."""
+        """Remove a token whose outcome is no longer awaited."""
         self._futures.pop(token, None)
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -284,7 +284,7 @@
             await cores.sleep(500_000)
             offered = task.raft.log.base_index
             self.assertLess(offered, task.applied)
-            chunk = task.snapshot_chunk(ask=FetchSnapshot(cluster=task.cluster, index=offered))
+            chunk = task.snapshot_chunk(request=FetchSnapshot(cluster=task.cluster, index=offered))
             self.assertEqual((True, offered), (chunk.is_found, chunk.mark))
             cores.world.machines[leader].platter.is_stalled = False
             await cores.wait_for(lambda: task.raft.log.base_index > offered)
@@ -297,9 +297,9 @@
         asked: list[tuple[int, int]] = []
         serve = ReplicaTask.snapshot_chunk
 
-        def note(task: ReplicaTask, *, ask: FetchSnapshot) -> Chunk:
-            asked.append((ask.pinned, ask.offset))
-            return serve(task, ask=ask)
+        def note(task: ReplicaTask, *, request: FetchSnapshot) -> Chunk:
+            asked.append((request.pinned, request.offset))
+            return serve(task, request=request)
 
         async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
@@ -566,7 +566,7 @@
         """Planted: whoever asks for a snapshot hears that there is none."""
         nothing = Chunk(is_found=False)
         with (
-            mock.patch.object(ReplicaTask, "snapshot_chunk", lambda self, ask: nothing),
+            mock.patch.object(ReplicaTask, "snapshot_chunk", lambda self, request: nothing),
             self.assertRaisesRegex(AssertionError, "not caught up|never acknowledged"),
         ):
             self.play_day(seed=1, count=3, tolerance=1)
