--- a/tests/rules_upheld.py
+++ b/tests/rules_upheld.py
@@ -261,7 +261,7 @@
         says="what was acknowledged outlives any closing fault",
         code=f"{CORE}/store/task.py:DiskTask.run",
         test="tests.test_beyond_tolerance.OverlappingLosses"
-        ".test_what_was_acknowledged_is_there_when_all_are_back",
+        ".test_acknowledged_writes_survive_until_all_cores_return",
         planted="tests.test_store_planted_faults",
         days="`closing_power`, `closing_kill`, `closing_wipe`, `closing_dark`, `closing_early`",
     ),
@@ -309,7 +309,7 @@
         source="NEWS-23",
         says="any machine answers a read with the newest, or 503",
         code=f"{CORE}/web/operators.py:_confirm_read",
-        test=f"{CUTS}.Freezes.test_a_core_wakes_with_calls_open",
+        test=f"{CUTS}.CoreFreezes.test_reads_are_current_when_a_core_resumes",
         planted=f"{CUTS}.PlantedFaults.test_reads_without_the_read_index",
         days="`core_halves`, `core_cut`, `race_in_cut`",
     ),
@@ -318,9 +318,9 @@
         source="NEWS-23",
         says="reads are right whatever clocks say, and in halves",
         code=f"{CORE}/raft/reads.py:on_read_index",
-        test="tests.test_beyond_tolerance.Halves"
-        ".test_nothing_older_is_shown_and_nothing_refused_for_good",
-        planted="tests.test_beyond_tolerance.Clocks.test_a_planted_read_from_memory_is_seen",
+        test="tests.test_beyond_tolerance.PartitionIntoHalves"
+        ".test_no_stale_read_and_no_permanent_rejection",
+        planted="tests.test_beyond_tolerance.WrongClocks.test_planted_read_from_memory_is_detected",
         days="`core_halves`",
     ),
     Upheld(
@@ -408,7 +408,7 @@
         source="NEWS-18, NEWS-22, NEWS-23",
         says="a full disk refuses every write: the process stays up and goes on when there is room",
         code=f"{CORE}/app.py:Core._run_replicas",
-        test="tests.test_beyond_tolerance.FullDisks.test_all",
+        test="tests.test_beyond_tolerance.FullDisks.test_all_disks_full",
         planted="tests.test_store.StoreTest.test_full_disk_is_a_typed_error_and_harms_nothing_written",
         days="`disk_full`",
     ),
--- a/tests/test_beyond_tolerance.py
+++ b/tests/test_beyond_tolerance.py
@@ -1,6 +1,6 @@
-"""Days beyond what the core is to bear at once, with no more disks lost than that: the core
-cut into halves, losses that overlap, full disks, clocks that are wrong. Service may rest; what
-was acknowledged is never lost and never shown in an older state."""
+"""More simultaneous faults than the core tolerates, but no more lost disks: partitions into
+halves, overlapping losses, full disks, wrong clocks. Service may stop; no acknowledged write is
+lost, and no read returns an older version."""
 
 from __future__ import annotations
 
@@ -16,13 +16,19 @@
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from kelpstage.testbed.simulation.world import SimClock
-from tests.test_core_cuts import PATIENT_US, Day, Operators, read_from_memory, run_day
+from tests.test_core_cuts import (
+    LONG_CALL_US,
+    Operators,
+    RunResult,
+    read_from_memory,
+    run_with_operators,
+)
 from tests.test_cores import Cores, play
 
 SEEDS = (1, 2, 3)
 CUT_US = 9_000_000
-RECOVERY_US = 12_000_000
-SHAPES = ((3, 1), (6, 2))  # cores, and how many disks may be lost at once
+RECOVERY_LIMIT_US = 12_000_000
+CLUSTER_SIZES = ((3, 1), (6, 2))  # cores, and disks that may be lost at once
 
 
 def halves(*, rand: random.Random, names: list[str]) -> tuple[list[str], list[str]]:
@@ -30,8 +36,8 @@
     return mixed[: len(names) // 2], mixed[len(names) // 2 :]
 
 
-async def cut_into_halves(cores: Cores, operators: Operators, day: Day) -> None:
-    """Twice the core falls into two halves, each time other ones; everybody reaches both."""
+async def partition_into_halves(cores: Cores, operators: Operators, result: RunResult) -> None:
+    """Partition the cores into two random halves, twice; operators reach both halves."""
     rand = random.Random(cores.world.seed)
     for _ in range(2):
         left, right = halves(rand=rand, names=cores.names)
@@ -41,36 +47,38 @@
         cores.world.cuts -= pairs
         cores.world.flush()
         healed_us = cores.world.now_us()
-        count = len(day.history.acknowledged)
+        count = len(result.history.acknowledged)
         await cores.wait_for(
-            lambda count=count: len(day.history.acknowledged) > count + 2, us=RECOVERY_US
+            lambda count=count: len(result.history.acknowledged) > count + 2, us=RECOVERY_LIMIT_US
         )
-        day.acknowledged_after_us.append(cores.world.now_us() - healed_us)
+        result.acknowledged_after_us.append(cores.world.now_us() - healed_us)
 
 
-class Halves(unittest.TestCase):
-    def test_nothing_older_is_shown_and_nothing_refused_for_good(self) -> None:
-        for count, tolerance in SHAPES:
+class PartitionIntoHalves(unittest.TestCase):
+    def test_no_stale_read_and_no_permanent_rejection(self) -> None:
+        for count, tolerance in CLUSTER_SIZES:
             for seed in SEEDS:
                 with self.subTest(count=count, seed=seed):
-                    day = run_day(cut_into_halves, seed=seed, count=count, tolerance=tolerance)
-                    self.assertEqual([], day.history.violations[:5])
-                    self.assertGreater(len(day.history.acknowledged), 20)
-                    self.assertLess(max(day.acknowledged_after_us), 5_000_000)
-
-    def test_a_planted_read_from_memory_is_seen(self) -> None:
+                    result = run_with_operators(
+                        partition_into_halves, seed=seed, count=count, tolerance=tolerance
+                    )
+                    self.assertEqual([], result.history.violations[:5])
+                    self.assertGreater(len(result.history.acknowledged), 20)
+                    self.assertLess(max(result.acknowledged_after_us), 5_000_000)
+
+    def test_planted_read_from_memory_is_detected(self) -> None:
         with mock.patch.object(operators_module, "_answer", read_from_memory):
-            days = [run_day(cut_into_halves, seed=seed) for seed in SEEDS]
-        found = " ".join(one for day in days for one in day.history.violations)
+            results = [run_with_operators(partition_into_halves, seed=seed) for seed in SEEDS]
+        found = " ".join(one for result in results for one in result.history.violations)
         self.assertIn("older than the acknowledged", found)
 
 
-# --- losses that overlap ----------------------------------------------------------------------
+# --- overlapping losses -----------------------------------------------------------------------
 
 
-async def lose_and_return(cores: Cores) -> None:
-    """All cores are away at once for a while, each from a moment of its own; as many disks
-    are lost as may be, the rest lose power. Whatever was acknowledged is read back."""
+async def lose_all_cores(cores: Cores) -> None:
+    """All cores are down at once for a while, each from a random time on. As many disks are
+    lost as tolerated, the other cores lose power. The acknowledged version is read back."""
     rand = random.Random(cores.world.seed)
     await cores.start(is_first=True)
     await cores.wait_for(lambda: len(cores.voters()) == 2 * cores.tolerance + 1)
@@ -89,23 +97,23 @@
         version, body = await cores.read()
         assert (version, body) == (cores.version, cores.document(f"put {cores.serial} "))
         await cores.put()
-        assert cores.world.now_us() - began_us < RECOVERY_US
+        assert cores.world.now_us() - began_us < RECOVERY_LIMIT_US
         voters = 2 * cores.tolerance + 1
         await cores.wait_for(lambda voters=voters: len(cores.voters()) == voters)
 
 
 class OverlappingLosses(unittest.TestCase):
-    def test_what_was_acknowledged_is_there_when_all_are_back(self) -> None:
-        for count, tolerance in SHAPES:
+    def test_acknowledged_writes_survive_until_all_cores_return(self) -> None:
+        for count, tolerance in CLUSTER_SIZES:
             for seed in range(6):
                 with self.subTest(count=count, seed=seed):
-                    play(lose_and_return, seed=seed, count=count, tolerance=tolerance)
+                    play(lose_all_cores, seed=seed, count=count, tolerance=tolerance)
 
 
 # --- full disks -----------------------------------------------------------------------------------
 
 
-def on_cores(scenario: Callable[[Cores], Awaitable[None]]) -> None:
+def run_on_three_cores(scenario: Callable[[Cores], Awaitable[None]]) -> None:
     for seed in SEEDS:
         play(scenario, seed=seed, count=3, tolerance=1)
 
@@ -116,8 +124,8 @@
 
 
 class FullDisks(unittest.TestCase):
-    """A full disk refuses every write: the process lives, refuses changes with a typed error
-    that promises nothing, and goes on by itself once there is room."""
+    """While a disk is full, the process stays up and answers configuration writes with a typed
+    error that leaves their outcome open. It recovers by itself once there is space."""
 
     def check(self, *, of: Callable[[Cores], list[str]], is_put_possible: bool) -> None:
         async def scenario(cores: Cores) -> None:
@@ -129,7 +137,7 @@
             if is_put_possible:
                 await cores.put(tries=80)
             else:
-                await self.refuses(cores)
+                await self.expect_rejections(cores)
             await cores.sleep(6_000_000)
             self.assertEqual(cores.names, cores.up())
             before = cores.version
@@ -137,14 +145,14 @@
             began_us = cores.world.now_us()
             await cores.put(tries=80)
             self.assertGreater(cores.version, before)
-            self.assertLess(cores.world.now_us() - began_us, RECOVERY_US)
+            self.assertLess(cores.world.now_us() - began_us, RECOVERY_LIMIT_US)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             self.assertEqual(cores.version, (await cores.read())[0])
 
-        on_cores(scenario)
+        run_on_three_cores(scenario)
 
-    async def refuses(self, cores: Cores) -> None:
-        """Nobody acknowledges; each answer is a 503 of a kind, or none."""
+    async def expect_rejections(self, cores: Cores) -> None:
+        """No core acknowledges a write; each reply is a 503 of an expected kind."""
         kinds = set()
         for number in range(12):
             reply = await cores.call(
@@ -161,20 +169,20 @@
             self.assertNotIsInstance(reply, KelpstageError)
             kinds.add((reply.status, json.loads(reply.body)["defect"]["kind"]))
         self.assertLessEqual(kinds, {(503, "no_leader"), (503, "unresolved")})
-        # What got no clear answer may be in force; its operator goes on from there.
+        # A write with an unresolved outcome may be in force; the operator continues from it.
         cores.version += 1
 
-    def test_one(self) -> None:
+    def test_one_full_disk(self) -> None:
         self.check(of=lambda cores: [cores.leader()], is_put_possible=True)
 
-    def test_all(self) -> None:
+    def test_all_disks_full(self) -> None:
         async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             await cores.put()
             fill(cores, names=cores.names, is_full=True)
             version = cores.version
-            await self.refuses(cores)
+            await self.expect_rejections(cores)
             cores.version = version
             await cores.sleep(6_000_000)
             self.assertEqual(cores.names, cores.up())
@@ -184,12 +192,12 @@
             self.assertIn(found, (version, version + 1))
             cores.version = found
             await cores.put(tries=80)
-            self.assertLess(cores.world.now_us() - began_us, RECOVERY_US)
+            self.assertLess(cores.world.now_us() - began_us, RECOVERY_LIMIT_US)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
 
-        on_cores(scenario)
+        run_on_three_cores(scenario)
 
-    def test_edges_serve_on_what_they_know(self) -> None:
+    def test_edges_serve_while_all_core_disks_are_full(self) -> None:
         ready: list[int] = []
 
         async def scenario(fleet: SimFleet) -> None:
@@ -208,8 +216,10 @@
 # --- clocks ---------------------------------------------------------------------------------------
 
 
-async def freezes_and_cuts(cores: Cores, operators: Operators, day: Day) -> None:
-    """The leader stands still, then is cut off, twice."""
+async def freeze_and_partition_leaders(
+    cores: Cores, operators: Operators, result: RunResult
+) -> None:
+    """The leader is frozen, then a leader is partitioned, twice."""
     for _ in range(2):
         leader = cores.leader()
         cores.processes[leader].freeze()
@@ -226,11 +236,11 @@
         await cores.sleep(3_000_000)
 
 
-class Clocks(unittest.TestCase):
-    """Reads stay right whatever the clocks say: they rest on a round of confirmations that
-    began after the call, not on a time."""
+class WrongClocks(unittest.TestCase):
+    """Reads stay current whatever the clocks say: they depend on a round of confirmations that
+    began after the request, not on clocks."""
 
-    def play(self, *, rate: dict[str, float], step_us: int) -> Day:
+    def play(self, *, rate: dict[str, float], step_us: int) -> RunResult:
         now_us, wall_us = SimClock.now_us, SimClock.wall_us
 
         def drifting(clock: Any) -> int:
@@ -244,32 +254,32 @@
             mock.patch.object(SimClock, "now_us", drifting),
             mock.patch.object(SimClock, "wall_us", stepped),
         ):
-            return run_day(freezes_and_cuts, seed=5, call_us=PATIENT_US)
+            return run_with_operators(freeze_and_partition_leaders, seed=5, call_us=LONG_CALL_US)
 
-    def test_clocks_that_drift_far_beyond_what_leases_assume(self) -> None:
+    def test_clocks_drifting_beyond_lease_assumptions(self) -> None:
         for rate in (
             {"core/c0": 0.5, "core/c1": 1.0, "core/c2": 1.9},
             {"core/c0": 1.6, "core/c1": 0.7, "core/c2": 1.0},
         ):
             with self.subTest(rate=rate):
-                day = self.play(rate=rate, step_us=0)
-                older = [v for v in day.history.violations if "older" in v]
+                result = self.play(rate=rate, step_us=0)
+                older = [v for v in result.history.violations if "older" in v]
                 self.assertEqual([], older)
-                self.assertGreater(len(day.history.acknowledged), 20)
+                self.assertGreater(len(result.history.acknowledged), 20)
 
-    def test_a_time_of_day_that_is_stepped_back_and_forth(self) -> None:
+    def test_wall_clock_steps(self) -> None:
         for step_us in (-3_600_000_000, 86_400_000_000):
             with self.subTest(step_us=step_us):
-                day = self.play(rate={}, step_us=step_us)
-                self.assertEqual([], day.history.violations[:5])
+                result = self.play(rate={}, step_us=step_us)
+                self.assertEqual([], result.history.violations[:5])
 
-    def test_a_planted_read_from_memory_is_seen(self) -> None:
+    def test_planted_read_from_memory_is_detected(self) -> None:
         with (
             mock.patch.object(operators_module, "_answer", read_from_memory),
             mock.patch.object(RaftState, "has_quorum_contact", lambda self: True),
         ):
-            day = self.play(rate={"core/c0": 0.5, "core/c2": 1.9}, step_us=0)
-        self.assertIn("older than the acknowledged", " ".join(day.history.violations))
+            result = self.play(rate={"core/c0": 0.5, "core/c2": 1.9}, step_us=0)
+        self.assertIn("older than the acknowledged", " ".join(result.history.violations))
 
 
 if __name__ == "__main__":
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -1,5 +1,5 @@
-"""Members and edges that come back after hundreds of changes: they reach the newest state
-in bounded time, by one snapshot or state, and never lead or answer with an old one."""
+"""Members and edges that return after hundreds of changes: they reach the newest state in
+bounded time, through one snapshot or state, and never lead or answer with an old one."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 from kelpstage.testbed.simulation.world import SimStream
 from tests.test_cores import Cores, play
 
-CHANGE_EVERY_US = 100_000
+WRITE_INTERVAL_US = 100_000
 SLOW_DISK = 30
 SECOND = 1_000_000
 
 
 class ServingChunks(unittest.TestCase):
-    """What a source of chunks pins, for how long, and how much."""
+    """Which values a chunk source pins for transfers, for how long, and up to which size."""
 
     def source(self, *, size: int = 3 * CHUNK_BYTES) -> ChunkSource:
         source = ChunkSource()
@@ -46,7 +46,7 @@
         self.assertTrue(source.chunk(least=1, pinned=0, offset=0, now_us=1).is_found)
         return source
 
-    def test_a_value_under_transfer_outlives_its_successors(self) -> None:
+    def test_value_in_transfer_stays_available_after_newer_ones(self) -> None:
         source = self.source()
         for mark in range(2, 12):
             source.publish(mark=mark, data=b"new", now_us=mark)
@@ -54,16 +54,16 @@
         self.assertEqual((True, 1, 3 * CHUNK_BYTES), (chunk.is_found, chunk.mark, chunk.total))
         self.assertEqual(11, source.chunk(least=1, pinned=0, offset=0, now_us=20).mark)
 
-    def test_a_value_that_nobody_fetches_is_not_kept(self) -> None:
+    def test_value_not_in_transfer_is_dropped(self) -> None:
         source = ChunkSource()
         source.publish(mark=1, data=b"old", now_us=1)
         source.publish(mark=2, data=b"new", now_us=2)
         self.assertFalse(source.chunk(least=1, pinned=1, offset=0, now_us=3).is_found)
 
-    def test_an_older_value_than_wanted_is_not_given(self) -> None:
+    def test_value_older_than_requested_is_not_served(self) -> None:
         self.assertFalse(self.source().chunk(least=2, pinned=0, offset=0, now_us=2).is_found)
 
-    def test_a_transfer_that_stops_is_let_go(self) -> None:
+    def test_idle_transfer_expires(self) -> None:
         source = self.source()
         source.publish(mark=2, data=b"new", now_us=2)
         self.assertTrue(source.is_in_transfer(now_us=PIN_IDLE_US))
@@ -71,7 +71,7 @@
         late = source.chunk(least=1, pinned=1, offset=CHUNK_BYTES, now_us=PIN_IDLE_US + 2)
         self.assertFalse(late.is_found)
 
-    def test_a_transfer_without_end_is_let_go(self) -> None:
+    def test_endless_transfer_expires(self) -> None:
         source = self.source()
         source.publish(mark=2, data=b"new", now_us=2)
         asked = []
@@ -80,7 +80,7 @@
         self.assertTrue(asked[PIN_LONGEST_US // SECOND - 1])
         self.assertFalse(asked[-1])
 
-    def test_what_is_pinned_is_bounded_and_the_oldest_stays(self) -> None:
+    def test_pins_are_bounded_and_the_oldest_stay(self) -> None:
         for size in (2 * CHUNK_BYTES, PINNED_BYTES_LIMIT // 2):
             source = ChunkSource()
             for mark in range(1, 20):
@@ -95,7 +95,7 @@
             self.assertEqual(list(range(1, most + 1)), found)
             self.assertEqual(18 - most, source.counts["pin_refused"])
 
-    def test_offsets_that_lie_find_nothing(self) -> None:
+    def test_offset_beyond_the_end_finds_nothing(self) -> None:
         source = self.source()
         self.assertFalse(source.chunk(least=1, pinned=1, offset=2**60, now_us=2).is_found)
 
@@ -110,10 +110,10 @@
     return bytes(out)
 
 
-class Differences(unittest.TestCase):
-    """Writes in the log as differences come to the same as complete ones, on every replica."""
+class Deltas(unittest.TestCase):
+    """Writes that are logged as deltas have the same result as full writes, on every replica."""
 
-    def test_any_edit_comes_back_whole(self) -> None:
+    def test_delta_of_any_edit_restores_the_target(self) -> None:
         rand = random.Random(1)
         for turn in range(400):
             text = bytes(rand.choice(b"abc") for _ in range(rand.choice([0, 5, 40, 3_000])))
@@ -122,7 +122,7 @@
             delta = pack_delta(base=base, target=target)
             self.assertEqual(target, apply_delta(base=base, delta=delta), turn)
 
-    def test_damage_gives_nothing_or_the_whole(self) -> None:
+    def test_damaged_delta_gives_nothing_or_the_target(self) -> None:
         rand = random.Random(2)
         base = rand.randbytes(2_000)
         target = edited(document=base, rand=rand) + b"end"
@@ -133,15 +133,15 @@
             self.assertIn(apply_delta(base=base, delta=bytes(wrong)), (None, target), place)
             self.assertIsNone(apply_delta(base=base, delta=delta[:place]), place)
 
-    def test_a_difference_that_would_be_endless_is_refused(self) -> None:
+    def test_delta_that_expands_without_bound_is_rejected(self) -> None:
         packer = zlib.compressobj(wbits=-15)
         step = bytes([0, 0x80, 0x80, 0x40, 0])  # copy 1 MiB from 0, add nothing
         bomb = bytes(8) + packer.compress(step * 70) + packer.flush()
         self.assertIsNone(apply_delta(base=bytes(2**20), delta=bomb))
 
-    def test_state_machines_agree(self) -> None:
-        """One replica takes every put whole, one as a difference, one starts again from its
-        state at any moment; puts on other versions and repeats come between."""
+    def test_state_machines_agree_on_full_and_delta_writes(self) -> None:
+        """One replica applies full writes and one applies deltas, with restarts from its state at
+        random times; the writes include repeated ones and ones on other versions."""
         for seed in range(12):
             rand = random.Random(seed)
             target, small = Machine(cluster="c"), Machine(cluster="c")
@@ -168,8 +168,8 @@
                 self.assertEqual(bytes(target.state), bytes(small.state), (seed, serial))
             self.assertGreater(saved, 0)
 
-    def test_a_difference_from_another_document_leaves_no_trace(self) -> None:
-        """It cannot be proposed, since a version has one document; planted, it is refused."""
+    def test_delta_from_another_document_is_rejected_without_effect(self) -> None:
+        """No leader proposes one, since a version has one document; a planted one is rejected."""
         ours = CoreState(cluster="c", version=4, epoch=4, document=bytes(2_000))
         theirs = CoreState(cluster="c", version=4, epoch=4, document=b"x" * 2_000)
         put = PutConfiguration(put_id="p", expected=4, document=b"x" * 2_000 + b"y")
@@ -189,11 +189,11 @@
     return random.Random(seed).randbytes(size // 2).hex()
 
 
-async def change_steadily(cores: Cores, *, until, size: int = 0, limit: int = 10_000) -> int:
-    """A change each 100 ms, or as soon as the one before is acknowledged; how many."""
+async def write_steadily(cores: Cores, *, until, size: int = 0, limit: int = 10_000) -> int:
+    """Write every 100 ms, or once the previous write is acknowledged; return the count."""
     count = 0
     while not until() and count < limit:
-        due_us = cores.world.now_us() + CHANGE_EVERY_US
+        due_us = cores.world.now_us() + WRITE_INTERVAL_US
         if size:
             cores.document = lambda note, n=count: (
                 b'{"forward": {}, "source": "%s %s"}'
@@ -206,19 +206,19 @@
 
 
 def is_caught_up(cores: Cores, name: str) -> bool:
-    """Has this core applied all that its leader had committed a moment ago?"""
+    """True if this core has applied all entries that its leader has committed; one may lag."""
     leader, task = cores.leader(), cores.daemons[name].task
     if leader is None or task is None:
         return False
     return task.applied >= cores.daemons[leader].task.raft.commit_index - 1
 
 
-class Transfers(unittest.TestCase):
-    """A snapshot gets to a member that is behind, whatever else happens."""
+class SnapshotTransfers(unittest.TestCase):
+    """A snapshot reaches a member that is behind, whatever else happens."""
 
-    def test_it_ends_while_changes_go_on_and_disks_are_slow(self) -> None:
-        """Each change is large and has nothing in common with the one before, so that the
-        log is cut short every few changes."""
+    def test_transfer_ends_during_writes_on_slow_disks(self) -> None:
+        """Each write is large and shares nothing with the previous one, so that the log is
+        truncated after every few writes."""
         spans = []
 
         async def scenario(cores: Cores) -> None:
@@ -226,12 +226,12 @@
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             away = next(name for name in cores.names if name != cores.leader())
             cores.kill(away)
-            await change_steadily(cores, until=lambda: False, size=600_000, limit=40)
+            await write_steadily(cores, until=lambda: False, size=600_000, limit=40)
             for name in cores.names:
                 cores.world.machines[name].platter.slow = SLOW_DISK
             await cores.start(away)
             began_us = cores.world.now_us()
-            await change_steadily(
+            await write_steadily(
                 cores,
                 until=lambda: is_caught_up(cores, away),
                 size=600_000,
@@ -244,8 +244,8 @@
             play(scenario, seed=seed, count=3, tolerance=1)
         self.assertLess(max(spans), 30 * SECOND, spans)
 
-    def test_it_ends_though_snapshots_replace_each_other_during_it(self) -> None:
-        """A transfer of several seconds between far regions, a new snapshot more often."""
+    def test_transfer_ends_although_newer_snapshots_follow(self) -> None:
+        """A transfer between distant regions takes seconds; new snapshots are more frequent."""
 
         async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
@@ -253,11 +253,11 @@
             away = next(name for name in cores.names if name != cores.leader())
             cores.kill(away)
             size = 2_500_000
-            await change_steadily(cores, until=lambda: False, size=size, limit=6)
+            await write_steadily(cores, until=lambda: False, size=size, limit=6)
             cores.world.far_us = (100_000, 110_000)
             await cores.start(away)
             began_us = cores.world.now_us()
-            await change_steadily(
+            await write_steadily(
                 cores,
                 until=lambda: (
                     is_caught_up(cores, away) or cores.world.now_us() - began_us > 40 * SECOND
@@ -269,16 +269,16 @@
 
         play(scenario, seed=1, count=3, tolerance=1)
 
-    def test_what_is_offered_is_served_while_the_next_is_being_written(self) -> None:
+    def test_offered_snapshot_is_served_while_the_next_is_written(self) -> None:
         async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
-            await change_steadily(cores, until=lambda: False, limit=3)
+            await write_steadily(cores, until=lambda: False, limit=3)
             leader = cores.leader()
             task = cores.daemons[leader].task
             task.snapshot_now()
             await cores.wait_for(lambda: task.raft.log.base_index == task.applied)
-            await change_steadily(cores, until=lambda: False, limit=3)
+            await write_steadily(cores, until=lambda: False, limit=3)
             cores.world.machines[leader].platter.is_stalled = True
             task.snapshot_now()
             await cores.sleep(500_000)
@@ -292,8 +292,8 @@
 
         play(scenario, seed=1, count=3, tolerance=1)
 
-    def test_a_transfer_that_is_interrupted_goes_on_where_it_was(self) -> None:
-        """Transport between the two are cut for a while in the middle of it."""
+    def test_interrupted_transfer_resumes_at_its_offset(self) -> None:
+        """The two members are partitioned for a while during the transfer."""
         asked: list[tuple[int, int]] = []
         serve = ReplicaTask.snapshot_chunk
 
@@ -307,7 +307,7 @@
             leader = cores.leader()
             away = next(name for name in cores.names if name != leader)
             cores.kill(away)
-            await change_steadily(cores, until=lambda: False, size=2_500_000, limit=4)
+            await write_steadily(cores, until=lambda: False, size=2_500_000, limit=4)
             cores.daemons[leader].task.snapshot_now()
             await cores.sleep(SECOND)
             cores.world.far_us = (50_000, 60_000)
@@ -324,10 +324,10 @@
         self.assertEqual(1, len({pinned for pinned, offset in asked if offset}), asked)
 
 
-class Silence(unittest.TestCase):
-    def test_little_is_sent_to_a_member_that_does_not_answer(self) -> None:
-        """It is frozen for 20 s. A new leader, which does not know yet how far that member's
-        log goes, confirms itself for a read each 20 ms and takes changes of 20 KB meanwhile."""
+class UnresponsiveMember(unittest.TestCase):
+    def test_bytes_sent_to_a_frozen_member_are_bounded(self) -> None:
+        """A member is frozen for 20 s. A new leader that does not know the member's last index
+        yet confirms its leadership every 20 ms and accepts writes of 20 KB meanwhile."""
         sent: list[int] = []
         write = SimStream.write
 
@@ -359,7 +359,7 @@
             cores.outside.spawn(confirm_often())
             noted.start()
             began_us = cores.world.now_us()
-            await change_steadily(
+            await write_steadily(
                 cores, until=lambda: cores.world.now_us() - began_us > 20 * SECOND, size=20_000
             )
             noted.stop()
@@ -367,13 +367,13 @@
             await cores.wait_for(lambda: is_caught_up(cores, frozen), us=3 * SECOND)
 
         play(scenario, seed=1, count=3, tolerance=1)
-        self.assertLess(sum(sent), 2_500_000, "bytes that wait in connections to it")
+        self.assertLess(sum(sent), 2_500_000, "bytes queued in connections to the frozen member")
 
 
-class Edges(unittest.TestCase):
-    def test_an_edge_that_missed_hundreds_of_changes_takes_one_state(self) -> None:
-        """It is cut off, not restarted, and so has an old state to begin with. One more may
-        be on its way already when the leader does not know yet that it is silent."""
+class EdgeCatchUp(unittest.TestCase):
+    def test_edge_that_missed_hundreds_of_changes_installs_one_state(self) -> None:
+        """The edge is partitioned, not restarted, and so starts from an old state. One more state
+        may already be in flight when the leader does not yet know that it is unreachable."""
         installed: list[int] = []
 
         async def scenario(fleet: SimFleet) -> None:
@@ -385,7 +385,7 @@
                     fleet.world.cut(a=away, b=other)
             for _ in range(200):
                 self.assertEqual(200, (await fleet.put_next())["status"])
-            self.assertTrue(edge.refusal())  # it knows that it may not serve
+            self.assertTrue(edge.refusal())  # it knows that it must not serve
             edge.journal.view(
                 fold=lambda at_us, event: (
                     installed.append(event.version) if isinstance(event, Installed) else None
@@ -405,25 +405,28 @@
         self.assertLessEqual(len(installed), 2, installed)
 
 
-AWAY_FOR = (10, 100, 400)  # changes that a member misses, one span after the other
-BACK_WITHIN_US = 8 * SECOND
-LOOK_US = 20_000
-READ_EVERY_US = 150_000
+MISSED_WRITES = (10, 100, 400)  # writes that a member misses, in successive absences
+CATCH_UP_LIMIT_US = 8 * SECOND
+LEADER_CHECK_INTERVAL_US = 20_000
+READ_INTERVAL_US = 150_000
 
 
-class Watch:
-    """Looks on through a day: who leads, and what reads answer. Finds are assertions."""
+class ConsistencyMonitor:
+    """Checks leaders and reads in the background; `check` raises what it has found."""
 
     def __init__(self, *, cores: Cores) -> None:
         self.cores = cores
         self.acknowledged_index = 0
         self.acknowledged_term = 0
         self.reads = 0
-        self.wrong: list[str] = []
-        self._tasks = [cores.outside.spawn(self._leaders()), cores.outside.spawn(self._readers())]
-
-    def acknowledged(self, *, by: str) -> None:
-        """A put was acknowledged; it stands in the leader's log up to here."""
+        self.violations: list[str] = []
+        self._tasks = [
+            cores.outside.spawn(self._check_leaders()),
+            cores.outside.spawn(self._check_reads()),
+        ]
+
+    def record_acknowledged(self, *, by: str) -> None:
+        """Record an acknowledged write and the leader's index and term at that time."""
         name = self.cores.leader()
         task = self.cores.daemons[name or by].task
         if task is not None and task.is_leader:
@@ -431,26 +434,26 @@
             self.acknowledged_term = max(self.acknowledged_term, task.raft.term)
 
     def check(self) -> None:
-        assert not self.wrong, self.wrong[:3]
+        assert not self.violations, self.violations[:3]
 
-    async def _leaders(self) -> None:
-        """A leader of the newest term has all that was acknowledged in its log."""
+    async def _check_leaders(self) -> None:
+        """A leader of the newest term has every acknowledged entry in its log."""
         while True:
-            await self.cores.sleep(LOOK_US)
+            await self.cores.sleep(LEADER_CHECK_INTERVAL_US)
             for name in self.cores.up():
                 task = self.cores.daemons[name].task
                 if task is None or not task.is_leader or task.raft.term < self.acknowledged_term:
                     continue
                 if task.raft.log.last_index < self.acknowledged_index:
-                    self.wrong.append(
+                    self.violations.append(
                         f"{name} leads term {task.raft.term} with a log to "
                         f"{task.raft.log.last_index}, acknowledged is {self.acknowledged_index}"
                     )
 
-    async def _readers(self) -> None:
-        """A read at any core answers with what was acknowledged before it began, or later."""
+    async def _check_reads(self) -> None:
+        """A read at any core returns at least the version acknowledged before it began."""
         while True:
-            await self.cores.sleep(READ_EVERY_US)
+            await self.cores.sleep(READ_INTERVAL_US)
             if not self.cores.up():
                 continue
             name = self.cores.world.rand.choice(self.cores.up())
@@ -461,30 +464,34 @@
             self.reads += 1
             version = int(reply.headers["etag"].strip('"'))
             if version < least:
-                self.wrong.append(f"{name} answered {version}, acknowledged was {least}")
+                self.violations.append(f"{name} answered {version}, acknowledged was {least}")
 
 
-async def change(cores: Cores, watch: Watch) -> None:
-    """One change, acknowledged; at the earliest 100 ms after the one before."""
-    due_us = cores.world.now_us() + CHANGE_EVERY_US
-    watch.acknowledged(by=await cores.put())
-    watch.check()
+async def write(cores: Cores, monitor: ConsistencyMonitor) -> None:
+    """Write once until it is acknowledged; takes at least 100 ms."""
+    due_us = cores.world.now_us() + WRITE_INTERVAL_US
+    monitor.record_acknowledged(by=await cores.put())
+    monitor.check()
     await cores.sleep(max(0, due_us - cores.world.now_us()))
 
 
-async def come_back(cores: Cores, watch: Watch, *, name: str, kills_leader: bool) -> int:
-    """Start a member that was away while changes go on; the virtual time until it has all
-    that its leader had committed. The leader may be killed in the same moment: then the
-    one that was away is needed for a majority, and may not be the one that wins."""
+async def rejoin(
+    cores: Cores, monitor: ConsistencyMonitor, *, name: str, kills_leader: bool
+) -> int:
+    """Start a member that was stopped, during writes; return the virtual time to its catch-up.
+
+    With `kills_leader` the leader is killed at the same time. The member is then needed for a
+    majority, and must not win the election.
+    """
     began_us = cores.world.now_us()
     lost = cores.leader() if kills_leader else None
     if lost is not None:
         cores.kill(lost, is_power=True)
     await cores.start(name)
     while not is_caught_up(cores, name):
-        await change(cores, watch)
-        if cores.world.now_us() - began_us > BACK_WITHIN_US + 4 * SECOND:
-            raise AssertionError(f"{name} is not caught up after {BACK_WITHIN_US} us")
+        await write(cores, monitor)
+        if cores.world.now_us() - began_us > CATCH_UP_LIMIT_US + 4 * SECOND:
+            raise AssertionError(f"{name} is not caught up after {CATCH_UP_LIMIT_US} us")
     took_us = cores.world.now_us() - began_us
     if lost is not None:
         await cores.start(lost)
@@ -492,36 +499,37 @@
     return took_us
 
 
-async def day(cores: Cores, spans: list[int]) -> None:
-    """510 changes on slow disks, a member away for 10, 100 and 400 of them. Each tenth change
-    restarts the member that came back last (some by a loss of power). At the end, disks are
-    lost one after the other, as many as are borne at once, each after the one before is
-    made good."""
+async def absences(cores: Cores, spans: list[int]) -> None:
+    """510 writes on slow disks, with a member stopped for 10, 100 and 400 of them.
+
+    Each tenth write restarts the member that returned last, at times by a power loss. At the
+    end `2 * tolerance` disks are lost in turn, each once the previous loss is recovered.
+    """
     voters = 2 * cores.tolerance + 1
     await cores.start(is_first=True)
     await cores.wait_for(lambda: len(cores.voters()) == voters)
     for name in cores.names:
         cores.world.machines[name].platter.slow = SLOW_DISK
-    watch = Watch(cores=cores)
+    monitor = ConsistencyMonitor(cores=cores)
     returned = cores.names[0]
-    for place, missed in enumerate(AWAY_FOR):
+    for place, missed in enumerate(MISSED_WRITES):
         followers = [name for name in cores.names if name != cores.leader()]
         away = followers[place % len(followers)]
         cores.kill(away, is_power=place % 2 == 1)
         if returned == away:
             returned = next(name for name in followers if name != away)
         for count in range(1, missed + 1):
-            await change(cores, watch)
+            await write(cores, monitor)
             if count % 10 == 0 and cores.tolerance > 1:
                 cores.kill(returned, is_power=count % 20 == 0)
                 await cores.start(returned)
-        spans.append(await come_back(cores, watch, name=away, kills_leader=place > 0))
+        spans.append(await rejoin(cores, monitor, name=away, kills_leader=place > 0))
         returned = away
         for count in range(1, 31):
-            await change(cores, watch)
+            await write(cores, monitor)
             if count % 10 == 0:
                 cores.kill(returned, is_power=count % 20 == 0)
-                spans.append(await come_back(cores, watch, name=returned, kills_leader=False))
+                spans.append(await rejoin(cores, monitor, name=returned, kills_leader=False))
         await cores.wait_for(lambda: len(cores.voters()) == voters)
     for lost in [cores.leader(), *cores.names][: 2 * cores.tolerance]:
         cores.kill(lost, is_disk=True)
@@ -531,45 +539,45 @@
         cores.world.machines[lost].platter.slow = SLOW_DISK
         await cores.start(lost)
         await cores.wait_for(lambda: len(cores.voters()) == voters)
-        await change(cores, watch)
-    watch.check()
-    assert watch.reads > 100, watch.reads
+        await write(cores, monitor)
+    monitor.check()
+    assert monitor.reads > 100, monitor.reads
 
 
-class Days(unittest.TestCase):
-    """Hundreds of changes, a member away; snapshots are taken often enough to be needed."""
+class LongAbsences(unittest.TestCase):
+    """Hundreds of writes while a member is stopped; snapshots are frequent enough to be needed."""
 
-    def play_day(self, *, seed: int, count: int, tolerance: int) -> list[int]:
+    def run_absences(self, *, seed: int, count: int, tolerance: int) -> list[int]:
         spans: list[int] = []
         with mock.patch.object(snapshots, "SNAPSHOT_ENTRIES", 60):
-            play(lambda cores: day(cores, spans), seed=seed, count=count, tolerance=tolerance)
+            play(lambda cores: absences(cores, spans), seed=seed, count=count, tolerance=tolerance)
         return spans
 
-    def test_three_cores(self) -> None:
-        spans = self.play_day(seed=1, count=3, tolerance=1)
-        self.assertLess(max(spans), BACK_WITHIN_US, spans)
+    def test_three_cores_catch_up_in_bounded_time(self) -> None:
+        spans = self.run_absences(seed=1, count=3, tolerance=1)
+        self.assertLess(max(spans), CATCH_UP_LIMIT_US, spans)
 
-    def test_five_cores_and_restarts_at_each_tenth(self) -> None:
-        spans = self.play_day(seed=2, count=5, tolerance=2)
-        self.assertLess(max(spans), BACK_WITHIN_US, spans)
+    def test_five_cores_catch_up_despite_restarts(self) -> None:
+        spans = self.run_absences(seed=2, count=5, tolerance=2)
+        self.assertLess(max(spans), CATCH_UP_LIMIT_US, spans)
 
-    def test_a_member_that_wins_with_an_old_log_is_found(self) -> None:
-        """Planted: votes are given whatever the candidate's log."""
+    def test_elected_member_with_an_old_log_is_detected(self) -> None:
+        """Planted fault: votes are granted whatever the candidate's log holds."""
         with (
             mock.patch.object(elections, "_is_up_to_date", lambda state, request: True),
             self.assertRaisesRegex(AssertionError, "leads term|answered|version_mismatch"),
         ):
             for seed in range(6):
-                self.play_day(seed=seed, count=3, tolerance=1)
+                self.run_absences(seed=seed, count=3, tolerance=1)
 
-    def test_snapshots_that_vanish_are_found(self) -> None:
-        """Planted: whoever asks for a snapshot hears that there is none."""
+    def test_unavailable_snapshots_are_detected(self) -> None:
+        """Planted fault: every request for a snapshot is answered that there is none."""
         nothing = Chunk(is_found=False)
         with (
             mock.patch.object(ReplicaTask, "snapshot_chunk", lambda self, request: nothing),
             self.assertRaisesRegex(AssertionError, "not caught up|never acknowledged"),
         ):
-            self.play_day(seed=1, count=3, tolerance=1)
+            self.run_absences(seed=1, count=3, tolerance=1)
 
 
 if __name__ == "__main__":
--- a/tests/test_cluster_recovery.py
+++ b/tests/test_cluster_recovery.py
@@ -1,4 +1,4 @@
-"""ClusterRecovery: nothing acknowledged is lost, and it is refused where it is unsafe."""
+"""Cluster recovery loses no acknowledged write, and is refused where it is unsafe."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def run_recovery(fleet: SimFleet, *, name: str, edges: list[str]) -> object:
-    """Run the tool on a core's machine, as a process of its own."""
+    """Run the recovery in a process of its own on a core's machine."""
     machine = fleet.world.machines[name]
     process = SimProcess(world=fleet.world, name=f"tool/{name}", machine=machine, instance=1)
     try:
@@ -29,12 +29,12 @@
         process.kill()
 
 
-def run_story(scenario, *, seed: int = 1) -> SimFleet:
+def run_tiny_fleet(scenario, *, seed: int = 1) -> SimFleet:
     return run_sim(seed=seed, deployment=load(name="tiny"), scenario=scenario)
 
 
 class ClusterRecovery(unittest.TestCase):
-    def test_survivor_behind_an_acknowledged_put_takes_it_from_an_edge(self) -> None:
+    def test_survivor_fetches_a_missing_acknowledged_write_from_an_edge(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             fleet.start_callers()
@@ -79,9 +79,9 @@
             self.assertEqual([], old_configuration(fleet.history))
             self.assertEqual([], lost_or_undead(fleet.history))
 
-        run_story(scenario)
+        run_tiny_fleet(scenario)
 
-    def test_refused_where_unsafe(self) -> None:
+    def test_recovery_is_refused_where_unsafe(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             edges = list(fleet.edge_own)
@@ -99,4 +99,4 @@
             empty = await run_recovery(fleet, name=names[1], edges=edges)
             self.assertIn("no member", empty.why)
 
-        run_story(scenario)
+        run_tiny_fleet(scenario)
--- a/tests/test_core_cuts.py
+++ b/tests/test_core_cuts.py
@@ -1,10 +1,10 @@
-"""A core machine cut off for twenty seconds, with orders and reads at every member
-before, during and after: simulated days with fixed seeds, no edges.
+"""A core partitioned for twenty seconds, with writes and reads at every member before,
+during and after: simulated cores with fixed seeds, without edges.
 
-Every answer is recorded and judged: no read older than the newest acknowledgement before
-it began, no order refused for good (the same order goes to every member, so only 200 or
-a 503 are proper), an answer within a second from every member that the operator reaches,
-and an acknowledgement by the majority side within `ACKNOWLEDGED_WITHIN_US` of the cut.
+Every reply is recorded and checked. No read is older than the newest version acknowledged
+before it began. No write is rejected permanently: the same write goes to every member, so
+only 200 and 503 are valid. Every member that the operator reaches replies within a second,
+and the majority side acknowledges a write within `ACKNOWLEDGED_WITHIN_US` of the partition.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 from tests.test_cores import Cores, play
 
 CUT_US = 20_000_000
-CALL_US = 1_000_000  # an operator moves on after so much silence
-ORDER_WAIT_US = 800_000
+CALL_US = 1_000_000  # timeout of an operator's call
+DEADLINE_US = 800_000
 PAUSE_US = 150_000
 FREEZE_US = 10_000_000
-PATIENT_US = 60_000_000
-READ_EVERY_US = 500_000
+LONG_CALL_US = 60_000_000
+READ_INTERVAL_US = 500_000
 ACKNOWLEDGED_WITHIN_US = 5_000_000
 CAUGHT_UP_WITHIN_US = 4_000_000
 SEEDS = (1, 2)
@@ -47,61 +47,61 @@
 
 @dataclass(kw_only=True)
 class Answer:
-    """One operator's call and what came of it."""
+    """One operator's call and its outcome."""
 
-    kind: str  # "order" or "read"
+    kind: str  # "order" (a write) or "read"
     member: str
-    version: int  # that the order states, or that the read returned
+    version: int  # of the write, or returned by the read
     began_us: int
     ended_us: int
-    status: int  # 0: no answer
+    status: int  # 0: no reply
 
 
 @dataclass(kw_only=True)
 class History:
-    """What operators saw, and what of it may not be."""
+    """The replies that operators received, and the violations among them."""
 
     answers: list[Answer] = field(default_factory=list)
-    acknowledged: list[tuple[int, int]] = field(default_factory=list)  # when, version
+    acknowledged: list[tuple[int, int]] = field(default_factory=list)  # time, version
     sent: dict[int, bytes] = field(default_factory=dict)
     violations: list[str] = field(default_factory=list)
 
     def newest_before(self, *, at_us: int) -> int:
-        """The newest version that was acknowledged before a moment."""
+        """The newest version that was acknowledged before a point in time."""
         return max((version for when, version in self.acknowledged if when < at_us), default=0)
 
     def note(self, *, answer: Answer, body: bytes = b"") -> None:
-        """Record an answer and judge it."""
+        """Record a reply and check it."""
         self.answers.append(answer)
-        self._judge_time(answer=answer)
+        self._check_status(answer=answer)
         if answer.kind == "order":
-            self._judge_order(answer=answer, body=body)
+            self._check_write(answer=answer, body=body)
         elif answer.status == 200:
-            self._judge_read(answer=answer, body=body)
+            self._check_read(answer=answer, body=body)
 
-    def _judge_time(self, *, answer: Answer) -> None:
+    def _check_status(self, *, answer: Answer) -> None:
         if answer.status == 0:
             self.violations.append(f"no answer: {answer}")
         elif answer.status not in (200, 503):
-            self.violations.append(f"neither done nor to be tried again: {answer}")
+            self.violations.append(f"neither success nor retryable: {answer}")
 
-    def _judge_order(self, *, answer: Answer, body: bytes) -> None:
+    def _check_write(self, *, answer: Answer, body: bytes) -> None:
         if answer.status != 200:
             return
         if all(version != answer.version for _, version in self.acknowledged):
             self.acknowledged.append((answer.ended_us, answer.version))
 
-    def _judge_read(self, *, answer: Answer, body: bytes) -> None:
+    def _check_read(self, *, answer: Answer, body: bytes) -> None:
         newest = self.newest_before(at_us=answer.began_us)
         if answer.version < newest:
             self.violations.append(f"older than the acknowledged {newest}: {answer}")
         if self.sent.get(answer.version) != body:
-            self.violations.append(f"not what was sent under that version: {answer}")
+            self.violations.append(f"body differs from the write of that version: {answer}")
 
 
 class Operators:
-    """One order at a time, sent to every member until one acknowledges it and once after
-    that; reads at every member all the while."""
+    """Sends one write at a time to every member until a member acknowledges it, and once more
+    after that; reads at every member meanwhile."""
 
     def __init__(self, *, cores: Cores, call_us: int) -> None:
         self.cores = cores
@@ -121,7 +121,7 @@
             )
         )
 
-    async def _order(self, *, member: str, expected: int, version: int, body: bytes) -> bool:
+    async def _write(self, *, member: str, expected: int, version: int, body: bytes) -> bool:
         began_us = self.cores.world.now_us()
         reply = await self._call(
             member=member,
@@ -131,7 +131,7 @@
                 "If-Match": str(expected),
                 "Kelp-Version": str(version),
                 "Kelp-Put-Id": f"order-{version}",
-                "Kelp-Time-Left-Us": str(ORDER_WAIT_US),
+                "Kelp-Time-Left-Us": str(DEADLINE_US),
             },
         )
         status = 0 if isinstance(reply, KelpstageError) else reply.status
@@ -148,7 +148,7 @@
         return status == 200
 
     async def order(self) -> int:
-        """Send the next order everywhere until it is acknowledged; how long that took."""
+        """Send the next write to all members until one acknowledges it; return the time taken."""
         expected, version = self._version, self._version + 1 + self._version % 3
         body = self.cores.document(f"order {version}")
         self.history.sent[version] = body
@@ -156,10 +156,10 @@
 
         async def at(member: str) -> None:
             while self._version < version:
-                if await self._order(member=member, expected=expected, version=version, body=body):
+                if await self._write(member=member, expected=expected, version=version, body=body):
                     self._version = max(self._version, version)
                 await self.cores.sleep(PAUSE_US)
-            await self._order(member=member, expected=expected, version=version, body=body)
+            await self._write(member=member, expected=expected, version=version, body=body)
 
         repeats = [asyncio.ensure_future(at(member)) for member in self.cores.up()]
         while self._version < version and self.is_open:
@@ -174,7 +174,7 @@
         """Read the configuration once."""
         began_us = self.cores.world.now_us()
         reply = await self._call(
-            member=member, method="GET", headers={"Kelp-Time-Left-Us": str(ORDER_WAIT_US)}
+            member=member, method="GET", headers={"Kelp-Time-Left-Us": str(DEADLINE_US)}
         )
         is_answered = not isinstance(reply, KelpstageError)
         is_found = is_answered and reply.status == 200
@@ -202,41 +202,43 @@
 
 
 @dataclass(kw_only=True)
-class Day:
-    """What a day came to."""
+class RunResult:
+    """The result of one run."""
 
     history: History
     acknowledged_after_us: list[int] = field(default_factory=list)
     caught_up_after_us: list[int] = field(default_factory=list)
-    disturbed: int = 0  # terms spent after a cut had healed
+    extra_terms: int = 0  # elections after the partition had healed
 
 
-def both_ways(*, cores: Cores, name: str) -> Pairs:
-    """Cut from all other cores, in both directions."""
-    return into(cores=cores, name=name) + out_of(cores=cores, name=name)
+def both_directions(*, cores: Cores, name: str) -> Pairs:
+    """Links between a core and all others, in both directions."""
+    return inbound(cores=cores, name=name) + outbound(cores=cores, name=name)
 
 
-def into(*, cores: Cores, name: str) -> Pairs:
-    """It hears nothing of the others."""
+def inbound(*, cores: Cores, name: str) -> Pairs:
+    """Links from all other cores to a core: it receives nothing."""
     return [(other, name) for other in cores.names if other != name]
 
 
-def out_of(*, cores: Cores, name: str) -> Pairs:
-    """The others hear nothing of it."""
+def outbound(*, cores: Cores, name: str) -> Pairs:
+    """Links from a core to all others: they receive nothing from it."""
     return [(name, other) for other in cores.names if other != name]
 
 
-Cut = Callable[..., Pairs]
+Partition = Callable[..., Pairs]
 
 
-async def hold_cut(*, cores: Cores, operators: Operators, day: Day, name: str, cut: Cut) -> None:
-    """Cut one member for twenty seconds and heal; measure both sides of it."""
-    pairs = cut(cores=cores, name=name)
+async def partition_member(
+    *, cores: Cores, operators: Operators, result: RunResult, name: str, partition: Partition
+) -> None:
+    """Partition a member for twenty seconds and heal; measure acknowledgement and catch-up."""
+    pairs = partition(cores=cores, name=name)
     began_us = cores.world.now_us()
     cores.world.cuts |= set(pairs)
     await cores.sleep(CUT_US)
     acknowledged = [when for when, _ in operators.history.acknowledged if when > began_us + 50_000]
-    day.acknowledged_after_us.append(min(acknowledged, default=began_us + CUT_US) - began_us)
+    result.acknowledged_after_us.append(min(acknowledged, default=began_us + CUT_US) - began_us)
     term = max(cores.daemons[other].task.raft.term for other in cores.names if other != name)
     cores.world.cuts -= set(pairs)
     cores.world.flush()
@@ -248,62 +250,66 @@
         commit = cores.daemons[leader].task.raft.commit_index
         return cores.daemons[name].task.applied >= commit - 1
 
-    day.caught_up_after_us.append(await cores.wait_for(is_caught_up))
+    result.caught_up_after_us.append(await cores.wait_for(is_caught_up))
     await cores.sleep(3_000_000)
-    day.disturbed += max(d.task.raft.term for d in cores.daemons.values()) - term
+    result.extra_terms += max(d.task.raft.term for d in cores.daemons.values()) - term
 
 
-def run_day(
-    scenario: Callable[[Cores, Operators, Day], Awaitable[None]],
+def run_with_operators(
+    scenario: Callable[[Cores, Operators, RunResult], Awaitable[None]],
     *,
     seed: int,
     count: int = 3,
     tolerance: int = 1,
     call_us: int = CALL_US,
-) -> Day:
-    """Operators at work over a story of cuts."""
-    days: list[Day] = []
+) -> RunResult:
+    """Run a scenario while operators write and read."""
+    results: list[RunResult] = []
 
-    async def tell(cores: Cores) -> None:
+    async def run(cores: Cores) -> None:
         await cores.start(is_first=True)
         await cores.wait_for(lambda: len(cores.voters()) == 2 * tolerance + 1)
         operators = Operators(cores=cores, call_us=call_us)
         await operators.order()
-        day = Day(history=operators.history)
-        days.append(day)
+        result = RunResult(history=operators.history)
+        results.append(result)
         tasks = [asyncio.ensure_future(operators.keep_ordering())]
         tasks += [asyncio.ensure_future(operators.keep_reading(member=m)) for m in cores.names]
         await cores.sleep(1_500_000)
-        await scenario(cores, operators, day)
+        await scenario(cores, operators, result)
         operators.is_open = False
         for task in tasks:
             await task
 
-    play(tell, seed=seed, count=count, tolerance=tolerance)
-    return days[0]
+    play(run, seed=seed, count=count, tolerance=tolerance)
+    return results[0]
 
 
-def cut_story(*, of: str, cut: Cut) -> Callable[..., Awaitable[None]]:
-    """One cut of the leader, or of the first core that does not lead."""
+def partition_scenario(*, of: str, partition: Partition) -> Callable[..., Awaitable[None]]:
+    """One partition of the leader, or of the first core that is not the leader."""
 
-    async def scenario(cores: Cores, operators: Operators, day: Day) -> None:
+    async def scenario(cores: Cores, operators: Operators, result: RunResult) -> None:
         leader = cores.leader()
         name = leader if of == "leader" else next(n for n in cores.names if n != leader)
-        await hold_cut(cores=cores, operators=operators, day=day, name=name, cut=cut)
+        await partition_member(
+            cores=cores, operators=operators, result=result, name=name, partition=partition
+        )
 
     return scenario
 
 
-async def in_turn(cores: Cores, operators: Operators, day: Day) -> None:
-    """The leader is cut, and as soon as that has healed, the next leader."""
+async def partition_two_leaders(cores: Cores, operators: Operators, result: RunResult) -> None:
+    """The leader is partitioned, and once that has healed, the next leader."""
     for _ in range(2):
         name = cores.leader()
-        await hold_cut(cores=cores, operators=operators, day=day, name=name, cut=both_ways)
+        await partition_member(
+            cores=cores, operators=operators, result=result, name=name, partition=both_directions
+        )
 
 
-async def freezes(cores: Cores, operators: Operators, day: Day) -> None:
-    """The leader stands still for ten seconds, twice; then all but one core for six. They
-    wake with calls open and every timer due at once."""
+async def freeze_cores(cores: Cores, operators: Operators, result: RunResult) -> None:
+    """The leader is frozen for ten seconds, twice; then all cores but one for six. They
+    resume with open calls and with every timer due at once."""
     for count, span_us in ((1, FREEZE_US), (1, FREEZE_US), (2, FREEZE_US * 6 // 10)):
         leader = cores.leader()
         others = [name for name in cores.names if name != leader]
@@ -311,171 +317,189 @@
         for name in frozen:
             cores.processes[name].freeze()
         reads = []
-        for _ in range(span_us // READ_EVERY_US):
+        for _ in range(span_us // READ_INTERVAL_US):
             reads += [asyncio.ensure_future(operators.read(member=name)) for name in frozen]
-            await cores.sleep(READ_EVERY_US)
+            await cores.sleep(READ_INTERVAL_US)
         for name in frozen:
             cores.processes[name].thaw()
         await asyncio.gather(*reads)
         await cores.sleep(5_000_000)
 
 
-class Freezes(unittest.TestCase):
-    """Callers who wait for longer than any freeze hear what a woken core makes of calls
-    that it took before: judged by when they were sent."""
+class CoreFreezes(unittest.TestCase):
+    """A core that resumes from a freeze answers the calls that it accepted before, to clients
+    that wait longer than the freeze. Each reply is checked against the time of the request."""
 
-    def test_a_core_wakes_with_calls_open(self) -> None:
+    def test_reads_are_current_when_a_core_resumes(self) -> None:
         for seed in SEEDS:
-            day = run_day(freezes, seed=seed, call_us=PATIENT_US)
-            self.assertEqual(day.history.violations[:5], [], f"seed {seed}")
-            self.assertGreater(len(day.history.acknowledged), 50, f"seed {seed}")
-            waited_us = max(a.ended_us - a.began_us for a in day.history.answers)
+            result = run_with_operators(freeze_cores, seed=seed, call_us=LONG_CALL_US)
+            self.assertEqual(result.history.violations[:5], [], f"seed {seed}")
+            self.assertGreater(len(result.history.acknowledged), 50, f"seed {seed}")
+            waited_us = max(a.ended_us - a.began_us for a in result.history.answers)
             self.assertGreater(waited_us, FREEZE_US - CALL_US, f"seed {seed}")
 
 
-class Cuts(unittest.TestCase):
-    def judge(self, scenario: Callable[..., Awaitable[None]], *, may_disturb: bool = False) -> None:
+class NetworkPartitions(unittest.TestCase):
+    def check(
+        self, scenario: Callable[..., Awaitable[None]], *, may_add_terms: bool = False
+    ) -> None:
         for seed in SEEDS:
-            day = run_day(scenario, seed=seed)
-            told = f"seed {seed}: {day.acknowledged_after_us} {day.caught_up_after_us}"
-            self.assertEqual(day.history.violations[:5], [], told)
-            self.assertLess(max(day.acknowledged_after_us), ACKNOWLEDGED_WITHIN_US, told)
-            self.assertLess(max(day.caught_up_after_us), CAUGHT_UP_WITHIN_US, told)
-            if not may_disturb:
-                self.assertEqual(day.disturbed, 0, told)
+            result = run_with_operators(scenario, seed=seed)
+            message = f"seed {seed}: {result.acknowledged_after_us} {result.caught_up_after_us}"
+            self.assertEqual(result.history.violations[:5], [], message)
+            self.assertLess(max(result.acknowledged_after_us), ACKNOWLEDGED_WITHIN_US, message)
+            self.assertLess(max(result.caught_up_after_us), CAUGHT_UP_WITHIN_US, message)
+            if not may_add_terms:
+                self.assertEqual(result.extra_terms, 0, message)
 
-    def test_the_leader(self) -> None:
-        self.judge(cut_story(of="leader", cut=both_ways))
+    def test_leader_partitioned_in_both_directions(self) -> None:
+        self.check(partition_scenario(of="leader", partition=both_directions))
 
-    def test_a_follower(self) -> None:
-        self.judge(cut_story(of="follower", cut=both_ways))
+    def test_follower_partitioned_in_both_directions(self) -> None:
+        self.check(partition_scenario(of="follower", partition=both_directions))
 
-    def test_the_leader_hears_nothing(self) -> None:
-        self.judge(cut_story(of="leader", cut=into))
+    def test_leader_receives_nothing(self) -> None:
+        self.check(partition_scenario(of="leader", partition=inbound))
 
-    def test_the_leader_is_not_heard(self) -> None:
-        self.judge(cut_story(of="leader", cut=out_of))
+    def test_messages_of_the_leader_are_lost(self) -> None:
+        self.check(partition_scenario(of="leader", partition=outbound))
 
-    def test_a_follower_hears_nothing(self) -> None:
-        self.judge(cut_story(of="follower", cut=into))
+    def test_follower_receives_nothing(self) -> None:
+        self.check(partition_scenario(of="follower", partition=inbound))
 
-    def test_a_follower_is_not_heard(self) -> None:
-        self.judge(cut_story(of="follower", cut=out_of))
+    def test_messages_of_a_follower_are_lost(self) -> None:
+        self.check(partition_scenario(of="follower", partition=outbound))
 
-    def test_both_in_turn(self) -> None:
-        self.judge(in_turn)
+    def test_two_leaders_partitioned_in_turn(self) -> None:
+        self.check(partition_two_leaders)
 
 
-def never_confirmed(self: ReplicaTask, *, wait_us: int) -> Any:
-    """Planted fault: a leader's own word stands for the majority's."""
+def confirm_without_majority(self: ReplicaTask, *, wait_us: int) -> Any:
+    """Planted fault: a leader confirms itself without a majority."""
     outcome = None if self.is_leader else NoLeaderError(why="not the leader")
-    return _at_once(outcome=outcome)
+    return _immediate(outcome=outcome)
 
 
-async def _at_once(*, outcome: Any) -> Any:
+async def _immediate(*, outcome: Any) -> Any:
     return outcome
 
 
-async def looked_up_in_memory(
+async def look_up_in_memory(
     self: ConfigurationWrites, *, put: PutConfiguration, digest: bytes
 ) -> Any:
-    """Planted fault: an order is judged by what this member happens to know."""
+    """Planted fault: the outcome of a write is looked up in this member's own state only."""
     outcome = self._task.machine.decided(put=put, digest=digest)
     return None if outcome is None else as_result(outcome=outcome, put_id=put.put_id)
 
 
-async def refused_in_memory(self: ConfigurationWrites, *, put: PutConfiguration, **_: Any) -> Any:
-    """Planted fault: a base version that this member has not got is refused by its word."""
+async def reject_from_memory(self: ConfigurationWrites, *, put: PutConfiguration, **_: Any) -> Any:
+    """Planted fault: a member rejects a base version that its own state does not have."""
     current = self._task.machine.state.version
     return VersionMismatchError(expected=put.expected, current=current)
 
 
 async def read_from_memory(*, core: Core, ask: ForwardOperatorCall) -> HttpReply:
-    """Planted fault: a member that leads, or thinks so, reads without the read index."""
+    """Planted fault: a member that believes to be the leader reads without the read index."""
     if ask.method == "GET" and core.task.is_leader:
         return _get_configuration(task=core.task)
     return await real_answer(core=core, ask=ask)
 
 
 def campaign_without_pre_vote(state: RaftState) -> None:
-    """Planted fault: a term is spent on every silence."""
+    """Planted fault: every election timeout starts an election in a new term."""
     elections._campaign(state, is_transfer=False)
 
 
 class PlantedFaults(unittest.TestCase):
-    """Each day above is shown to notice a fault of its kind."""
+    """The checks of this module detect planted faults."""
 
     def violations(self, *, scenario: Callable[..., Awaitable[None]], seed: int = 1) -> str:
-        return " ".join(run_day(scenario, seed=seed).history.violations)
+        return " ".join(run_with_operators(scenario, seed=seed).history.violations)
 
     def test_reads_without_the_read_index(self) -> None:
         with (
             mock.patch.object(operators_module, "_answer", read_from_memory),
             mock.patch.object(RaftState, "has_quorum_contact", lambda self: True),
         ):
-            found = self.violations(scenario=cut_story(of="leader", cut=both_ways))
+            found = self.violations(
+                scenario=partition_scenario(of="leader", partition=both_directions)
+            )
         self.assertIn("older than the acknowledged", found)
 
-    def test_check_quorum_alone_is_not_what_holds_reads(self) -> None:
+    def test_reads_stay_current_without_check_quorum(self) -> None:
         with mock.patch.object(RaftState, "has_quorum_contact", lambda self: True):
-            day = run_day(cut_story(of="leader", cut=both_ways), seed=1)
-        self.assertNotIn("older than the acknowledged", " ".join(day.history.violations))
+            result = run_with_operators(
+                partition_scenario(of="leader", partition=both_directions), seed=1
+            )
+        self.assertNotIn("older than the acknowledged", " ".join(result.history.violations))
 
-    def test_an_order_refused_from_stale_state(self) -> None:
+    def test_write_rejected_from_stale_state(self) -> None:
         with (
-            mock.patch.object(ConfigurationWrites, "_look_up", looked_up_in_memory),
-            mock.patch.object(ConfigurationWrites, "_refuse", refused_in_memory),
+            mock.patch.object(ConfigurationWrites, "_look_up", look_up_in_memory),
+            mock.patch.object(ConfigurationWrites, "_refuse", reject_from_memory),
             mock.patch.object(RaftState, "has_quorum_contact", lambda self: True),
         ):
-            found = self.violations(scenario=cut_story(of="leader", cut=both_ways))
-        self.assertIn("neither done nor to be tried again", found)
+            found = self.violations(
+                scenario=partition_scenario(of="leader", partition=both_directions)
+            )
+        self.assertIn("neither success nor retryable", found)
         self.assertIn("status=412", found)
 
-    def test_a_refusal_by_the_log_needs_a_majority_even_beside_a_stale_look_up(self) -> None:
+    def test_rejection_through_the_log_needs_a_majority_despite_a_stale_lookup(self) -> None:
         with (
-            mock.patch.object(ConfigurationWrites, "_look_up", looked_up_in_memory),
+            mock.patch.object(ConfigurationWrites, "_look_up", look_up_in_memory),
             mock.patch.object(RaftState, "has_quorum_contact", lambda self: True),
         ):
-            found = self.violations(scenario=cut_story(of="leader", cut=both_ways))
-        self.assertNotIn("neither done nor to be tried again", found)
+            found = self.violations(
+                scenario=partition_scenario(of="leader", partition=both_directions)
+            )
+        self.assertNotIn("neither success nor retryable", found)
 
-    def test_a_leader_that_is_not_confirmed(self) -> None:
+    def test_reads_from_an_unconfirmed_leader(self) -> None:
         with (
-            mock.patch.object(ReplicaTask, "confirm", never_confirmed),
+            mock.patch.object(ReplicaTask, "confirm", confirm_without_majority),
             mock.patch.object(RaftState, "has_quorum_contact", lambda self: True),
         ):
-            found = self.violations(scenario=cut_story(of="leader", cut=both_ways))
+            found = self.violations(
+                scenario=partition_scenario(of="leader", partition=both_directions)
+            )
         self.assertIn("older than the acknowledged", found)
 
-    def test_a_woken_core_that_answers_from_memory(self) -> None:
+    def test_reads_from_memory_after_a_freeze(self) -> None:
         with mock.patch.object(operators_module, "_answer", read_from_memory):
-            day = run_day(freezes, seed=1, call_us=PATIENT_US)
-        self.assertIn("older than the acknowledged", " ".join(day.history.violations))
+            result = run_with_operators(freeze_cores, seed=1, call_us=LONG_CALL_US)
+        self.assertIn("older than the acknowledged", " ".join(result.history.violations))
 
-    def test_a_woken_core_that_judges_orders_from_memory(self) -> None:
+    def test_writes_rejected_from_memory_after_a_freeze(self) -> None:
         with (
-            mock.patch.object(ConfigurationWrites, "_look_up", looked_up_in_memory),
-            mock.patch.object(ConfigurationWrites, "_refuse", refused_in_memory),
+            mock.patch.object(ConfigurationWrites, "_look_up", look_up_in_memory),
+            mock.patch.object(ConfigurationWrites, "_refuse", reject_from_memory),
         ):
-            day = run_day(freezes, seed=2, call_us=PATIENT_US)
-        self.assertIn("status=412", " ".join(day.history.violations))
+            result = run_with_operators(freeze_cores, seed=2, call_us=LONG_CALL_US)
+        self.assertIn("status=412", " ".join(result.history.violations))
 
     def test_elections_without_a_pre_vote(self) -> None:
         with mock.patch.object(elections, "_start_pre_vote", campaign_without_pre_vote):
-            day = run_day(cut_story(of="follower", cut=both_ways), seed=1)
-        self.assertGreater(day.disturbed, 0)
+            result = run_with_operators(
+                partition_scenario(of="follower", partition=both_directions), seed=1
+            )
+        self.assertGreater(result.extra_terms, 0)
 
-    def test_silence_at_the_cut_off_member(self) -> None:
+    def test_no_reply_from_a_partitioned_member(self) -> None:
         with mock.patch.object(operators_module, "_kept_us", lambda *, wait_us: 3_000_000):
-            found = self.violations(scenario=cut_story(of="follower", cut=both_ways))
+            found = self.violations(
+                scenario=partition_scenario(of="follower", partition=both_directions)
+            )
         self.assertIn("no answer", found)
 
 
-class Judged(unittest.TestCase):
-    """What was confirmed for a read is judged again when its answer is given."""
+class ConfirmedReads(unittest.TestCase):
+    """The confirmation of a read is checked again when its reply is sent."""
 
-    def read_over(self, *, meanwhile: Callable[[Cores, str], Awaitable[None]]) -> HttpReply:
-        """A read at the leader, with something between its confirmation and its answer."""
+    def read_with_interruption(
+        self, *, meanwhile: Callable[[Cores, str], Awaitable[None]]
+    ) -> HttpReply:
+        """A read at the leader, with an interruption between its confirmation and its reply."""
         replies: list[HttpReply] = []
         real = ReplicaTask.confirm
 
@@ -498,7 +522,7 @@
                         call=HttpCall(
                             method="GET",
                             url=f"http://{cores.address(name, 8100)}/v1/configuration",
-                            headers={"Kelp-Time-Left-Us": str(ORDER_WAIT_US)},
+                            headers={"Kelp-Time-Left-Us": str(DEADLINE_US)},
                             wait_us=30_000_000,
                         )
                     )
@@ -507,32 +531,32 @@
         play(scenario, seed=4, count=3, tolerance=1)
         return replies[0]
 
-    def test_a_read_confirmed_before_a_freeze_is_void_after_it(self) -> None:
+    def test_read_confirmed_before_a_freeze_is_rejected_after_it(self) -> None:
         async def freeze(cores: Cores, name: str) -> None:
             process = cores.processes[name]
             process.freeze()
             version = cores.version
-            cores.names.remove(name)  # the operator asks the others
+            cores.names.remove(name)  # the operator calls only the others
             await cores.wait_for(lambda: cores.leader() is not None)
             await cores.put()
             cores.names.append(name)
             self.assertGreater(cores.version, version)
             process.thaw()
 
-        self.assertEqual(self.read_over(meanwhile=freeze).status, 503)
+        self.assertEqual(self.read_with_interruption(meanwhile=freeze).status, 503)
 
-    def test_a_read_confirmed_before_the_replica_began_anew_is_void(self) -> None:
-        async def begin_anew(cores: Cores, name: str) -> None:
+    def test_read_confirmed_before_a_replica_restart_is_rejected(self) -> None:
+        async def restart_replica(cores: Cores, name: str) -> None:
             cores.daemons[name]._on_disk_error(DiskError(path="log", op="sync", why="planted"))
             await cores.sleep(10_000)
 
-        self.assertEqual(self.read_over(meanwhile=begin_anew).status, 503)
+        self.assertEqual(self.read_with_interruption(meanwhile=restart_replica).status, 503)
 
 
-class Learner(unittest.TestCase):
-    """A fourth core, no voter: it forgets a leader that is silent, and returns."""
+class LearnerPartition(unittest.TestCase):
+    """A fourth core that is no voter forgets an unreachable leader, and catches up later."""
 
-    def test_a_learner_that_was_cut_off_returns(self) -> None:
+    def test_partitioned_learner_forgets_the_leader_and_catches_up(self) -> None:
         async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
@@ -540,10 +564,10 @@
             await cores.put()
             voters = cores.voters()
             learner = next(n for n in cores.names if cores.address(n) not in voters)
-            cores.world.cuts |= set(both_ways(cores=cores, name=learner))
+            cores.world.cuts |= set(both_directions(cores=cores, name=learner))
             await cores.sleep(4_000_000)
             task = cores.daemons[learner].task
-            self.assertEqual(task.leader_address, "")  # it says no more who leads
+            self.assertEqual(task.leader_address, "")  # it reports no leader any longer
             began_us = cores.world.now_us()
             reply = await cores.call(learner, "GET", headers={"Kelp-Time-Left-Us": "800000"})
             self.assertEqual(reply.status, 503)
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -1,5 +1,5 @@
-"""Simulated cores alone: founding, joining, voters, and what outlives lost disks and
-power right after a put was acknowledged; fixed seeds."""
+"""Simulated cores without edges, with fixed seeds: founding, joining, voters, and the survival
+of acknowledged writes when disks or power are lost right after the acknowledgement."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Cores:
-    """Some machines with disks, a core on each, an operator outside."""
+    """Simulated machines with disks, a core on each, and an operator outside the cluster."""
 
     serve = staticmethod(serve_operators)
 
@@ -94,10 +94,11 @@
         return None
 
     def voters(self) -> list[str]:
-        """Addresses of the voters that the leader hears."""
+        """Addresses of the voters that the leader had contact with in the last 800 ms."""
         name = self.leader()
         rows = self.daemons[name].task.raft.lag() if name else []
-        here = {d.identity.replica for d in self.daemons.values() if d.identity}  # as they are now
+        # The current identity of each core.
+        here = {d.identity.replica for d in self.daemons.values() if d.identity}
         return [
             row["address"]
             for row in rows
@@ -128,10 +129,10 @@
     def document(self, note: str) -> bytes:
         return json.dumps({"forward": {}, "source": note}).encode()
 
-    async def put(self, *, tries: int = 30, pad: int = 0, is_again: bool = False) -> str:
-        """Put the next version (or the last again), at all cores by turns, as its
-        operator would; the core that acknowledged it."""
-        self.serial += not is_again
+    async def put(self, *, tries: int = 30, pad: int = 0, is_retry: bool = False) -> str:
+        """Write the next version, or retry the last one, at each core in turn as an operator
+        would; return the core that acknowledged it."""
+        self.serial += not is_retry
         body = self.document(f"put {self.serial} {'x' * pad}")
         version = self.version + 1 + self.serial % 3
         for turn in range(tries):
@@ -174,15 +175,17 @@
     make: type[Cores] = Cores,
     far_bytes_per_us: float = 0.0,
 ) -> None:
-    """Run a story in a world of its own, on cores that `make` makes; a connection between
-    zones carries so many bytes in a microsecond, without a bound if 0."""
+    """Run a scenario in a simulated world of its own, on cores that `make` builds.
+
+    `far_bytes_per_us` limits the throughput of a connection between zones; 0 is unlimited.
+    """
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     world = World(seed=seed, loop=loop)
     world.far_us = (8_000, 9_000)
     world.far_bytes_per_us = far_bytes_per_us
 
-    async def tell() -> None:
+    async def run() -> None:
         cores = make(world=world, count=count, tolerance=tolerance)
         try:
             await scenario(cores)
@@ -192,7 +195,7 @@
             await asyncio.sleep(0)
 
     try:
-        loop.run_until_complete(tell())
+        loop.run_until_complete(run())
         assert not world.broken, world.broken
     finally:
         for task in asyncio.all_tasks(loop):
@@ -202,8 +205,8 @@
         loop.close()
 
 
-class Founding(unittest.TestCase):
-    def test_the_first_leader_stands_soon(self) -> None:
+class ClusterFounding(unittest.TestCase):
+    def test_first_leader_is_elected_in_bounded_time(self) -> None:
         spans = []
 
         async def scenario(cores: Cores) -> None:
@@ -214,7 +217,7 @@
             play(scenario, seed=seed, count=3, tolerance=1)
         self.assertLess(max(spans), 1_500_000, spans)
 
-    def test_six_cores_with_three_seeds_have_five_voters_soon(self) -> None:
+    def test_six_cores_with_three_seeds_reach_five_voters_in_bounded_time(self) -> None:
         spans = []
 
         async def scenario(cores: Cores) -> None:
@@ -231,7 +234,7 @@
             play(scenario, seed=seed, count=6, tolerance=2)
         self.assertLess(max(spans), 4_000_000, spans)
 
-    def test_one_seed_and_nine(self) -> None:
+    def test_founding_with_one_seed_and_with_nine_seeds(self) -> None:
         async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True, seeds=cores.names[:9])
             await cores.wait_for(lambda: len(cores.voters()) == len(cores.names))
@@ -250,7 +253,7 @@
 
         play(scenario, seed=1, count=3, tolerance=1)
 
-    def test_a_seed_restarted_before_the_founding_stops_nobody(self) -> None:
+    def test_seed_restarted_before_the_founding_does_not_block_it(self) -> None:
         async def scenario(cores: Cores) -> None:
             await cores.start("c0", "c1", is_first=True)
             await cores.sleep(500_000)
@@ -264,8 +267,8 @@
         for seed in range(6):
             play(scenario, seed=seed, count=3, tolerance=1)
 
-    def test_seeds_that_lost_their_disks_found_nothing(self) -> None:
-        """The seeds are empty again, the cluster lives on elsewhere."""
+    def test_seeds_that_lost_their_disks_found_no_new_cluster(self) -> None:
+        """Empty seeds must join the existing cluster, which runs on the other machines."""
 
         async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
@@ -292,10 +295,10 @@
         play(scenario, seed=1, count=6, tolerance=2)
 
 
-class Losses(unittest.TestCase):
-    """What was acknowledged outlives what the settings say is to be borne."""
+class DiskAndPowerLosses(unittest.TestCase):
+    """Acknowledged writes survive as many losses as the settings say the cluster tolerates."""
 
-    def lose_right_after(
+    def lose_disks_after_write(
         self, *, lost: tuple[str, ...], seed: int, count: int, is_power: bool, pad: int = 0
     ) -> None:
         async def scenario(cores: Cores) -> None:
@@ -309,7 +312,7 @@
             if is_power:
                 cores.kill(*others, is_power=True)
                 await cores.sleep(300_000)
-            seeds = [*lost, *reversed(others)][:3]  # other machines than at the first start
+            seeds = [*lost, *reversed(others)][:3]  # not the seeds of the first start
             await cores.start(*lost, *(others if is_power else ()), seeds=seeds)
             self.assertEqual(cores.version, (await cores.read())[0], (lost, seed))
             await cores.wait_for(
@@ -320,25 +323,27 @@
 
         play(scenario, seed=seed, count=count, tolerance=(count - 1) // 2)
 
-    def test_each_disk_of_three(self) -> None:
+    def test_loss_of_each_disk_of_three_cores(self) -> None:
         for seed, name in enumerate(("c0", "c1", "c2")):
             for is_power in (False, True):
                 with self.subTest(lost=name, is_power=is_power):
-                    self.lose_right_after(lost=(name,), seed=seed, count=3, is_power=is_power)
+                    self.lose_disks_after_write(lost=(name,), seed=seed, count=3, is_power=is_power)
 
-    def test_each_pair_of_disks_of_six(self) -> None:
+    def test_loss_of_each_pair_of_disks_of_six_cores(self) -> None:
         names = [f"c{place}" for place in range(6)]
         for seed, pair in enumerate(itertools.combinations(names, 2)):
             for is_power in (False, True):
                 with self.subTest(lost=pair, is_power=is_power):
-                    self.lose_right_after(lost=pair, seed=seed, count=6, is_power=is_power)
+                    self.lose_disks_after_write(lost=pair, seed=seed, count=6, is_power=is_power)
 
-    def test_a_large_put_outlives_it_too(self) -> None:
+    def test_large_write_survives_the_loss_of_two_disks(self) -> None:
         for seed in range(3):
-            self.lose_right_after(lost=("c0", "c3"), seed=seed, count=6, is_power=True, pad=400_000)
+            self.lose_disks_after_write(
+                lost=("c0", "c3"), seed=seed, count=6, is_power=True, pad=400_000
+            )
 
-    def test_one_disk_after_the_other(self) -> None:
-        """Each as soon as the one before counts as made good."""
+    def test_disk_losses_one_after_the_other(self) -> None:
+        """Each disk is lost as soon as the previous loss counts as recovered."""
 
         async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
@@ -368,7 +373,7 @@
                 fresh = f"c{turn + 3}"
                 cores.add(name=fresh, zone=f"d{turn % 3}")
                 await cores.sleep(800_000)
-                # The list of seeds lags: the one that is gone is still on it.
+                # The seed list is outdated: it still holds the removed machine.
                 await cores.start(fresh, seeds=[gone, *cores.names[:2]])
                 self.assertEqual(cores.version, (await cores.read())[0])
                 await cores.sleep(CATCH_UP_US)
@@ -377,7 +382,7 @@
         for seed in range(4):
             play(scenario, seed=seed, count=3, tolerance=1)
 
-    def test_a_core_moves_with_its_disk(self) -> None:
+    def test_core_moves_to_another_address_with_its_disk(self) -> None:
         async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
@@ -398,7 +403,7 @@
         for seed in range(3):
             play(scenario, seed=seed, count=3, tolerance=1)
 
-    def test_all_killed_at_once_and_all_powered_off(self) -> None:
+    def test_all_cores_killed_or_powered_off_at_once(self) -> None:
         async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 2 * cores.tolerance + 1)
@@ -414,13 +419,13 @@
             play(scenario, seed=seed, count=3, tolerance=1)
             play(scenario, seed=seed, count=6, tolerance=2)
 
-    def test_fewer_cores_than_it_takes(self) -> None:
-        """Two cores hold a put on both disks; three are too few for the loss of two."""
+    def test_fewer_cores_than_the_tolerance_needs(self) -> None:
+        """Two cores store a write on both disks; three are too few to tolerate two losses."""
 
         async def two(cores: Cores) -> None:
             await cores.start(is_first=True)
             await cores.put(tries=60)
-            self.assertGreater(cores.world.now_us(), 5_000_000, "it waited for a third")
+            self.assertGreater(cores.world.now_us(), 5_000_000, "it waits for a third core first")
             cores.kill("c0", is_disk=True)
             cores.kill("c1")
             held = cores.world.machines["c1"].platter.files
@@ -434,40 +439,41 @@
         play(two, seed=1, count=2, tolerance=1)
         play(three, seed=1, count=3, tolerance=2)
 
-    def test_no_put_is_acknowledged_before_the_voters_are_enough(self) -> None:
+    def test_no_write_is_acknowledged_with_too_few_voters(self) -> None:
         async def scenario(cores: Cores) -> None:
             await cores.start("c0", "c1", "c2", is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             with self.assertRaises(AssertionError):
                 await cores.put(tries=15)
             reply = await cores.call("c0", "GET")
-            self.assertEqual(404, reply.status, "nothing is in force")
+            self.assertEqual(404, reply.status, "no configuration is in force")
             await cores.start("c3", "c4", "c5", is_first=True)
-            await cores.put(is_again=True)
+            await cores.put(is_retry=True)
             self.assertEqual(5, len(cores.voters()))
 
         play(scenario, seed=1, count=6, tolerance=2)
 
 
-class Days(unittest.TestCase):
-    """Days of faults by seed, two operators on one register: an acknowledged put is never
-    lost, of two on one base one wins, a refused one is never in force, reads never go back."""
+class RandomFaults(unittest.TestCase):
+    """Random faults by seed while two operators write: no acknowledged write is lost, at most
+    one of two writes on the same base version succeeds, a rejected write never takes effect,
+    and reads never go back to an older version."""
 
     SEEDS = {3: range(100, 108), 5: range(200, 203), 6: range(300, 308)}
 
-    def test_fixed_seeds(self) -> None:
+    def test_acknowledged_writes_survive_random_faults(self) -> None:
         for count, seeds in self.SEEDS.items():
             for seed in seeds:
                 with self.subTest(count=count, seed=seed):
-                    play_day(seed=seed, count=count)
+                    play_random_faults(seed=seed, count=count)
 
 
 class Register:
-    """What the operators know of the configuration."""
+    """The operators' view of the configuration; asserts that each reply is consistent with it."""
 
     def __init__(self, cores: Cores) -> None:
         self.cores = cores
-        self.acked: dict[int, tuple[int, bytes]] = {}  # version -> base, document
+        self.acknowledged: dict[int, tuple[int, bytes]] = {}  # version: base version, document
         self.sent: dict[int, list[bytes]] = {}
         self.refused: set[bytes] = set()
         self.is_open = True
@@ -505,19 +511,19 @@
                 continue
             if reply.status == 200:
                 assert json.loads(reply.body)["version"] == version, reply
-                known = self.acked.setdefault(version, (base, body))
+                known = self.acknowledged.setdefault(version, (base, body))
                 assert known == (base, body), f"{version} acknowledged twice"
-                bases = [b for b, _ in self.acked.values()]
-                assert len(set(bases)) == len(bases), f"two won on {base}"
+                bases = [b for b, _ in self.acknowledged.values()]
+                assert len(set(bases)) == len(bases), f"two writes on base {base} succeeded"
                 return
             assert reply.status in (409, 412), reply
-            self.refused.add(body)  # whatever was sent before: it is never in force later
+            self.refused.add(body)  # a rejected write must never take effect later
             return
 
     async def read(self, rand: random.Random) -> tuple[int, bytes]:
         cores = self.cores
         for _ in range(300):
-            newest = max(self.acked, default=0)
+            newest = max(self.acknowledged, default=0)
             reply = await cores.call(
                 rand.choice(cores.names), "GET", headers={"Kelp-Time-Left-Us": "900000"}
             )
@@ -525,17 +531,21 @@
                 await cores.sleep(100_000)
                 continue
             version = 0 if reply.status == 404 else int(reply.headers["etag"].strip('"'))
-            assert version >= newest, f"{newest} was acknowledged, {version} is read"
-            assert version == 0 or reply.body in self.sent[version], f"{version}: other bytes"
-            assert reply.body not in self.refused, f"{version} was refused"
-            if version in self.acked:
-                assert self.acked[version][1] == reply.body, f"{version}: other bytes"
+            assert version >= newest, f"{newest} was acknowledged, but {version} was read"
+            assert version == 0 or reply.body in self.sent[version], (
+                f"{version}: body was never sent"
+            )
+            assert reply.body not in self.refused, f"{version} was rejected"
+            if version in self.acknowledged:
+                assert self.acknowledged[version][1] == reply.body, (
+                    f"{version}: body was not acknowledged"
+                )
             return version, reply.body
-        raise AssertionError("nobody answered a read")
+        raise AssertionError("no core answered a read")
 
 
 async def hurt(cores: Cores, rand: random.Random) -> None:
-    """One trouble within what is to be borne, and its end."""
+    """Inject one fault within the tolerance, then end it."""
     lost = rand.sample(cores.up(), rand.randrange(1, cores.tolerance + 1))
     kind = rand.choice(("kill", "power", "disk", "freeze", "cut", "all", "all power", "stall"))
     span_us = rand.randrange(200_000, 4_000_000)
@@ -568,8 +578,8 @@
         await cores.start(seeds=seeds)
 
 
-def play_day(*, seed: int, count: int) -> None:
-    """Eight troubles, the last right after an acknowledgement, then a read and a put."""
+def play_random_faults(*, seed: int, count: int) -> None:
+    """Eight faults, each after an acknowledgement; then lost disks and power, a read, a write."""
 
     async def scenario(cores: Cores) -> None:
         rand = random.Random(f"{seed}/day")
@@ -583,13 +593,15 @@
             for who in ("a", "b")
         ]
         for _ in range(8):
-            before = len(register.acked)
+            before = len(register.acknowledged)
             await cores.wait_for(
-                lambda before=before: len(register.acked) > before or any(w.done() for w in work),
+                lambda before=before: (
+                    len(register.acknowledged) > before or any(w.done() for w in work)
+                ),
                 us=30_000_000,
             )
             await hurt(cores, rand)
-            await cores.wait_for(  # the machines count as made good
+            await cores.wait_for(  # the fault counts as recovered
                 lambda: len(cores.voters()) >= 2 * cores.tolerance + 1, us=10_000_000
             )
         register.is_open = False
@@ -601,7 +613,7 @@
         await cores.start()
         cores.version, _ = await register.read(rand)
         await cores.put()
-        assert len(register.acked) >= 8, "hardly anything was acknowledged"
+        assert len(register.acknowledged) >= 8, "fewer than 8 writes were acknowledged"
 
     play(scenario, seed=seed, count=count, tolerance=(count - 1) // 2)
 
