--- a/kelpstage/edge/gossip/__init__.py
+++ b/kelpstage/edge/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of edges after SWIM, and its datagrams."""
+"""Membership of edges by the SWIM protocol, and its datagrams."""
--- a/kelpstage/edge/gossip/dissemination.py
+++ b/kelpstage/edge/gossip/dissemination.py
@@ -1,7 +1,7 @@
-"""Which updates of members go into a message (SWIM, section 4.1: piggybacking).
+"""Selects the member updates that a message carries (SWIM, section 4.1: piggybacking).
 
-Each update is sent a bounded number of times, a few in each message, first those that
-were sent the fewest times.
+Each update is sent a bounded number of times, and a message carries a few of them: unsent
+updates first, then those that were sent least recently.
 """
 
 from __future__ import annotations
@@ -9,28 +9,30 @@
 import math
 from itertools import islice
 
-from kelpstage.edge.gossip.members import SMALL_COUNT
+from kelpstage.edge.gossip.members import SMALL_FLEET_SIZE
 
 UPDATES_PER_MESSAGE = 6
 SMALL_TRANSMISSIONS = 16  # of an update, in a small fleet
-EXTRA_TRANSMISSIONS = 4  # more than the logarithm of the number of members
-READY_TRANSMISSIONS = 4  # of an update that only says that a member is ready
+EXTRA_TRANSMISSIONS = 4  # in addition to the logarithm of the number of members
+READY_TRANSMISSIONS = 4  # of an update that only changes whether a member is ready
 
 
 def transmission_limit(*, count: int) -> int:
-    """How often one edge sends an update, for this many members. With k transmissions by
-    each that received it, a share of about exp(-k) gets it by random samples only.
+    """The number of times that one edge sends an update, for this many members.
+
+    If each edge that received the update sends it k times, a share of about exp(-k) of the
+    members gets it only through random samples.
 
     >>> [transmission_limit(count=count) for count in (10, 90, 1400)]
     [16, 11, 15]
     """
-    if count < SMALL_COUNT:
+    if count < SMALL_FLEET_SIZE:
         return SMALL_TRANSMISSIONS
     return EXTRA_TRANSMISSIONS + math.ceil(math.log2(count))
 
 
 class UpdateQueue:
-    """Owns the names of the members whose update is still to be sent.
+    """Owns the names of the members whose update has still to be sent.
 
     >>> queue = UpdateQueue()
     >>> queue.add(name="a"), queue.add(name="b")
@@ -40,28 +42,30 @@
     """
 
     def __init__(self) -> None:
-        self._unsent: dict[str, None] = {}  # the newest last
-        self._sent: dict[str, int] = {}  # times sent; the latest sent last
+        self._unsent: dict[str, None] = {}  # newest last
+        self._sent: dict[str, int] = {}  # number of transmissions; most recently sent last
 
     def add(self, *, name: str) -> None:
-        """A member's update is new: it goes out before what was sent already."""
+        """Queue a member's new update, ahead of updates that were sent already."""
         self.discard(name=name)
         self._unsent[name] = None
 
     def add_ready(self, *, name: str, member_count: int) -> None:
-        """A member became ready or not; all do when a fleet starts, so that this is sent
-        a few times only, behind everything else."""
+        """Queue a change of a member's readiness, behind all other updates.
+
+        It is sent only a few times, because every member becomes ready when a fleet starts.
+        """
         if name not in self._unsent:
             limit = transmission_limit(count=member_count)
             self._sent.setdefault(name, limit - READY_TRANSMISSIONS)
 
     def discard(self, *, name: str) -> None:
-        """There is nothing to send of this member any more."""
+        """Remove the update of this member."""
         self._unsent.pop(name, None)
         self._sent.pop(name, None)
 
     def next(self, *, member_count: int) -> list[str]:
-        """A few names for one message: the newest first, then the least recently sent."""
+        """The names for one message: the newest unsent ones, then the least recently sent."""
         names = list(islice(reversed(self._unsent), UPDATES_PER_MESSAGE))
         names += islice(self._sent, UPDATES_PER_MESSAGE - len(names))
         limit = transmission_limit(count=member_count)
--- a/kelpstage/edge/gossip/members.py
+++ b/kelpstage/edge/gossip/members.py
@@ -1,8 +1,8 @@
-"""The member table: every other edge that is known, with its status.
+"""The member table: every other known edge, with its status.
 
-A member's beat is a counter that it counts up itself once a tick: within one
-incarnation it has the part of the incarnation number in the SWIM paper (section 4.2),
-so that a higher beat refutes a suspicion.
+A member's beat is a counter that the member itself increments once per tick. Within one
+incarnation it plays the role of the incarnation number of the SWIM paper (section 4.2): a
+higher beat refutes a suspicion.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 
 class MemberStatus(IntEnum):
-    """The status of a member; the numbers travel in gossip and never change.
+    """The status of a member; the numbers are sent in gossip and must not change.
 
-    Of two reports as of the same beat, the one of the higher number counts.
+    Of two reports with the same beat, the one with the higher number takes precedence.
     """
 
     ALIVE = 0
@@ -26,7 +26,7 @@
     LEAVING = 3
 
 
-# Bound once, for those who walk over all members.
+# Module-level names, to avoid attribute lookups in loops over all members.
 ALIVE, SUSPECT, DEAD, LEAVING = MemberStatus
 
 STATUS_NAMES: dict[int, str] = {
@@ -35,45 +35,48 @@
     DEAD: "dead",
     LEAVING: "leaving",
 }
-SMALL_COUNT = 20  # fleets up to this size: every peer alike, all of them notified at once
+SMALL_FLEET_SIZE = 20  # smaller fleets ignore regions and notify all peers at once
 
 
 class Group(StrEnum):
-    """Members that are listed together."""
+    """Groups of members."""
 
-    LIVE = "live"  # alive or suspect, and this edge
+    LIVE = "live"  # alive or suspect, including this edge
     PEERS = "peers"  # alive or suspect
     ALIVE = "alive"
-    KNOWN = "known"  # more than the address is known
+    KNOWN = "known"  # more than their address is known
     NEAR = "near"  # peers in this edge's region
     FAR = "far"  # the other peers
 
 
 @dataclass(kw_only=True)
 class Member:
-    """One other edge, as this one knows it; times are clock readings in microseconds."""
+    """Another edge, as this edge knows it; times are clock readings in microseconds."""
 
     info: MemberMsg
-    since_us: int  # of its status
-    served: int = 0  # its newest configuration version, over all its incarnations
-    packed: bytes = b""  # `info` as it travels; empty once it has changed
-    seen_beat: int = 0  # the latest beat that was received, and when
-    seen_us: int = 0
-    heard_us: int = 0  # when anything new of it was received last
+    since_us: int  # time of the last change of status
+    served: int = 0  # newest configuration version of its earlier reports, over all incarnations
+    packed: bytes = b""  # serialized `info`; empty after a change
+    last_beat: int = 0  # the last beat that was noted, and when
+    last_beat_us: int = 0
+    last_update_us: int = 0  # when a newer report of it was last received
 
     def note_beat(self, *, beat: int, now_us: int, is_direct: bool, tick_us: int) -> None:
-        """Note a beat; one that came through others may be old by the time it arrives."""
+        """Record a beat.
+
+        A beat received indirectly may be out of date, so it must not be below the expected one.
+        """
         if is_direct or beat >= self.expected_beat(now_us=now_us, tick_us=tick_us):
-            self.seen_beat, self.seen_us = beat, now_us
+            self.last_beat, self.last_beat_us = beat, now_us
 
     def expected_beat(self, *, now_us: int, tick_us: int) -> int:
-        """The beat that this member has by now, if it is well."""
-        return self.seen_beat + max(0, now_us - self.seen_us) // tick_us
+        """The beat that this member has reached by now if it is alive."""
+        return self.last_beat + max(0, now_us - self.last_beat_us) // tick_us
 
 
 @dataclass(frozen=True, kw_only=True)
 class StatusChange:
-    """A member's status has changed; `why` is shown to operators."""
+    """A change of a member's status; `why` is shown to operators."""
 
     name: str
     status: int
@@ -81,26 +84,26 @@
 
 
 class MemberTable:
-    """Owns the members, the groups made of them, and the changes of status.
+    """Owns the members, the groups of members, and the changes of status.
 
-    `is_near` tells whether a zone lies in this edge's region.
+    `is_near` is true for a zone in this edge's region.
     """
 
     def __init__(self, *, me: MemberMsg, is_near: Callable[[str], bool]) -> None:
         self.members: dict[str, Member] = {}
         self.changes: list[StatusChange] = []
-        self.not_alive: dict[str, None] = {}  # names, the latest last
+        self.not_alive: dict[str, None] = {}  # names, most recent last
         self._me = me
         self._is_near = is_near
-        self._groups: dict[str, list[str]] = {}  # made when asked for
+        self._groups: dict[str, list[str]] = {}  # cache, filled on demand
 
     @property
     def is_small(self) -> bool:
-        """Is the fleet so small that every peer is treated alike?"""
-        return len(self.members) < SMALL_COUNT
+        """True if the fleet is small enough to treat every peer alike."""
+        return len(self.members) < SMALL_FLEET_SIZE
 
     def group(self, group: Group) -> list[str]:
-        """Sorted names, kept until the table changes."""
+        """The sorted names of a group, cached until the table changes."""
         if group not in self._groups:
             self._groups[group] = sorted(self._make_group(group))
         return self._groups[group]
@@ -115,17 +118,17 @@
             return [name for name, one in members if one.info.status == ALIVE]
         if group == Group.KNOWN:
             return [name for name, one in members if one.info.beat]
-        return [name for name in self.group(Group.PEERS) if self.is_in(group, name=name)]
+        return [name for name in self.group(Group.PEERS) if self.is_in_group(group, name=name)]
 
-    def is_in(self, group: Group, *, name: str) -> bool:
-        """Does a peer belong to `PEERS`, `NEAR` or `FAR`?"""
+    def is_in_group(self, group: Group, *, name: str) -> bool:
+        """True if a peer belongs to the group, which is `PEERS`, `NEAR` or `FAR`."""
         if group == Group.PEERS:
             return True
         zone = self.members[name].info.zone or self._me.zone
         return self._is_near(zone) == (group == Group.NEAR)
 
-    def note_changed(self, *, name: str) -> None:
-        """A member is new, removed or of another status: the groups are made anew."""
+    def on_member_changed(self, *, name: str) -> None:
+        """Invalidate the groups after a member was added or removed or its status changed."""
         self._groups.clear()
         member = self.members.get(name)
         if member is None or member.info.status == ALIVE:
@@ -134,6 +137,6 @@
             self.not_alive[name] = None
 
     def take_changes(self) -> list[StatusChange]:
-        """The changes of status since the last call."""
+        """Return the changes of status since the last call, and clear them."""
         changes, self.changes = self.changes, []
         return changes
--- a/kelpstage/edge/gossip/probing.py
+++ b/kelpstage/edge/gossip/probing.py
@@ -1,7 +1,7 @@
-"""Whom the failure detector probes next, and through whom it probes again.
+"""Selects the members that the failure detector probes, and the relays of indirect probes.
 
-In a fleet that is not small most probes stay in this edge's region, and beyond a hundred
-members or so they become rarer with the logarithm of their number.
+Unless the fleet is small, most probes stay in this edge's region. Beyond about a hundred
+members, the interval between probes grows with the logarithm of their number.
 """
 
 from __future__ import annotations
@@ -12,33 +12,34 @@
 
 from kelpstage.edge.gossip.members import ALIVE, SUSPECT, Group, MemberTable
 
-INDIRECT_PROBES = 2  # relays of a ping-req; `k` in the SWIM paper
-FAR_EVERY = 4  # one probe in so many goes to another region
-NOT_ALIVE_EVERY = 5  # one probe in so many goes to a member that is held for lost
-SPARSE_FROM = 50  # members; with more of them probes are less frequent
+INDIRECT_PROBES = 2  # relays of an indirect probe; `k` in the SWIM paper
+FAR_PROBE_INTERVAL = 4  # one probe in this many goes to another region
+NOT_ALIVE_PROBE_INTERVAL = 5  # one probe in this many goes to a dead or leaving member
+SPARSE_PROBING_SIZE = 50  # the probe interval is log2(members / this) ticks, at least one
 
 
 @dataclass(kw_only=True)
 class Probe:
     """A ping that waits for its ack.
 
-    `for_whom` and `for_number` are the requester of a ping-req and its probe's number.
+    For a ping on behalf of another member, `requester` is the sender of the ping-req and
+    `requester_number` is the number of its probe.
     """
 
     name: str
     sent_us: int
     is_indirect: bool = False
-    for_whom: str = ""
-    for_number: int = 0
+    requester: str = ""
+    requester_number: int = 0
 
 
 def probe_ticks(*, count: int) -> int:
-    """Ticks from one probe to the next, for this many members.
+    """The number of ticks from one probe to the next, for this many members.
 
     >>> [probe_ticks(count=count) for count in (10, 90, 200, 1400)]
     [1, 1, 2, 5]
     """
-    return max(1, round(math.log2(max(1, count) / SPARSE_FROM)))
+    return max(1, round(math.log2(max(1, count) / SPARSE_PROBING_SIZE)))
 
 
 class ProbeTargets:
@@ -49,12 +50,12 @@
         self._rand = rand
         self._near: list[str] = []
         self._far: list[str] = []
-        self._begun = 0
+        self._probe_count = 0
 
     def next(self) -> str | None:
-        """The member to probe next, `None` if there is none."""
-        self._begun += 1
-        if self._begun % NOT_ALIVE_EVERY == 0:
+        """The member to probe next; `None` if there is none."""
+        self._probe_count += 1
+        if self._probe_count % NOT_ALIVE_PROBE_INTERVAL == 0:
             members = self._table.members
             others = [n for n in self._table.not_alive if members[n].info.status != SUSPECT]
             if others:
@@ -62,7 +63,7 @@
         if self._table.is_small:
             return self._pop(order=self._near, group=Group.PEERS)
         ways = [(self._near, Group.NEAR), (self._far, Group.FAR)]
-        if self._begun % FAR_EVERY == 0:
+        if self._probe_count % FAR_PROBE_INTERVAL == 0:
             ways.reverse()
         for order, group in ways:
             target = self._pop(order=order, group=group)
@@ -74,7 +75,7 @@
         members = self._table.members
         while order:
             name = order.pop()
-            if name not in members or not self._table.is_in(group, name=name):
+            if name not in members or not self._table.is_in_group(group, name=name):
                 continue
             if members[name].info.status in (ALIVE, SUSPECT):
                 return name
@@ -83,8 +84,11 @@
         return order.pop() if order else None
 
     def relays(self, *, target: str) -> list[str]:
-        """The members that a ping-req goes to; where there are regions, one of them in
-        this one, so that not both are beyond the same network partition."""
+        """The members that relay an indirect probe.
+
+        Unless the fleet is small, one of them is in this edge's region, so that a network
+        partition does not separate both of them from this edge.
+        """
         others = [name for name in self._table.group(Group.ALIVE) if name != target]
         if self._table.is_small:
             return self._rand.sample(others, min(INDIRECT_PROBES, len(others)))
@@ -94,13 +98,13 @@
         return first + self._rand.sample(rest, min(INDIRECT_PROBES - len(first), len(rest)))
 
     def alive_near(self) -> list[str]:
-        """Members in this edge's region that nobody suspects."""
+        """Members in this edge's region that are alive and not suspected."""
         not_alive = self._table.not_alive
         return [name for name in self._table.group(Group.NEAR) if name not in not_alive]
 
     def random_peer(self) -> str | None:
-        """A member that is alive, mostly in this edge's region."""
+        """A random member that is alive, in most cases from this edge's region."""
         near = self.alive_near()
-        is_near = near and self._rand.randrange(FAR_EVERY)
+        is_near = near and self._rand.randrange(FAR_PROBE_INTERVAL)
         names = near if is_near else self._table.group(Group.ALIVE)
         return self._rand.choice(names) if names else None
--- a/kelpstage/edge/gossip/swim.py
+++ b/kelpstage/edge/gossip/swim.py
@@ -1,12 +1,12 @@
-"""Membership of edges after SWIM (Das, Gupta, Motivala 2002): ping, ping-req, suspect, confirm.
+"""Membership of edges by SWIM (Das, Gupta, Motivala 2002): ping, ping-req, suspect, confirm.
 
-Plain: ticks and datagrams go in, datagrams to send come out. Each edge counts its own
-beat up; a higher beat refutes a suspicion, so that of a member that is alive only some
-message has to arrive. The parts: the member table (`members.py`), what is believed
-of members (`membership.py`), whom to probe (`probing.py`), which updates to send
-(`dissemination.py`).
+The protocol is plain state without I/O: it receives ticks and datagrams and returns datagrams
+to send. Each edge increments its own beat; a higher beat refutes a suspicion, so any message
+that carries a member's beat shows that the member is alive. The parts are the member table
+(`members.py`), the merging of reports (`membership.py`), the choice of members to probe
+(`probing.py`) and the choice of updates to send (`dissemination.py`).
 
-A message costs the same however many members there are: a few updates, and beside them
+The size of a message does not depend on the number of members: it carries a few updates and
 a random sample of the members.
 """
 
@@ -30,33 +30,33 @@
 
 
 class MessageKind(IntEnum):
-    """Kinds of messages, as in the SWIM paper; the numbers travel and never change."""
+    """Kinds of messages, as in the SWIM paper; the numbers are sent and must not change."""
 
     PING = 1
     ACK = 2
-    PING_REQ = 3  # ask another member to ping on one's behalf
+    PING_REQ = 3  # asks the receiver to ping another member for the sender
 
 
 PING, ACK, PING_REQ = MessageKind
 
 TICK_US = 200_000  # the protocol period
-ACK_TIMEOUT_US = 250_000  # after a ping; then it is probed through others
-INDIRECT_TIMEOUT_US = 350_000  # more, for an ack through others; then it is suspect
-SAMPLE_COUNT, LARGE_SAMPLE_COUNT = 4, 2  # members sent at random, in small and other fleets
-SPREAD_COUNT = 12  # peers that are notified at once, in a fleet that is not small
+ACK_TIMEOUT_US = 250_000  # after a ping; then the member is probed indirectly
+INDIRECT_TIMEOUT_US = 350_000  # additional time for an indirect ack; then it is suspected
+SAMPLE_COUNT, LARGE_SAMPLE_COUNT = 4, 2  # size of the random sample, in small and larger fleets
+SPREAD_COUNT = 12  # peers notified at once, unless the fleet is small
 
-# Messages to send, with their addresses.
+# Messages to send, each with its address.
 Sends = list[tuple[str, GossipMsg]]
 
 
 @dataclass(kw_only=True)
 class Swim:
-    """The protocol of one edge.
+    """The SWIM protocol of one edge.
 
-    `backend_states` gives what a message carries of backends, `on_backend_state` takes
-    what one brought. `on_silent` is given a member that missed a ping, `on_ack` one that
-    answered and the round trip in microseconds. `is_near` tells whether a zone lies in
-    this edge's region.
+    `backend_states` returns the backend states that a message carries, and
+    `on_backend_state` processes a received one. `on_silent` gets the name of a member that
+    did not acknowledge a ping in time, `on_ack` that of a member that did and the round
+    trip in microseconds. `is_near` is true for a zone in this edge's region.
 
     >>> def node(name): return Swim(me=MemberMsg(name=name, address=name, incarnation=1),
     ...     rand=random.Random(1), backend_states=lambda: [],
@@ -94,62 +94,62 @@
     def meet(
         self, *, name: str, address: str, incarnation: int, now_us: int, zone: str = ""
     ) -> None:
-        """Learn of an edge by another way than gossip."""
+        """Add an edge that was discovered by other means than gossip."""
         self._membership.meet(
             name=name, address=address, incarnation=incarnation, now_us=now_us, zone=zone
         )
 
     def suspect(self, *, name: str, now_us: int, why: str, asked_us: int = 0) -> None:
-        """Suspect a member by other evidence than probes; it was asked at `asked_us`."""
+        """Suspect a member for the reason `why`; `asked_us` is when it was asked."""
         self._membership.suspect(name=name, now_us=now_us, why=why, asked_us=asked_us)
 
-    def outrank(self, *, incarnation: int) -> None:
-        """Another process of this edge's name speaks under this incarnation."""
-        self._membership.outrank(incarnation=incarnation)
+    def raise_incarnation(self, *, incarnation: int) -> None:
+        """Raise this edge's incarnation above one that is known for its name."""
+        self._membership.raise_incarnation(incarnation=incarnation)
 
     def status(self, *, name: str) -> int:
-        """The status of an edge; `DEAD` if it is not known."""
+        """The status of an edge; `DEAD` if the edge is unknown."""
         return self._membership.status(name=name)
 
     def served(self, *, name: str) -> int:
-        """The newest configuration version that a peer reported to serve."""
+        """The newest configuration version that a peer has reported."""
         return self._membership.served(name=name)
 
     def live(self) -> list[str]:
-        """Names of edges that are not dead or leaving, this one among them."""
+        """Names of edges that are not dead or leaving, including this edge."""
         return self._table.group(Group.LIVE)
 
     def known_count(self) -> int:
-        """Edges of which more than the address is known, this one among them."""
+        """The number of edges of which more than the address is known, including this edge."""
         return len(self._table.group(Group.KNOWN)) + 1
 
     def random_peer(self) -> str | None:
-        """A member that is alive, mostly in this edge's region."""
+        """A random member that is alive, in most cases from this edge's region."""
         return self._targets.random_peer()
 
     def table(self) -> list[bytes]:
-        """All members as they travel, for an edge that knows few."""
+        """All known members in serialized form, for an edge that knows few."""
         return self._membership.packed_members()
 
     def merge_table(self, *, table: list[bytes], now_us: int) -> None:
-        """Take over another edge's members."""
+        """Merge another edge's member table."""
         self._membership.merge_table(table=table, now_us=now_us)
 
     def take_changes(self) -> list[StatusChange]:
-        """The changes of status since the last call."""
+        """Return the changes of status since the last call, and clear them."""
         return self._table.take_changes()
 
     # --- events -----------------------------------------------------------------------
 
     def tick(self, *, now_us: int) -> Sends:
-        """A clock event: check the open probes, begin the next one."""
+        """Process a clock tick: check the open probes and start the next one."""
         self.me.beat += 1
         self._ticks += 1
-        if self._membership.born_us is None:
-            self._membership.born_us = now_us
+        if self._membership.started_us is None:
+            self._membership.started_us = now_us
         sends: Sends = []
         if now_us - self._last_tick_us > 3 * TICK_US:
-            self._probes.clear()  # this process was away; the others were not
+            self._probes.clear()  # this process was paused, not the members
         self._last_tick_us = now_us
         for number, probe in list(self._probes.items()):
             sends += self._check_probe(number=number, probe=probe, now_us=now_us)
@@ -164,7 +164,7 @@
 
     def _check_probe(self, *, number: int, probe: Probe, now_us: int) -> Sends:
         age_us = now_us - probe.sent_us
-        if probe.for_whom:
+        if probe.requester:
             if age_us > ACK_TIMEOUT_US + INDIRECT_TIMEOUT_US:
                 del self._probes[number]
             return []
@@ -174,7 +174,7 @@
                 name=probe.name,
                 now_us=now_us,
                 asked_us=probe.sent_us,
-                why="no ack, directly or through others",
+                why="no ack to a direct or an indirect probe",
             )
             return self._notify_of_suspect(name=probe.name, now_us=now_us)
         if age_us <= ACK_TIMEOUT_US or probe.is_indirect:
@@ -185,7 +185,7 @@
         if member is None:
             return []
         return [
-            self._message(
+            self._build_message(
                 to=name,
                 kind=PING_REQ,
                 number=number,
@@ -196,8 +196,11 @@
         ]
 
     def _notify_of_suspect(self, *, name: str, now_us: int) -> Sends:
-        """In a large fleet an update takes its time, and the suspect itself may be the last
-        to receive it: notify some peers at once, and the suspect, whose ack refutes it."""
+        """Notify the suspect, whose ack refutes the suspicion, and some peers at once.
+
+        In a large fleet an update takes time to spread, and the suspect itself may be the
+        last to receive it.
+        """
         member = self.members.get(name)
         if self._table.is_small or member is None or member.info.status != SUSPECT:
             return []
@@ -207,9 +210,9 @@
     def _ping(self, *, name: str, now_us: int) -> tuple[str, GossipMsg]:
         self._number += 1
         self._probes[self._number] = Probe(name=name, sent_us=now_us)
-        return self._message(to=name, kind=PING, number=self._number)
+        return self._build_message(to=name, kind=PING, number=self._number)
 
-    def _message(
+    def _build_message(
         self, *, to: str, kind: MessageKind, number: int, target: str = "", target_address: str = ""
     ) -> tuple[str, GossipMsg]:
         packed = self._membership.packed
@@ -227,10 +230,13 @@
         return (member.info.address if member else to), message
 
     def _members_to_send(self, *, to: str, kind: MessageKind) -> list[str]:
-        """Members with an update to send, and a random sample of the others; a receiver
-        that others hold for lost gets what is said of it, so that it can refute it."""
+        """Members with an update to send, and a random sample of the known members.
+
+        A receiver that is believed not alive also gets the report of itself, so that it can
+        refute it.
+        """
         updates = self._membership.updates.next(member_count=len(self.members))
-        is_lost = self._membership.is_lost_to_others(name=to)
+        is_lost = self._membership.needs_refutation(name=to)
         if is_lost and to not in updates and self.members[to].info.beat:
             updates.append(to)
         if not self._table.is_small and kind == ACK:
@@ -241,18 +247,21 @@
         return updates + [name for name in sample if name not in updates]
 
     def spread(self) -> Sends:
-        """Send updates that should not wait for the next tick, to every live peer; in a
-        fleet that is not small to a few of them, who send them on."""
+        """Send updates now, without waiting for the next tick.
+
+        They go to every live peer in a small fleet, else to a few random ones that send them
+        on.
+        """
         names = self._table.group(Group.PEERS)
         if not names:
             return []
         if not self._table.is_small:
             names = self.rand.sample(names, min(SPREAD_COUNT, len(names)))
-        _, message = self._message(to="", kind=ACK, number=0)
+        _, message = self._build_message(to="", kind=ACK, number=0)
         return [(self.members[name].info.address, message) for name in names]
 
     def heard(self, *, message: GossipMsg, now_us: int) -> Sends:
-        """A datagram was received."""
+        """Process a received datagram; returns the messages to send in response."""
         if message.cluster and self.cluster and message.cluster != self.cluster:
             return []
         sender = message.sender
@@ -264,7 +273,7 @@
         for backend_state in message.backend_states:
             self.on_backend_state(backend_state)
         if message.kind == PING:
-            return [self._message(to=sender.name, kind=ACK, number=message.number)]
+            return [self._build_message(to=sender.name, kind=ACK, number=message.number)]
         if message.kind == PING_REQ:
             return self._on_ping_req(message=message, now_us=now_us)
         return self._on_ack_received(message=message, now_us=now_us)
@@ -274,26 +283,28 @@
         self._probes[self._number] = Probe(
             name=message.target,
             sent_us=now_us,
-            for_whom=message.sender.name,
-            for_number=message.number,
+            requester=message.sender.name,
+            requester_number=message.number,
         )
-        _, ping = self._message(to=message.target, kind=PING, number=self._number)
+        _, ping = self._build_message(to=message.target, kind=PING, number=self._number)
         return [(message.target_address, ping)]
 
     def _on_ack_received(self, *, message: GossipMsg, now_us: int) -> Sends:
         probe = self._probes.get(message.number)
         if probe is None:
             return []
-        if probe.for_whom:
+        if probe.requester:
             if message.sender.name != probe.name:
                 return []
             del self._probes[message.number]
-            _, ack = self._message(to=probe.for_whom, kind=ACK, number=probe.for_number)
+            _, ack = self._build_message(
+                to=probe.requester, kind=ACK, number=probe.requester_number
+            )
             if probe.name in self.members:
                 ack.members.append(self._membership.packed(name=probe.name))
-            member = self.members.get(probe.for_whom)
-            return [(member.info.address if member else probe.for_whom, ack)]
-        # An ack through another carries the target's newest beat among its members.
+            member = self.members.get(probe.requester)
+            return [(member.info.address if member else probe.requester, ack)]
+        # An indirect ack carries the target's newest beat among its members.
         if message.sender.name == probe.name:
             self.on_ack(probe.name, now_us - probe.sent_us)
         del self._probes[message.number]
--- a/kelpstage/edge/gossip/task.py
+++ b/kelpstage/edge/gossip/task.py
@@ -1,4 +1,4 @@
-"""The gossip task: owns the datagram socket, and drives the protocol by the clock."""
+"""The gossip task: owns the datagram socket, and drives the protocol from the clock."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from kelpstage.edge.gossip.members import STATUS_NAMES
 from kelpstage.edge.gossip.swim import TICK_US, Sends, Swim
 
-MAGIC = b"KG\x01"  # what every datagram begins with
+MAGIC = b"KG\x01"  # prefix of every datagram
 DATAGRAM_LIMIT = 60_000  # bytes
 
 
 class GossipTask:
-    """Ticks the protocol and carries its datagrams.
+    """Runs the protocol's ticks, and sends and receives its datagrams.
 
-    `refresh` is called before each tick, to bring this edge's own record up to date;
-    `has_backends` tells whether there are backend states to send.
+    `refresh` is called before each tick to update this edge's own record; `has_backends` is
+    true if there are backend states to send.
     """
 
     def __init__(
@@ -46,13 +46,13 @@
         self._counts = counts
         self._refresh = refresh
         self._has_backends = has_backends
-        self._states_cache: list[BackendStateMsg] | None = None  # until the next tick
+        self._cached_states: list[BackendStateMsg] | None = None  # until the next tick
         self._datagrams: Any = None
         swim.backend_states = self._backend_states
         swim.on_backend_state = self._on_backend_state
 
     async def open(self) -> KelpstageError | None:
-        """Bind the datagram socket and begin to tick; the error if it can't be bound."""
+        """Bind the datagram socket and start ticking; returns an error if it can't be bound."""
         outcome = await self._ports.net.datagrams(
             address=self._address, on_datagram=self._on_datagram
         )
@@ -65,19 +65,19 @@
     async def _tick(self) -> None:
         while True:
             await self._ports.clock.sleep(us=TICK_US)
-            self._states_cache = None
+            self._cached_states = None
             self._refresh()
             self._send(sends=self._swim.tick(now_us=self._ports.clock.now_us()))
             self._note_changes()
 
     def spread(self) -> None:
-        """Send updates to peers now."""
-        self._states_cache = None
+        """Send updates to peers now, without waiting for the next tick."""
+        self._cached_states = None
         self._refresh()
         self._send(sends=self._swim.spread())
 
     def _send(self, *, sends: Sends) -> None:
-        packed: dict[int, bytes] = {}  # one message may go to many
+        packed: dict[int, bytes] = {}  # a message may have several receivers; it is serialized once
         for address, message in sends:
             data = packed.get(id(message)) or MAGIC + bytes(message)
             packed[id(message)] = data
@@ -109,19 +109,19 @@
             )
 
     def _backend_states(self) -> list[BackendStateMsg]:
-        if self._states_cache is None:
-            self._states_cache = (
+        if self._cached_states is None:
+            self._cached_states = (
                 self._registry.backend_states(now_us=self._ports.clock.now_us())
                 if self._has_backends()
                 else []
             )
-        return self._states_cache
+        return self._cached_states
 
     def _on_backend_state(self, backend_state: BackendStateMsg) -> None:
         if self._registry.on_backend_state_received(
             backend_state=backend_state, now_us=self._ports.clock.now_us()
         ):
-            self._states_cache = None
+            self._cached_states = None
             self._journal.add(
                 BackendChanged(
                     backend=backend_state.backend,
--- a/kelpstage/edge/lease/__init__.py
+++ b/kelpstage/edge/lease/__init__.py
@@ -1,1 +1,1 @@
-"""An edge's lease: how it is kept, and what an edge may serve without one."""
+"""An edge's lease: renewing it, and when the edge may serve without one."""
--- a/kelpstage/edge/lease/lease_holder.py
+++ b/kelpstage/edge/lease/lease_holder.py
@@ -1,14 +1,15 @@
 """An edge's right to serve: its leases, its peers' confirmations, its configuration.
 
 An edge may serve while it holds a lease for the epoch that it has installed, or while a
-majority of the membership, or of its voting members, has confirmed lately that none of them
-has a newer epoch installed. An edge that has had no lease since it started may have forgotten
-an epoch: it may count its peers' confirmations, but confirms nothing to them. An observer
-confirms for a while after its last lease only, a voting member without a bound.
-
-Times are whole microseconds of the edge's own clock, which runs on through a freeze; a
-lease counts from when it was asked for. Source: docs/notes/serving-right.md and
-docs/notes/edge-membership.md.
+majority of the membership, or of its voting members, has recently confirmed that none of them
+has a newer epoch installed. An edge that has had no lease since it started may have lost an
+epoch that it had installed: it may count its peers' confirmations, but confirms nothing to
+them. An observer confirms only for a limited time after its last lease, a voting member
+without a time limit.
+
+Times are whole microseconds of the edge's own clock, which continues while the process is
+frozen. A lease runs from the time at which it was requested. Source:
+docs/notes/serving-right.md and docs/notes/edge-membership.md.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 from kelpstage.common.lease_timing import CONFIRMS_AFTER_LEASE_US
 from kelpstage.common.transport.messages import ConfirmEpochReply, LeaseReply, StateDoc
 
-CONFIRMATION_US = 1_000_000  # how long a peer's confirmation of its epoch counts
-PREVIOUS_CONFIGURATION_US = 250_000  # how long the one before may still be run under
-LEASES_KEPT = 4  # epochs whose leases are kept beside each other
+CONFIRMATION_US = 1_000_000  # how long a peer's confirmation is valid
+PREVIOUS_CONFIGURATION_US = 250_000  # how long the previous one may still be used
+MAX_LEASED_EPOCHS = 4  # number of epochs whose leases are kept at a time
 
 
 @dataclass(kw_only=True)
 class ConfirmedEpoch:
-    """The epoch that a peer had installed, and when it was asked (microseconds)."""
+    """The epoch that a peer had installed, and when the peer was asked, in microseconds."""
 
     asked_us: int
     epoch: int
@@ -35,10 +36,10 @@
 
 @dataclass(kw_only=True)
 class LeaseHolder:
-    """One edge's right to serve. Plain state: no clock, no connection.
+    """One edge's right to serve, as plain state without a clock or connections.
 
-    Invariants: `epoch` and `configuration.version` never go down, and `cluster` is set
-    once. `refusal` is the only place that says whether this edge may serve.
+    Invariants: `epoch` and `configuration.version` never decrease, and `cluster` is set
+    once. Only `refusal` decides whether this edge may serve.
 
     >>> lease_holder = LeaseHolder(me="a")
     >>> doc = StateDoc(cluster="c", epoch=1, version=1, membership=["a", "b", "c"])
@@ -63,15 +64,15 @@
     state_bytes: bytes = b""
     newest_epoch: int = 0
     newest_sources: list[str] = field(default_factory=list)
-    leases: dict[int, int] = field(default_factory=dict)  # epoch -> until
+    leases: dict[int, int] = field(default_factory=dict)  # epoch -> expiry time
     lease_asked_us: int = -(10**12)
     first_leased_epoch: int | None = None
-    has_left: bool = False  # in order: it serves and confirms nothing any more
-    served_version: int = 0  # newest version served before a restart, as peers remember it
+    has_left: bool = False  # left in an orderly way: it no longer serves or confirms
+    served_version: int = 0  # newest version served before a restart, as reported by peers
     confirmed_epochs: dict[str, ConfirmedEpoch] = field(default_factory=dict)
 
     def install(self, *, doc: StateDoc, configuration: Configuration, now_us: int) -> bool:
-        """Install a state; false unless it is newer and of this edge's cluster."""
+        """Install a state; false unless it is newer and belongs to this edge's cluster."""
         if self.cluster and doc.cluster != self.cluster:
             return False
         if doc.epoch <= self.epoch:
@@ -88,7 +89,7 @@
         return True
 
     def note_epoch(self, *, epoch: int, source: str) -> bool:
-        """Note that `source` knows of this epoch; true if it is to be fetched."""
+        """Record that `source` knows of this epoch; true if a newer epoch has to be fetched."""
         if epoch > self.newest_epoch:
             self.newest_epoch = epoch
             self.newest_sources = []
@@ -97,13 +98,13 @@
         return self.newest_epoch > self.epoch
 
     def take_lease(self, *, reply: LeaseReply, sent_us: int) -> None:
-        """Count a granted lease from `sent_us`, when it was asked for."""
+        """Record a granted lease, which runs from `sent_us`, when it was requested."""
         if not reply.is_granted or self.cluster and reply.cluster != self.cluster:
             return
         until_us = sent_us + reply.span_us
         self.lease_asked_us = max(self.lease_asked_us, sent_us)
         self.leases[reply.epoch] = max(self.leases.get(reply.epoch, 0), until_us)
-        while len(self.leases) > LEASES_KEPT:
+        while len(self.leases) > MAX_LEASED_EPOCHS:
             del self.leases[min(self.leases)]
         if reply.epoch > self.newest_epoch:
             self.newest_epoch, self.newest_sources = reply.epoch, []
@@ -111,11 +112,11 @@
             self.first_leased_epoch = reply.epoch
 
     def may_confirm(self, *, now_us: int) -> bool:
-        """May this edge confirm its epoch to others?
+        """True if this edge may confirm its epoch to others.
 
-        Only after a lease since it started: before, it may have forgotten a newer one. An
-        observer may for a while after its last lease for what it has installed: the leader
-        waits that long for it, and no longer.
+        It needs a lease since it started: without one, it may have lost a newer epoch. An
+        observer may confirm only for a limited time after its last lease for what it has
+        installed, because the leader waits no longer than that for it.
         """
         if self.has_left or self.first_leased_epoch is None:
             return False
@@ -126,12 +127,12 @@
         return now_us < self.lease_until_us() + CONFIRMS_AFTER_LEASE_US
 
     @property
-    def is_unleased(self) -> bool:
-        """Has this edge had no lease since it started?"""
+    def has_had_no_lease(self) -> bool:
+        """True if this edge has had no lease since it started."""
         return self.first_leased_epoch is None
 
     def on_epoch_confirmed(self, *, reply: ConfirmEpochReply, asked_us: int) -> None:
-        """Take a peer's reply; it counts from `asked_us`, when it was asked for."""
+        """Record a peer's reply, which is valid from `asked_us`, when the peer was asked."""
         self.served_version = max(self.served_version, reply.asker_version)
         if reply.cluster != self.cluster or not reply.vouches:
             return
@@ -140,17 +141,20 @@
             self.confirmed_epochs[reply.edge] = ConfirmedEpoch(asked_us=asked_us, epoch=reply.epoch)
 
     def lease_until_us(self) -> int:
-        """Until when this edge may serve what it has installed. A lease of an
-        older epoch holds to its end beside one for an epoch not yet installed:
-        the leader waits for that end before it acknowledges."""
+        """The time until which this edge may serve what it has installed.
+
+        A lease for an older epoch stays valid until it expires, even if there is one for an
+        epoch that is not yet installed: the leader waits for it to expire before it
+        acknowledges the newer epoch.
+        """
         return max((u for epoch, u in self.leases.items() if epoch <= self.epoch), default=-1)
 
     def has_lease(self, *, now_us: int) -> bool:
-        """Does a lease cover what is installed here?"""
+        """True if a lease covers what is installed here."""
         return not self.has_left and now_us < self.lease_until_us()
 
     def confirming_members(self, *, now_us: int) -> list[str]:
-        """Members whose confirmation is fresh, this edge among them if it may confirm."""
+        """Members whose confirmation is still valid, including this edge if it may confirm."""
         out = [
             name
             for name in self.membership.names
@@ -162,11 +166,11 @@
         return out + ([self.me] if is_confirming else [])
 
     def has_majority(self, *, now_us: int) -> bool:
-        """Does a majority vouch that nothing newer is acknowledged?
+        """True if a majority confirms that nothing newer is acknowledged.
 
-        What counts is what they have installed: once an epoch is acknowledged, those that
-        lack it and may still confirm are no majority. One that they only know of may be lost
-        with the cores that spoke of it, and must not stop the fleet for good.
+        Only installed epochs count: once an epoch is acknowledged, the members that lack it
+        and may still confirm are no majority. An epoch that members only know of may be lost
+        together with the cores that announced it, and must not stop the fleet permanently.
         """
         if self.first_leased_epoch is None:
             is_member = self.me in self.membership.names
@@ -184,7 +188,7 @@
         return any(confirmed[name].epoch > self.epoch for name in names if name != self.me)
 
     def refusal(self, *, now_us: int) -> str:
-        """Why this edge may not serve now; empty if it may."""
+        """The reason why this edge may not serve now; empty if it may."""
         if self.has_left:
             return "left"
         if not self.configuration.version:
@@ -197,7 +201,7 @@
         return f"no lease, and {len(names)} of {len(self.membership.names)} peers vouch"
 
     def has_moved_on(self, *, version: int, now_us: int) -> bool:
-        """Is this version one that must not be run here any more?"""
+        """True if requests of this version must no longer run here."""
         if version == self.configuration.version:
             return False
         if version > self.configuration.version:
@@ -206,7 +210,7 @@
         return not is_last or now_us - self.installed_us > PREVIOUS_CONFIGURATION_US
 
     def configuration_for(self, *, version: int, now_us: int) -> Configuration | None:
-        """The configuration to run a query of this version under, if there is one."""
+        """The configuration for a query of this version; `None` if it is not available."""
         if version == self.configuration.version:
             return self.configuration
         is_previous = self.previous is not None and version == self.previous.version
--- a/kelpstage/edge/lease/peer_discovery.py
+++ b/kelpstage/edge/lease/peer_discovery.py
@@ -1,4 +1,4 @@
-"""Finding the other edges: through the cores, then from the tables of peers."""
+"""Discovers the other edges: through the cores, then from the member tables of peers."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from kelpstage.edge.gossip.swim import Swim
 from kelpstage.edge.lease.core_directory import CoreDirectory
 from kelpstage.edge.lease.lease_holder import LeaseHolder
-from kelpstage.edge.lease.timing import RENEW_WAIT_US, RETRY_US, is_small
+from kelpstage.edge.lease.timing import RENEW_TIMEOUT_US, RETRY_US, is_small
 
-ALONE_US = RETRY_US * 3  # registers again after so long while no peer is known
-REGISTER_US = 2_000_000
-SETTLED_REGISTER_US = 10_000_000
-MEMBERS_US = 1_000_000
-LONGEST_MEMBERS_US = 3_600_000_000
+NO_PEERS_RETRY_US = RETRY_US * 3  # interval of registration while no peer is known
+REGISTER_INTERVAL_US = 2_000_000
+STEADY_REGISTER_INTERVAL_US = 10_000_000
+FETCH_MEMBERS_INTERVAL_US = 1_000_000
+MAX_FETCH_MEMBERS_INTERVAL_US = 3_600_000_000
 
 
 class PeerDiscovery:
-    """Registers this edge with cores, which name peers, and fills its member table."""
+    """Registers this edge with cores, which reply with peers, and fills its member table."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._contact = contact
 
     def register_peers(self, contacts: list[EdgeContact]) -> None:
-        """Take peers that a core names into the member table."""
+        """Add the peers that a core has sent to the member table."""
         now_us = self._ports.clock.now_us()
         for contact in contacts:
             self._swim.meet(
@@ -60,33 +60,35 @@
     # --- through the cores --------------------------------------------------------------
 
     async def run_registration(self) -> None:
-        """Register with all cores and seeds, and now and again with one of them."""
+        """Register with all cores and seeds; in a steady state, only with a random one of them."""
         while True:
             known = list(dict.fromkeys(self._cores.seeds + self._cores.cores))
-            if self._knows_enough():
+            if self._is_steady():
                 known = [self._ports.rand.choice(known)]
             await asyncio.gather(*(self._register(address=address) for address in known))
-            await self._ports.clock.sleep(us=self._register_again_us())
+            await self._ports.clock.sleep(us=self._register_interval_us())
 
-    def _knows_enough(self) -> bool:
-        """Is there a fresh lease, and is most of the membership known?"""
+    def _is_steady(self) -> bool:
+        """True if the lease was renewed recently and most of the membership is known."""
         is_most_known = len(self._swim.live()) * 2 > len(self._lease_holder.membership.names)
         lease_age_us = self._ports.clock.now_us() - self._lease_holder.lease_asked_us
-        return is_most_known and lease_age_us < REGISTER_US and bool(self._swim.members)
+        return is_most_known and lease_age_us < REGISTER_INTERVAL_US and bool(self._swim.members)
 
-    def _register_again_us(self) -> int:
+    def _register_interval_us(self) -> int:
         if not self._swim.members:
-            return ALONE_US
-        if not self._knows_enough():
-            return REGISTER_US
-        return int(SETTLED_REGISTER_US * (0.75 + 0.5 * self._ports.rand.random()))
+            return NO_PEERS_RETRY_US
+        if not self._is_steady():
+            return REGISTER_INTERVAL_US
+        return int(STEADY_REGISTER_INTERVAL_US * (0.75 + 0.5 * self._ports.rand.random()))
 
     async def _register(self, *, address: str) -> None:
         self._contact.incarnation = self._swim.me.incarnation
         message = RegisterEdge(
             edge=self._lease_holder.me, incarnation=self._contact.incarnation, contact=self._contact
         )
-        reply = await self._transport.call(address=address, message=message, wait_us=RENEW_WAIT_US)
+        reply = await self._transport.call(
+            address=address, message=message, wait_us=RENEW_TIMEOUT_US
+        )
         if not isinstance(reply, RegisterEdgeReply):
             return
         cluster = self._lease_holder.cluster
@@ -97,14 +99,17 @@
     # --- from the tables of peers -------------------------------------------------------
 
     async def run_member_table(self) -> None:
-        """While fewer edges are known than are on the membership, ask one that is known for
-        its whole table; rarely, if that brings nothing: some may be gone for good. Soon
-        again, once others have turned up by another way, as after a network partition."""
-        clock, wait_us, asked_us, known_count = self._ports.clock, MEMBERS_US, 0, 0
+        """Fetch a peer's member table while fewer edges are known than the membership has.
+
+        The interval doubles each time a fetch adds no edge, since some edges may be gone
+        permanently. It is reset once edges become known in another way, for example after
+        a network partition.
+        """
+        clock, wait_us, asked_us, known_count = self._ports.clock, FETCH_MEMBERS_INTERVAL_US, 0, 0
         while True:
-            await clock.sleep(us=MEMBERS_US)
+            await clock.sleep(us=FETCH_MEMBERS_INTERVAL_US)
             if known_count < self._swim.known_count():
-                wait_us = MEMBERS_US
+                wait_us = FETCH_MEMBERS_INTERVAL_US
             known_count = self._swim.known_count()
             membership_count = len(self._lease_holder.membership.names)
             if is_small(count=membership_count) or known_count >= membership_count:
@@ -113,16 +118,18 @@
                 continue
             asked_us = clock.now_us()
             if not await self._fetch_members():
-                wait_us = min(2 * wait_us, LONGEST_MEMBERS_US)
+                wait_us = min(2 * wait_us, MAX_FETCH_MEMBERS_INTERVAL_US)
 
     async def _fetch_members(self) -> int:
-        """Ask a peer for its table; how many edges became known by it."""
+        """Fetch the member table of a peer; returns the number of edges that it added."""
         peer = self._swim.random_peer()
         if peer is None:
             return 0
         address = self._swim.members[peer].info.address
         message = FetchMembers(cluster=self._lease_holder.cluster)
-        reply = await self._transport.call(address=address, message=message, wait_us=RENEW_WAIT_US)
+        reply = await self._transport.call(
+            address=address, message=message, wait_us=RENEW_TIMEOUT_US
+        )
         if not isinstance(reply, Members) or reply.cluster != self._lease_holder.cluster:
             return 0
         before = self._swim.known_count()
--- a/kelpstage/edge/lease/state_sync.py
+++ b/kelpstage/edge/lease/state_sync.py
@@ -1,4 +1,4 @@
-"""Fetching, installing and handing on the cluster's states."""
+"""Fetches, installs and forwards states of the cluster."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 log = logger(name="lease")
 
-NEXT_SOURCE_US = 1_000_000  # without the state for so long, the next source is asked as well
+NEXT_SOURCE_DELAY_US = 1_000_000  # then the next source is asked as well
 
 
 class StateSync:
-    """Brings this edge to the newest epoch that it knows of, one fetch at a time."""
+    """Brings this edge to the newest epoch that it knows of, with one fetch task at a time."""
 
     def __init__(
         self,
@@ -46,50 +46,53 @@
         self._journal = journal
         self._on_installed = on_installed
         self._is_fetching = False
-        self._asked: set[str] = set()  # addresses that a fetch is under way from
+        self._fetching_from: set[str] = set()  # addresses of fetches in flight
         self._chunks = ChunkSource()
 
     # --- fetching -------------------------------------------------------------------------
 
     def fetch_soon(self, first: str = "") -> None:
-        """Fetch the newest state, from `first` if it has it."""
+        """Fetch the newest state in the background, trying `first` before other sources."""
         if self._is_fetching:
             return
         self._is_fetching = True
         self._ports.spawn(self._fetch(first=first))
 
     async def _fetch(self, *, first: str) -> None:
-        """Ask one source after the other. A source that is cut off or gone keeps a fetch for
-        seconds, so the next one is asked beside it."""
+        """Ask one source after another.
+
+        A fetch from an unreachable source takes seconds to fail, so the next source is asked
+        while it is still in flight.
+        """
         lease_holder = self._lease_holder
         tried: set[str] = set()
         while address := self._next_source(first=first, tried=tried):
             tried.add(address)
             fetch = self._ports.spawn(self._fetch_once(address=address))
-            if await self._ports.clock.within(fetch, us=NEXT_SOURCE_US):
+            if await self._ports.clock.within(fetch, us=NEXT_SOURCE_DELAY_US):
                 break
         self._is_fetching = False
-        if lease_holder.newest_epoch > lease_holder.epoch and (tried or self._asked):
+        if lease_holder.newest_epoch > lease_holder.epoch and (tried or self._fetching_from):
             await self._ports.clock.sleep(us=RETRY_US)
             self.fetch_soon()
 
     def _next_source(self, *, first: str, tried: set[str]) -> str:
-        """The next address to ask, of those known by now; empty if there is none."""
+        """The next known address to ask; empty if there is none left."""
         sources = self._lease_holder.newest_sources
         for address in (first, self._cores.leader, *sources, *self._cores.cores):
-            if address and address not in tried and address not in self._asked:
+            if address and address not in tried and address not in self._fetching_from:
                 return address
         return ""
 
     async def _fetch_once(self, *, address: str) -> bool:
-        self._asked.add(address)
+        self._fetching_from.add(address)
         try:
             return await self._fetch_from(address=address)
         finally:
-            self._asked.discard(address)
+            self._fetching_from.discard(address)
 
     async def _fetch_from(self, *, address: str) -> bool:
-        """Fetch and install what an address has; true if that brought a newer epoch."""
+        """Fetch and install the state of an address; true if a newer epoch was installed."""
         lease_holder = self._lease_holder
         wanted_epoch = lease_holder.epoch + 1
         packed = await fetch_chunks(
@@ -102,10 +105,10 @@
         data = None if packed is None else apply_delta(base=b"", delta=packed)
         return data is not None and self._install(data=data, source=address)
 
-    # --- for others -----------------------------------------------------------------------
+    # --- serving and forwarding -----------------------------------------------------------
 
     def state_chunk(self, *, ask: FetchState) -> Chunk:
-        """A piece of what is installed here, for an edge or a recovery tool that asks."""
+        """A chunk of the installed state, for an edge or a recovery tool that requests it."""
         lease_holder, chunks = self._lease_holder, self._chunks
         now_us = self._ports.clock.now_us()
         if not lease_holder.state_bytes:
@@ -116,9 +119,12 @@
         return chunks.chunk(least=ask.epoch, pinned=ask.pinned, offset=ask.offset, now_us=now_us)
 
     def on_announced(self, *, announce: Announce) -> None:
-        """Install a state that came with its announcement, so that all edges move on
-        within one connection's latency of each other, however far the leader is. Before
-        that, hand it on to those that the leader names."""
+        """Install a state that came with its announcement.
+
+        The announcement is first forwarded to the edges that the leader lists, so that all
+        edges install within one connection's latency of each other, however far away the
+        leader is.
+        """
         lease_holder, source = self._lease_holder, announce.leader_address
         if announce.cluster != lease_holder.cluster and lease_holder.cluster:
             return
@@ -132,7 +138,7 @@
             self.fetch_soon(source)
 
     def _announced_state(self, *, announce: Announce) -> bytes | None:
-        """The state, or what its delta makes of the installed one."""
+        """The announced state, built from its delta if the delta's base is installed."""
         if announce.delta and announce.base_epoch in (0, self._lease_holder.epoch):
             base = self._lease_holder.state_bytes if announce.base_epoch else b""
             return apply_delta(base=base, delta=announce.delta)
@@ -141,7 +147,7 @@
     # --- installing -------------------------------------------------------------------------
 
     def _install(self, *, data: bytes, source: str) -> bool:
-        """Install a state's bytes; false if they can't be read or are not newer."""
+        """Install a serialized state; false if it is invalid or not newer."""
         doc = self._read_state(data=data)
         if doc is None:
             return False
@@ -177,6 +183,6 @@
         outcome: Any = read_configuration(data=doc.document, version=doc.version)
         if isinstance(outcome, Configuration):
             return outcome
-        log.error("epoch {} from {} can't be read here", doc.epoch, source)
+        log.error("configuration of epoch {} from {} was rejected", doc.epoch, source)
         self._journal.add(StateRefused(epoch=doc.epoch, why=outcome.kind))
         return None
--- a/kelpstage/edge/lease/task.py
+++ b/kelpstage/edge/lease/task.py
@@ -1,6 +1,6 @@
-"""The lease task: keeps an edge's right to serve, and its configuration, fresh.
+"""The lease task: keeps an edge's right to serve and its configuration up to date.
 
-Its parts are one module each: renewal, renewal relayed by peers, peer discovery, epoch
+Its parts have a module each: renewal, renewal relayed by peers, peer discovery, epoch
 confirmation, and the fetching and installing of states.
 """
 
@@ -23,7 +23,7 @@
 
 
 class LeaseTask:
-    """Builds the parts, starts their loops, and answers for them to the rest of the edge."""
+    """Builds the parts, starts their loops, and is their interface to the rest of the edge."""
 
     def __init__(
         self,
@@ -38,8 +38,8 @@
         on_installed: Callable[[], None],
         is_observer: bool = False,
     ) -> None:
-        """`on_installed` is called after each state that was installed; `is_observer` is
-        whether any number of machines like this one may go."""
+        """`on_installed` is called after each installed state; `is_observer` is true if any
+        number of machines like this one may disappear."""
         self._on_edge_installed = on_installed
         self._directory = CoreDirectory(seeds=seeds)
         self._states = StateSync(
@@ -100,32 +100,32 @@
 
     @property
     def cores(self) -> list[str]:
-        """The addresses of the cores that are known."""
+        """The addresses of the known cores."""
         return self._directory.cores
 
     @property
     def last_refusal(self) -> str:
-        """Why the last renewal got no lease; empty after a granted one."""
+        """The reason why the last renewal got no lease; empty after a granted one."""
         return self.renewal.last_refusal
 
     def use_seeds(self, *, seeds: list[str]) -> None:
-        """Other machines are the seeds from now on."""
+        """Replace the seeds."""
         self._directory.seeds = list(seeds)
 
     def fetch_soon(self, *, first: str = "") -> None:
-        """Fetch the newest state, from `first` if it has it."""
+        """Fetch the newest state in the background, trying `first` before other sources."""
         self._states.fetch_soon(first)
 
     def state_chunk(self, *, ask: FetchState) -> Chunk:
-        """A piece of the installed state, for a process that asks."""
+        """A chunk of the installed state, for a process that requests it."""
         return self._states.state_chunk(ask=ask)
 
     def on_announced(self, *, announce: Announce) -> None:
-        """Take a state that a core announces."""
+        """Process a state that a core has announced."""
         self._states.on_announced(announce=announce)
 
     async def leave(self) -> None:
-        """Give the lease back: this edge serves no more."""
+        """Release the lease: this edge no longer serves."""
         await self.renewal.leave()
 
     def _on_installed(self) -> None:
--- a/kelpstage/edge/retries/budget.py
+++ b/kelpstage/edge/retries/budget.py
@@ -1,18 +1,19 @@
-"""The retry budget: what an edge may send beyond its first sends.
+"""The retry budget: limits the attempts that an edge sends beyond first attempts.
 
-A retry here is every send after the first one of a request to a shard, hedges among
-them. Sends are counted where they happen, over a sliding window. Two rules, by the
-settings:
+Every attempt of a request to a shard after the first one is a retry, including hedged
+requests. Each edge counts its own attempts over a sliding window. The settings select one of
+two rules:
 
-- *Own rule* (no ratio set): at most one in seven of the edge's first sends to a
-  service, and one in eight for each of its shards, plus a slack that the live edges
-  share. A search that begins again under a new configuration may go a little further: it
-  can't end under the old one.
-- *Stated bound* (a ratio is set): the deployment bounds what a service gets beyond
+- *Default limit* (no ratio set): at most one retry per seven first attempts of the edge to
+  a service, and one per eight for each of its shards, plus a slack that the live edges
+  share. A search that restarts under a new configuration may use a little more, since it
+  can't complete under the old one.
+- *Configured limit* (a ratio is set): the deployment limits what a service receives beyond
   the first arrival of each request, summed over all edges. Here a shard *is* a service,
-  whichever route or collection asks it. Each edge spends 0.8 of the ratio of its own
-  first sends, and its share of 0.7 of the slack; a share under one is bucket up.
-  `docs/notes/retry-budget.md` says why the sum holds.
+  whichever route or collection sends the request. Each edge uses 0.8 of the ratio of its
+  own first attempts, and its share of 0.7 of the slack; a share below one retry is
+  accumulated in a token bucket. `docs/notes/retry-budget.md` shows that the sum stays
+  within the limit.
 """
 
 from __future__ import annotations
@@ -22,29 +23,29 @@
 from dataclasses import dataclass
 from typing import Collection
 
-SPAN_US = 10_000_000  # the window
-SERVICE_SHARE, SERVICE_SLACK = 7, 20  # one retry in so many first sends, and so many more
+SPAN_US = 10_000_000  # the sliding window
+SERVICE_SHARE, SERVICE_SLACK = 7, 20  # one retry per this many first attempts, plus a slack
 SHARD_SHARE, SHARD_SLACK = 8, 20
-SHARD_SLACK_MIN = 2  # of one edge, however many there are
-RESTART_SHARE = 6.5  # as `SERVICE_SHARE`, for a search that begins again
-RATIO_SHARE = 0.8  # of the stated ratio
-SLACK_SHARE, SAVED_SHARE = 0.7, 0.25  # of the stated slack, spent at once and saved up
-EDGE_COUNT_WINDOW_US = 120_000_000  # the highest number of edges of so long counts
+SHARD_SLACK_MIN = 2  # of one edge, for any number of edges
+RESTART_SHARE = 6.5  # as `SERVICE_SHARE`, for a search that restarts
+RATIO_SHARE = 0.8  # of the configured ratio
+SLACK_SHARE, BUCKET_SLACK_SHARE = 0.7, 0.25  # of the configured slack, direct and through buckets
+EDGE_COUNT_WINDOW_US = 120_000_000  # the highest number of edges in this time is used
 
-# Sends are counted by service, and by service and shard.
+# Attempts are counted by service, and by service and shard.
 Key = str | tuple[str, str]
 
 
 @dataclass(kw_only=True, slots=True)
 class TokenBucket:
-    """What an edge with less than one retry in a window has saved up, up to one."""
+    """Accumulates the credit of an edge whose share is below one retry per window, up to one."""
 
     credit: float = 0.0
     since_us: int = 0
 
 
 class Budget:
-    """Sends of one edge by service and shard.
+    """The retry budget of one edge, by service and shard.
 
     >>> budget = Budget()
     >>> for n in range(10): budget.first(service="c", shard="s", now_us=n)
@@ -53,7 +54,7 @@
     >>> budget.take(service="c", shard="s", now_us=20 + SPAN_US, edges=10)
     True
 
-    With a stated bound, and no slack in the first window after an edge's start:
+    With a configured limit, which gives no slack in the first window after an edge's start:
 
     >>> budget = Budget(ratio=0.2, slack=60)
     >>> for n in range(50): budget.first(service="s", shard="", now_us=n)
@@ -72,7 +73,7 @@
         me: str = "",
         born_us: int | None = None,
     ) -> None:
-        """`born_us`: when this edge was started; its first send, if not given."""
+        """`born_us` is the time at which this edge started; by default its first attempt."""
         self._ratio = ratio
         self._window_us = window_us
         self._slack = slack
@@ -93,29 +94,32 @@
             counts[service] -= 1
             counts[(service, shard)] -= 1
 
-    def _note(self, *, is_retry: bool, service: str, shard: str, now_us: int) -> None:
+    def _record(self, *, is_retry: bool, service: str, shard: str, now_us: int) -> None:
         self._sends.append((now_us, is_retry, service, shard))
         counts = self._retries if is_retry else self._firsts
         counts[service] += 1
         counts[(service, shard)] += 1
 
     def first(self, *, service: str, shard: str, now_us: int) -> None:
-        """Count a first send."""
+        """Count a first attempt."""
         if self._born_us is None:
             self._born_us = now_us
         service = self._bound_key(service=service, shard=shard)
         self._expire(now_us=now_us)
         if self._ratio is not None:
             self._refill(service=service, now_us=now_us)
-        self._note(is_retry=False, service=service, shard=shard, now_us=now_us)
+        self._record(is_retry=False, service=service, shard=shard, now_us=now_us)
 
     def take(
         self, *, service: str, shard: str, now_us: int, edges: int, is_again: bool = False
     ) -> bool:
-        """May a retry go out now? If so it is counted; `is_again` if its search begins again."""
+        """Count a retry and return true if the budget allows it.
+
+        `is_again` is true for a retry of a search that restarts.
+        """
         service = self._bound_key(service=service, shard=shard)
         is_free = self.room(service=service, now_us=now_us, edges=edges, is_again=is_again) >= 1
-        # What begins again asks every shard once: the service's limit is the shards' too.
+        # A restarted search asks every shard once, so the limit of the service also bounds shards.
         if self._ratio is None and not is_again:
             is_free = is_free and self._has_room_for_shard(
                 service=service, shard=shard, edges=edges
@@ -124,13 +128,13 @@
             self.refused[service] += 1
             return False
         self.taken[service] += 1
-        self._note(is_retry=True, service=service, shard=shard, now_us=now_us)
+        self._record(is_retry=True, service=service, shard=shard, now_us=now_us)
         if service in self._buckets:
             self._buckets[service].credit = 0.0
         return True
 
     def give_back(self, *, service: str, shard: str, now_us: int) -> None:
-        """The newest retry to a service never arrived: it does not count.
+        """Remove the newest retry to a service from the count, since it never arrived.
 
         >>> budget = Budget(slack=1)
         >>> budget.take(service="c", shard="s", now_us=1, edges=1)
@@ -141,15 +145,15 @@
         """
         service = self._bound_key(service=service, shard=shard)
         self._expire(now_us=now_us)
-        for at in range(len(self._sends) - 1, -1, -1):
-            if self._sends[at][1:] == (True, service, shard):
-                del self._sends[at]
+        for index in range(len(self._sends) - 1, -1, -1):
+            if self._sends[index][1:] == (True, service, shard):
+                del self._sends[index]
                 self._retries[service] -= 1
                 self._retries[(service, shard)] -= 1
                 return
 
     def _bound_key(self, *, service: str, shard: str) -> str:
-        """What the bound is for: the service, or under a stated bound the shard."""
+        """What the limit applies to: the service, or with a configured limit the shard."""
         return service if self._ratio is None else shard or service
 
     def room(
@@ -161,8 +165,9 @@
         is_again: bool = False,
         shards: Collection[str] = (),
     ) -> int:
-        """How many retries to a service are left now; under a stated bound, to how
-        many of these shards one may go.
+        """The number of retries to a service that are allowed now.
+
+        With a configured limit and `shards`, the number of these shards that may get one.
 
         >>> Budget().room(service="c", now_us=0, edges=4)
         5
@@ -187,7 +192,7 @@
         limit = self._firsts[(service, shard)] / SHARD_SHARE + slack
         return self._retries[(service, shard)] + 1 <= limit
 
-    # --- a stated bound ---------------------------------------------------------------
+    # --- the configured limit ---------------------------------------------------------
 
     def _room_under_ratio(self, *, service: str, now_us: int, edges: int) -> int:
         if self._born_us is None:
@@ -201,47 +206,48 @@
         return int(self._refill(service=service, now_us=now_us) >= 1.0)
 
     def _limit(self, *, service: str, now_us: int) -> float:
-        """Retries of this edge that a window may hold now, as a fraction."""
-        assert self._ratio is not None and self._born_us is not None  # a stated bound
+        """The number of retries that this edge may send per window now, as a fraction."""
+        assert self._ratio is not None and self._born_us is not None  # a configured limit
         limit = RATIO_SHARE * self._ratio * self._firsts[service]
         if now_us - self._born_us >= self._window_us:
-            # The process before this one may have spent the share just before it ended.
+            # The previous process of this edge may have used its share just before it ended.
             limit += SLACK_SHARE * self._slack / self._highest_edges()
         return limit
 
     def _refill(self, *, service: str, now_us: int) -> float:
-        """Add what the limit has given since the last call; the credit that there is now."""
+        """Add the credit that has accrued since the last call; returns the current credit."""
         bucket = self._buckets.get(service)
         if bucket is None:
             bucket = self._buckets[service] = TokenBucket(since_us=now_us)
         if not self._edge_counts:
-            bucket.since_us = now_us  # how many edges share is not known yet
+            bucket.since_us = now_us  # the number of edges that share the slack is not known yet
             return bucket.credit
         limit = self._limit(service=service, now_us=now_us)
-        gap_us, bucket.since_us = now_us - bucket.since_us, now_us
+        elapsed_us, bucket.since_us = now_us - bucket.since_us, now_us
         if self._may_refill(service=service):
-            bucket.credit = min(1.0, bucket.credit + min(1.0, limit) * gap_us / self._window_us)
+            bucket.credit = min(1.0, bucket.credit + min(1.0, limit) * elapsed_us / self._window_us)
         return bucket.credit
 
     def _may_refill(self, *, service: str) -> bool:
-        """Are there few enough edges for each to save up, or is this one of those that may?
+        """True if this edge may accumulate credit.
 
-        What all of them could spend in one window is 0.95 of the slack at most.
+        All edges may if there are few enough; otherwise a hash selects some for each service.
+        In one window all edges together can use at most 0.95 of the slack.
         """
         edges = self._highest_edges()
         rest = 1.0 - SLACK_SHARE * self._slack / edges
         if rest <= 0:
             return True
-        most = SAVED_SHARE * self._slack / rest
-        if most >= edges:
+        max_edges = BUCKET_SLACK_SHARE * self._slack / rest
+        if max_edges >= edges:
             return True
-        return zlib.crc32(f"{service}|{self._me}".encode()) / 2**32 < most / edges
+        return zlib.crc32(f"{service}|{self._me}".encode()) / 2**32 < max_edges / edges
 
     def note_edges(self, *, edges: int, now_us: int) -> None:
-        """Note how many edges live now; called from time to time, for an edge to save up.
+        """Record the number of live edges; called periodically, so that credit can accrue.
 
-        The highest number of the last two minutes counts: both sides of a network
-        partition would otherwise share all of the slack among themselves.
+        The highest number of the last two minutes is used. Otherwise each side of a network
+        partition would divide the whole slack among its own edges.
         """
         while self._edge_counts and self._edge_counts[-1][1] <= edges:
             self._edge_counts.pop()
@@ -253,7 +259,7 @@
         return self._edge_counts[0][1] if self._edge_counts else 1
 
     def spent(self, *, now_us: int) -> dict[str, dict[str, int]]:
-        """First sends and retries in the last window, by service."""
+        """First attempts and retries in the current window, and all rejected ones, by service."""
         self._expire(now_us=now_us)
         services = sorted({s for s in self._firsts | self._retries if isinstance(s, str)})
         return {
--- a/kelpstage/edge/retries/load_shedding.py
+++ b/kelpstage/edge/retries/load_shedding.py
@@ -1,16 +1,16 @@
-"""Load shedding at admission: which requests are taken up under load, by rank."""
+"""Load shedding: which requests are admitted under load, by rank."""
 
 from __future__ import annotations
 
-IN_FLIGHT_AT_MOST = 384  # requests of this edge
-SHARE_OF_RANK = (1.0, 0.85, 0.7, 0.55)  # of them, up to which a rank is taken up
+IN_FLIGHT_AT_MOST = 384  # limit on requests in flight at this edge
+RANK_SHARES = (1.0, 0.85, 0.7, 0.55)  # share of the limit up to which a rank is admitted
 
 
 def may_enter(*, in_flight: int, rank: int) -> bool:
-    """May a request of this rank (0 is the highest) still be taken up?
+    """True if a request of this rank (0 is the highest) is admitted.
 
     >>> may_enter(in_flight=300, rank=0), may_enter(in_flight=300, rank=2)
     (True, False)
     """
-    share = SHARE_OF_RANK[min(max(rank, 0), len(SHARE_OF_RANK) - 1)]
+    share = RANK_SHARES[min(max(rank, 0), len(RANK_SHARES) - 1)]
     return in_flight < IN_FLIGHT_AT_MOST * share
--- a/tests/test_many_edges.py
+++ b/tests/test_many_edges.py
@@ -17,7 +17,7 @@
 from kelpstage.core.leases.lease_table import LeaseTable
 from kelpstage.edge.gossip.members import ALIVE, DEAD
 from kelpstage.edge.gossip.swim import PING, SUSPECT, TICK_US, Swim
-from kelpstage.edge.lease.timing import LARGE_RENEW_WAIT_US, renew_period_us
+from kelpstage.edge.lease.timing import LARGE_RENEW_TIMEOUT_US, renew_period_us
 from kelpstage.testbed.fleet.deployment import Deployment, Node, load
 from kelpstage.testbed.measure.choices import constants_set
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
@@ -143,7 +143,7 @@
         a._membership.merge(info=member(n=2, beat=10), now_us=10 * TICK_US, is_direct=True)
         b._membership.merge(info=member(n=2, beat=14), now_us=14 * TICK_US, is_direct=True)
         a.suspect(name="node-0002", now_us=20 * TICK_US, asked_us=17 * TICK_US, why="no ack")
-        _, message = a._message(to="node-0001", kind=PING, number=9)
+        _, message = a._build_message(to="node-0001", kind=PING, number=9)
         b.heard(message=message, now_us=20 * TICK_US)
         self.assertEqual(SUSPECT, b.status(name="node-0002"))
         # It is alive after all: its own word counts at once, whatever beat was guessed.
@@ -154,7 +154,7 @@
             on_backend_state=lambda backend_state: None,
         )
         c.meet(name="node-0001", address="10.0.0.2:7000", incarnation=0, now_us=0)
-        _, news = b._message(to="node-0002", kind=PING, number=9)
+        _, news = b._build_message(to="node-0002", kind=PING, number=9)
         [(_, ack)] = c.heard(message=news, now_us=21 * TICK_US)
         b.heard(message=ack, now_us=21 * TICK_US)
         self.assertEqual(ALIVE, b.status(name="node-0002"))
@@ -190,7 +190,7 @@
         for i in range(1, 40):
             swim._membership.updates.add(name=f"node-{i:04d}")
         swim.suspect(name="node-0050", now_us=TICK_US, why="test")
-        _, message = swim._message(to="node-0001", kind=PING, number=1)
+        _, message = swim._build_message(to="node-0001", kind=PING, number=1)
         names = [MemberMsg().parse(packed).name for packed in message.members]
         self.assertIn("node-0050", names)
 
@@ -240,8 +240,8 @@
         """Asked again after the wait and the pause, there is time left for the answer."""
         lease_us, pause_us = 2_000_000, 60_000
         for count in (21, 60, 1400):
-            again_us = renew_period_us(count=count) + LARGE_RENEW_WAIT_US + pause_us
-            self.assertGreater(lease_us - again_us, LARGE_RENEW_WAIT_US)
+            again_us = renew_period_us(count=count) + LARGE_RENEW_TIMEOUT_US + pause_us
+            self.assertGreater(lease_us - again_us, LARGE_RENEW_TIMEOUT_US)
 
 
 class Deltas(unittest.TestCase):
