--- a/kelpstage/edge/gossip/membership.py
+++ b/kelpstage/edge/gossip/membership.py
@@ -23,7 +23,7 @@
 REMOVED_MEMBER_TTL_US = 120_000_000  # then a dead or leaving member is removed from the table
 SUSPICION_TIMEOUT_US = 800_000  # then a suspect is declared dead
 SETTLING_PERIOD_US = 10_000_000  # in a large fleet, a younger edge sends no updates on new members
-STALE_MEMBER_US = 5_000_000  # without newer reports for so long, a peer's suspicion is adopted
+STALE_MEMBER_US = 5_000_000  # age of the last report at which a peer's suspicion is adopted
 NAME_FIELD_TAG = b"\x0a"  # first byte of a serialized member; the length of its name follows
 
 
--- a/kelpstage/edge/lease/renewal.py
+++ b/kelpstage/edge/lease/renewal.py
@@ -67,9 +67,7 @@
         self.relay: Relay
         self.last_refusal = "no renewal has been sent yet"
         self.is_leaving = False
-        self._known = (
-            0  # offset of the contacts and cores received; the leader sends only later ones
-        )
+        self._known = 0  # `known` of the last reply; the leader sends only later changes
         self._known_leader = ""
         self._contact_sent_us = -CONTACT_RESEND_US
         self._wake = asyncio.Event()
