--- a/tests/test_fleet_sim.py
+++ b/tests/test_fleet_sim.py
@@ -1,5 +1,5 @@
-"""Simulated fleets: callers' and operators' bad input, the two sides of serving
-while cut off, fixed seeds with faults, and that a seed gives one history."""
+"""Simulated fleets: bad input of clients and operators, serving without contact to cores or
+peers, faults with fixed seeds, and the determinism of a seed."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
     return json.loads(reply.body)["defect"]["kind"]
 
 
-class CallersInput(unittest.TestCase):
-    def test_bad_calls_get_typed_errors(self) -> None:
+class ClientInput(unittest.TestCase):
+    def test_bad_requests_get_typed_errors(self) -> None:
         search = "/v1/collections/tiny/search"
         cases = [
             ("POST", search, {}, b"{}", 400, "missing_time_left"),
@@ -75,7 +75,7 @@
 
         run_story(scenario)
 
-    def test_garbage_datagrams_are_counted_and_harm_nothing(self) -> None:
+    def test_invalid_datagrams_are_counted_and_ignored(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             rand = random.Random(9)
@@ -95,7 +95,7 @@
 
         run_story(scenario)
 
-    def test_time_left_is_kept_and_the_end_comes_at_once(self) -> None:
+    def test_request_ends_by_its_deadline_and_fails_fast_without_backends(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             for name in ("b-01", "b-02", "b-03", "b-04"):
@@ -126,13 +126,15 @@
                 body=b'{"q":"name-01","call":"y"}',
             )
             self.assertEqual((503, "quorum_not_met"), (reply.status, kind_of(reply)))
-            self.assertLess(fleet.world.now_us() - started, 500_000, "held back")
+            self.assertLess(
+                fleet.world.now_us() - started, 500_000, "waited although no backend listens"
+            )
 
         run_story(scenario)
 
 
-class OperatorsInput(unittest.TestCase):
-    def test_puts_refused_and_repeated(self) -> None:
+class OperatorInput(unittest.TestCase):
+    def test_puts_are_rejected_with_typed_errors_and_repeatable(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             address = fleet.core_http(name="node-02")
@@ -177,7 +179,7 @@
 
         run_story(scenario)
 
-    def test_put_is_refused_before_the_log_when_most_edges_are_gone(self) -> None:
+    def test_put_is_rejected_before_the_log_when_most_edges_are_gone(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             for number in (3, 4, 5, 6):
@@ -205,10 +207,10 @@
         run_story(scenario)
 
 
-class CutOff(unittest.TestCase):
-    """Two rules pull apart: serve on while cut off, never serve an old configuration."""
+class LossOfContact(unittest.TestCase):
+    """Edges keep serving without cores, but never under a superseded configuration."""
 
-    def test_without_any_core_the_fleet_serves_on(self) -> None:
+    def test_fleet_serves_without_any_core(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             for name in list(fleet.core_address):
@@ -218,7 +220,7 @@
 
         run_story(scenario)
 
-    def test_an_edge_cut_from_all_stops_before_a_put_is_acknowledged(self) -> None:
+    def test_isolated_edge_stops_before_a_put_is_acknowledged(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             edge = fleet.daemons["edge/node-05"]
@@ -232,13 +234,13 @@
             self.assertNotIn("node-05", fleet.ready_edges())
             fleet.world.heal()
             await fleet.wait_for(
-                what="the edge to catch up", is_there=lambda: not edge.refusal(), us=5_000_000
+                what="the edge to serve again", is_there=lambda: not edge.refusal(), us=5_000_000
             )
             self.assertEqual(2, edge.lease_holder.configuration.version)
 
         run_story(scenario)
 
-    def test_a_woken_edge_does_not_answer_under_its_old_configuration(self) -> None:
+    def test_thawed_edge_does_not_answer_under_its_old_configuration(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             for backend in fleet.backends:
@@ -269,11 +271,11 @@
         run_story(scenario)
 
 
-class Vouching(unittest.TestCase):
-    """An epoch that was announced and then lost with every core stops nobody; one
-    that a peer has installed does."""
+class EpochConfirmations(unittest.TestCase):
+    """An epoch that was announced and then lost with every core stops no edge; an epoch that a
+    peer has installed does."""
 
-    def test_heard_of_is_not_installed(self) -> None:
+    def test_only_installed_epochs_of_peers_count(self) -> None:
         from kelpstage.common.configuration.types import Configuration
         from kelpstage.common.transport.messages import ConfirmEpochReply, LeaseReply, StateDoc
         from kelpstage.edge.lease.lease_holder import LeaseHolder
@@ -289,47 +291,47 @@
             reply=LeaseReply(is_granted=True, cluster="k", epoch=4, span_us=10), sent_us=0
         )
 
-        def hear(edge: str, epoch: int, vouches: bool = True) -> None:
+        def confirm(edge: str, epoch: int, vouches: bool = True) -> None:
             lease_holder.on_epoch_confirmed(
                 reply=ConfirmEpochReply(edge=edge, vouches=vouches, epoch=epoch, cluster="k"),
                 asked_us=100 + epoch,
             )
 
-        hear("b", 4, vouches=False)
+        confirm("b", 4, vouches=False)
         self.assertTrue(lease_holder.refusal(now_us=200))
-        hear("b", 4)
+        confirm("b", 4)
         self.assertEqual("", lease_holder.refusal(now_us=200))
         self.assertTrue(lease_holder.note_epoch(epoch=5, source=""))
         self.assertEqual("", lease_holder.refusal(now_us=200))
-        hear("c", 5)
+        confirm("c", 5)
         self.assertIn("newer epoch", lease_holder.refusal(now_us=200))
         self.assertTrue(lease_holder.refusal(now_us=5_000_000))
 
 
-class FixedSeeds(unittest.TestCase):
-    """Worlds that once broke a line, and each fault alone on the small fleet."""
+class SeededFaults(unittest.TestCase):
+    """Seeds and faults that once caused a violation, on the small fleet."""
 
-    ONCE_BROKEN = [
-        # an edge refused while it fetched an epoch that it had just heard of
+    REGRESSIONS = [
+        # an edge stopped serving while it fetched an epoch that it had just learned of
         (22, "tiny", ["core_replaced", "put_race", "put_one"]),
-        # a lying backend ate the budget of extra rounds
+        # a backend with wrong answers used up the retry budget
         (21, "tiny", ["backend_lies", "backend_drains"]),
-        # a core restarted in the middle of an election
+        # a core restarted during an election
         (24, "tiny", ["core_power", "core_freeze", "put_repeat"]),
     ]
 
-    def judge_run(self, *, seed: int, deployment: str, plan: list[Planned]) -> None:
+    def check_run(self, *, seed: int, deployment: str, plan: list[Planned]) -> None:
         outcome, _ = run_plan(seed=seed, deployment=deployment, plan=plan)
         self.assertEqual([], outcome.violations)
         self.assertGreater(outcome.good, 100)
 
-    def test_once_broken(self) -> None:
-        for seed, deployment, names in self.ONCE_BROKEN:
+    def test_former_violations(self) -> None:
+        for seed, deployment, names in self.REGRESSIONS:
             plan = [Planned(at_us=n * 3_000_000, name=name) for n, name in enumerate(names)]
             with self.subTest(names=names):
-                self.judge_run(seed=seed, deployment=deployment, plan=plan)
+                self.check_run(seed=seed, deployment=deployment, plan=plan)
 
-    def test_one_seed_one_history(self) -> None:
+    def test_seed_determines_the_history(self) -> None:
         plan = [Planned(at_us=0, name="edge_kill"), Planned(at_us=10, name="core_power")]
         histories = [run_plan(seed=5, deployment="tiny", plan=plan)[1].history for _ in range(2)]
         self.assertEqual(histories[0], histories[1])
@@ -337,11 +339,14 @@
         self.assertNotEqual(histories[0], other)
 
 
-class Combinations(unittest.TestCase):
-    """Days of four faults, and days far apart, that once broke a line. The faults that a
-    seed drew then are written out, so that a new kind of fault does not change them."""
+class FaultCombinations(unittest.TestCase):
+    """Runs with four faults, and runs with distant zones, that once caused a violation.
+
+    The faults that each seed selected are listed here, so that adding a kind of fault does
+    not change them.
+    """
 
-    DRAWN = {
+    FAULTS_BY_SEED = {
         312: [
             (1_475_188, "backends_pause"),
             (8_028_036, "put_large"),
@@ -368,44 +373,46 @@
         ],
     }
 
-    def judge_run(self, *, seed: int, deployment: str, names: str = "", far_us: int = 0) -> None:
+    def check_run(self, *, seed: int, deployment: str, names: str = "", far_us: int = 0) -> None:
         plan = [Planned(at_us=100_000, name=name) for name in names.split()]
-        plan = plan or [Planned(at_us=at_us, name=name) for at_us, name in self.DRAWN[seed]]
+        plan = plan or [
+            Planned(at_us=at_us, name=name) for at_us, name in self.FAULTS_BY_SEED[seed]
+        ]
         outcome, _ = run_plan(seed=seed, deployment=deployment, plan=plan, far_us=far_us)
         self.assertEqual([], outcome.violations)
         self.assertGreater(outcome.good, 100)
 
-    def test_a_vanished_backend_and_a_fresh_edge(self) -> None:
-        self.judge_run(seed=312, deployment="senegal")
+    def test_vanished_backend_and_restarted_edge(self) -> None:
+        self.check_run(seed=312, deployment="senegal")
 
-    def test_an_edge_cut_one_way_while_the_lead_changes(self) -> None:
-        self.judge_run(seed=403, deployment="senegal")
+    def test_one_way_partition_of_an_edge_during_a_leader_change(self) -> None:
+        self.check_run(seed=403, deployment="senegal")
 
-    def test_a_late_helper_without_budget(self) -> None:
-        self.judge_run(seed=427, deployment="netherlands")
+    def test_late_helper_without_retry_budget(self) -> None:
+        self.check_run(seed=427, deployment="netherlands")
 
-    def test_a_herd_while_cores_are_gone(self) -> None:
-        self.judge_run(seed=325, deployment="netherlands")
+    def test_many_edges_start_while_cores_are_gone(self) -> None:
+        self.check_run(seed=325, deployment="netherlands")
 
-    def test_a_zone_cut_off_far_away(self) -> None:
-        self.judge_run(seed=6, deployment="netherlands", names="zone_cut", far_us=60_000)
+    def test_zone_partition_with_distant_zones(self) -> None:
+        self.check_run(seed=6, deployment="netherlands", names="zone_cut", far_us=60_000)
 
-    def test_moved_backends_far_away(self) -> None:
-        self.judge_run(seed=5, deployment="netherlands", names="put_moves", far_us=60_000)
+    def test_moved_backends_with_distant_zones(self) -> None:
+        self.check_run(seed=5, deployment="netherlands", names="put_moves", far_us=60_000)
 
 
-class EachFault(FixedSeeds):
-    """One test for each fault, alone on the small fleet."""
+class SingleFaults(SeededFaults):
+    """One test for each fault, as the only fault on the small fleet."""
 
-    test_once_broken = None
-    test_one_seed_one_history = None
+    test_former_violations = None
+    test_seed_determines_the_history = None
 
 
 def _add(number: int, name: str) -> None:
-    def test(self: EachFault) -> None:
-        self.judge_run(seed=number, deployment="tiny", plan=[Planned(at_us=0, name=name)])
+    def test(self: SingleFaults) -> None:
+        self.check_run(seed=number, deployment="tiny", plan=[Planned(at_us=0, name=name)])
 
-    setattr(EachFault, f"test_{name}", test)
+    setattr(SingleFaults, f"test_{name}", test)
 
 
 for _number, _name in enumerate(sorted(FAULTS)):
--- a/tests/test_many_edges.py
+++ b/tests/test_many_edges.py
@@ -1,5 +1,5 @@
-"""What the control work costs as a fleet grows: gossip, lease replies and differences on
-their own, and simulated fleets of 24 and 30 edges."""
+"""The cost of gossip, lease replies and deltas in large fleets, tested on their own and in
+simulated fleets of 12, 24 and 30 edges."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 
 SECOND = 1_000_000
-DATAGRAM_MOST = 1_400
+MAX_DATAGRAM_BYTES = 1_400
 ZONES = {"z0": "r0", "z1": "r0", "z2": "r1", "z3": "r1", "z4": "r2", "z5": "r2"}
 
 
-def wide(*, nodes: int, cores: int) -> Deployment:
-    """The tiny deployment's index behind so many edges, over six zones; the first machines
-    have a core each."""
+def wide_deployment(*, nodes: int, cores: int) -> Deployment:
+    """The tiny deployment with this many edges in six zones; the first `cores` nodes also run
+    a core."""
     zones = list(ZONES)
     return dataclasses.replace(
         load(name="tiny"),
@@ -41,21 +41,23 @@
     )
 
 
-def run_wide(
+def run_fleet(
     scenario: Callable[[SimFleet], Awaitable[None]], *, nodes: int, cores: int = 6
 ) -> SimFleet:
-    """A fleet that is up and serves, and a scenario with it."""
+    """Bring up a fleet until it serves, and run a scenario on it."""
 
-    async def whole(fleet: SimFleet) -> None:
+    async def bring_up_and_run(fleet: SimFleet) -> None:
         await fleet.bring_up()
         await fleet.sleep(us=8 * SECOND)
         await scenario(fleet)
 
-    return run_sim(seed=3, deployment=wide(nodes=nodes, cores=cores), scenario=whole)
+    return run_sim(
+        seed=3, deployment=wide_deployment(nodes=nodes, cores=cores), scenario=bring_up_and_run
+    )
 
 
 def document(*, routes: int, serial: int) -> bytes:
-    """A configuration of many routes; two serials differ in one of them."""
+    """A configuration of many routes; two serials differ in one route."""
     rows = {
         f"r{n}": {
             "host": "h.example",
@@ -84,8 +86,8 @@
     )
 
 
-def swim_of(*, n: int, count: int) -> Swim:
-    """A node that knows `count` others, all of them news to it."""
+def swim_with_members(*, n: int, count: int) -> Swim:
+    """The protocol of edge `n`, which has merged a table of `count` edges."""
     swim = Swim(
         me=member(n=n),
         rand=random.Random(n),
@@ -97,9 +99,9 @@
     return swim
 
 
-class GossipBounds(unittest.TestCase):
-    def test_a_datagram_is_small_however_much_is_new(self) -> None:
-        swim = swim_of(n=0, count=400)
+class GossipProtocol(unittest.TestCase):
+    def test_datagram_size_is_bounded_with_many_updates(self) -> None:
+        swim = swim_with_members(n=0, count=400)
         for i in range(1, 200):
             swim.suspect(name=f"node-{i:04d}", now_us=TICK_US, why="test")
         sizes = [
@@ -107,22 +109,22 @@
             for tick in range(1, 60)
             for _, message in swim.tick(now_us=tick * TICK_US)
         ]
-        self.assertLess(max(sizes), DATAGRAM_MOST)
+        self.assertLess(max(sizes), MAX_DATAGRAM_BYTES)
 
-    def test_news_is_told_a_bounded_number_of_times(self) -> None:
-        swim = swim_of(n=0, count=60)
+    def test_update_is_sent_a_bounded_number_of_times(self) -> None:
+        swim = swim_with_members(n=0, count=60)
         swim.suspect(name="node-0001", now_us=TICK_US, why="test")
-        told = 0
+        sent = 0
         for tick in range(2, 200):
-            for _, message in swim.tick(now_us=TICK_US + tick):  # too soon for it to be dead
+            for _, message in swim.tick(now_us=TICK_US + tick):  # before a timeout
                 infos = [MemberMsg().parse(packed) for packed in message.members]
-                told += any(info.name == "node-0001" for info in infos)
-        lot = 200 * 2 / 59  # by lot it may be told as well
-        self.assertLess(told, 11 + 4 * lot)
-        self.assertGreater(told, 8)
+                sent += any(info.name == "node-0001" for info in infos)
+        in_samples = 200 * 2 / 59  # expected number of times in random samples
+        self.assertLess(sent, 11 + 4 * in_samples)
+        self.assertGreater(sent, 8)
 
-    def test_most_probes_stay_in_the_region_and_all_are_probed(self) -> None:
-        swim = swim_of(n=0, count=90)
+    def test_most_probes_stay_in_the_region_and_all_members_are_probed(self) -> None:
+        swim = swim_with_members(n=0, count=90)
         probed: Counter = Counter()
         for tick in range(1, 600):
             now_us = tick * TICK_US
@@ -136,17 +138,20 @@
         self.assertEqual(89, len(probed))
         self.assertAlmostEqual(0.75, near / sum(probed.values()), delta=0.03)
 
-    def test_a_suspicion_is_believed_by_who_heard_a_later_beat(self) -> None:
-        """The one that probed in vain knew beat 10, the other heard beat 14 before the
-        member fell silent; it used to hold the suspicion for older than that."""
-        a, b = swim_of(n=0, count=3), swim_of(n=1, count=3)
+    def test_suspicion_is_adopted_by_an_edge_that_received_a_later_beat(self) -> None:
+        """A suspicion must not count as older than the last beat of another edge.
+
+        The edge whose probe failed knows beat 10, the other one received beat 14 before the
+        member stopped.
+        """
+        a, b = swim_with_members(n=0, count=3), swim_with_members(n=1, count=3)
         a._membership.merge(info=member(n=2, beat=10), now_us=10 * TICK_US, is_direct=True)
         b._membership.merge(info=member(n=2, beat=14), now_us=14 * TICK_US, is_direct=True)
         a.suspect(name="node-0002", now_us=20 * TICK_US, asked_us=17 * TICK_US, why="no ack")
         _, message = a._build_message(to="node-0001", kind=PING, number=9)
         b.heard(message=message, now_us=20 * TICK_US)
         self.assertEqual(SUSPECT, b.status(name="node-0002"))
-        # It is alive after all: its own word counts at once, whatever beat was guessed.
+        # The member is alive: its own ack refutes the suspicion, whatever beat that has.
         c = Swim(
             me=member(n=2, beat=12),
             rand=random.Random(2),
@@ -154,13 +159,13 @@
             on_backend_state=lambda backend_state: None,
         )
         c.meet(name="node-0001", address="10.0.0.2:7000", incarnation=0, now_us=0)
-        _, news = b._build_message(to="node-0002", kind=PING, number=9)
-        [(_, ack)] = c.heard(message=news, now_us=21 * TICK_US)
+        _, ping = b._build_message(to="node-0002", kind=PING, number=9)
+        [(_, ack)] = c.heard(message=ping, now_us=21 * TICK_US)
         b.heard(message=ack, now_us=21 * TICK_US)
         self.assertEqual(ALIVE, b.status(name="node-0002"))
 
-    def test_a_table_taken_whole_is_no_news(self) -> None:
-        swim = swim_of(n=0, count=300)
+    def test_merged_table_is_not_sent_as_updates(self) -> None:
+        swim = swim_with_members(n=0, count=300)
         self.assertEqual(300, len(swim.live()))
         pings = [
             message
@@ -171,22 +176,22 @@
         self.assertTrue(pings)
         self.assertLessEqual(max(len(message.members) for message in pings), 3)
 
-    def test_garbage_in_a_table_is_passed_over(self) -> None:
-        swim = swim_of(n=0, count=3)
+    def test_invalid_entries_of_a_table_are_ignored(self) -> None:
+        swim = swim_with_members(n=0, count=3)
         before = swim.live()
         junk = [b"", b"\x0a", b"\x10\x01", b"\x0a\x7fx", bytes(MemberMsg())]
         swim.merge_table(table=junk, now_us=1)
         self.assertEqual(before, swim.live())
 
-    def test_the_dead_are_not_told_round_for_ever(self) -> None:
-        """Who had forgotten a dead member used to take it over again from who had not."""
-        swim = swim_of(n=0, count=3)
+    def test_dead_member_is_not_added_again(self) -> None:
+        """An edge that has removed a dead member must not add it again from a peer's table."""
+        swim = swim_with_members(n=0, count=3)
         swim.merge_table(table=[bytes(member(n=9, status=DEAD))], now_us=TICK_US)
         self.assertNotIn("node-0009", swim.members)
 
-    def test_the_newest_news_is_told_first(self) -> None:
-        """A loss used to wait behind the news of a whole fleet's start."""
-        swim = swim_of(n=0, count=60)
+    def test_newest_update_is_sent_first(self) -> None:
+        """The update of a lost member must not wait behind the updates of a starting fleet."""
+        swim = swim_with_members(n=0, count=60)
         for i in range(1, 40):
             swim._membership.updates.add(name=f"node-{i:04d}")
         swim.suspect(name="node-0050", now_us=TICK_US, why="test")
@@ -194,8 +199,8 @@
         names = [MemberMsg().parse(packed).name for packed in message.members]
         self.assertIn("node-0050", names)
 
-    def test_who_heard_nothing_for_long_takes_the_others_word(self) -> None:
-        swim = swim_of(n=0, count=60)
+    def test_stale_member_is_suspected_on_a_peers_report(self) -> None:
+        swim = swim_with_members(n=0, count=60)
         swim._membership.merge(info=member(n=5, beat=900), now_us=TICK_US, is_direct=True)
         for now_us, status in ((2_000_000, ALIVE), (9_000_000, SUSPECT)):
             swim._membership.merge(info=member(n=5, beat=880, status=SUSPECT), now_us=now_us)
@@ -206,7 +211,7 @@
     def contact(self, name: str, incarnation: int = 1) -> EdgeContact:
         return EdgeContact(name=name, address=f"{name}:1", incarnation=incarnation)
 
-    def test_only_what_changed_is_told(self) -> None:
+    def test_only_changes_are_sent(self) -> None:
         lease_table = LeaseTable(since_us=5)
         for n in range(90):
             lease_table.record_report(
@@ -215,7 +220,7 @@
         lease_table.contacts.note_cores(cores=["a:1", "b:1"])
         mark = lease_table.contacts.mark()
         self.assertEqual(([], []), lease_table.contacts.since(known=mark, now_us=10, limit=32))
-        # A renewal without its contact changes nothing, a new life does.
+        # A renewal without a contact changes nothing, a new incarnation does.
         lease_table.record_report(
             edge="n1", incarnation=1, epoch=2, contact=EdgeContact(), now_us=11
         )
@@ -226,7 +231,7 @@
         contacts, cores = lease_table.contacts.since(known=mark, now_us=12, limit=32)
         self.assertEqual((["n2"], []), ([contact.name for contact in contacts], cores))
 
-    def test_a_mark_of_another_lease_table_counts_for_nothing(self) -> None:
+    def test_offset_of_another_lease_table_is_ignored(self) -> None:
         old, new = LeaseTable(since_us=5), LeaseTable(since_us=6)
         for lease_table in (old, new):
             lease_table.record_report(
@@ -236,8 +241,8 @@
         contacts, cores = new.contacts.since(known=old.contacts.mark(), now_us=10, limit=32)
         self.assertEqual((1, ["a:1"]), (len(contacts), cores))
 
-    def test_a_lease_bears_one_renewal_without_an_answer(self) -> None:
-        """Asked again after the wait and the pause, there is time left for the answer."""
+    def test_lease_survives_one_renewal_without_a_reply(self) -> None:
+        """After a timeout and a pause, the lease lasts long enough for the next reply."""
         lease_us, pause_us = 2_000_000, 60_000
         for count in (21, 60, 1400):
             again_us = renew_period_us(count=count) + LARGE_RENEW_TIMEOUT_US + pause_us
@@ -245,7 +250,7 @@
 
 
 class Deltas(unittest.TestCase):
-    def test_any_two_documents(self) -> None:
+    def test_delta_restores_any_document(self) -> None:
         rand = random.Random(4)
         for _ in range(200):
             base = rand.randbytes(rand.randrange(200)) * rand.randrange(1, 300)
@@ -255,20 +260,22 @@
                 target[at : at + rand.randrange(20)] = rand.randbytes(rand.randrange(20))
             delta = pack_delta(base=base, target=bytes(target))
             self.assertEqual(bytes(target), apply_delta(base=base, delta=delta))
-            # From another base comes the right whole (if what differs was not needed)
-            # or nothing, never another one.
+            # With another base the result is the target (if the delta does not use what
+            # differs) or None, never another document.
             wrong = apply_delta(base=base + b"x", delta=delta)
             self.assertIn(wrong, (None, bytes(target)))
         self.assertIsNone(apply_delta(base=b"another", delta=pack_delta(base=b"ab", target=b"abc")))
 
-    def test_a_change_of_one_route_is_small(self) -> None:
+    def test_delta_of_one_route_is_small(self) -> None:
         one, two = document(routes=300, serial=1), document(routes=300, serial=2)
         self.assertLess(len(pack_delta(base=one, target=two)), 700)
 
 
-class Fleets(unittest.TestCase):
-    async def in_force(self, fleet: SimFleet, *, names: set[str], version: int) -> int:
-        """How long until these edges have a version installed."""
+class SimulatedFleets(unittest.TestCase):
+    async def time_until_installed_us(
+        self, fleet: SimFleet, *, names: set[str], version: int
+    ) -> int:
+        """The time until all these edges have installed a version."""
         began_us = fleet.world.now_us()
         while any(
             fleet.daemons[f"edge/{name}"].lease_holder.configuration.version < version
@@ -280,31 +287,33 @@
     def names(self, fleet: SimFleet) -> set[str]:
         return {node.name for node in fleet.deployment.nodes}
 
-    def test_thirty_edges(self) -> None:
-        """Few epochs for many joins; changes and losses known in time; no false alarm;
-        connections bounded."""
+    def test_thirty_edges_join_change_and_lose_one(self) -> None:
+        """Joins share epochs, changes and losses are known in time, no edge is suspected
+        wrongly, and the number of connections is bounded."""
 
         async def scenario(fleet: SimFleet) -> None:
             names = self.names(fleet)
             edges = {name: fleet.daemons[f"edge/{name}"] for name in names}
-            self.assertLess(edges["n09"].lease_holder.epoch, 12, "each join had its own epoch")
+            self.assertLess(edges["n09"].lease_holder.epoch, 12, "an epoch for each join")
             for _ in range(4):
                 began_us = fleet.world.now_us()
                 putting = asyncio.ensure_future(fleet.put_next())
-                took_us = await self.in_force(fleet, names=names, version=fleet.version + 1)
+                took_us = await self.time_until_installed_us(
+                    fleet, names=names, version=fleet.version + 1
+                )
                 self.assertLess(took_us, 400_000)
                 self.assertEqual(200, (await putting)["status"])
                 self.assertLess(fleet.world.now_us() - began_us, 500_000)
                 await fleet.sleep(us=SECOND)
-            await self.one_is_lost(fleet, edges=edges)
+            await self.check_detection_of_a_killed_edge(fleet, edges=edges)
             await fleet.sleep(us=IDLE_US + IDLE_CHECK_US)
             living = [edge for name, edge in edges.items() if name != "n25"]
             kept = max(len(edge.transport._connections) for edge in living)
-            self.assertLessEqual(kept, 6, "connections that nobody uses are closed")
+            self.assertLessEqual(kept, 6, "unused connections must be closed")
 
-        run_wide(scenario, nodes=30)
+        run_fleet(scenario, nodes=30)
 
-    async def one_is_lost(self, fleet: SimFleet, *, edges: dict) -> None:
+    async def check_detection_of_a_killed_edge(self, fleet: SimFleet, *, edges: dict) -> None:
         fleet.kill_edge(name="n25")
         lost_us = fleet.world.now_us()
         suspected: dict[str, int] = {}
@@ -324,32 +333,36 @@
         self.assertLess(max(suspected.values()), 2_500_000)
         self.assertLess(max(dead.values()), 3_500_000)
 
-    def test_who_was_to_hand_the_news_on_is_gone(self) -> None:
+    def test_configuration_arrives_when_the_forwarding_edges_are_frozen(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             leader = fleet.daemons[f"core/{fleet.leader()}"]
             contacts = leader.lease_service.lease_table.recent_contacts(now_us=fleet.world.now_us())
-            firsts: dict[str, str] = {}
+            first_by_zone: dict[str, str] = {}
             for contact in contacts:
-                firsts.setdefault(contact.zone, contact.name)
-            # The leader picks at random: here always the first of each zone.
+                first_by_zone.setdefault(contact.zone, contact.name)
+            # Makes the leader's random choice always the first edge of each zone.
             leader.ports.rand.randrange = lambda *_: 0
-            silent = set(firsts.values())
+            silent = set(first_by_zone.values())
             self.assertTrue(silent)
             for name in silent:
                 fleet.processes[f"edge/{name}"].freeze()
             putting = asyncio.ensure_future(fleet.put_next())
             others = self.names(fleet) - silent
-            took_us = await self.in_force(fleet, names=others, version=fleet.version + 1)
+            took_us = await self.time_until_installed_us(
+                fleet, names=others, version=fleet.version + 1
+            )
             self.assertLess(took_us, 600_000)
             for name in silent:
                 fleet.processes[f"edge/{name}"].thaw()
             await putting
 
-        run_wide(scenario, nodes=30)
+        run_fleet(scenario, nodes=30)
 
-    def test_a_put_is_acknowledged_as_soon_as_it_is_installed(self) -> None:
-        """An edge that installed while it was renewing used to say so half a second
-        later."""
+    def test_put_is_acknowledged_as_soon_as_it_is_installed(self) -> None:
+        """An edge that installs during a renewal must report it at once.
+
+        Otherwise the leader learns of it only with the next renewal, half a second later.
+        """
 
         async def scenario(fleet: SimFleet) -> None:
             for _ in range(8):
@@ -358,10 +371,13 @@
                 self.assertLess(fleet.world.now_us() - began_us, 300_000)
                 await fleet.sleep(us=730_000)
 
-        run_wide(scenario, nodes=12, cores=3)
+        run_fleet(scenario, nodes=12, cores=3)
+
+    def test_sides_that_removed_each_other_rejoin_after_a_partition(self) -> None:
+        """The sides of a partition find each other again after both removed the other's members.
 
-    def test_two_sides_that_forgot_each_other_meet_again(self) -> None:
-        """A cut that outlasts what gossip keeps of the dead: an hour's, made short."""
+        A shorter TTL of removed members stands for a partition of an hour.
+        """
 
         async def scenario(fleet: SimFleet) -> None:
             machines = fleet.world.machines
@@ -375,12 +391,12 @@
                 others = outside if name in inside else inside
                 known = set(fleet.daemons[f"edge/{name}"].swim.members)
                 self.assertFalse(others & known)
-            self.assertEqual(outside, set(fleet.ready_edges()), "a region alone serves nothing")
+            self.assertEqual(outside, set(fleet.ready_edges()), "an isolated region must not serve")
             self.assertEqual(200, (await fleet.put_next())["status"])
             fleet.world.cuts.clear()
             fleet.world.flush()
             await fleet.wait_for(
-                what="everybody known to everybody again",
+                what="all edges to know each other again",
                 is_there=lambda: all(
                     len(fleet.daemons[f"edge/{name}"].swim.live()) == 24
                     for name in self.names(fleet)
@@ -399,31 +415,31 @@
         with constants_set(
             constants={"kelpstage.edge.gossip.membership:REMOVED_MEMBER_TTL_US": 15 * SECOND}
         ):
-            run_wide(scenario, nodes=24)
+            run_fleet(scenario, nodes=24)
 
-    async def least_ready(self, fleet: SimFleet, *, tenths: int) -> int:
+    async def min_ready_edges(self, fleet: SimFleet, *, tenths: int) -> int:
         least = len(fleet.deployment.nodes)
         for _ in range(tenths):
             await fleet.sleep(us=100_000)
             least = min(least, len(fleet.ready_edges()))
         return least
 
-    def test_the_leader_is_lost_and_nobody_stops_serving(self) -> None:
+    def test_all_edges_serve_while_the_leader_is_frozen(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             fleet.processes[f"core/{fleet.leader()}"].freeze()
-            self.assertEqual(24, await self.least_ready(fleet, tenths=60))
+            self.assertEqual(24, await self.min_ready_edges(fleet, tenths=60))
 
-        run_wide(scenario, nodes=24, cores=3)
+        run_fleet(scenario, nodes=24, cores=3)
 
-    def test_all_cores_are_lost_and_everybody_serves_on(self) -> None:
-        """A majority by lot vouches, asked more often than its word lasts."""
+    def test_all_edges_serve_without_any_core(self) -> None:
+        """A random majority confirms the epoch, and is asked again before that expires."""
 
         async def scenario(fleet: SimFleet) -> None:
             for name in fleet.core_address:
                 fleet.kill_core(name=name)
-            self.assertEqual(30, await self.least_ready(fleet, tenths=100))
+            self.assertEqual(30, await self.min_ready_edges(fleet, tenths=100))
 
-        run_wide(scenario, nodes=30)
+        run_fleet(scenario, nodes=30)
 
 
 if __name__ == "__main__":
