--- a/kelpstage/edge/gather/__init__.py
+++ b/kelpstage/edge/gather/__init__.py
@@ -1,1 +1,1 @@
-"""Gathering: the stages of a request, its state, and the task that runs them."""
+"""Gathering: the state of a request, the stages that process it and the task that runs them."""
--- a/kelpstage/edge/gather/backend_queries.py
+++ b/kelpstage/edge/gather/backend_queries.py
@@ -1,4 +1,4 @@
-"""Sending attempts to backends, and reading their replies."""
+"""Sends attempts to backends and reads their replies."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from kelpstage.edge.gather.observation import ReplyObserver
 from kelpstage.edge.gather.request_state import SINGLE
 
-LATE_US = 1_000  # what a send may lag behind its decision, unheeded
+MAX_SEND_LAG_US = 1_000  # a send this much later than its decision keeps its full wait
 
 
 class BackendQueries:
-    """Performs `QueryBackend`: one HTTP call, whose outcome becomes a `BackendReplied`."""
+    """Performs `QueryBackend`: makes one HTTP call and reports its outcome as `BackendReplied`."""
 
     def __init__(
         self,
@@ -35,9 +35,9 @@
         self._on_reply = on_reply
 
     async def query(self, *, ask: QueryBackend) -> None:
-        """Send an attempt; its outcome goes to the gathering task as an event.
+        """Send an attempt and report its outcome to the gathering task as an event.
 
-        Cancelled, it closes its connection, and the outcome is `CallerGoneError`.
+        Cancellation closes the connection; the outcome is then `CallerGoneError`.
         """
         record = ask.record
         sent_us = self._ports.clock.now_us()
@@ -68,11 +68,14 @@
         )
 
     async def _fetch(self, *, ask: QueryBackend, left_us: int) -> Any:
-        """Send a request, if it still has time: between the decision and the send the
-        process may have been frozen, and what is sent then runs for nobody."""
+        """Send a request if time is left.
+
+        The process may have been suspended between the decision and the send; a request sent
+        after its deadline would run although no client waits for it.
+        """
         if left_us <= 0:
             return ReplyTimeoutError(address=ask.address, after_us=ask.wait_us, was_sent=False)
-        if left_us < ask.wait_us - LATE_US:
+        if left_us < ask.wait_us - MAX_SEND_LAG_US:
             ask = replace(ask, wait_us=left_us)
         call = backend_call(ask=ask) if ask.record.request is None else self._sealed.call(ask=ask)
         return await self._ports.net.fetch(call=call)
@@ -96,7 +99,7 @@
 
 
 def backend_call(*, ask: QueryBackend) -> HttpCall:
-    """The call to a backend; the query's bytes go as the caller gave them."""
+    """Return the call to a backend, with the query's bytes as the client sent them."""
     record = ask.record
     headers = {"Kelp-Cut": ask.cut, "Accept": "application/json"}
     base = f"http://{ask.address}/v1/shards/{ask.shard}"
--- a/kelpstage/edge/gather/child_queries.py
+++ b/kelpstage/edge/gather/child_queries.py
@@ -1,4 +1,4 @@
-"""Asking children of the gathering tree for their subtrees."""
+"""Sends queries for subtrees to the children in the gathering tree."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from kelpstage.edge.gather.messages import ChildReplied, QueryChild
 from kelpstage.edge.gather.request_state import WAITING, Child, RequestState
 
-LEAST_WAIT_US = 1_000
+MIN_WAIT_US = 1_000
 
 
 class ChildQueries:
-    """Performs `QueryChild`: one call to a peer, whose outcome becomes a `ChildReplied`."""
+    """Performs `QueryChild`: makes one call to a peer and reports its outcome as `ChildReplied`."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._on_reply = on_reply
 
     async def query(self, *, ask: QueryChild) -> None:
-        """Ask a child; its outcome goes to the gathering task as an event."""
+        """Query a child and report the outcome to the gathering task as an event."""
         sent_us = self._ports.clock.now_us()
         message = self._message(ask=ask, sent_us=sent_us)
         self._ports.failpoint("edge.before_kid_send")
@@ -53,7 +53,7 @@
         )
 
     def cancel(self, *, record: RequestState) -> None:
-        """Tell the children that still work for a request that nobody waits for them."""
+        """Send a cancellation to every child that still works for an abandoned request."""
         for child in record.children:
             address = record.addresses.get(child.subtree.node, "")
             is_at_work = child.is_sent and (child.state is WAITING or child.is_open)
@@ -73,12 +73,12 @@
         outcome = await self._transport.call(
             address=ask.address,
             message=message,
-            wait_us=max(LEAST_WAIT_US, ask.record.due_us - sent_us),
+            wait_us=max(MIN_WAIT_US, ask.record.due_us - sent_us),
             channel=frames.GATHER,
         )
         if isinstance(outcome, (Gathered, KelpstageError)):
             return outcome
-        return ConnectionLostError(address=ask.address, why="another message came")
+        return ConnectionLostError(address=ask.address, why="unexpected message type")
 
     def _message(self, *, ask: QueryChild, sent_us: int) -> Gather:
         record, context = ask.record, self._context
@@ -96,16 +96,16 @@
             content_type=record.content_type,
             subtree=subtree_message(subtree=subtree, addresses=record.addresses),
             wait_us=ask.wait_us,
-            due_us=max(LEAST_WAIT_US, record.due_us - sent_us - margin_us),
+            due_us=max(MIN_WAIT_US, record.due_us - sent_us - margin_us),
             is_resumed=ask.is_resumed,
-            is_extra=any(record.is_sent_before(shard=s) for s in subtree.all_shards()),
+            is_extra=any(record.was_sent_before(shard=s) for s in subtree.all_shards()),
             cluster=context.lease_holder.cluster,
             search=record.search,
-            **self._forwarded(ask=ask, child=child, sent_us=sent_us),
+            **self._forwarded_fields(ask=ask, child=child, sent_us=sent_us),
         )
 
-    def _forwarded(self, *, ask: QueryChild, child: Child, sent_us: int) -> dict[str, Any]:
-        """The fields of a forwarded request; none for a search of our own."""
+    def _forwarded_fields(self, *, ask: QueryChild, child: Child, sent_us: int) -> dict[str, Any]:
+        """Return the fields of a forwarded request; empty for a search in the edge's own API."""
         record, request = ask.record, ask.record.request
         if request is None:
             return {}
--- a/kelpstage/edge/gather/context.py
+++ b/kelpstage/edge/gather/context.py
@@ -1,4 +1,4 @@
-"""What the stages may see and do: this node's views, and a list of effects."""
+"""What the stages read and write: this node's views of the cluster and a list of effects."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.retries.budget import Budget
 
-LATE_FOR_US = 1_000_000
-MARGIN_US = 4_000
-LATE_COUNT = 5
-SILENT_COUNT = 3  # until it is probed again
+LATE_PENALTY_US = 1_000_000  # doubles with each further late reply in a row
+REPLY_MARGIN_US = 4_000  # added to the round trip to a peer
+MAX_LATE_COUNT = 5  # bounds the doubling of the penalty
+UNRESPONSIVE_COUNT = 3  # late replies in a row; a peer then gets no queries for the penalty
 
 
 @dataclass(kw_only=True)
 class Lateness:
-    """When a peer was last late, and how often since it last answered."""
+    """The time of a peer's last late reply, and the number of late ones since it last replied."""
 
     since_us: int
     count: int
@@ -33,7 +33,7 @@
 class GatherContext:
     """This node's views of the cluster, shared by all requests, and the effects to perform.
 
-    `now_us` is set once before each run of the stages; the stages read no clock.
+    `now_us` is set once before each run of the stages; the stages do not read a clock.
     """
 
     me: str
@@ -51,88 +51,90 @@
     effects: list[Any] = field(default_factory=list)
     late: dict[str, Lateness] = field(default_factory=dict)
     next_attempt: int = 0
-    distances: dict[str, int] = field(default_factory=dict)
-    regions: dict[str, str] = field(default_factory=dict)  # of zones
+    round_trips_us: dict[str, int] = field(default_factory=dict)
+    regions: dict[str, str] = field(default_factory=dict)  # region by zone
     statistics: GatherStatistics = field(default_factory=GatherStatistics)
 
     def emit(self, effect: Any) -> None:
-        """Have an effect performed after this run of the stages."""
+        """Queue an effect to be performed after this run of the stages."""
         self.effects.append(effect)
 
     def edges(self) -> int:
-        """Edges that share the slack of the budget."""
+        """Return the number of live edges, which share the slack of the retry budget."""
         return len(self.swim.live())
 
     def node_window_us(self, *, name: str, least_us: int) -> int:
-        """A peer's window: the least one, stretched by what was seen of it."""
+        """Return a peer's window: at least `least_us`, more if its measured latency needs it."""
         return self.latencies.window_us(name=f"node:{name}", least_us=least_us)
 
     def note_late(self, *, name: str) -> None:
-        """A peer let a window pass, or its connection broke."""
+        """Record that a peer exceeded a window, or that the connection to it was lost."""
         known = self.late.get(name)
         count = 0 if known is None else known.count
-        self.late[name] = Lateness(since_us=self.now_us, count=min(count + 1, LATE_COUNT))
+        self.late[name] = Lateness(since_us=self.now_us, count=min(count + 1, MAX_LATE_COUNT))
 
     def note_silent(self, *, name: str) -> None:
-        """Gossip had no direct ack from it: queries may not reach it either."""
+        """Record a missed direct gossip ack; queries may not reach the peer either."""
         self.note_late(name=name)
-        self.late[name].count = max(self.late[name].count, SILENT_COUNT)
+        self.late[name].count = max(self.late[name].count, UNRESPONSIVE_COUNT)
 
     def note_reply(self, *, name: str) -> None:
-        """It answers after all: what it let pass later counts anew."""
+        """Record a reply; it resets the peer's count of late replies."""
         known = self.late.get(name)
         if known is not None:
             known.count = 0
 
     def note_distance(self, *, name: str, took_us: int) -> None:
-        """A round trip to a peer, smoothed, the short ones at once."""
-        known = self.distances.get(name, took_us)
-        self.distances[name] = min(took_us, known + (took_us - known) // 4)
+        """Record a round trip to a peer: longer ones are smoothed, shorter ones apply at once."""
+        known = self.round_trips_us.get(name, took_us)
+        self.round_trips_us[name] = min(took_us, known + (took_us - known) // 4)
 
     def reply_margin_us(self, *, name: str) -> int:
-        """What a peer must leave of our time, for the way there and back.
+        """Return the part of the time left to reserve for the round trip to a peer.
 
         >>> from types import SimpleNamespace as Some
-        >>> context = Some(distances={"k": 120_000})
+        >>> context = Some(round_trips_us={"k": 120_000})
         >>> [GatherContext.reply_margin_us(context, name=name) for name in ("k", "j")]
         [124000, 4000]
         """
-        return MARGIN_US + self.distances.get(name, 0)
+        return REPLY_MARGIN_US + self.round_trips_us.get(name, 0)
 
     def is_late(self, *, name: str) -> bool:
-        """Did this peer let a window pass a moment ago? The longer it has not
-        answered at all, the longer it is asked last: gossip may reach it attempt a
-        line that is cut from here."""
+        """True while a peer is ranked last because it was late.
+
+        The penalty doubles with each late reply in a row: gossip may still reach, through other
+        nodes, a peer that this node cannot reach.
+        """
         known = self.late.get(name)
-        return known is not None and self.now_us - known.since_us < LATE_FOR_US << max(
+        return known is not None and self.now_us - known.since_us < LATE_PENALTY_US << max(
             0, known.count - 1
         )
 
-    def is_silent(self, *, name: str) -> bool:
-        """Has it not answered this node at all, several times over?"""
+    def is_unresponsive(self, *, name: str) -> bool:
+        """True if the peer was late several times in a row and the penalty has not expired."""
         known = self.late.get(name)
-        return known is not None and known.count >= SILENT_COUNT and self.is_late(name=name)
+        return known is not None and known.count >= UNRESPONSIVE_COUNT and self.is_late(name=name)
 
     def is_far(self, *, name: str) -> bool:
-        """Is this peer in another region?"""
+        """True if the peer is in another region."""
         member = self.swim.members.get(name)
         zone = member.info.zone if member else self.zone
         regions = self.regions
         return regions.get(zone, zone) != regions.get(self.zone, self.zone)
 
     def zones_by_distance(self) -> list[str]:
-        """Zones of this deployment: the own one, those of the own region, then the others,
-        ties by lot."""
-        home = self.regions.get(self.zone, self.zone)
+        """Return the zones of this deployment: this node's zone, then those of its region, then
+        the others; ties are broken at random."""
+        own_region = self.regions.get(self.zone, self.zone)
         known = {m.info.zone for m in self.swim.members.values()} | set(self.regions)
         known.discard(self.zone)
         others = sorted(
-            known, key=lambda zone: (self.regions.get(zone, zone) != home, self.rand.random())
+            known, key=lambda zone: (self.regions.get(zone, zone) != own_region, self.rand.random())
         )
         return [self.zone, *others]
 
     def helpers_by_zone(self, *, collection: str) -> dict[str, list[str]]:
-        """The peers that may merge, by their zone, the best first."""
+        """Return the peers that may gather, by zone, the best first."""
         out: dict[str, list[str]] = {}
         for name in self.helpers(collection=collection, rand=self.rand, is_near_only=False):
             out.setdefault(self.swim.members[name].info.zone, []).append(name)
@@ -141,27 +143,30 @@
     def helpers(
         self, *, collection: str, rand: random.Random | None, is_near_only: bool = True
     ) -> list[str]:
-        """Peers that may merge, the best first: alive and not late a moment
-        ago, own zone, little load, ties by lot. One that is silent towards this
-        node is left out, and so is one whose round trip alone is longer than the
-        route's window, while there are nearer ones: better that one stands in twice."""
+        """Return the peers that may gather, the best first.
+
+        They are ranked by lateness, by zone (this node's zone first) and by load; ties are broken
+        at random. Unresponsive peers are left out. With `is_near_only`, peers whose round trip
+        exceeds the route's window are left out while there are nearer ones, even if a nearer
+        peer then takes two places in the tree.
+        """
         ranked = []
         for name, member in self.swim.members.items():
             info = member.info
-            if info.status != ALIVE or not info.is_ready or self.is_silent(name=name):
+            if info.status != ALIVE or not info.is_ready or self.is_unresponsive(name=name):
                 continue
             if not self.lease_holder.configuration.is_gatherer(
                 collection=collection, name=name, zone=info.zone
             ):
                 continue
-            lot = rand.random() if rand else 0.0
+            tie_break = rand.random() if rand else 0.0
             ranked.append(
-                (self.is_late(name=name), info.zone != self.zone, info.load // 4, lot, name)
+                (self.is_late(name=name), info.zone != self.zone, info.load // 4, tie_break, name)
             )
         names = [rank[-1] for rank in sorted(ranked)]
         if not is_near_only:
             return names
         route = self.lease_holder.configuration.route(collection=collection)
         window_us = route.window_us if route else 0
-        near = [name for name in names if self.distances.get(name, 0) <= window_us]
+        near = [name for name in names if self.round_trips_us.get(name, 0) <= window_us]
         return near or names
--- a/kelpstage/edge/gather/conversion.py
+++ b/kelpstage/edge/gather/conversion.py
@@ -1,4 +1,4 @@
-"""Requests and subtrees as they travel between nodes, and how a request's end is told."""
+"""Converts requests and subtrees from and to messages, and outcomes to events and replies."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from kelpstage.common.transport.messages import Gather, Gathered, SubtreeMsg
 from kelpstage.edge.events import Ended
 from kelpstage.edge.forward.request import ClientRequest, unpack_headers
-from kelpstage.edge.gather.messages import ChildReply, GatherResult
+from kelpstage.edge.gather.messages import GatherResult, SubtreeReply
 from kelpstage.edge.gather.request_state import CHILD, RequestState
 from kelpstage.edge.gather.tree import Subtree
 
 
 def subtree_message(*, subtree: Subtree, addresses: dict[str, str]) -> SubtreeMsg:
-    """A subtree as it travels.
+    """Return a subtree as a message.
 
     >>> subtree_message(subtree=Subtree(node="a", shards=("s",)), addresses={"a": "x"}).address
     'x'
@@ -27,7 +27,7 @@
 
 
 def read_subtree(*, message: SubtreeMsg) -> tuple[Subtree, dict[str, str]]:
-    """The reverse of `subtree_message`.
+    """Return the subtree and the addresses in a message; the inverse of `subtree_message`.
 
     >>> read_subtree(message=SubtreeMsg(node="a", address="x", shards=["s"]))[1]
     {'a': 'x'}
@@ -45,7 +45,7 @@
 
 
 def child_record(*, key: int, ask: Gather, now_us: int) -> RequestState:
-    """The record of a query that a root, or a node above, asks this node for."""
+    """Return the state of a subtree query that the root, or another parent, sent to this node."""
     subtree, addresses = read_subtree(message=ask.subtree)
     forwarded: dict[str, Any] = {}
     if ask.target:
@@ -68,7 +68,7 @@
         collection=ask.collection,
         arrived_us=now_us,
         due_us=now_us + max(ask.wait_us, ask.due_us),
-        omit_us=now_us + ask.wait_us,
+        omit_at_us=now_us + ask.wait_us,
         query=ask.query,
         content_type=ask.content_type,
         limit=ask.limit if ask.has_limit else None,
@@ -83,7 +83,7 @@
 
 
 def ended_event(*, record: RequestState) -> Ended:
-    """How a search, or this node's part of one, came to its end.
+    """Return the event for the outcome of a search, or of this node's part of one.
 
     >>> from kelpstage.common.errors.transport import ConnectError
     >>> from kelpstage.edge.gather.request_state import SINGLE
@@ -97,7 +97,7 @@
     shards = 1 if record.subtree is None else len(record.subtree.all_shards())
     if isinstance(outcome, GatherResult):
         name = "complete" if outcome.coverage == 1 else "partial"
-    elif isinstance(outcome, ChildReply):
+    elif isinstance(outcome, SubtreeReply):
         name = "stale" if outcome.message.is_stale else "partial"
         if len(record.parts) == shards:
             name = "complete"
@@ -113,8 +113,8 @@
 
 
 def reply_of(*, outcome: Any) -> Gathered:
-    """What goes back to the node above."""
-    if isinstance(outcome, ChildReply):
+    """Return the reply to the parent; stale for any outcome but a `SubtreeReply`."""
+    if isinstance(outcome, SubtreeReply):
         message: Gathered = outcome.message
         return message
     return Gathered(is_stale=True)
--- a/kelpstage/edge/gather/messages.py
+++ b/kelpstage/edge/gather/messages.py
@@ -1,4 +1,4 @@
-"""Events that the gathering takes in, effects that it gives out."""
+"""Events that the gathering task receives, and effects that its stages emit."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Arrived:
-    """A request came in; its record is to be put in the table."""
+class RequestArrived:
+    """A request arrived; its state is added to the table."""
 
     record: RequestState
 
 
 @dataclass(frozen=True, kw_only=True)
-class Resumed:
-    """The root wants what a child left out, now that it is below its quorum."""
+class ResumeRequested:
+    """The root, below its quorum, requests the shards that a child left out of its reply."""
 
     key: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class CallerGone:
-    """Nobody waits for a request's outcome any more.
+    """The client no longer waits for a request's outcome.
 
-    Nothing more is sent for it. What is on its way is cancelled, but for an attempt that
-    may run at most once: that one goes on to its end.
+    Nothing more is sent for it. Attempts in flight are cancelled, except one that may run at most
+    once: it continues to its end.
     """
 
     key: int
@@ -63,12 +63,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TimerFired:
-    """The time has come at which a request wants to be looked at."""
+    """The time at which a request has to be processed again has come."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class ConfigurationMoved:
-    """Another configuration is in force on this node."""
+    """The configuration in force on this node has changed."""
 
 
 # --- effects ----------------------------------------------------------------------
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class QueryChild:
-    """Ask a child for its subtree; `ChildReplied` follows."""
+    """Query a child for its subtree; `ChildReplied` follows."""
 
     record: RequestState
     generation: int
@@ -104,8 +104,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PartlySettled:
-    """A child's window is over: what it has goes up, the rest stays on its way."""
+class PartialReplyReady:
+    """The window of a subtree query is over: the reply has what is there, the rest is pending."""
 
     record: RequestState
     outcome: Any
@@ -113,15 +113,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WantState:
-    """A newer configuration is known of; fetch it, from there if it can be had."""
+    """Fetch a newer configuration that is known to exist, from `source` if possible."""
 
     version: int
     source: str
 
 
 @dataclass(frozen=True, kw_only=True)
-class Settled:
-    """A request has its outcome and has left the table."""
+class RequestSettled:
+    """A request has its outcome and was removed from the table."""
 
     record: RequestState
 
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class GatherResult:
-    """A search's or a fetch's good end."""
+    """The result of a successful search or of a successful read of a single record."""
 
     version: int
     coverage: float
@@ -139,14 +139,14 @@
     body: bytes
     seals: tuple[str, ...] = ()
     missing: int = 0
-    backend_reply: Any = None  # a backend's answer, to go back as it came
+    backend_reply: Any = None  # a backend's answer, returned unchanged
 
 
 @dataclass(frozen=True, kw_only=True)
-class ChildReply:
-    """What a child passes up."""
+class SubtreeReply:
+    """The reply of a subtree query to its parent."""
 
     message: Any
 
 
-Outcome = GatherResult | ChildReply | KelpstageError
+Outcome = GatherResult | SubtreeReply | KelpstageError
--- a/kelpstage/edge/gather/observation.py
+++ b/kelpstage/edge/gather/observation.py
@@ -1,4 +1,4 @@
-"""What replies show of backends and peers, beside their content."""
+"""Derives the health and the latency of backends and peers from their replies."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from kelpstage.edge.gather.messages import BackendReplied, ChildReplied
 
 STATE_HEADER = "kelp-state"
-ANOTHER_INSTANCE = 421  # HTTP status of a backend that is not the instance expected
+MISDIRECTED_REQUEST = 421  # HTTP status: the address belongs to another instance
 
 
 class ReplyObserver:
-    """Feeds the registry, the latency estimates and the gossip state with every outcome."""
+    """Updates the registry, the latency estimates and the gossip state from every outcome."""
 
     def __init__(
         self,
@@ -30,13 +30,13 @@
         context: GatherContext,
         on_backend_changed: Callable[[str], None],
     ) -> None:
-        """`on_backend_changed` hears the name of a backend whose state changed."""
+        """`on_backend_changed` is called with the name of a backend whose state changed."""
         self._ports = ports
         self._context = context
         self._on_backend_changed = on_backend_changed
 
     def on_backend_reply(self, *, event: BackendReplied) -> None:
-        """Note what a reply, or its absence, shows of the backend."""
+        """Update the state of a backend from a reply, or from its absence."""
         context = self._context
         now_us = self._ports.clock.now_us()
         context.statistics.note_backend_reply(outcome=event.outcome, took_us=now_us - event.sent_us)
@@ -44,7 +44,7 @@
         if entry is not None:
             entry.in_flight = max(0, entry.in_flight - 1)
         if isinstance(event.outcome, CallerGoneError):
-            return  # it was cancelled from here
+            return  # this node cancelled the attempt, so it shows nothing about the backend
         if entry is not None and entry.is_discovered:
             self._observe_instance(event=event, now_us=now_us)
             return
@@ -72,7 +72,7 @@
         context.latencies.saw(name=event.backend, took_us=now_us - event.sent_us, now_us=now_us)
 
     def _observe_instance(self, *, event: BackendReplied, now_us: int) -> None:
-        """What the outcome of a request shows of the instance that it was sent to."""
+        """Update the state of a discovered instance from the outcome of an attempt."""
         registry, name, outcome = self._context.registry, event.backend, event.outcome
         took_us = now_us - event.sent_us
         if (
@@ -83,19 +83,19 @@
             registry.note_answer(name=name, took_us=took_us, now_us=now_us)
             self._context.latencies.saw(name=name, took_us=took_us, now_us=now_us)
             return
-        if isinstance(outcome, RequestNotRunError) and outcome.answer != ANOTHER_INSTANCE:
+        if isinstance(outcome, RequestNotRunError) and outcome.answer != MISDIRECTED_REQUEST:
             registry.note_overloaded(name=name, now_us=now_us)
             return
         if isinstance(outcome, ReplyTimeoutError) and not outcome.was_sent:
-            return  # it waited here for a connection
-        why = failure_of(outcome=outcome)
+            return  # it waited in this node for a connection
+        why = failure_kind(outcome=outcome)
         if isinstance(outcome, ReplyTimeoutError):
             self._context.latencies.saw(name=name, took_us=took_us, now_us=now_us)
         if registry.note_failure(name=name, why=why, now_us=now_us, waited_us=took_us):
             self._on_backend_changed(name)
 
     def on_child_reply(self, *, event: ChildReplied) -> None:
-        """Note what a reply, or its absence, shows of the peer."""
+        """Update the state of a peer from a reply, or from its absence."""
         context = self._context
         now_us = self._ports.clock.now_us()
         context.statistics.note_child_reply(outcome=event.outcome, took_us=now_us - event.sent_us)
@@ -110,7 +110,7 @@
             context.swim.suspect(name=event.node, now_us=now_us, why=event.outcome.kind)
 
     def note_draining(self, *, reply: HttpReply, backend: str) -> None:
-        """Heed a backend that says in its reply that it is draining."""
+        """Mark a backend as draining if its reply says so."""
         if reply.headers.get(STATE_HEADER) != "draining":
             return
         now_us = self._ports.clock.now_us()
@@ -120,10 +120,10 @@
             self._on_backend_changed(backend)
 
 
-def failure_of(*, outcome: Any) -> str:
-    """How a failure counts as evidence.
+def failure_kind(*, outcome: Any) -> str:
+    """Return the kind of a failure for outlier detection.
 
-    >>> failure_of(outcome=ConnectError(address="a"))
+    >>> failure_kind(outcome=ConnectError(address="a"))
     'refused'
     """
     if isinstance(outcome, (ConnectError, RequestNotRunError)):
--- a/kelpstage/edge/gather/record_order.py
+++ b/kelpstage/edge/gather/record_order.py
@@ -1,7 +1,7 @@
-"""The one total order of records, and merging under it.
+"""The total order of records, and sorting, merging and packing in that order.
 
-Greatest value first; records of one value by their bytes. Two trees of another
-shape over the same parts therefore give the same body, byte for byte.
+Records are ordered by descending value and, for equal values, by their bytes. Trees of different
+shapes over the same parts therefore give the same body, byte for byte.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from itertools import islice
 from typing import Iterable
 
-Record = tuple[int, bytes]  # the value turned negative, the record's exact bytes
-RAW_SIZE = 16
-HEAD = struct.Struct("!qI")
+Record = tuple[int, bytes]  # negated value, the record's exact bytes
+RECORD_SIZE = 16
+RECORD_HEADER = struct.Struct("!qI")
 
 
 def lowest_limit(*, limit: int | None) -> int | None:
-    """How many records a lowest node passes up: Scuba's max(5*limit, 100).
+    """Return how many records a leaf of the tree sends to its parent: Scuba's max(5*limit, 100).
 
     >>> lowest_limit(limit=5), lowest_limit(limit=50), lowest_limit(limit=None)
     (100, 250, None)
@@ -36,7 +36,7 @@
 
 
 def merge(*, runs: list[list[Record]], limit: int | None) -> list[Record]:
-    """Merge sorted runs, keeping `limit` if there is one.
+    """Merge sorted runs and keep the first `limit` records.
 
     >>> merge(runs=[[(-3, b"x")], [(-4, b"y"), (-1, b"z")]], limit=2)
     [(-4, b'y'), (-3, b'x')]
@@ -49,38 +49,38 @@
 
 
 def pack_records(*, records: list[Record]) -> bytes:
-    """Records as they travel between nodes: value, length, exact bytes.
+    """Encode records for a message: value, length, exact bytes.
 
     >>> unpack_records(data=pack_records(records=[(-7, b"{}")]))
     [(-7, b'{}')]
     """
     return b"".join(
-        piece for value, data in records for piece in (HEAD.pack(value, len(data)), data)
+        piece for value, data in records for piece in (RECORD_HEADER.pack(value, len(data)), data)
     )
 
 
 def unpack_records(*, data: bytes) -> list[Record] | None:
-    """The reverse of `pack_records`, or `None` if the bytes are not whole.
+    """Decode what `pack_records` encodes; `None` if the last record is incomplete.
 
     >>> unpack_records(data=b"x") is None
     True
     """
     out: list[Record] = []
-    place, size = 0, len(data)
-    while place < size:
-        if size - place < HEAD.size:
+    offset, size = 0, len(data)
+    while offset < size:
+        if size - offset < RECORD_HEADER.size:
             return None
-        value, length = HEAD.unpack_from(data, place)
-        place += HEAD.size
-        if size - place < length:
+        value, length = RECORD_HEADER.unpack_from(data, offset)
+        offset += RECORD_HEADER.size
+        if size - offset < length:
             return None
-        out.append((value, data[place : place + length]))
-        place += length
+        out.append((value, data[offset : offset + length]))
+        offset += length
     return out
 
 
 class ValueOrder:
-    """Records that carry a value: runs of (value turned negative, bytes)."""
+    """Records with a value: a run is a list of (negated value, bytes)."""
 
     sort_and_truncate = staticmethod(sort_and_truncate)
     merge = staticmethod(merge)
@@ -89,8 +89,9 @@
 
 
 class ByteOrder:
-    """Raw records of one size, greatest first, compared byte by byte; equal ones all
-    count. A run is a list of them, and travels as their bytes end to end.
+    """Raw records of a fixed size, greatest first, compared byte by byte.
+
+    Equal records are all kept. A run is a list of records; its encoding is their concatenation.
 
     >>> ByteOrder.merge(runs=[[b"c", b"a"], [b"b", b"a"]], limit=3)
     [b'c', b'b', b'a']
@@ -105,23 +106,23 @@
 
     @staticmethod
     def merge(*, runs: list[list[bytes]], limit: int | None) -> list[bytes]:
-        """Merge sorted runs, keeping `limit` if there is one."""
+        """Merge sorted runs and keep the first `limit` records."""
         if len(runs) == 1:
             return runs[0][:limit]
-        # Sorting finds the runs that are in it and merges them (CPython's list.sort).
+        # CPython's list.sort detects the sorted runs and merges them.
         return sorted((one for run in runs for one in run), reverse=True)[:limit]
 
     @staticmethod
     def pack(*, records: list[bytes]) -> bytes:
-        """Records as they travel between nodes."""
+        """Encode records for a message."""
         return b"".join(records)
 
     @staticmethod
     def unpack(*, data: bytes) -> list[bytes] | None:
-        """The reverse of `pack`, or `None` if the last record is not complete."""
-        if len(data) % RAW_SIZE:
+        """Decode what `pack` encodes; `None` if the last record is incomplete."""
+        if len(data) % RECORD_SIZE:
             return None
-        return [data[at : at + RAW_SIZE] for at in range(0, len(data), RAW_SIZE)]
+        return [data[at : at + RECORD_SIZE] for at in range(0, len(data), RECORD_SIZE)]
 
 
-ORDERS = {"json": ValueOrder, "records16": ByteOrder}
+ORDER_BY_CODEC = {"json": ValueOrder, "records16": ByteOrder}
--- a/kelpstage/edge/gather/request_state.py
+++ b/kelpstage/edge/gather/request_state.py
@@ -1,4 +1,4 @@
-"""The state of a request: what the stages run over."""
+"""The state of a request, which the stages read and change."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from kelpstage.common.configuration.types import Configuration, Route
 from kelpstage.common.transport.messages import PartMsg
 from kelpstage.edge.forward.request import ClientRequest
-from kelpstage.edge.gather.record_order import ORDERS, ValueOrder
+from kelpstage.edge.gather.record_order import ORDER_BY_CODEC, ValueOrder
 from kelpstage.edge.gather.tree import Subtree
 
 
 class RequestKind(StrEnum):
-    """Which part this node has in a request; the values stand in public timelines."""
+    """The role of this node in a request; the values are written to public timelines."""
 
-    ROOT = "root"  # gathers for a caller or client
-    CHILD = "child"  # gathers a subtree for the node above
-    SINGLE = "single"  # asks one backend: a single record, or a forwarded request
+    ROOT = "root"  # gathers for a client
+    CHILD = "child"  # gathers a subtree for its parent
+    SINGLE = "single"  # sends to one backend: a read of a single record, or a forwarded request
 
 
 class RequestPhase(StrEnum):
-    """How far a request has come; the values stand in errors' details."""
+    """The phase of a request; the values are written to the details of errors."""
 
     NEW = "new"
     AWAITING = "awaits"  # a newer configuration has to be fetched first
@@ -32,14 +32,14 @@
 
 
 class ReplyState(StrEnum):
-    """What came of a shard or a child."""
+    """The state of the reply for a shard or from a child."""
 
     WAITING = "waiting"
     RECEIVED = "in"
     MISSING = "missing"
 
 
-# Compared by `is`, as module constants: looking a member up on its enum costs a call.
+# Module constants, compared by `is`: accessing a member through its enum class costs a call.
 ROOT, CHILD, SINGLE = RequestKind
 NEW, AWAITING, GATHERING, DONE = RequestPhase
 WAITING, RECEIVED, MISSING = ReplyState
@@ -47,36 +47,36 @@
 
 @dataclass(kw_only=True)
 class Attempt:
-    """One send to one backend."""
+    """One send of a shard's request to one backend."""
 
     number: int
     backend: str
     sent_us: int
-    soft_us: int
+    window_end_us: int
     is_open: bool = True
 
 
 @dataclass(kw_only=True)
 class ShardState:
-    """A shard that this node asks a backend for itself."""
+    """A shard that this node itself requests from backends."""
 
     shard: str
     is_extra: bool = False
-    is_forced: bool = False
+    is_restart: bool = False
     state: ReplyState = WAITING
     wants_attempt: bool = True
     was_hedged: bool = False
-    hedge_us: int = 0  # when a second attempt that was refused is tried again
+    hedge_retry_us: int = 0  # when a hedge that the retry budget refused is tried again
     attempts: list[Attempt] = field(default_factory=list)
     cause: str = ""
     detail: str = ""
 
     def has_open_attempt(self) -> bool:
-        """Is an attempt still on its way?"""
+        """True while an attempt is in flight."""
         return any(attempt.is_open for attempt in self.attempts)
 
     def miss(self, *, cause: str, detail: str = "") -> None:
-        """Give the shard up.
+        """Mark the shard as missing; no further attempt is sent for it.
 
         >>> shard_state = ShardState(shard="s")
         >>> shard_state.miss(cause="window"); str(shard_state.state)
@@ -88,27 +88,27 @@
 
 @dataclass(kw_only=True)
 class Child:
-    """A child in the tree and what came of it."""
+    """A child in the tree and the state of the query to it."""
 
     slot: int
     subtree: Subtree
     state: ReplyState = WAITING
     is_sent: bool = False
     sent_us: int = 0
-    soft_us: int = 0
+    window_end_us: int = 0
     was_late: bool = False
     is_regathered: bool = False
     ask_id: int = 0
     is_open: bool = False
     is_resumed: bool = False
-    has_sent_nothing: bool = False  # it was not reached, or says that it asked nobody
-    attempts: int = 0  # that were handed over to it, for each of its shards
-    unknown: dict[str, int] = field(default_factory=dict)  # of them, not heard of yet
+    has_sent_nothing: bool = False  # it was not reached, or reports that it sent no attempt
+    attempts: int = 0  # attempts delegated to it for each of its shards
+    unreported: dict[str, int] = field(default_factory=dict)  # delegated, outcome unknown
 
 
 @dataclass(kw_only=True)
 class RequestState:
-    """One request, at the root, at a child, or for a single record."""
+    """One request: at the root, at a child, or to a single backend."""
 
     key: int
     kind: RequestKind
@@ -124,19 +124,19 @@
     addresses: dict[str, str] = field(default_factory=dict)
     is_extra: bool = False
     ask_id: int = 0
-    search: str = ""  # the id that the root gave it
-    request: ClientRequest | None = None  # what is forwarded, where it is not a query of our own
+    search: str = ""  # the id that the root assigned
+    request: ClientRequest | None = None  # the forwarded request; none in the edge's own API
     is_repeatable: bool = True
-    attempts: int = 3  # backends that one shard may be sent to
-    # By shard: attempts that no other node, and no former generation, has used or may use
-    # yet. What is not here has all of them.
+    attempts: int = 3  # limit on the backends that one shard is sent to
+    # By shard: attempts that no other node and no earlier generation has used or may still
+    # use. A shard without an entry has all of its attempts.
     attempts_left: dict[str, int] = field(default_factory=dict)
-    is_far: bool = False  # does what it hands up cross regions?
-    aim_us: int = 0  # when an answer is still worth most; 0: no such time
-    handed: frozenset[str] = frozenset()
+    is_far: bool = False  # true if its reply to the parent crosses regions
+    aim_us: int = 0  # latency target, from the arrival on; 0: none
+    replied_shards: frozenset[str] = frozenset()
     is_partly_settled: bool = False
     is_resumed: bool = False
-    is_abandoned: bool = False  # nobody waits for the outcome any more
+    is_abandoned: bool = False  # the client no longer waits for the outcome
     shard: str = ""
     record_name: str = ""
 
@@ -147,40 +147,40 @@
     shard_states: dict[str, ShardState] = field(default_factory=dict)
     children: list[Child] = field(default_factory=list)
     parts: dict[str, PartMsg] = field(default_factory=dict)
-    runs: dict[str | int, list[Any]] = field(default_factory=dict)  # by shard, or child's slot
-    backend_reply: Any = None  # a backend's answer that goes back as it came
-    has_run: bool = False  # may a backend have run it?
+    runs: dict[str | int, list[Any]] = field(default_factory=dict)  # by shard or by child slot
+    backend_reply: Any = None  # a backend's answer that is returned unchanged
+    has_run: bool = False  # true if a backend may have run it
     missing: dict[str, tuple[str, str]] = field(default_factory=dict)
     inbox: deque[Any] = field(default_factory=deque)
-    omit_us: int = 0
-    awaits_version: int = 0
+    omit_at_us: int = 0
+    awaited_version: int = 0
     reached_backend: bool = False
-    sent_shards: set[str] = field(default_factory=set)  # in this generation
-    sent_before: set[str] = field(default_factory=set)  # in those before
-    sent_cut: str = ""
+    sent_shards: set[str] = field(default_factory=set)  # sent in this generation
+    previously_sent: set[str] = field(default_factory=set)  # sent in earlier generations
+    previous_cut: str = ""
     outcome: Any = None
 
-    def begin_again(self) -> None:
-        """Forget all that was gathered; replies to it no longer count.
+    def restart(self) -> None:
+        """Discard all results and start a new generation; replies to the old one are ignored.
 
         >>> g = RequestState(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9)
-        >>> g.begin_again(); g.generation
+        >>> g.restart(); g.generation
         1
         """
         self.generation += 1
         if self.sent_shards:
-            self.sent_cut = self.cut_of(shard=min(self.sent_shards))
-        self.sent_before |= self.sent_shards
+            self.previous_cut = self.cut_of(shard=min(self.sent_shards))
+        self.previously_sent |= self.sent_shards
         self.sent_shards = set()
         self.phase = NEW
         self.configuration = self.route = None
         for shard_state in self.shard_states.values():
-            self._spend(shard_state=shard_state)
+            self._deduct_attempts(shard_state=shard_state)
         self.shard_states, self.children = {}, []
         self.parts, self.runs, self.missing = {}, {}, {}
         self.backend_reply = None
         self.inbox.clear()
-        self.omit_us = 0
+        self.omit_at_us = 0
         if self.kind is ROOT:
             self.subtree = None
 
@@ -188,68 +188,70 @@
 
     @property
     def is_bounded(self) -> bool:
-        """Does its route bound the backends that one shard may be sent to, over all nodes?"""
+        """True if its route limits the backends that one shard is sent to, over all nodes."""
         return self.request is not None
 
-    def left_of(self, *, shard: str) -> int:
-        """How many backends this node may send the shard to, in this generation."""
+    def remaining_attempts(self, *, shard: str) -> int:
+        """Return how many backends this node may send the shard to in this generation."""
         if not self.is_bounded:
             return self.attempts
         return min(self.attempts, self.attempts_left.get(shard, self.attempts))
 
     def has_attempt(self, *, shard_state: ShardState) -> bool:
-        """May this node send the shard to one more backend?
+        """True if this node may send the shard to one more backend.
 
         >>> g = RequestState(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9, attempts=1)
         >>> g.has_attempt(shard_state=ShardState(shard="s"))
         True
         """
-        return len(shard_state.attempts) < self.left_of(shard=shard_state.shard)
+        return len(shard_state.attempts) < self.remaining_attempts(shard=shard_state.shard)
 
-    def hand_over(self, *, child: Child, is_reserved: bool) -> None:
-        """Give a helper the attempts for its shards. What becomes of them is unknown from
-        here on, so they count as used until it says otherwise. `is_reserved`: one of
-        them, if there are two or more, stays here for the case that nothing is heard."""
+    def delegate_attempts(self, *, child: Child, keeps_one: bool) -> None:
+        """Delegate the attempts for a child's shards to the child.
+
+        They count as used until the child reports otherwise. With `keeps_one`, this node keeps one
+        of two or more attempts in case the child does not reply.
+        """
         shards = child.subtree.all_shards()
-        least = min((self.left_of(shard=shard) for shard in shards), default=0)
-        child.attempts = least - 1 if is_reserved and least > 1 else least
-        child.unknown = dict.fromkeys(shards, child.attempts)
+        least = min((self.remaining_attempts(shard=shard) for shard in shards), default=0)
+        child.attempts = least - 1 if keeps_one and least > 1 else least
+        child.unreported = dict.fromkeys(shards, child.attempts)
         for shard in shards:
-            self.attempts_left[shard] = self.left_of(shard=shard) - child.attempts
+            self.attempts_left[shard] = self.remaining_attempts(shard=shard) - child.attempts
 
-    def take_back(self, *, child: Child, shard: str, count: int) -> None:
-        """A helper says, once for each shard, that so many attempts were never used."""
-        if count and shard in child.unknown:
-            back = min(count, child.unknown.pop(shard))
-            self.attempts_left[shard] = self.left_of(shard=shard) + back
+    def return_attempts(self, *, child: Child, shard: str, count: int) -> None:
+        """Return unused attempts that a child reports; counted once for each shard."""
+        if count and shard in child.unreported:
+            back = min(count, child.unreported.pop(shard))
+            self.attempts_left[shard] = self.remaining_attempts(shard=shard) + back
 
-    def surely_left(self, *, shard: str) -> int:
-        """Of the attempts for a shard that nothing is awaited for any more, those that this
-        node never uses: what it tells the node above."""
+    def unused_attempts(self, *, shard: str) -> int:
+        """Return how many attempts for a settled shard this node will never use; it reports them
+        to its parent."""
         shard_state = self.shard_states.get(shard)
         used = len(shard_state.attempts) if shard_state else 0
-        return max(0, self.left_of(shard=shard) - used)
+        return max(0, self.remaining_attempts(shard=shard) - used)
 
     def drop_shard_state(self, *, shard: str) -> None:
-        """Give way to a helper's answer for a shard that this node asked for as well."""
+        """Drop this node's own request for a shard whose result a child returned."""
         shard_state = self.shard_states.pop(shard, None)
         if shard_state is not None:
-            self._spend(shard_state=shard_state)
+            self._deduct_attempts(shard_state=shard_state)
 
-    def _spend(self, *, shard_state: ShardState) -> None:
+    def _deduct_attempts(self, *, shard_state: ShardState) -> None:
         if shard_state.attempts:
-            left = self.left_of(shard=shard_state.shard) - len(shard_state.attempts)
+            left = self.remaining_attempts(shard=shard_state.shard) - len(shard_state.attempts)
             self.attempts_left[shard_state.shard] = max(0, left)
 
-    def is_over_for_caller(self) -> bool:
-        """Is its work in vain, and may it be dropped?
+    def is_droppable(self) -> bool:
+        """True if the request is abandoned and may be dropped.
 
-        An attempt that may run at most once is not broken off.
+        An attempt in flight that may run at most once is not cancelled.
 
         >>> g = RequestState(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9)
-        >>> g.is_over_for_caller()
+        >>> g.is_droppable()
         False
-        >>> g.is_abandoned = True; g.is_over_for_caller()
+        >>> g.is_abandoned = True; g.is_droppable()
         True
         """
         if not self.is_abandoned:
@@ -258,15 +260,15 @@
             shard_state.has_open_attempt() for shard_state in self.shard_states.values()
         )
 
-    # --- what it has come to ------------------------------------------------------------
+    # --- progress -----------------------------------------------------------------------
 
     def may_have_run(self) -> bool:
-        """May a backend have run this request or a part of it, or run it yet?
+        """True if a backend may have run this request or a part of it, or may still run it.
 
         >>> g = RequestState(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9)
         >>> g.may_have_run()
         False
-        >>> first = Attempt(number=1, backend="b", sent_us=0, soft_us=1)
+        >>> first = Attempt(number=1, backend="b", sent_us=0, window_end_us=1)
         >>> g.shard_states["s"] = ShardState(shard="s", attempts=[first])
         >>> g.may_have_run()
         True
@@ -274,39 +276,40 @@
         return (
             self.has_run
             or bool(self.parts)
-            or bool(self.sent_before)
+            or bool(self.previously_sent)
             or any(shard_state.has_open_attempt() for shard_state in self.shard_states.values())
             or any(child.is_sent and not child.has_sent_nothing for child in self.children)
         )
 
-    def is_sent_before(self, *, shard: str) -> bool:
-        """Did this search already send, or have sent, what it would now send again? A
-        search that was sent under one cut and begins again under another did.
+    def was_sent_before(self, *, shard: str) -> bool:
+        """True if an attempt for the shard repeats work of an earlier generation or node.
+
+        After a restart under another cut, this holds for every shard.
 
         >>> g = RequestState(key=1, kind=ROOT, collection="c", arrived_us=0, due_us=9)
-        >>> g.sent_shards.add("s1"); g.begin_again()
-        >>> g.is_sent_before(shard="s1"), g.is_sent_before(shard="s2")
+        >>> g.sent_shards.add("s1"); g.restart()
+        >>> g.was_sent_before(shard="s1"), g.was_sent_before(shard="s2")
         (True, False)
         """
-        if self.is_extra or shard in self.sent_before:
+        if self.is_extra or shard in self.previously_sent:
             return True
-        return bool(self.sent_before) and self.sent_cut != self.cut_of(shard=shard)
+        return bool(self.previously_sent) and self.previous_cut != self.cut_of(shard=shard)
 
     @property
     def order(self) -> Any:
-        """How its records are sorted, merged and packed."""
+        """Return the order by which its records are sorted, merged and packed."""
         if self.configuration is None:
             return ValueOrder
-        return ORDERS[self.configuration.collections[self.collection].codec]
+        return ORDER_BY_CODEC[self.configuration.collections[self.collection].codec]
 
     def cut_of(self, *, shard: str) -> str:
-        """The cut of a shard's index that the configuration names."""
+        """Return the cut of a shard's index in the configuration."""
         if self.configuration is None:
-            return self.sent_cut
+            return self.previous_cut
         return self.configuration.collections[self.collection].shards[shard].cut
 
     def waiting_shards(self) -> set[str]:
-        """Shards that may still come in."""
+        """Return the shards whose results may still arrive."""
         out = {
             shard_state.shard
             for shard_state in self.shard_states.values()
@@ -318,5 +321,5 @@
         return out - set(self.parts)
 
     def is_settled(self) -> bool:
-        """Is nothing on its way any more that could add a shard?"""
+        """True if nothing is in flight that could add a shard."""
         return not self.waiting_shards()
--- a/kelpstage/edge/gather/stages/__init__.py
+++ b/kelpstage/edge/gather/stages/__init__.py
@@ -1,1 +1,1 @@
-"""The stages that each run of the gathering takes every touched request through."""
+"""The stages that each run of the gathering task applies to every touched request."""
--- a/kelpstage/edge/gather/stages/admit.py
+++ b/kelpstage/edge/gather/stages/admit.py
@@ -1,4 +1,4 @@
-"""Stage one: may this request be run here, and under which configuration?"""
+"""Stage one: admits a request and binds it to a configuration."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from kelpstage.common.transport.messages import Gathered
 from kelpstage.edge.events import Restarted, SearchRestarted
 from kelpstage.edge.gather.context import GatherContext
-from kelpstage.edge.gather.messages import ChildReply, WantState
+from kelpstage.edge.gather.messages import SubtreeReply, WantState
 from kelpstage.edge.gather.request_state import (
     AWAITING,
     CHILD,
@@ -24,21 +24,21 @@
     RequestState,
 )
 
-RESTART_US = 200_000
+RESTART_DELAY_US = 200_000  # a search may end under the replaced configuration for so long
 
 
 def admit(*, record: RequestState, context: GatherContext) -> None:
-    """Bind a new request to a configuration; begin a search again whose configuration
-    has been replaced for a while."""
+    """Bind a new request to a configuration; restart a search whose configuration was replaced
+    at least `RESTART_DELAY_US` ago."""
     if record.phase is GATHERING:
-        _look_again(record=record, context=context)
+        _restart_if_superseded(record=record, context=context)
     is_awaiting = record.phase is AWAITING and record.kind is ROOT
-    if is_awaiting and context.lease_holder.configuration.version >= record.awaits_version:
-        record.begin_again()
+    if is_awaiting and context.lease_holder.configuration.version >= record.awaited_version:
+        record.restart()
     if record.phase not in (NEW, AWAITING):
         return
     if context.now_us >= record.due_us:
-        _spent(record=record, context=context)
+        _settle_expired(record=record, context=context)
         return
     if record.phase is AWAITING and record.kind is ROOT:
         return
@@ -49,15 +49,16 @@
 
 
 def settle_record(*, record: RequestState, outcome: object) -> None:
-    """Settle a record; later events to it are ignored."""
+    """Give a request its outcome; later events for it are ignored."""
     record.phase = DONE
     record.outcome = outcome
 
 
-def _spent(*, record: RequestState, context: GatherContext) -> None:
+def _settle_expired(*, record: RequestState, context: GatherContext) -> None:
     if record.kind is CHILD:
         settle_record(
-            record=record, outcome=ChildReply(message=_stale(record=record, context=context))
+            record=record,
+            outcome=SubtreeReply(message=_stale_reply(record=record, context=context)),
         )
         return
     settle_record(
@@ -65,7 +66,7 @@
     )
 
 
-def _stale(*, record: RequestState, context: GatherContext) -> Gathered:
+def _stale_reply(*, record: RequestState, context: GatherContext) -> Gathered:
     return Gathered(
         is_stale=True,
         version=context.lease_holder.configuration.version,
@@ -73,24 +74,25 @@
     )
 
 
-def _look_again(*, record: RequestState, context: GatherContext) -> None:
-    """A search ends under a newer configuration if it outlasts the older one."""
+def _restart_if_superseded(*, record: RequestState, context: GatherContext) -> None:
+    """Restart a search that outlasts its configuration by `RESTART_DELAY_US`."""
     lease_holder = context.lease_holder
     if record.version == lease_holder.configuration.version or record.kind is SINGLE:
         return
-    if context.now_us - lease_holder.installed_us < RESTART_US:
+    if context.now_us - lease_holder.installed_us < RESTART_DELAY_US:
         return
     if record.kind is CHILD:
         settle_record(
-            record=record, outcome=ChildReply(message=_stale(record=record, context=context))
+            record=record,
+            outcome=SubtreeReply(message=_stale_reply(record=record, context=context)),
         )
         return
-    note_restart(record=record, context=context, why="configuration moved on")
-    record.begin_again()
+    note_restart(record=record, context=context, why="configuration changed")
+    record.restart()
 
 
 def note_restart(*, record: RequestState, context: GatherContext, why: str) -> None:
-    """A search begins again under a newer configuration."""
+    """Record that a search restarts under a newer configuration."""
     context.journal.add(Restarted(collection=record.collection, was=record.version, why=why))
     context.trace.add(SearchRestarted(search=record.search, was=record.version, why=why))
 
@@ -99,7 +101,8 @@
     lease_holder = context.lease_holder
     if lease_holder.has_moved_on(version=record.version, now_us=context.now_us):
         settle_record(
-            record=record, outcome=ChildReply(message=_stale(record=record, context=context))
+            record=record,
+            outcome=SubtreeReply(message=_stale_reply(record=record, context=context)),
         )
         return
     configuration = lease_holder.configuration_for(version=record.version, now_us=context.now_us)
@@ -111,7 +114,8 @@
     route = configuration.route(collection=record.collection)
     if route is None:
         settle_record(
-            record=record, outcome=ChildReply(message=_stale(record=record, context=context))
+            record=record,
+            outcome=SubtreeReply(message=_stale_reply(record=record, context=context)),
         )
         return
     record.configuration, record.route = configuration, route
@@ -119,15 +123,15 @@
 
 
 def _bind_forward(*, record: RequestState, context: GatherContext) -> bool:
-    """Find a forwarded request's route in the configuration now in force: it may begin
-    again under one that names other shards for it, or none."""
+    """Bind a forwarded request to its route in the configuration in force, which after a restart
+    may have other shards for it or no route; returns false if the request is settled instead."""
     path = record.request.target.partition("?")[0]
     host = record.request.host
     route = context.lease_holder.configuration.forward_for(host=host, path=path)
     if route is None:
         settle_record(record=record, outcome=UnknownRouteError(host=host[:200], path=path[:200]))
         return False
-    if not route.is_repeatable and record.may_have_run():  # it was, when it was begun
+    if not route.is_repeatable and record.may_have_run():  # it was when it started
         settle_record(
             record=record,
             outcome=BackendConnectionError(backend="", cause="configuration moved on"),
@@ -139,23 +143,23 @@
     record.shard = "" if route.fan_out else draw(weights=route.weights, lot=context.rand.random())
     record.is_repeatable, record.attempts = route.is_repeatable, route.attempts
     if route.fan_out and not route.is_repeatable:
-        record.attempts = 1  # a shard that is lost may have run it
+        record.attempts = 1  # a lost shard's backend may have run it
     record.aim_us = route.aim_us
     record.due_us = min(record.due_us, record.arrived_us + route.deadline_us)
     return True
 
 
 def draw(*, weights: tuple[tuple[str, float], ...], lot: float) -> str:
-    """The service that a lot from 0 to 1 falls on.
+    """Return the service at `lot`, a fraction from 0 to 1 of the total weight.
 
     >>> weights = (("a", 1.0), ("b", 3.0))
     >>> draw(weights=weights, lot=0.2), draw(weights=weights, lot=0.3)
     ('a', 'b')
     """
-    place = lot * sum(weight for _, weight in weights)
+    position = lot * sum(weight for _, weight in weights)
     for service, weight in weights:
-        place -= weight
-        if place < 0:
+        position -= weight
+        if position < 0:
             return service
     return next(service for service, weight in reversed(weights) if weight > 0)
 
--- a/kelpstage/edge/gather/stages/attempts.py
+++ b/kelpstage/edge/gather/stages/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at backends: which backend is asked for a shard, if the budget allows it."""
+"""Sends attempts: chooses a backend for a shard, if the retry budget allows the attempt."""
 
 from __future__ import annotations
 
@@ -7,51 +7,58 @@
 from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.messages import QueryBackend
 from kelpstage.edge.gather.request_state import WAITING, Attempt, RequestState, ShardState
-from kelpstage.edge.gather.stages.windows import latest_us
+from kelpstage.edge.gather.stages.windows import latest_window_end_us
 
-LAST_SEND_US = 3_000  # of the time left; an attempt begun later could not be in time
+MIN_TIME_LEFT_US = 3_000  # with less time left, no retry or hedge could complete
 
 
-def send_wanted(*, record: RequestState, context: GatherContext) -> None:
-    """Attempts that are wanted. A shard of a child's that the budget has no attempt
-    for stays the child's: it may still come."""
+def send_wanted_attempts(*, record: RequestState, context: GatherContext) -> None:
+    """Send the attempts that are wanted.
+
+    If the budget refuses an attempt for a child's shard, the shard stays with the child, whose
+    result may still arrive.
+    """
     for shard_state in list(record.shard_states.values()):
         if shard_state.state is not WAITING or not shard_state.wants_attempt:
             continue
         send_attempt(shard_state=shard_state, record=record, context=context, is_hedge=False)
-        if shard_state.is_extra and not shard_state.is_forced and not shard_state.attempts:
+        if shard_state.is_extra and not shard_state.is_restart and not shard_state.attempts:
             del record.shard_states[shard_state.shard]
             record.missing[shard_state.shard] = (shard_state.cause, shard_state.detail)
-            for child in record.children:  # to be tried again when the budget has room
+            for child in record.children:  # regathered later, when the budget allows it
                 child.is_regathered &= shard_state.shard not in child.subtree.all_shards()
 
 
 def send_attempt(
     *, shard_state: ShardState, record: RequestState, context: GatherContext, is_hedge: bool
 ) -> bool:
-    """Send an attempt to the best backend that is left; true if the budget refused it."""
-    ranked = _ranked(shard_state=shard_state, record=record, context=context)
+    """Send an attempt to the best backend not tried yet; true if the budget refused it."""
+    ranked = _ranked_backends(shard_state=shard_state, record=record, context=context)
     tried = {attempt.backend for attempt in shard_state.attempts}
     choices = [option for option in ranked if not option.refusal and option.backend not in tried]
     shard_state.wants_attempt = False
     is_again = shard_state.attempts or shard_state.is_extra
-    if is_again and record.due_us - context.now_us < LAST_SEND_US:
-        choices = []  # no answer could be in time
+    if is_again and record.due_us - context.now_us < MIN_TIME_LEFT_US:
+        choices = []  # no reply could arrive in time
     is_used_up = record.is_bounded and not record.has_attempt(shard_state=shard_state)
     if is_used_up or not choices:
-        why = "no other backend may be asked" if tried else "no backend may be asked"
-        why = "its attempts are used up" if is_used_up else why
-        _refuse(shard_state=shard_state, record=record, context=context, why=why, ranked=ranked)
+        why = "no other backend is eligible" if tried else "no backend is eligible"
+        why = "no attempts are left" if is_used_up else why
+        _trace_refusal(
+            shard_state=shard_state, record=record, context=context, why=why, ranked=ranked
+        )
         if not is_hedge:
             detail = shard_state.detail or "none may be asked"
             shard_state.miss(cause=shard_state.cause or "no_backend", detail=detail)
         return False
-    why = _why_of(shard_state=shard_state, is_hedge=is_hedge)
-    if not _may_send(shard_state=shard_state, record=record, context=context):
+    why = _describe_attempt(shard_state=shard_state, is_hedge=is_hedge)
+    if not _acquire_budget(shard_state=shard_state, record=record, context=context):
         why = f"{why}: the budget is spent"
-        _refuse(shard_state=shard_state, record=record, context=context, why=why, ranked=ranked)
+        _trace_refusal(
+            shard_state=shard_state, record=record, context=context, why=why, ranked=ranked
+        )
         if not is_hedge:
-            detail = _spent(detail=shard_state.detail)
+            detail = _budget_spent_detail(detail=shard_state.detail)
             shard_state.miss(cause=shard_state.cause or "budget", detail=detail)
         return True
     reason = "hedge" if is_hedge else "retry" if is_again else "first"
@@ -67,10 +74,10 @@
     return False
 
 
-def _ranked(
+def _ranked_backends(
     *, shard_state: ShardState, record: RequestState, context: GatherContext
 ) -> tuple[Option, ...]:
-    """All backends of the shard, the best first."""
+    """Return all backends of the shard, the best first."""
     return tuple(
         options(
             configuration=record.configuration,
@@ -85,7 +92,7 @@
     )
 
 
-def _refuse(
+def _trace_refusal(
     *,
     shard_state: ShardState,
     record: RequestState,
@@ -107,7 +114,7 @@
     why: str,
     ranked: tuple[Option, ...],
 ) -> None:
-    """Note an attempt at a backend, and have it sent."""
+    """Record an attempt and emit the effect that sends it."""
     context.next_attempt += 1
     window_us = context.latencies.window_us(name=backend, least_us=record.route.window_us)
     shard_state.attempts.append(
@@ -115,7 +122,9 @@
             number=context.next_attempt,
             backend=backend,
             sent_us=context.now_us,
-            soft_us=min(context.now_us + window_us, latest_us(record=record, context=context)),
+            window_end_us=min(
+                context.now_us + window_us, latest_window_end_us(record=record, context=context)
+            ),
         )
     )
     context.trace.add(
@@ -147,26 +156,31 @@
     )
 
 
-def _why_of(*, shard_state: ShardState, is_hedge: bool) -> str:
+def _describe_attempt(*, shard_state: ShardState, is_hedge: bool) -> str:
     if is_hedge:
-        return "past its window: a rival"
+        return "past its window: hedged attempt"
     if shard_state.attempts:
-        return f"again after {shard_state.cause}"
-    if shard_state.is_forced:
-        return "begun again"
+        return f"retry after {shard_state.cause}"
+    if shard_state.is_restart:
+        return "restarted search"
     return f"instead of a peer ({shard_state.detail})" if shard_state.cause else "first"
 
 
-def _spent(*, detail: str) -> str:
+def _budget_spent_detail(*, detail: str) -> str:
     mark = "(budget spent)"
     return detail if detail.endswith(mark) else f"{detail} {mark}".strip()
 
 
-def _may_send(*, shard_state: ShardState, record: RequestState, context: GatherContext) -> bool:
-    """A first send is free, the rest is budgeted; a search begun again has more room."""
+def _acquire_budget(
+    *, shard_state: ShardState, record: RequestState, context: GatherContext
+) -> bool:
+    """Take an attempt from the retry budget; false if it is spent.
+
+    First attempts are only counted. Restarted searches have a larger allowance.
+    """
     count = {"service": record.collection, "shard": shard_state.shard, "now_us": context.now_us}
     if shard_state.attempts or shard_state.is_extra:
-        is_again = shard_state.is_forced and not shard_state.attempts
+        is_again = shard_state.is_restart and not shard_state.attempts
         return context.budget.take(edges=context.edges(), is_again=is_again, **count)
     context.budget.first(**count)
     return True
--- a/kelpstage/edge/gather/stages/child_reply.py
+++ b/kelpstage/edge/gather/stages/child_reply.py
@@ -1,4 +1,4 @@
-"""What a child hands up: the parts that are in, and the causes of those that are not."""
+"""Builds a child's reply: the received parts, and the causes of the missing ones."""
 
 from __future__ import annotations
 
@@ -8,26 +8,27 @@
 
 
 def child_reply(*, record: RequestState) -> Gathered:
-    """What a child has and has not handed up yet."""
-    missing = missing_of(record=record)
+    """Return a reply with all results that were not sent to the parent before."""
+    missing = missing_shards(record=record)
     waiting = record.waiting_shards()
-    # Each run was truncated where it came in; what is handed up is so again, and across regions
-    # at the limit itself: nothing beyond it can be in the answer, and bytes are dear there.
+    # Each run was truncated on receipt; the merged run is truncated again. Across regions, where
+    # bytes are expensive, it is truncated to the search's limit: records beyond it cannot be in
+    # the answer.
     limit = record.limit if record.is_far else lowest_limit(limit=record.limit)
     runs = record.order.merge(runs=list(record.runs.values()), limit=limit)
     return Gathered(
         version=record.version,
         parts=[
-            _part_for_above(record=record, shard=shard)
+            _part_for_parent(record=record, shard=shard)
             for shard in sorted(record.parts)
-            if shard not in record.handed
+            if shard not in record.replied_shards
         ],
         missing=[
             MissingMsg(
                 shard=shard,
                 cause=cause,
                 detail=detail,
-                attempts_left=0 if shard in waiting else record.surely_left(shard=shard),
+                attempts_left=0 if shard in waiting else record.unused_attempts(shard=shard),
             )
             for shard, cause, detail in missing
         ],
@@ -35,16 +36,16 @@
     )
 
 
-def _part_for_above(*, record: RequestState, shard: str) -> PartMsg:
+def _part_for_parent(*, record: RequestState, shard: str) -> PartMsg:
     part = record.parts[shard]
-    part.attempts_left = record.surely_left(shard=shard)
+    part.attempts_left = record.unused_attempts(shard=shard)
     return part
 
 
-def missing_of(
+def missing_shards(
     *, record: RequestState, still_waiting: str = "window"
 ) -> list[tuple[str, str, str]]:
-    """Every shard of the subtree that is not in, with its cause."""
+    """Return every shard of the subtree without a result as (shard, cause, detail)."""
     out = []
     for shard in sorted(record.subtree.all_shards()):
         if shard in record.parts:
--- a/kelpstage/edge/gather/stages/merge.py
+++ b/kelpstage/edge/gather/stages/merge.py
@@ -1,4 +1,4 @@
-"""Stage three: replies come into the record, complete or not at all."""
+"""Stage three: merges replies into the request's state, each completely or not at all."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from kelpstage.edge.events import AttemptEnded, BadPart, ChildEnded
 from kelpstage.edge.forward.sealed_answer import WholeReply
 from kelpstage.edge.gather.context import GatherContext
-from kelpstage.edge.gather.messages import BackendReplied, ChildReplied, ChildReply, WantState
+from kelpstage.edge.gather.messages import BackendReplied, ChildReplied, SubtreeReply, WantState
 from kelpstage.edge.gather.record_order import lowest_limit
 from kelpstage.edge.gather.request_state import (
     AWAITING,
@@ -32,7 +32,7 @@
 
 
 def merge(*, record: RequestState, context: GatherContext) -> None:
-    """Take what came since the last run."""
+    """Process the replies received since the last run."""
     while record.inbox and record.phase is GATHERING:
         event = record.inbox.popleft()
         if event.generation == record.generation:
@@ -42,20 +42,20 @@
 
 @singledispatch
 def take(event: Any, record: RequestState, context: GatherContext) -> None:
-    """Take one reply into the request's state."""
+    """Apply one reply to the request's state."""
     raise TypeError(type(event))
 
 
 @take.register
 def take_backend_reply(event: BackendReplied, record: RequestState, context: GatherContext) -> None:
-    """Take a backend's reply: its part, or how the attempt failed."""
+    """Apply a backend's reply: its part, or the failure of the attempt."""
     context.trace.add(
         AttemptEnded(
             search=record.search,
             shard=event.shard,
             number=event.number,
             backend=event.backend,
-            outcome=_name_of(outcome=event.outcome),
+            outcome=_outcome_text(outcome=event.outcome),
         )
     )
     shard_state = record.shard_states.get(event.shard)
@@ -88,8 +88,11 @@
 
 
 def _take_whole_reply(*, reply: WholeReply, shard_state: ShardState, record: RequestState) -> None:
-    """An answer that goes back as it came. A failure of the backend's own is tried again
-    elsewhere where that is allowed, and goes back if nothing better comes."""
+    """Take an answer that is returned unchanged.
+
+    A server error of a repeatable request is retried on another backend, and returned if no
+    better answer arrives.
+    """
     record.has_run = True
     record.backend_reply = reply
     if reply.is_success or reply.status < 500 or not record.is_repeatable:
@@ -106,7 +109,7 @@
 
 
 def surely_not_run(*, outcome: Any) -> bool:
-    """Is it certain that the backend did not run the request and never will?
+    """True if the backend certainly did not run the request and never will.
 
     >>> surely_not_run(outcome=ConnectError(address="a"))
     True
@@ -118,18 +121,18 @@
     return isinstance(outcome, (ConnectionLostError, ReplyTimeoutError)) and not outcome.was_sent
 
 
-def _name_of(*, outcome: Any) -> str:
+def _outcome_text(*, outcome: Any) -> str:
     if isinstance(outcome, InvalidReplyError):
         return f"bad_reply: {outcome.part}: {outcome.why}"
     return outcome.kind if isinstance(outcome, KelpstageError) else "in"
 
 
-def _note_child(
+def _trace_child(
     *, child: Child, outcome: Any, record: RequestState, context: GatherContext
 ) -> None:
     parts: tuple = ()
     missing: tuple = ()
-    name = _name_of(outcome=outcome)
+    name = _outcome_text(outcome=outcome)
     if isinstance(outcome, Gathered):
         name = "stale" if outcome.is_stale else "partly in" if outcome.is_open else "in"
         parts = tuple(part.shard for part in outcome.parts)
@@ -175,17 +178,17 @@
 
 @take.register
 def take_child_reply(event: ChildReplied, record: RequestState, context: GatherContext) -> None:
-    """Take a child's reply: its parts, or that it is lost."""
+    """Apply a child's reply: its parts, or the loss of the child."""
     child = record.children[event.slot]
     outcome = event.outcome
-    _note_child(child=child, outcome=outcome, record=record, context=context)
+    _trace_child(child=child, outcome=outcome, record=record, context=context)
     if child.state is not WAITING:
         return
     if isinstance(outcome, Gathered) and outcome.is_stale:
-        _child_is_elsewhere(reply=outcome, child=child, record=record, context=context)
+        _on_stale_child(reply=outcome, child=child, record=record, context=context)
         return
     records = record.order.unpack(data=outcome.records) if isinstance(outcome, Gathered) else None
-    if records is None or not _is_proper(reply=outcome, child=child, record=record):
+    if records is None or not _is_valid_reply(reply=outcome, child=child, record=record):
         why = outcome.kind if isinstance(outcome, KelpstageError) else "improper reply"
         is_sent = not surely_not_run(outcome=outcome)
         _child_lost(child=child, why=why, record=record, context=context, is_sent=is_sent)
@@ -193,42 +196,43 @@
     child.state = RECEIVED
     child.is_open = outcome.is_open
     for part in outcome.parts:
-        # What was gathered again meanwhile gives way: the child's records of all its
-        # parts are merged and can only be taken whole.
+        # Replaces what was regathered in the meantime: the child's records of all its parts
+        # are merged and can only be used together.
         record.runs.pop(part.shard, None)
-        record.take_back(child=child, shard=part.shard, count=part.attempts_left)
+        record.return_attempts(child=child, shard=part.shard, count=part.attempts_left)
         record.drop_shard_state(shard=part.shard)
         record.missing.pop(part.shard, None)
         record.parts[part.shard] = part
     for missing in outcome.missing:
-        record.take_back(child=child, shard=missing.shard, count=missing.attempts_left)
-        is_ours = missing.shard in child.subtree.all_shards()
-        if is_ours and missing.shard not in record.parts:
+        record.return_attempts(child=child, shard=missing.shard, count=missing.attempts_left)
+        is_in_subtree = missing.shard in child.subtree.all_shards()
+        if is_in_subtree and missing.shard not in record.parts:
             record.missing[missing.shard] = (missing.cause, missing.detail)
     record.runs[child.slot] = records
 
 
-def _is_proper(*, reply: Gathered, child: Child, record: RequestState) -> bool:
-    """Does the reply name each of the child's shards once, under our version and cut? The
-    second one of a child may name more than what it was resumed for: all it has left."""
+def _is_valid_reply(*, reply: Gathered, child: Child, record: RequestState) -> bool:
+    """True if the reply names each of the child's shards once, under this request's version and
+    cut. The second reply of a child may name more shards than were requested: all that it had
+    left out."""
     if reply.version != record.version:
         return False
     named = [p.shard for p in reply.parts] + [m.shard for m in reply.missing]
     wanted = set(child.subtree.all_shards())
-    may_name = wanted
+    allowed = wanted
     if child.is_resumed:
-        first = next(k for k in record.children if k.ask_id == child.ask_id and not k.is_resumed)
-        may_name = set(first.subtree.all_shards())
-    if len(set(named)) != len(named) or not wanted <= set(named) <= may_name:
+        first = next(c for c in record.children if c.ask_id == child.ask_id and not c.is_resumed)
+        allowed = set(first.subtree.all_shards())
+    if len(set(named)) != len(named) or not wanted <= set(named) <= allowed:
         return False
     shards = record.configuration.collections[record.collection].shards
     return all(part.cut == shards[part.shard].cut for part in reply.parts)
 
 
-def _child_is_elsewhere(
+def _on_stale_child(
     *, reply: Gathered, child: Child, record: RequestState, context: GatherContext
 ) -> None:
-    """The child runs under another configuration: the whole query goes under the newer."""
+    """Handle a child under another configuration; the search restarts if the child's is newer."""
     if reply.has_sent_nothing:
         _note_sent_nothing(child=child, record=record)
         record.sent_shards -= set(child.subtree.all_shards()) - set(record.shard_states)
@@ -237,30 +241,30 @@
         return
     if record.kind is CHILD:
         stale = Gathered(is_stale=True, version=reply.version)
-        settle_record(record=record, outcome=ChildReply(message=stale))
+        settle_record(record=record, outcome=SubtreeReply(message=stale))
         return
-    note_restart(record=record, context=context, why="a peer moved on")
+    note_restart(record=record, context=context, why="a peer has a newer configuration")
     if context.lease_holder.configuration.version >= reply.version:
-        record.begin_again()
+        record.restart()
         return
     record.phase = AWAITING
-    record.awaits_version = reply.version
+    record.awaited_version = reply.version
     context.emit(WantState(version=reply.version, source=child.subtree.node))
 
 
 def _note_sent_nothing(*, child: Child, record: RequestState) -> None:
-    """A helper that was not reached, or says so itself, has used no attempt."""
+    """Take back the attempts of a child that was not reached or reports that it sent nothing."""
     if child.has_sent_nothing or child.is_resumed:
         return
     child.has_sent_nothing = True
     for shard in child.subtree.all_shards():
-        record.take_back(child=child, shard=shard, count=child.attempts)
+        record.return_attempts(child=child, shard=shard, count=child.attempts)
 
 
 def _child_lost(
     *, child: Child, why: str, record: RequestState, context: GatherContext, is_sent: bool = True
 ) -> None:
-    """The root gathers a lost child's shards again; a child passes the loss up."""
+    """Mark a child as lost: the root regathers its shards, a child reports them as missing."""
     child.state = MISSING
     context.note_late(name=child.subtree.node)
     if not is_sent:
@@ -275,21 +279,21 @@
 def regather(
     *, child: Child, record: RequestState, cause: str, why: str, is_extra: bool = True
 ) -> None:
-    """Ask for a child's shards from here, each as an extra attempt; as a first one if the
-    child was never reached, and so sent nothing."""
+    """Request a child's shards from this node: as extra attempts, or as first attempts if the
+    child was never reached and so sent nothing."""
     if child.is_regathered:
         return
     child.is_regathered = True
     for shard in child.subtree.all_shards():
         if shard in record.parts or shard in record.shard_states:
             continue
-        if record.left_of(shard=shard) <= 0:  # it may have been sent as often as it may be
+        if record.remaining_attempts(shard=shard) <= 0:  # all may have been used
             if child.state is MISSING:
                 record.missing[shard] = (cause, why)
             continue
         record.shard_states[shard] = ShardState(
             shard=shard,
-            is_extra=is_extra or record.is_sent_before(shard=shard),
+            is_extra=is_extra or record.was_sent_before(shard=shard),
             cause=cause,
             detail=why,
         )
--- a/kelpstage/edge/gather/stages/plan.py
+++ b/kelpstage/edge/gather/stages/plan.py
@@ -1,4 +1,4 @@
-"""Stage two: the tree, and the shards and children that this node has in it."""
+"""Stage two: plans the tree, and the shards and children of this node in it."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def plan(*, record: RequestState, context: GatherContext) -> None:
-    """Plan a request that has no plan yet."""
+    """Plan an admitted request that has no plan yet."""
     if record.phase is not GATHERING or record.shard_states or record.children:
         return
     if record.kind is SINGLE:
         context.trace.add(Planned(search=record.search, version=record.version, subtree=None))
         record.shard_states = {record.shard: ShardState(shard=record.shard)}
-        record.omit_us = record.due_us
+        record.omit_at_us = record.due_us
         return
     if record.kind is ROOT:
         record.subtree = root_subtree(record=record, context=context)
@@ -34,9 +34,9 @@
     subtree = record.subtree
     context.trace.add(Planned(search=record.search, version=record.version, subtree=subtree))
     record.shard_states = {
-        shard: ShardState(shard=shard, is_extra=is_again, is_forced=is_again)
+        shard: ShardState(shard=shard, is_extra=is_again, is_restart=is_again)
         for shard, is_again in (
-            (shard, record.is_sent_before(shard=shard)) for shard in subtree.shards
+            (shard, record.was_sent_before(shard=shard)) for shard in subtree.shards
         )
     }
     record.children = [
@@ -45,7 +45,7 @@
 
 
 def root_subtree(*, record: RequestState, context: GatherContext) -> Subtree:
-    """The whole tree of a query, with this node as its root."""
+    """Return the tree of a query, with this node as its root."""
     if record.request is not None:
         return forward_subtree(record=record, context=context)
     return grow(
@@ -57,13 +57,17 @@
 
 
 def forward_subtree(*, record: RequestState, context: GatherContext) -> Subtree:
-    """The tree of a forwarded search: levels inside the zones of the backends. Each shard
-    goes to the nearest zone that has a backend for it which may be asked; among zones as
-    far as each other one is taken by lot for the whole search, so that as much as can be
-    is merged before it crosses."""
+    """Return the tree of a forwarded search, with levels inside the zones of the backends.
+
+    Each shard is assigned to the nearest zone that has an eligible backend for it. Zones at equal
+    distance are ordered at random once for the whole search, so that results are merged as far
+    as possible before they cross zones.
+    """
     shards = record.route.fan_out
-    if record.attempts_left and any(record.left_of(shard=s) < record.attempts for s in shards):
-        # Begun again: what is left of the attempts differs by shard, so no helper has any.
+    if record.attempts_left and any(
+        record.remaining_attempts(shard=s) < record.attempts for s in shards
+    ):
+        # After a restart the attempts left differ by shard, so none are delegated to helpers.
         return Subtree(node=context.me, shards=shards)
     helpers = context.helpers_by_zone(collection=record.collection)
     order = context.zones_by_distance()
--- a/kelpstage/edge/gather/stages/send.py
+++ b/kelpstage/edge/gather/stages/send.py
@@ -1,4 +1,4 @@
-"""Stage four: attempts to backends, queries to children."""
+"""Stage four: sends attempts to backends and queries to children."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
     RequestState,
     ShardState,
 )
-from kelpstage.edge.gather.stages.attempts import send_attempt, send_wanted
+from kelpstage.edge.gather.stages.attempts import send_attempt, send_wanted_attempts
 from kelpstage.edge.gather.stages.merge import regather
-from kelpstage.edge.gather.stages.windows import child_window_us, latest_us, set_omission
+from kelpstage.edge.gather.stages.windows import child_window_us, latest_window_end_us, set_omission
 from kelpstage.edge.gather.tree import Subtree
 
-LOOK_AGAIN_US = 100_000
+RECHECK_US = 100_000  # until a hedge or regather that the budget refused is tried again
 
 
 def send(*, record: RequestState, context: GatherContext) -> None:
-    """Send what is wanted and not yet on its way."""
+    """Send the attempts and queries that are wanted and not sent yet."""
     if record.phase is not GATHERING or record.is_abandoned:
         return
     unsent = [child for child in record.children if not child.is_sent]
-    send_wanted(record=record, context=context)
-    if record.kind is ROOT and not record.omit_us:
+    send_wanted_attempts(record=record, context=context)
+    if record.kind is ROOT and not record.omit_at_us:
         set_omission(record=record, context=context)
     for child in unsent:
         _send_child(child=child, record=record, context=context)
@@ -44,22 +44,26 @@
 def _send_child(*, child: Child, record: RequestState, context: GatherContext) -> None:
     child.is_sent = True
     child.sent_us = context.now_us
-    child.soft_us = context.now_us + child_window_us(child=child, record=record, context=context)
-    child.soft_us = min(child.soft_us, latest_us(record=record, context=context))
-    until_us = record.omit_us
+    child.window_end_us = context.now_us + child_window_us(
+        child=child, record=record, context=context
+    )
+    child.window_end_us = min(
+        child.window_end_us, latest_window_end_us(record=record, context=context)
+    )
+    until_us = record.omit_at_us
     if child.is_resumed:
-        child.soft_us = until_us = record.due_us
+        child.window_end_us = until_us = record.due_us
     else:
         context.next_attempt += 1
         child.ask_id = context.next_attempt
-        record.hand_over(child=child, is_reserved=context.is_late(name=child.subtree.node))
+        record.delegate_attempts(child=child, keeps_one=context.is_late(name=child.subtree.node))
     record.sent_shards |= set(child.subtree.all_shards())
     context.trace.add(
         ChildQueried(
             search=record.search,
             node=child.subtree.node,
             shards=tuple(child.subtree.all_shards()),
-            window_us=child.soft_us - context.now_us,
+            window_us=child.window_end_us - context.now_us,
             is_resumed=child.is_resumed,
         )
     )
@@ -80,19 +84,19 @@
     )
 
 
-# --- second attempts --------------------------------------------------------------------
+# --- hedging and regathering -------------------------------------------------------------
 
 
 def _hedge(*, record: RequestState, context: GatherContext) -> None:
-    """A backend past its window gets a rival, once, inside the budget."""
+    """Send one hedged attempt for each shard past its window, if the retry budget allows it."""
     if record.kind is SINGLE:
         return
     for shard_state in record.shard_states.values():
         if shard_state.state is not WAITING or shard_state.was_hedged or not shard_state.attempts:
             continue
         if (
-            any(context.now_us < attempt.soft_us for attempt in shard_state.attempts)
-            or context.now_us < shard_state.hedge_us
+            any(context.now_us < attempt.window_end_us for attempt in shard_state.attempts)
+            or context.now_us < shard_state.hedge_retry_us
         ):
             continue
         shard_state.was_hedged = True
@@ -100,15 +104,15 @@
             if attempt.is_open:
                 context.registry.note_overdue(name=attempt.backend, now_us=context.now_us)
         if send_attempt(shard_state=shard_state, record=record, context=context, is_hedge=True):
-            shard_state.was_hedged, shard_state.hedge_us = False, context.now_us + LOOK_AGAIN_US
+            shard_state.was_hedged, shard_state.hedge_retry_us = False, context.now_us + RECHECK_US
 
 
 def _regather_late(*, record: RequestState, context: GatherContext) -> None:
-    """Below the quorum without a late child's shards, the root asks for them itself."""
+    """Request late children's shards from the root if the quorum cannot be met without them."""
     late = [
         child
         for child in record.children
-        if child.state is WAITING and context.now_us >= child.soft_us
+        if child.state is WAITING and context.now_us >= child.window_end_us
     ]
     if not late:
         return
@@ -120,9 +124,9 @@
     in_time = record.waiting_shards() - {s for child in late for s in child.subtree.all_shards()}
     if len(record.parts) + len(in_time) >= record.route.quorum:
         return
-    late = [child for child in late if _may_ask_for(child=child, record=record)]
+    late = [child for child in late if _has_attempts_left(child=child, record=record)]
     if not late:
-        return  # all attempts are with them: what they get is what there is
+        return  # the late children have all attempts; only their results can arrive
     wanted = record.route.quorum - len(record.parts) - len(in_time)
     if wanted > context.budget.room(
         service=record.collection,
@@ -130,20 +134,20 @@
         edges=context.edges(),
         shards=[shard for child in late for shard in child.subtree.all_shards()],
     ):
-        return  # it would not be enough: better to wait, and leave it to others
+        return  # too little for the quorum: wait, and leave the budget to others
     for child in late:
         regather(child=child, record=record, cause="window", why=f"{child.subtree.node} is late")
-    send_wanted(record=record, context=context)
+    send_wanted_attempts(record=record, context=context)
 
 
-def _may_ask_for(*, child: Child, record: RequestState) -> bool:
-    """Are attempts left here for any of a helper's shards?"""
-    return any(record.left_of(shard=shard) > 0 for shard in child.subtree.all_shards())
+def _has_attempts_left(*, child: Child, record: RequestState) -> bool:
+    """True if this node has attempts left for any of a child's shards."""
+    return any(record.remaining_attempts(shard=shard) > 0 for shard in child.subtree.all_shards())
 
 
 def _regather_missing(*, record: RequestState, context: GatherContext) -> None:
-    """Below the quorum, what a child left out is waited for, and what it could not
-    get is asked for again, once."""
+    """Below the quorum, resume children that left shards out, and request once more the shards
+    that a child could not get."""
     if not record.missing:
         return
     if len(record.parts) + len(record.waiting_shards()) >= record.route.quorum:
@@ -151,15 +155,15 @@
     _resume_children(record=record, context=context)
     for shard, (cause, detail) in sorted(record.missing.items()):
         is_open = shard not in record.shard_states and shard not in record.parts
-        if is_open and record.left_of(shard=shard) > 0:
+        if is_open and record.remaining_attempts(shard=shard) > 0:
             record.shard_states[shard] = ShardState(
                 shard=shard, is_extra=True, cause=cause, detail=detail
             )
-    send_wanted(record=record, context=context)
+    send_wanted_attempts(record=record, context=context)
 
 
 def _resume_children(*, record: RequestState, context: GatherContext) -> None:
-    """A child whose window ended still listens to its backends: have the rest of it."""
+    """Request the rest from children that replied partly and still wait for their backends."""
     for child in [child for child in record.children if child.is_open]:
         child.is_open = False
         shards = tuple(
@@ -177,7 +181,7 @@
             ask_id=child.ask_id,
             is_resumed=True,
             attempts=child.attempts,
-            unknown=child.unknown,
+            unreported=child.unreported,
         )
         record.children.append(rest)
         _send_child(child=rest, record=record, context=context)
--- a/kelpstage/edge/gather/stages/settle.py
+++ b/kelpstage/edge/gather/stages/settle.py
@@ -1,4 +1,4 @@
-"""Stage five: is the request at its end, and how?"""
+"""Stage five: settles requests whose outcome is certain or due."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 from kelpstage.edge.events import SearchEnded
 from kelpstage.edge.gather.context import GatherContext
-from kelpstage.edge.gather.messages import ChildReply, GatherResult, PartlySettled
+from kelpstage.edge.gather.messages import GatherResult, PartialReplyReady, SubtreeReply
 from kelpstage.edge.gather.request_state import (
     CHILD,
     DONE,
@@ -26,14 +26,14 @@
     RequestState,
 )
 from kelpstage.edge.gather.stages.admit import settle_record
-from kelpstage.edge.gather.stages.child_reply import child_reply, missing_of
+from kelpstage.edge.gather.stages.child_reply import child_reply, missing_shards
 
-FLAG_AT = 0.995
+WARNING_COVERAGE = 0.995  # answers of this coverage or less carry a warning
 
 
 def settle(*, record: RequestState, context: GatherContext) -> None:
-    """Give the outcome as soon as it is certain, and never later than due."""
-    if record.phase is not DONE and record.is_over_for_caller():
+    """Settle a request as soon as its outcome is certain, at its deadline at the latest."""
+    if record.phase is not DONE and record.is_droppable():
         settle_record(record=record, outcome=CallerGoneError())
         return
     if record.phase is not GATHERING:
@@ -53,19 +53,19 @@
     is_complete = record.is_settled() or context.now_us >= record.due_us
     if record.is_partly_settled:
         if is_complete and (record.is_resumed or context.now_us >= record.due_us):
-            settle_record(record=record, outcome=ChildReply(message=child_reply(record=record)))
+            settle_record(record=record, outcome=SubtreeReply(message=child_reply(record=record)))
         return
     if is_complete:
-        settle_record(record=record, outcome=ChildReply(message=child_reply(record=record)))
+        settle_record(record=record, outcome=SubtreeReply(message=child_reply(record=record)))
         return
-    if context.now_us < record.omit_us:
+    if context.now_us < record.omit_at_us:
         return
     reply = child_reply(record=record)
     reply.is_open = True
     record.is_partly_settled = True
-    record.handed = frozenset(record.parts)
+    record.replied_shards = frozenset(record.parts)
     record.runs = {}
-    context.emit(PartlySettled(record=record, outcome=ChildReply(message=reply)))
+    context.emit(PartialReplyReady(record=record, outcome=SubtreeReply(message=reply)))
 
 
 # --- the root --------------------------------------------------------------------------
@@ -78,8 +78,8 @@
     if shards_in + len(waiting) < quorum:
         _fail(record=record, context=context)
         return
-    is_past = context.now_us >= record.omit_us and shards_in >= quorum
-    if waiting and not is_past and context.now_us < record.due_us:
+    is_omission_due = context.now_us >= record.omit_at_us and shards_in >= quorum
+    if waiting and not is_omission_due and context.now_us < record.due_us:
         return
     if shards_in < quorum:
         _fail(record=record, context=context)
@@ -88,7 +88,7 @@
 
 
 def _fail(*, record: RequestState, context: GatherContext) -> None:
-    _note(record=record, context=context, outcome="quorum_not_met")
+    _journal_search_ended(record=record, context=context, outcome="quorum_not_met")
     settle_record(
         record=record,
         outcome=QuorumNotMetError(
@@ -107,11 +107,11 @@
 def _missing_json(*, record: RequestState, still_waiting: str = "window") -> list[dict]:
     return [
         {"shard": shard, "cause": cause, "detail": detail}
-        for shard, cause, detail in missing_of(record=record, still_waiting=still_waiting)
+        for shard, cause, detail in missing_shards(record=record, still_waiting=still_waiting)
     ]
 
 
-def _note(*, record: RequestState, context: GatherContext, outcome: str) -> None:
+def _journal_search_ended(*, record: RequestState, context: GatherContext, outcome: str) -> None:
     context.journal.add(
         SearchEnded(
             collection=record.collection,
@@ -125,7 +125,10 @@
 
 
 def _may_still_serve(*, record: RequestState, context: GatherContext) -> bool:
-    """A process that slept past its lease must not speak as if it had it."""
+    """True if the lease is still held: the process may have been suspended past its end.
+
+    Without it, the request is settled with `NotReadyError`.
+    """
     refusal = context.lease_holder.refusal(now_us=context.now_us)
     if refusal:
         settle_record(record=record, outcome=NotReadyError(why=refusal))
@@ -138,7 +141,9 @@
         return
     records = record.order.merge(runs=list(record.runs.values()), limit=record.limit)
     coverage = len(record.parts) / len(record.route.fan_out)
-    _note(record=record, context=context, outcome="complete" if coverage == 1 else "partial")
+    _journal_search_ended(
+        record=record, context=context, outcome="complete" if coverage == 1 else "partial"
+    )
     seals: tuple[str, ...] = ()
     if record.request is not None:
         body = record.order.pack(records=records)
@@ -159,13 +164,13 @@
 
 
 def result_body(*, record: RequestState, coverage: float, records: list[bytes]) -> bytes:
-    """The result's JSON; records stand in it byte for byte as they came."""
+    """Return the result as JSON, with the records byte for byte as received."""
     head = {
         "search": record.search,
         "collection": record.collection,
         "configuration": record.version,
         "coverage": coverage,
-        "warning": flag(coverage=coverage),
+        "warning": coverage_warning(coverage=coverage),
         "parts": [
             {
                 "shard": part.shard,
@@ -182,18 +187,18 @@
     return text[:-1] + b',"records":[' + b",".join(records) + b"]}"
 
 
-def flag(*, coverage: float) -> str | None:
-    """Scuba's warning: at 99.5 % or less.
+def coverage_warning(*, coverage: float) -> str | None:
+    """Return Scuba's warning for a coverage of 99.5 % or less.
 
-    >>> flag(coverage=1.0) is None, flag(coverage=0.995)
+    >>> coverage_warning(coverage=1.0) is None, coverage_warning(coverage=0.995)
     (True, '99.5 % of the shards are in')
     """
-    if coverage > FLAG_AT:
+    if coverage > WARNING_COVERAGE:
         return None
     return f"{coverage * 100:.1f} % of the shards are in"
 
 
-# --- single records ------------------------------------------------------------------------
+# --- single backends ----------------------------------------------------------------------
 
 
 def _settle_single(*, record: RequestState, context: GatherContext) -> None:
@@ -207,7 +212,7 @@
         or shard_state.state is not WAITING
         and record.backend_reply is not None
     ):
-        _give_single(record=record, context=context)
+        _succeed_single(record=record, context=context)
         return
     if not shard_state.attempts:
         settle_record(
@@ -230,7 +235,7 @@
     )
 
 
-def _give_single(*, record: RequestState, context: GatherContext) -> None:
+def _succeed_single(*, record: RequestState, context: GatherContext) -> None:
     if not _may_still_serve(record=record, context=context):
         return
     if record.backend_reply is not None:
--- a/kelpstage/edge/gather/statistics.py
+++ b/kelpstage/edge/gather/statistics.py
@@ -1,4 +1,4 @@
-"""What the gathering counts for the metrics: plain numbers, read only when asked for."""
+"""Counters of the gathering task, exported as metrics."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from kelpstage.edge.gather.messages import GatherResult
 from kelpstage.edge.gather.request_state import MISSING, ROOT, RequestState
 
-MOST_KEYS = 2_000  # of requests; routes come and go over the life of a process
+MAX_REQUEST_KEYS = 2_000  # bounds memory: routes come and go while a process runs
 OTHER_ROUTES = "other"
 ANSWERED = "answered"
 
 
 class RequestKey(NamedTuple):
-    """By what requests are counted."""
+    """The labels under which requests are counted."""
 
     kind: str
     route: str
@@ -24,7 +24,7 @@
 
 
 def outcome_name(*, outcome: Any) -> str:
-    """The outcome of a request, attempt or query as a label.
+    """Return the outcome of a request, attempt or query as a label.
 
     >>> from kelpstage.common.errors.serving import CallerGoneError
     >>> outcome_name(outcome=CallerGoneError()), outcome_name(outcome=object())
@@ -38,20 +38,20 @@
 
 
 class GatherStatistics:
-    """Counters of one node's gathering, since its process began."""
+    """Counters of one node's gathering since the start of its process."""
 
     def __init__(self) -> None:
         self.requests: Counter[RequestKey] = Counter()
-        self.attempts: Counter[str] = Counter()  # by why they were sent
+        self.attempts: Counter[str] = Counter()  # by the reason for sending them
         self.backend_outcomes: Counter[str] = Counter()
         self.child_outcomes: Counter[str] = Counter()
-        self.missing: Counter[str] = Counter()  # shards left out of a root's answer, by cause
+        self.missing: Counter[str] = Counter()  # shards missing at the root, by cause
         self.durations: defaultdict[str, DurationHistogram] = defaultdict(DurationHistogram)
 
     def note_settled(self, *, record: RequestState, now_us: int) -> None:
-        """Count a request that has its outcome."""
+        """Count a request that has reached its outcome."""
         key = RequestKey(record.kind, record.collection, outcome_name(outcome=record.outcome))
-        if len(self.requests) >= MOST_KEYS and key not in self.requests:
+        if len(self.requests) >= MAX_REQUEST_KEYS and key not in self.requests:
             key = key._replace(route=OTHER_ROUTES)
         self.requests[key] += 1
         self.durations[record.kind].observe(us=now_us - record.arrived_us)
@@ -63,7 +63,7 @@
                     self.missing[shard_state.cause] += 1
 
     def note_attempt(self, *, reason: str) -> None:
-        """Count an attempt that is sent to a backend."""
+        """Count an attempt sent to a backend."""
         self.attempts[reason] += 1
 
     def note_backend_reply(self, *, outcome: Any, took_us: int) -> None:
--- a/kelpstage/edge/gather/task.py
+++ b/kelpstage/edge/gather/task.py
@@ -1,4 +1,4 @@
-"""The gathering task: owns the table, takes events, performs effects."""
+"""The gathering task: owns the table, handles events and performs effects."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.conversion import ended_event
 from kelpstage.edge.gather.messages import (
-    Arrived,
     BackendReplied,
     CallerGone,
     ChildReplied,
     ConfigurationMoved,
-    PartlySettled,
+    PartialReplyReady,
     QueryBackend,
     QueryChild,
-    Resumed,
-    Settled,
+    RequestArrived,
+    RequestSettled,
+    ResumeRequested,
     TimerFired,
     WantState,
 )
 from kelpstage.edge.gather.observation import ReplyObserver
 from kelpstage.edge.gather.request_state import CHILD, RequestState
-from kelpstage.edge.gather.table import Table
+from kelpstage.edge.gather.table import RequestTable
 
 
 class GatherTask:
-    """Runs the stages; everything that happens to a request comes by its queue."""
+    """Runs the stages; every event of a request passes through its queue."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
     ) -> None:
         self._ports = ports
         self.context = context
-        self.table = Table()
+        self.table = RequestTable()
         self.inbox: Queue[Any] = Queue()
         self._observer = ReplyObserver(
             ports=ports, context=context, on_backend_changed=on_backend_changed
@@ -62,30 +62,30 @@
             ports=ports, transport=transport, context=context, on_reply=self.inbox.put_nowait
         )
         self._on_want_state = on_want_state
-        self._waiting: dict[int, asyncio.Future[Any]] = {}
-        self._children: dict[tuple[str, int], int] = {}
-        self._queries: dict[int, list[Any]] = {}  # tasks that were started for each request
+        self._futures: dict[int, asyncio.Future[Any]] = {}
+        self._child_keys: dict[tuple[str, int], int] = {}
+        self._queries: dict[int, list[Any]] = {}  # by request: the tasks started for it
         self._next_key = 0
         self._timer_us: int | None = None
         self._task = ports.keep(self._run())
 
-    # --- for handlers --------------------------------------------------------------
+    # --- interface for handlers ---------------------------------------------------
 
     def next_key(self) -> int:
-        """A key that no request of this node has had."""
+        """Return a key that no other request of this node has."""
         self._next_key += 1
         return self._next_key
 
     async def settle(self, *, record: RequestState) -> Any:
-        """Put a request into the table and wait for its outcome.
+        """Add a request to the table and wait for its outcome.
 
-        Cancelled, it drops the request; `CallerGone` says what becomes of its sends.
+        Cancellation abandons the request; `CallerGone` describes what happens to its attempts.
         """
         if record.kind is CHILD:
-            self._children[(record.root, record.ask_id)] = record.key
+            self._child_keys[(record.root, record.ask_id)] = record.key
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._waiting[record.key] = future
-        self.inbox.put_nowait(Arrived(record=record))
+        self._futures[record.key] = future
+        self.inbox.put_nowait(RequestArrived(record=record))
         try:
             return await future
         except asyncio.CancelledError:
@@ -93,31 +93,31 @@
             raise
 
     def cancel(self, *, root: str, ask_id: int) -> None:
-        """Drop a child of this node whose parent no longer waits for it."""
-        key = self._children.get((root, ask_id))
+        """Abandon a subtree query whose parent no longer waits for it."""
+        key = self._child_keys.get((root, ask_id))
         if key is not None:
             self.inbox.put_nowait(CallerGone(key=key))
 
     async def resume(self, *, root: str, ask_id: int) -> Any:
-        """Wait for what a child of this node left out, or `None` if it is gone."""
-        key = self._children.get((root, ask_id))
-        if key is None or key in self._waiting:
+        """Wait for the rest of a partly answered subtree query; `None` if it no longer exists."""
+        key = self._child_keys.get((root, ask_id))
+        if key is None or key in self._futures:
             return None
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._waiting[key] = future
-        self.inbox.put_nowait(Resumed(key=key))
+        self._futures[key] = future
+        self.inbox.put_nowait(ResumeRequested(key=key))
         return await future
 
     # --- the task ---------------------------------------------------------------------
 
     async def _run(self) -> None:
         while True:
-            self._take(await self.inbox.get())
+            self._handle(await self.inbox.get())
             while not self.inbox.empty():
-                self._take(self.inbox.get_nowait())
+                self._handle(self.inbox.get_nowait())
             context = self.context
             context.now_us = self._ports.clock.now_us()
-            self.table.wake_due(now_us=context.now_us)
+            self.table.touch_due(now_us=context.now_us)
             self.table.run(context=context)
             effects, context.effects = context.effects, []
             for effect in effects:
@@ -139,11 +139,11 @@
             self.inbox.put_nowait(TimerFired())
 
     @singledispatchmethod
-    def _take(self, event: Any) -> None:
+    def _handle(self, event: Any) -> None:
         raise TypeError(type(event))
 
-    @_take.register
-    def _take_arrived(self, event: Arrived) -> None:
+    @_handle.register
+    def _handle_request_arrived(self, event: RequestArrived) -> None:
         record = event.record
         self.table.put(record=record)
         self.context.trace.add(
@@ -156,39 +156,39 @@
             )
         )
 
-    @_take.register
-    def _take_resumed(self, event: Resumed) -> None:
+    @_handle.register
+    def _handle_resume_requested(self, event: ResumeRequested) -> None:
         record = self.table.records.get(event.key)
         if record is not None:
             record.is_resumed = True
             self.table.touch(key=event.key)
 
-    @_take.register
-    def _take_caller_gone(self, event: CallerGone) -> None:
+    @_handle.register
+    def _handle_caller_gone(self, event: CallerGone) -> None:
         record = self.table.records.get(event.key)
         if record is not None:
             record.is_abandoned = True
             self.table.touch(key=event.key)
 
-    @_take.register
-    def _take_timer_fired(self, event: TimerFired) -> None:
+    @_handle.register
+    def _handle_timer_fired(self, event: TimerFired) -> None:
         return
 
-    @_take.register
-    def _take_configuration_moved(self, event: ConfigurationMoved) -> None:
+    @_handle.register
+    def _handle_configuration_moved(self, event: ConfigurationMoved) -> None:
         self.table.touch_all()
 
-    @_take.register
-    def _take_backend_replied(self, event: BackendReplied) -> None:
+    @_handle.register
+    def _handle_backend_replied(self, event: BackendReplied) -> None:
         self._observer.on_backend_reply(event=event)
-        self._to_record(key=event.key, event=event)
+        self._deliver(key=event.key, event=event)
 
-    @_take.register
-    def _take_child_replied(self, event: ChildReplied) -> None:
+    @_handle.register
+    def _handle_child_replied(self, event: ChildReplied) -> None:
         self._observer.on_child_reply(event=event)
-        self._to_record(key=event.key, event=event)
+        self._deliver(key=event.key, event=event)
 
-    def _to_record(self, *, key: int, event: Any) -> None:
+    def _deliver(self, *, key: int, event: Any) -> None:
         record = self.table.records.get(key)
         if record is not None:
             record.inbox.append(event)
@@ -201,11 +201,11 @@
         raise TypeError(type(effect))
 
     @_perform.register
-    def _perform_settled(self, effect: Settled) -> None:
+    def _perform_request_settled(self, effect: RequestSettled) -> None:
         self.context.trace.add(ended_event(record=effect.record))
         self.context.statistics.note_settled(record=effect.record, now_us=self.context.now_us)
         self._resolve(key=effect.record.key, outcome=effect.record.outcome)
-        self._children.pop((effect.record.root, effect.record.ask_id), None)
+        self._child_keys.pop((effect.record.root, effect.record.ask_id), None)
         queries = self._queries.pop(effect.record.key, ())
         if effect.record.is_abandoned:
             self._child_queries.cancel(record=effect.record)
@@ -213,11 +213,11 @@
                 query.cancel()
 
     @_perform.register
-    def _perform_partly_settled(self, effect: PartlySettled) -> None:
+    def _perform_partial_reply_ready(self, effect: PartialReplyReady) -> None:
         self._resolve(key=effect.record.key, outcome=effect.outcome)
 
     def _resolve(self, *, key: int, outcome: Any) -> None:
-        future = self._waiting.pop(key, None)
+        future = self._futures.pop(key, None)
         if future is not None and not future.done():
             future.set_result(outcome)
 
@@ -227,11 +227,11 @@
 
     @_perform.register
     def _perform_query_backend(self, effect: QueryBackend) -> None:
-        self._start(key=effect.record.key, query=self._backend_queries.query(ask=effect))
+        self._start_query(key=effect.record.key, query=self._backend_queries.query(ask=effect))
 
     @_perform.register
     def _perform_query_child(self, effect: QueryChild) -> None:
-        self._start(key=effect.record.key, query=self._child_queries.query(ask=effect))
+        self._start_query(key=effect.record.key, query=self._child_queries.query(ask=effect))
 
-    def _start(self, *, key: int, query: Coroutine[Any, Any, None]) -> None:
+    def _start_query(self, *, key: int, query: Coroutine[Any, Any, None]) -> None:
         self._queries.setdefault(key, []).append(self._ports.spawn(query))
--- a/kelpstage/edge/gather/tree.py
+++ b/kelpstage/edge/gather/tree.py
@@ -1,7 +1,7 @@
 """The gathering tree: which node merges which shards, level by level.
 
-Scuba's shape: fan-out F counts the node itself, L = ceil(log_F N) levels, and a
-last-level fan-out R = N / F^(L-1). Here N is the number of shards on the route.
+The shape is that of Scuba: the fan-out F counts the node itself, the tree has L = ceil(log_F N)
+levels, and the last level has a fan-out R = N / F^(L-1). N is the number of shards on the route.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Subtree:
-    """A node, the shards it asks backends for itself, and its children."""
+    """A node, the shards that it requests from backends itself, and its children."""
 
     node: str
     shards: tuple[str, ...]
     children: tuple["Subtree", ...] = field(default_factory=tuple)
 
     def all_shards(self) -> tuple[str, ...]:
-        """Every shard under this node.
+        """Return every shard in this subtree.
 
         >>> child = Subtree(node="b", shards=("t",))
         >>> Subtree(node="a", shards=("s",), children=(child,)).all_shards()
@@ -28,7 +28,7 @@
         return self.shards + tuple(s for child in self.children for s in child.all_shards())
 
     def nodes(self) -> set[str]:
-        """This node and all below it.
+        """Return this node and all nodes below it.
 
         >>> Subtree(node="a", shards=("s",)).nodes()
         {'a'}
@@ -36,7 +36,7 @@
         return {self.node}.union(*(child.nodes() for child in self.children))
 
     def height(self) -> int:
-        """Levels under and with this node.
+        """Return the number of levels in this subtree.
 
         >>> Subtree(node="a", shards=("s",)).height()
         1
@@ -45,7 +45,7 @@
 
 
 def levels(*, shard_count: int, fan_out: int) -> int:
-    """L = ceil(log_F N), at least one, in whole numbers.
+    """Return L = ceil(log_F N), at least one, computed in integers.
 
     >>> [levels(shard_count=n, fan_out=5) for n in (1, 5, 6, 8, 25, 26, 125, 126)]
     [1, 1, 2, 2, 2, 3, 3, 4]
@@ -57,7 +57,7 @@
 
 
 def last_fan_out(*, shard_count: int, fan_out: int) -> float:
-    """R = N / F^(L-1): shards at each lowest node, on average.
+    """Return R = N / F^(L-1), the average number of shards at each leaf.
 
     >>> last_fan_out(shard_count=8, fan_out=5)
     1.6
@@ -67,7 +67,7 @@
 
 
 def split(*, shards: tuple[str, ...], groups: int) -> list[tuple[str, ...]]:
-    """Even groups in order, the larger ones first; none is empty.
+    """Split shards in order into groups of nearly equal size, the larger first; none is empty.
 
     >>> split(shards=tuple("abcdefgh"), groups=5)
     [('a', 'b'), ('c', 'd'), ('e', 'f'), ('g',), ('h',)]
@@ -75,15 +75,15 @@
     groups = min(groups, len(shards))
     size, extra = divmod(len(shards), groups)
     out, start = [], 0
-    for place in range(groups):
-        stop = start + size + (place < extra)
+    for index in range(groups):
+        stop = start + size + (index < extra)
         out.append(shards[start:stop])
         start = stop
     return out
 
 
 def grow(*, root: str, shards: tuple[str, ...], helpers: list[str], fan_out: int) -> Subtree:
-    """Grow the tree of a query; with too few helpers a node stands in twice.
+    """Build the tree of a query; with too few helpers, a node takes several places.
 
     >>> tree = grow(root="r", shards=tuple("abcdefgh"), helpers=["n1", "n2", "n3", "n4"], fan_out=5)
     >>> tree.shards, [(c.node, c.shards) for c in tree.children][:2]
@@ -91,13 +91,13 @@
     >>> grow(root="r", shards=tuple("abcdefgh"), helpers=[], fan_out=5).children
     ()
     """
-    turns = _turns(helpers=helpers)
-    return _grow(
+    helper_cycle = _cycle(helpers=helpers)
+    return _build_levels(
         node=root,
         shards=shards,
         level=levels(shard_count=len(shards), fan_out=fan_out) if helpers else 1,
         fan_out=fan_out,
-        next_helper=lambda: next(turns),
+        next_helper=lambda: next(helper_cycle),
     )
 
 
@@ -109,10 +109,12 @@
     helpers: dict[str, list[str]],
     fan_out: int,
 ) -> Subtree:
-    """A tree whose levels lie inside zones: `groups` gives each zone the shards to be
-    asked for in it. The root keeps those of its own zone, split over helpers there; each
-    other zone has one node that gathers for it, so that what crosses a line between zones
-    is merged and cut before. Zones without a helper are the root's own work.
+    """Build a tree whose levels lie inside zones.
+
+    `groups` assigns to each zone the shards that are requested there. The root gathers those of
+    its own zone, with the helpers there, and those of zones without a helper. One node in each
+    other zone gathers for that zone, so that results are merged and truncated before they cross
+    zones.
 
     >>> tree = grow_by_zone(
     ...     root="r", zone="a", groups=[("a", ("s1", "s2")), ("b", ("s3", "s4"))],
@@ -128,41 +130,41 @@
         for shard in shards
     )
     others = [(name, shards) for name, shards in groups if name != zone and helpers.get(name)]
-    while len(others) > fan_out - 1:  # the least ones go with the greatest, wherever it is
+    while len(others) > fan_out - 1:  # merge the smallest group into the largest, in any zone
         others.sort(key=lambda group: len(group[1]))
         (_, least), *others = others
         others[-1] = (others[-1][0], others[-1][1] + least)
     far = tuple(
-        _grow_within(node=node, shards=shards, helpers=rest, fan_out=fan_out)
+        _build_within_zone(node=node, shards=shards, helpers=rest, fan_out=fan_out)
         for node, rest, shards in (
             (helpers[name][0], helpers[name][1:], shards) for name, shards in others
         )
     )
     if not own:
         return Subtree(node=root, shards=(), children=far)
-    near = _grow_within(
+    near = _build_within_zone(
         node=root, shards=own, helpers=helpers.get(zone, []), fan_out=fan_out - len(far)
     )
     return Subtree(node=root, shards=near.shards, children=near.children + far)
 
 
-def _grow_within(
+def _build_within_zone(
     *, node: str, shards: tuple[str, ...], helpers: list[str], fan_out: int
 ) -> Subtree:
-    """A subtree of nodes near each other; with few of them its fan-out is less, rather
-    than that one is asked twice."""
+    """Build a subtree of nodes in one zone; with few of them, the fan-out is reduced so that no
+    node takes several places."""
     fan_out = min(fan_out, len(helpers) + 1)
     if fan_out < 2 or len(shards) <= 1:
         return Subtree(node=node, shards=shards)
     return grow(root=node, shards=shards, helpers=helpers, fan_out=fan_out)
 
 
-def _turns(*, helpers: list[str]) -> Iterator[str]:
+def _cycle(*, helpers: list[str]) -> Iterator[str]:
     while True:
         yield from helpers
 
 
-def _grow(
+def _build_levels(
     *,
     node: str,
     shards: tuple[str, ...],
@@ -175,7 +177,7 @@
     groups = split(shards=shards, groups=fan_out)
     own, *others = groups
     children = [
-        _grow(
+        _build_levels(
             node=next_helper(),
             shards=group,
             level=level - 1,
@@ -184,5 +186,9 @@
         )
         for group in others
     ]
-    mine = _grow(node=node, shards=own, level=level - 1, fan_out=fan_out, next_helper=next_helper)
-    return Subtree(node=node, shards=mine.shards, children=mine.children + tuple(children))
+    own_subtree = _build_levels(
+        node=node, shards=own, level=level - 1, fan_out=fan_out, next_helper=next_helper
+    )
+    return Subtree(
+        node=node, shards=own_subtree.shards, children=own_subtree.children + tuple(children)
+    )
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -222,7 +222,7 @@
             (False, True, False),
             (False, False, True),
         ):
-            attempt = Attempt(number=1, backend="b", sent_us=0, soft_us=1, is_open=is_open)
+            attempt = Attempt(number=1, backend="b", sent_us=0, window_end_us=1, is_open=is_open)
             record = RequestState(
                 key=1,
                 kind=SINGLE,
@@ -233,7 +233,7 @@
                 is_abandoned=True,
                 shard_states={"s": ShardState(shard="s", attempts=[attempt])},
             )
-            self.assertEqual(is_over, record.is_over_for_caller())
+            self.assertEqual(is_over, record.is_droppable())
 
     def test_its_end_is_an_error_of_its_own(self) -> None:
         self.assertEqual("caller_gone", CallerGoneError().kind)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -79,8 +79,8 @@
             whys = {
                 row["why"] for row in events if row["event"] in ("AttemptSent", "AttemptRefused")
             }
-            self.assertIn("past its window: a rival", whys)
-            self.assertIn("past its window: a rival: the budget is spent", whys)
+            self.assertIn("past its window: hedged attempt", whys)
+            self.assertIn("past its window: hedged attempt: the budget is spent", whys)
             listed = await fetch(fleet, address, "/v1/searches?only=failed&limit=3")
             rows = json.loads(listed.body)["searches"]
             self.assertEqual(
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -107,7 +107,7 @@
 
     def test_routes_without_end_are_counted_together(self) -> None:
         statistics = GatherStatistics()
-        with mock.patch.object(statistics_module, "MOST_KEYS", 3):
+        with mock.patch.object(statistics_module, "MAX_REQUEST_KEYS", 3):
             for number in range(9):
                 one = record(outcome=CallerGoneError())
                 one.collection = f"r{number}"
--- a/tests/test_platform_sim.py
+++ b/tests/test_platform_sim.py
@@ -156,7 +156,7 @@
         self.assertIn("DRAIN", found)
 
     def test_requests_that_go_on_when_their_clients_have_left(self):
-        with mock.patch.object(RequestState, "is_over_for_caller", lambda self: False):
+        with mock.patch.object(RequestState, "is_droppable", lambda self: False):
             found = self.lines(faults=("clients_leave",), seconds=8, rate=0.3)
         self.assertIn("GONE", found)
 
