--- a/tests/rules_upheld.py
+++ b/tests/rules_upheld.py
@@ -103,7 +103,7 @@
 SIM = "tests.test_platform_sim"
 CUTS = "tests.test_core_cuts"
 MAY_HAVE_RUN = f"{ONCE}.test_what_may_have_run_is_never_sent_again"
-GOES_BACK = f"{ONCE}.test_an_answer_that_is_the_backends_goes_back_as_it_came"
+GOES_BACK = f"{ONCE}.test_backend_answer_is_returned_unchanged"
 SEALED = "kelpstage.edge.forward.sealed_answer"
 
 ROWS: tuple[Upheld, ...] = (
@@ -361,7 +361,7 @@
         source="NEWS-18, NEWS-22",
         says="no try goes to more backends of a shard than its route's tries",
         code=f"{EDGE}/gather/request_state.py:RequestState.has_attempt",
-        test="tests.test_attempts.Tries.test_never_more_than_tries_over_all_nodes",
+        test="tests.test_attempts.AttemptLimit.test_attempt_limit_holds_over_all_nodes",
         taken_out=TakenOut(
             target="kelpstage.edge.gather.request_state:RequestState.has_attempt", by=always(True)
         ),
@@ -381,7 +381,7 @@
         source="NEWS-18, NEWS-22, NEWS-23",
         says="nothing is sent, and no backend kept at work, for a client that has left",
         code=f"{EDGE}/gather/request_state.py:RequestState.is_droppable",
-        test="tests.test_cancellation.Repeatable.test_a_caller_that_leaves_takes_its_attempts_along",
+        test="tests.test_cancellation.Repeatable.test_attempts_are_cancelled_when_the_client_leaves",
         planted=f"{SIM}.Seen.test_requests_that_go_on_when_their_clients_have_left",
         days="`clients_leave`",
     ),
@@ -390,7 +390,7 @@
         source="NEWS-18, NEWS-22, NEWS-23",
         says="the nodes below are told, and drop their parts",
         code=f"{EDGE}/gather/child_queries.py:ChildQueries.cancel",
-        test="tests.test_cancellation.Tree.test_children_that_still_work_are_told",
+        test="tests.test_cancellation.SubtreeCancellation.test_working_children_are_sent_a_cancellation",
         planted=f"{SIM}.Seen.test_children_that_are_not_told",
         days="`clients_leave`",
     ),
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,9 +1,9 @@
-"""Requests that may run once, end to end: a raw client, the edge's own HTTP server, its
-gathering task, its HTTP client, and raw backends that misbehave in every way.
+"""At-most-once requests end to end: a raw client, the edge's HTTP server, its gathering task and
+its HTTP client, and raw backends that fail in every way.
 
-The rule: once the first byte of an at-most-once request may have left, it is never sent
-again; what surely did not leave, or what a backend says that it has not run, may be. A
-status that promises "not run" (408, 421, 429, 503) is never given for what may have run.
+Once the first byte of an at-most-once request may have been sent, the request is never sent
+again. It may be if no byte was sent, or if a backend states that it did not run the request. A
+status that promises "not run" (408, 421, 429, 503) is never returned for what may have run.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 def document(*, is_repeatable: bool, attempts: int, deadline_us: int) -> bytes:
-    """A configuration of one route to one service."""
+    """Return a configuration of one route to one service."""
     route = {
         "host": "h",
         "prefix": "/",
@@ -59,7 +59,7 @@
 
 
 class RawBackend:
-    """A backend of bare sockets; `script` says what it does with each connection."""
+    """A backend on raw sockets; `script` handles each connection."""
 
     def __init__(self, *, name: str, script: Script) -> None:
         self.name, self.script = name, script
@@ -79,7 +79,7 @@
         await self.script(self, self.connections, reader, writer)
 
     async def request(self, reader: asyncio.StreamReader) -> str:
-        """Read one request whole; its id."""
+        """Read one complete request and return its id."""
         head = await reader.readuntil(b"\r\n\r\n")
         size, name = 0, ""
         for line in head.decode("latin-1").split("\r\n"):
@@ -99,20 +99,20 @@
 def answer(
     name: str, *, status: int = 200, body: bytes = b"fine", seal: str = "a.1", more: str = ""
 ) -> bytes:
-    """A backend's answer to the request of this id."""
+    """Return a backend's answer to the request with this id."""
     sealed = f"Kelp-Seal: {seal}\r\n" if seal else ""
     named = f"Kelp-Request-Id: {name}\r\n" if name else ""
     head = f"HTTP/1.1 {status} X\r\n{named}{sealed}{more}Content-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
-def next_of(outcomes: Iterator[Any], call: HttpCall) -> Any:
-    """The next outcome that a send is to have; none: what the network gives."""
+def next_outcome(outcomes: Iterator[Any], call: HttpCall) -> Any:
+    """Return the next planned outcome of a send; `None` leaves it to the network."""
     return next(outcomes, None)
 
 
 def says(make: Callable[[str], bytes], *, then: str = "") -> Script:
-    """Answer each request with what `make` gives; then close or reset, if asked for."""
+    """Answer each request with what `make` returns, then close or reset if `then` says so."""
 
     async def script(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
         while True:
@@ -133,7 +133,7 @@
 
 
 class EdgeCase(AsyncCase):
-    """An edge of its real parts between raw sockets on both sides."""
+    """An edge made of its real components, between raw sockets on both sides."""
 
     is_repeatable = False
     attempts = 3
@@ -238,13 +238,13 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def stop_backends(self) -> None:
-        """End the backends of this test; the next ones are new."""
+        """Stop the backends of this test; `start` opens new ones."""
         for backend in self.backends:
             await backend.stop()
         self.backends = []
 
     async def start(self, *scripts: Script) -> list[RawBackend]:
-        """New backends, in the order in which they are asked."""
+        """Start new backends, in the order in which attempts are sent to them."""
         self.starts += 1
         for number, script in enumerate(scripts):
             backend = RawBackend(name=f"i-{self.starts}-{number}", script=script)
@@ -261,12 +261,12 @@
         ]
         self.context.registry.set_instances(instances, now_us)
         self.context.registry.set_live_edges(count=1, now_us=now_us)
-        for number, backend in enumerate(self.backends):  # the first is asked first
+        for number, backend in enumerate(self.backends):  # the first gets the first attempt
             entry = self.context.registry.entry(name=backend.name)
             entry.distance_us = number * 10_000_000
 
     async def ask(self, name: str, *, deadline_ms: int = 0, raw: Raw | None = None) -> tuple:
-        """A client's request of this id: status, headers, body."""
+        """Send a client's request with this id; returns status, headers and body."""
         raw = raw or await self.connect()
         raw.send(self.request(name, deadline_ms=deadline_ms))
         return await raw.reply()
@@ -284,11 +284,11 @@
         return raw
 
     def arrivals(self) -> Counter:
-        """How often each request arrived whole at any backend."""
+        """Return how often each request arrived completely at any backend."""
         return Counter(name for backend in self.backends for name in backend.arrivals)
 
 
-def half_an_answer(name: str) -> bytes:
+def truncated_answer(name: str) -> bytes:
     return answer(name, body=b"a longer body")[:-4]
 
 
@@ -296,8 +296,8 @@
     "closed without a byte": says(lambda name: b"", then="close"),
     "reset without a byte": says(lambda name: b"", then="reset"),
     "reset in the middle of the head": says(lambda name: answer(name)[:30], then="reset"),
-    "closed in the middle of the body": says(half_an_answer, then="close"),
-    "reset in the middle of the body": says(half_an_answer, then="reset"),
+    "closed in the middle of the body": says(truncated_answer, then="close"),
+    "reset in the middle of the body": says(truncated_answer, then="reset"),
     "reset in the middle of a body without a length": says(
         lambda name: answer(name).replace(b"Content-Length: 4\r\n", b""), then="reset"
     ),
@@ -323,9 +323,9 @@
         lambda name: b"HTTP/1.1 101 X\r\nUpgrade: y\r\nConnection: upgrade\r\n\r\n"
     ),
 }
-# Whole answers to this very request, though worth nothing: only their connections are
-# used again.
-WHOLE = {
+# Complete answers to the request that are not valid; their connections are reused, those of the
+# other cases are not.
+COMPLETE_ANSWERS = {
     "a success without a seal",
     "a success that is encoded",
     "a failure that is encoded",
@@ -334,7 +334,7 @@
     "429 that does not say not run",
     "408 that does not say not run",
 }
-GOES_BACK: dict[str, tuple[Script, int, str]] = {
+RETURNED_UNCHANGED: dict[str, tuple[Script, int, str]] = {
     "a success": (GOOD, 200, "a.1"),
     "a success without a length": (
         says(
@@ -369,7 +369,7 @@
     "with junk behind it": (says(lambda name: answer(name) + b"junk"), 200, "a.1"),
 }
 NOT_RUN = says(lambda name: answer(name, status=503, seal="", more="Kelp-Not-Run: 1\r\n"))
-ELSEWHERE = says(lambda name: answer(name, status=421, seal=""))
+MISDIRECTED = says(lambda name: answer(name, status=421, seal=""))
 
 
 class AtMostOnce(EdgeCase):
@@ -383,10 +383,10 @@
                 self.assertNotIn("kelp-seal", headers)
                 self.assertEqual((1, 0), (len(first.arrivals), len(second.arrivals)))
                 kept = self.client.connections_to(address=first.address)
-                self.assertEqual((1, 1) if name in WHOLE else (0, 0), kept)
+                self.assertEqual((1, 1) if name in COMPLETE_ANSWERS else (0, 0), kept)
 
-    async def test_an_answer_that_is_the_backends_goes_back_as_it_came(self) -> None:
-        for name, (script, status, seal) in GOES_BACK.items():
+    async def test_backend_answer_is_returned_unchanged(self) -> None:
+        for name, (script, status, seal) in RETURNED_UNCHANGED.items():
             with self.subTest(name):
                 await self.stop_backends()
                 first, second = await self.start(script, GOOD)
@@ -394,8 +394,8 @@
                 self.assertEqual((status, seal, b"fine"), (got, headers.get("kelp-seal", ""), body))
                 self.assertEqual((1, 0), (len(first.arrivals), len(second.arrivals)))
 
-    async def test_what_was_turned_away_may_go_to_another_within_its_attempts(self) -> None:
-        for script in (NOT_RUN, ELSEWHERE):
+    async def test_rejected_request_is_retried_within_its_attempts(self) -> None:
+        for script in (NOT_RUN, MISDIRECTED):
             with self.subTest(script=script):
                 await self.stop_backends()
                 first, second = await self.start(script, GOOD)
@@ -403,33 +403,33 @@
                 self.assertEqual((200, "a.1"), (status, headers["kelp-seal"]))
                 self.assertEqual((1, 1), (len(first.arrivals), len(second.arrivals)))
 
-    async def test_turned_away_by_all_is_a_promise_and_never_more_than_its_attempts(self) -> None:
-        backends = await self.start(NOT_RUN, ELSEWHERE, NOT_RUN, GOOD)
+    async def test_rejection_by_all_backends_gives_503_within_the_attempts(self) -> None:
+        backends = await self.start(NOT_RUN, MISDIRECTED, NOT_RUN, GOOD)
         status, headers, _ = await self.ask("r")
         self.assertEqual(503, status)
         self.assertIn("retry-after", headers)
         self.assertEqual([1, 1, 1, 0], [len(b.arrivals) for b in backends])
 
-    async def test_turned_away_and_then_lost_is_no_promise(self) -> None:
+    async def test_rejection_and_then_connection_loss_gives_502(self) -> None:
         await self.start(NOT_RUN, says(lambda name: b"", then="reset"), GOOD)
         status, _, _ = await self.ask("r")
         self.assertEqual(502, status)
         self.assertEqual(2, self.arrivals()["r"])
 
-    async def test_nobody_there_goes_to_another(self) -> None:
+    async def test_refused_connection_is_retried_on_another_backend(self) -> None:
         first, second = await self.start(GOOD, GOOD)
         await first.stop()
         status, _, _ = await self.ask("r")
         self.assertEqual((200, 1), (status, len(second.arrivals)))
 
-    async def test_nobody_there_at_all_is_a_promise(self) -> None:
+    async def test_all_connections_refused_gives_503(self) -> None:
         for backend in await self.start(GOOD, GOOD):
             await backend.stop()
         status, headers, _ = await self.ask("r")
         self.assertEqual(503, status)
         self.assertIn("retry-after", headers)
 
-    async def test_silence_ends_in_time_and_is_no_promise(self) -> None:
+    async def test_backend_without_reply_gives_504_at_the_deadline(self) -> None:
         async def silent(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
             await backend.request(reader)
             await reader.read()
@@ -445,8 +445,8 @@
         self.assertEqual((1, 0), (len(first.arrivals), len(second.arrivals)))
         await until(lambda: self.client.connections_to(address=first.address) == (0, 0))
 
-    async def test_an_answer_after_the_end_reaches_nobody(self) -> None:
-        """The client has heard 504; what comes then must not answer its next request."""
+    async def test_answer_after_the_deadline_is_discarded(self) -> None:
+        """An answer that arrives after the client got 504 must not answer its next request."""
         late = asyncio.Event()
 
         async def script(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
@@ -468,9 +468,9 @@
         self.assertEqual(["a", "b"], backend.arrivals)
         self.assertEqual(2, backend.connections)
 
-    async def test_a_kept_connection_that_the_backend_forgot(self) -> None:
-        """Its end has arrived, and nobody has looked yet: nothing left, so it goes over
-        another connection. A reset that meets the request itself: it may have run."""
+    async def test_connection_closed_while_idle_is_replaced(self) -> None:
+        """The backend closed an idle connection and the client has not read the end yet. No byte
+        was sent, so the request goes over another connection."""
 
         async def ends_after_one(b: RawBackend, number: int, reader: Any, writer: Any) -> None:
             writer.write(answer(await b.request(reader)))
@@ -482,10 +482,10 @@
             self.assertEqual(200, (await self.ask(f"r{number}"))[0])
         self.assertEqual([f"r{n}" for n in range(8)], backend.arrivals)
 
-    async def test_a_reset_that_meets_the_request(self) -> None:
+    async def test_reset_during_the_request_is_not_retried(self) -> None:
         async def script(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
             writer.write(answer(await backend.request(reader)))
-            await reader.readexactly(1)  # the second request is on its way
+            await reader.readexactly(1)  # the second request has started
             backend.arrivals.append("cut")
             reset(writer)
 
@@ -494,7 +494,7 @@
         self.assertEqual(502, (await self.ask("b"))[0])
         self.assertEqual((["a", "cut"], []), (first.arrivals, second.arrivals))
 
-    async def test_a_reset_before_any_byte_left_goes_elsewhere(self) -> None:
+    async def test_reset_before_any_byte_was_sent_is_retried(self) -> None:
         first, second = await self.start(GOOD, GOOD)
 
         def fail(call: HttpCall) -> Any:
@@ -506,8 +506,8 @@
         status, _, _ = await self.ask("r")
         self.assertEqual((200, 0, 1), (status, len(first.arrivals), len(second.arrivals)))
 
-    async def test_every_outcome_of_a_send_by_what_it_leaves_certain(self) -> None:
-        """The table of the note: outcome, sent again or not, what the client hears."""
+    async def test_only_outcomes_that_exclude_a_run_are_retried(self) -> None:
+        """Each outcome of a send: whether it is retried, and the client's status."""
         for outcome, is_again in (
             (ConnectError(address="a"), True),
             (RequestNotRunError(backend="i", answer=429, why="full"), True),
@@ -520,13 +520,13 @@
                 self.sends = []
                 await self.start(GOOD, GOOD)
                 outcomes = iter([outcome])
-                self.before_fetch = partial(next_of, outcomes)
+                self.before_fetch = partial(next_outcome, outcomes)
                 status, _, _ = await self.ask("r")
                 self.assertEqual(2 if is_again else 1, len(self.sends))
                 self.assertEqual(is_again, status == 200)
                 self.assertNotIn(status, PROMISES)
 
-    async def test_an_id_that_stands_twice_is_one_id(self) -> None:
+    async def test_repeated_request_id_header_is_joined(self) -> None:
         [backend] = await self.start(GOOD)
         raw = await self.connect()
         HeldTime()
@@ -536,15 +536,15 @@
         self.assertEqual(200, (await raw.reply())[0])
         self.assertEqual(["a, b"], backend.arrivals)
 
-    async def test_a_further_try_is_a_request_of_its_own(self) -> None:
+    async def test_client_retry_is_a_request_of_its_own(self) -> None:
         first, second = await self.start(says(lambda name: b"", then="close"), GOOD)
         self.assertEqual(502, (await self.ask("try-1"))[0])
         self.assertIn((await self.ask("try-2"))[0], (200, 502))
         self.assertEqual({1}, set(self.arrivals().values()))
 
-    async def test_an_edge_that_wakes_after_the_deadline_sends_nothing(self) -> None:
-        """Frozen between the decision to send and the send: the client has gone, and what
-        is sent then would run for nobody."""
+    async def test_edge_resumed_after_the_deadline_sends_nothing(self) -> None:
+        """The process is suspended between the decision and the send until the client has gone;
+        a request sent then would run although no client waits for it."""
         [backend] = await self.start(GOOD)
         now_us = self.clock.now_us
         leap_us = [0]
@@ -558,7 +558,7 @@
         status, headers, _ = await self.ask("r")
         self.assertEqual((503, True, []), (status, "retry-after" in headers, backend.arrivals))
 
-    async def test_pipelined_requests_are_answered_in_order_each_its_own(self) -> None:
+    async def test_pipelined_requests_are_answered_in_order(self) -> None:
         async def script(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
             while True:
                 name = await backend.request(reader)
@@ -571,7 +571,7 @@
         self.assertEqual([f"r{n}".encode() for n in range(40)], [body for _, _, body in got])
         self.assertEqual({1}, set(self.arrivals().values()))
 
-    async def test_a_client_that_expects_100_and_leaves_has_sent_nothing(self) -> None:
+    async def test_client_that_leaves_after_100_continue_causes_no_send(self) -> None:
         [backend] = await self.start(GOOD)
         raw = await self.connect()
         raw.send(
@@ -584,8 +584,8 @@
         await until(lambda: not self.server.open_connections())
         self.assertEqual([], backend.arrivals)
 
-    async def test_time_spent_behind_others_counts(self) -> None:
-        """Pipelined behind one that takes its whole time, the second has none left."""
+    async def test_time_in_the_pipeline_counts_against_the_deadline(self) -> None:
+        """A request pipelined behind one that runs into its deadline has no time left."""
 
         async def silent(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
             await backend.request(reader)
@@ -606,7 +606,7 @@
 class Repeatable(EdgeCase):
     is_repeatable = True
 
-    async def test_a_failure_goes_to_another_within_the_attempts(self) -> None:
+    async def test_failure_is_retried_within_the_attempts(self) -> None:
         for name, script in MAY_HAVE_RUN.items():
             with self.subTest(name):
                 await self.stop_backends()
@@ -615,8 +615,8 @@
                 self.assertEqual((200, "a.1", b"fine"), (status, headers["kelp-seal"], body))
                 self.assertEqual((1, 1), (len(first.arrivals), len(second.arrivals)))
 
-    async def test_a_failure_that_goes_back_has_its_backends_status(self) -> None:
-        """The first backend's 500 goes back, seal and all, when nothing better came."""
+    async def test_returned_failure_has_the_backends_status(self) -> None:
+        """The first backend's 500 is returned with its seal if no better answer arrives."""
         for second in (NOT_RUN, says(lambda name: b"", then="reset"), MAY_HAVE_RUN["two lengths"]):
             with self.subTest(second=second):
                 await self.stop_backends()
@@ -629,7 +629,7 @@
     is_repeatable = True
     attempts = 1
 
-    async def test_one_attempt_is_one(self) -> None:
+    async def test_route_with_one_attempt_is_not_retried(self) -> None:
         for name, script in [*MAY_HAVE_RUN.items(), ("not run", NOT_RUN)]:
             with self.subTest(name):
                 await self.stop_backends()
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,8 +1,8 @@
-"""`Tries` bounds the backends that one request's shard is sent to, over all nodes.
+"""A route's `attempts` limits the backends that one request's shard is sent to, over all nodes.
 
-RequestState tasks of a root and its helpers on virtual time; backends fail, are slow or stay
-silent, messages between nodes are lost on either way or come late, helpers die, and the
-configuration moves on. Counted is what is sent for each request and shard.
+Runs the gathering tasks of a root and its helpers on virtual time. Backends fail, are slow or do
+not reply; messages between nodes are lost in either direction or delayed; helpers stop; the
+configuration changes. The tests count the sends for each request and shard.
 """
 
 from __future__ import annotations
@@ -49,11 +49,11 @@
 BACKENDS_OF_SHARD = 4
 SPAN_US = 3_600_000_000
 AIM_US, DEADLINE_US = 130_000, 900_000
-OUTCOMES = ("answer", "slow", "failed", "turned away", "reset", "silent", "refused")
+OUTCOMES = ("answer", "slow", "failed", "not run", "reset", "silent", "refused")
 
 
 def document(*, version: int, attempts: int, quorum: float, is_repeatable: bool = True) -> bytes:
-    """One gathered route over all shards."""
+    """Return a configuration of one route that fans out over all shards."""
     route = {
         "host": "h",
         "prefix": "/",
@@ -70,12 +70,12 @@
 
 
 class Node:
-    """One edge: its world, its gathering task, and how its messages travel."""
+    """One edge: its ports, its gathering task and its simulated network."""
 
     def __init__(self, *, name: str, fleet: "Fleet") -> None:
         self.name, self.fleet = name, fleet
-        self.is_dead = False
-        self.is_cut = False  # what is sent to it arrives; nothing comes back
+        self.is_stopped = False
+        self.loses_replies = False  # messages to it arrive, its replies are lost
         clock = SimpleNamespace(
             now_us=fleet.loop.now_us,
             later=lambda *, us, callback: fleet.loop.call_later(max(0, us) / 1e6, callback),
@@ -115,7 +115,7 @@
         )
 
     def install(self, *, data: bytes, version: int) -> None:
-        """A configuration comes into force here."""
+        """Put a configuration into force on this node."""
         now_us = self.fleet.loop.now_us()
         configuration = read_configuration(data=data, version=version)
         self.lease_holder.install(
@@ -130,8 +130,8 @@
         self.context.registry.set_live_edges(count=1, now_us=now_us)
         self.gather.inbox.put_nowait(ConfigurationMoved())
 
-    def meet(self, *, others: list["Node"]) -> None:
-        """Know the other nodes as members that may help."""
+    def add_peers(self, *, others: list["Node"]) -> None:
+        """Add the other nodes as ready members."""
         for other in others:
             info = MemberMsg(
                 name=other.name, address=other.name, zone="z", status=ALIVE, is_ready=True
@@ -142,51 +142,51 @@
         address, _, _ = call.url.removeprefix("http://").partition("/")
         name = call.headers.get("Kelp-Request-Id", "")
         self.fleet.sends[(name, address.partition(":")[0])] += 1
-        return await self.fleet.backend_says(call=call, name=name)
+        return await self.fleet.backend_reply(call=call, name=name)
 
     async def call(self, *, address: str, message: Gather, wait_us: int, channel: int) -> Any:
-        """A message to a helper; either way may lose it, and the helper may die."""
+        """Send a message to a helper; the request or the reply may be lost or delayed."""
         fleet, rand = self.fleet, self.fleet.rand
         other = fleet.nodes.get(address)
         if other is None:
             return ConnectError(address=address)
         lost = rand.random()
-        if other.is_cut:
+        if other.loses_replies:
             fleet.spawn(handle(Gather().parse(bytes(message)), other, ""))
             await asyncio.sleep(wait_us / 1e6)
             return ReplyTimeoutError(address=address, after_us=wait_us)
-        if other.is_dead or lost < fleet.loss * 0.2:
+        if other.is_stopped or lost < fleet.loss_rate * 0.2:
             return ConnectError(address=address)
         await asyncio.sleep(rand.uniform(0.0002, 0.002))
-        if lost < fleet.loss * 0.4:
+        if lost < fleet.loss_rate * 0.4:
             await asyncio.sleep(wait_us / 1e6)
             return ReplyTimeoutError(address=address, after_us=wait_us)
         work = asyncio.ensure_future(handle(Gather().parse(bytes(message)), other, ""))
         fleet.tasks.append(work)
-        if lost < fleet.loss * 0.6:  # it works on, unheard
+        if lost < fleet.loss_rate * 0.6:  # it continues, but its reply is lost
             await asyncio.sleep(rand.uniform(0, wait_us / 1e6))
             return ConnectionLostError(address=address)
-        late_s = rand.uniform(0, 0.3) if lost < fleet.loss else 0.0
-        done, _ = await asyncio.wait((work,), timeout=max(0, wait_us / 1e6 - late_s))
-        await asyncio.sleep(late_s)
+        delay_s = rand.uniform(0, 0.3) if lost < fleet.loss_rate else 0.0
+        done, _ = await asyncio.wait((work,), timeout=max(0, wait_us / 1e6 - delay_s))
+        await asyncio.sleep(delay_s)
         if not done:
             return ReplyTimeoutError(address=address, after_us=wait_us)
         return type(work.result())().parse(bytes(work.result()))
 
-    # what `handle` asks of an edge
+    # attribute that `handle` reads from an edge
     @property
     def counts(self) -> Counter:
         return Counter()
 
 
 class Fleet:
-    """A root, its helpers and the backends of eight shards, from one seed."""
+    """A root, its helpers and the backends of eight shards, generated from one seed."""
 
     def __init__(
-        self, *, seed: int, loop: VirtualLoop, trouble: float, loss: float, helpers: int
+        self, *, seed: int, loop: VirtualLoop, failure_rate: float, loss_rate: float, helpers: int
     ) -> None:
         self.seed, self.loop = seed, loop
-        self.trouble, self.loss = trouble, loss  # of answers; of messages
+        self.failure_rate, self.loss_rate = failure_rate, loss_rate  # of replies, of messages
         self.rand = random.Random(seed)
         self.sends: Counter = Counter()
         self.tasks: list[asyncio.Future] = []
@@ -204,7 +204,7 @@
         names = [f"n{n}" for n in range(helpers + 1)]
         self.nodes = {name: Node(name=name, fleet=self) for name in names}
         for node in self.nodes.values():
-            node.meet(others=[n for n in self.nodes.values() if n is not node])
+            node.add_peers(others=[n for n in self.nodes.values() if n is not node])
         self.root = self.nodes["n0"]
 
     def spawn(self, work: Any) -> asyncio.Task:
@@ -212,10 +212,10 @@
         self.tasks.append(task)
         return task
 
-    async def backend_says(self, *, call: HttpCall, name: str) -> Any:
-        """How a backend answers: mostly well, in trouble in every way."""
+    async def backend_reply(self, *, call: HttpCall, name: str) -> Any:
+        """Return a backend's reply, which at `failure_rate` is one of all outcomes."""
         outcome = "answer"
-        if self.rand.random() < self.trouble:
+        if self.rand.random() < self.failure_rate:
             outcome = self.rand.choice(OUTCOMES)
         wait_s = call.wait_us / 1e6
         if outcome == "refused":
@@ -228,13 +228,13 @@
         if outcome == "reset":
             return ConnectionLostError(address="b")
         headers = {"kelp-request-id": name, "kelp-seal": f"s.{self.rand.getrandbits(32):x}"}
-        if outcome == "turned away":
+        if outcome == "not run":
             return HttpReply(status=503, headers={**headers, "kelp-not-run": "1"})
         status = 500 if outcome == "failed" else 200
         return HttpReply(status=status, headers=headers, body=self.rand.randbytes(64))
 
     async def ask(self, *, name: str) -> Any:
-        """One client's request at the root; its outcome."""
+        """Send one client's request to the root and return its outcome."""
         now_us = self.loop.now_us()
         headers = (("Host", "h"), ("Kelp-Request-Id", name))
         record = RequestState(
@@ -253,14 +253,14 @@
     *,
     seed: int,
     attempts: int,
-    trouble: float,
+    failure_rate: float,
     scenario: Any = None,
     quorum: float = 1.0,
     is_repeatable: bool = True,
     requests: int = 12,
-    loss: float | None = None,
+    loss_rate: float | None = None,
 ) -> tuple[Fleet, list[Any]]:
-    """Some requests one after the other and at once; the fleet and their outcomes."""
+    """Run overlapping requests; returns the fleet and their outcomes."""
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     outcomes: list[Any] = []
@@ -269,8 +269,8 @@
         fleet = Fleet(
             seed=seed,
             loop=loop,
-            trouble=trouble,
-            loss=trouble if loss is None else loss,
+            failure_rate=failure_rate,
+            loss_rate=failure_rate if loss_rate is None else loss_rate,
             helpers=seed % 6,
         )
         data = [
@@ -288,7 +288,7 @@
             outcomes.append(await fleet.ask(name=f"q{number}"))
 
         await asyncio.gather(*(one(number) for number in range(requests)))
-        await asyncio.sleep(3)  # what helpers do unheard
+        await asyncio.sleep(3)  # helpers may still send for lost queries
         for task in fleet.tasks:
             task.cancel()
         await asyncio.gather(*fleet.tasks, return_exceptions=True)
@@ -304,8 +304,8 @@
         loop.close()
 
 
-async def moves_on(fleet: Fleet, data: list[bytes]) -> None:
-    """The configuration changes twice, at each node at a moment of its own."""
+async def change_configuration(fleet: Fleet, data: list[bytes]) -> None:
+    """Change the configuration twice, at a random time on each node."""
     rand = random.Random(fleet.seed)
     for version in (2, 3):
         await asyncio.sleep(rand.uniform(0.05, 0.4))
@@ -314,69 +314,79 @@
             node.install(data=data[version - 1], version=version)
 
 
-async def helpers_die(fleet: Fleet, data: list[bytes]) -> None:
-    """One helper after the other takes nothing any more."""
+async def stop_helpers(fleet: Fleet, data: list[bytes]) -> None:
+    """Stop one helper after the other."""
     rand = random.Random(fleet.seed)
     for node in list(fleet.nodes.values())[1:]:
         await asyncio.sleep(rand.uniform(0, 0.2))
-        node.is_dead = True
+        node.is_stopped = True
 
 
-async def a_helper_is_cut(fleet: Fleet, data: list[bytes]) -> None:
-    """Some seconds long, one helper after the other is heard by the root and does not
-    get through to it."""
+async def lose_replies_of_helpers(fleet: Fleet, data: list[bytes]) -> None:
+    """For half a second each, one helper after the other receives queries and its replies are
+    lost."""
     rand = random.Random(fleet.seed)
     for node in list(fleet.nodes.values())[1:]:
         await asyncio.sleep(rand.uniform(0, 0.3))
-        node.is_cut = True
+        node.loses_replies = True
         await asyncio.sleep(0.5)
-        node.is_cut = False
+        node.loses_replies = False
 
 
-class Tries(unittest.TestCase):
+class AttemptLimit(unittest.TestCase):
     def check(self, *, attempts: int, seeds: range, **fields: Any) -> int:
-        """No request's shard goes to more backends; how many requests had success."""
-        good = 0
+        """Check the limit for each seed; returns the number of successful requests."""
+        succeeded = 0
         for seed in seeds:
             fleet, outcomes = run(seed=seed, attempts=attempts, **fields)
-            most = max(fleet.sends.values())
-            self.assertLessEqual(most, attempts, f"seed {seed}: {fleet.sends.most_common(3)}")
-            good += sum(isinstance(one, GatherResult) for one in outcomes)
-        return good
+            max_sends = max(fleet.sends.values())
+            self.assertLessEqual(max_sends, attempts, f"seed {seed}: {fleet.sends.most_common(3)}")
+            succeeded += sum(isinstance(one, GatherResult) for one in outcomes)
+        return succeeded
 
-    def test_never_more_than_tries_over_all_nodes(self) -> None:
+    def test_attempt_limit_holds_over_all_nodes(self) -> None:
         for attempts in (1, 2, 3):
-            for trouble in (0.1, 0.4):
-                with self.subTest(attempts=attempts, trouble=trouble):
-                    self.check(attempts=attempts, trouble=trouble, seeds=range(12))
-
-    def test_nor_when_the_configuration_moves_on(self) -> None:
-        self.check(attempts=2, trouble=0.3, scenario=moves_on, seeds=range(12))
-
-    def test_nor_when_helpers_die(self) -> None:
-        self.check(attempts=2, trouble=0.2, scenario=helpers_die, seeds=range(12))
-
-    def test_nor_when_helpers_are_cut(self) -> None:
-        self.check(attempts=2, trouble=0.2, loss=0.0, scenario=a_helper_is_cut, seeds=range(12))
+            for failure_rate in (0.1, 0.4):
+                with self.subTest(attempts=attempts, failure_rate=failure_rate):
+                    self.check(attempts=attempts, failure_rate=failure_rate, seeds=range(12))
+
+    def test_attempt_limit_holds_when_the_configuration_changes(self) -> None:
+        self.check(attempts=2, failure_rate=0.3, scenario=change_configuration, seeds=range(12))
+
+    def test_attempt_limit_holds_when_helpers_stop(self) -> None:
+        self.check(attempts=2, failure_rate=0.2, scenario=stop_helpers, seeds=range(12))
+
+    def test_attempt_limit_holds_when_replies_of_helpers_are_lost(self) -> None:
+        self.check(
+            attempts=2,
+            failure_rate=0.2,
+            loss_rate=0.0,
+            scenario=lose_replies_of_helpers,
+            seeds=range(12),
+        )
 
-    def test_nor_with_a_part_for_a_quorum(self) -> None:
-        self.check(attempts=2, trouble=0.3, quorum=0.5, seeds=range(12))
+    def test_attempt_limit_holds_with_a_partial_quorum(self) -> None:
+        self.check(attempts=2, failure_rate=0.3, quorum=0.5, seeds=range(12))
 
-    def test_where_once_is_the_most_each_shard_is_sent_once(self) -> None:
+    def test_at_most_once_request_sends_each_shard_once(self) -> None:
         for seed in range(12):
             fleet, _ = run(
-                seed=seed, attempts=3, trouble=0.3, is_repeatable=False, scenario=moves_on
+                seed=seed,
+                attempts=3,
+                failure_rate=0.3,
+                is_repeatable=False,
+                scenario=change_configuration,
             )
             self.assertEqual(1, max(fleet.sends.values()), f"seed {seed}")
 
-    def test_without_trouble_all_have_success(self) -> None:
-        self.assertEqual(12 * 12, self.check(attempts=2, trouble=0.0, seeds=range(12)))
+    def test_all_requests_succeed_without_faults(self) -> None:
+        self.assertEqual(12 * 12, self.check(attempts=2, failure_rate=0.0, seeds=range(12)))
 
 
-class Malformed(unittest.TestCase):
-    """Hand-overs made up at random: the gathering task lives on and answers the next."""
+class RandomMessages(unittest.TestCase):
+    """After random `Gather` messages, the gathering task still answers the next request."""
 
-    def test_any_hand_over(self) -> None:
+    def test_gathering_task_survives_random_messages(self) -> None:
         loop = VirtualLoop()
         asyncio.set_event_loop(loop)
         try:
@@ -386,18 +396,18 @@
             loop.close()
 
     async def scenario(self, *, loop: VirtualLoop) -> None:
-        fleet = Fleet(seed=1, loop=loop, trouble=0.0, loss=0.0, helpers=2)
+        fleet = Fleet(seed=1, loop=loop, failure_rate=0.0, loss_rate=0.0, helpers=2)
         helper = fleet.nodes["n1"]
         for node in fleet.nodes.values():
             node.install(data=document(version=1, attempts=2, quorum=1.0), version=1)
         await asyncio.sleep(0)
         rand = random.Random(1)
         for _ in range(400):
-            message = self.hand_over(rand=rand)
+            message = self.random_message(rand=rand)
             async with asyncio.timeout(300):
                 is_taken = message.cluster == "c" and not message.is_resumed
                 if is_taken and message.target and len(message.headers) % 2:
-                    with self.assertRaises(ValueError):  # its connection ends
+                    with self.assertRaises(ValueError):  # the connection is closed
                         await handle(message, helper, "")
                     continue
                 answer = await handle(message, helper, "")
@@ -410,8 +420,8 @@
             node.gather._task.cancel()
         await asyncio.gather(*fleet.tasks, return_exceptions=True)
 
-    def hand_over(self, *, rand: random.Random) -> Gather:
-        """A message that is partly right, so that it gets beyond the first check."""
+    def random_message(self, *, rand: random.Random) -> Gather:
+        """Return a message of which parts are valid, so that it passes the first checks."""
         message = made_up(kind=Gather, rand=rand)
         message.is_resumed = rand.random() < 0.2
         message.wait_us = min(message.wait_us, 200_000)
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -1,5 +1,5 @@
-"""A caller that leaves before its answer: what is on its way for it is dropped, at every
-node of the tree, and nothing more is sent. A request that may run once goes on to its end."""
+"""A client that leaves before its answer: attempts in flight are cancelled at every node of the
+tree, and nothing more is sent. An at-most-once request continues to its end."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 async def silent(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
-    """Take a request, never answer, and note when the connection ends."""
+    """Read a request, never answer, and record when the connection ends."""
     await backend.request(reader)
     await reader.read()
     backend.arrivals.append("gone")
@@ -44,17 +44,17 @@
     raw.close()
 
 
-def leave_by_ending_its_side(raw: Raw) -> None:
+def leave_by_half_close(raw: Raw) -> None:
     raw.writer.write_eof()
 
 
-LEAVES = (leave_by_reset, leave_by_closing, leave_by_ending_its_side)
+LEAVES = (leave_by_reset, leave_by_closing, leave_by_half_close)
 
 
 class Repeatable(EdgeCase):
     is_repeatable = True
 
-    async def test_a_caller_that_leaves_takes_its_attempts_along(self) -> None:
+    async def test_attempts_are_cancelled_when_the_client_leaves(self) -> None:
         for leave in LEAVES:
             with self.subTest(leave.__name__):
                 await self.stop_backends()
@@ -69,7 +69,7 @@
                 self.assertEqual([], second.arrivals)
                 self.assertEqual(0, self.context.registry.entries[first.name].in_flight)
 
-    async def test_what_was_cancelled_is_no_evidence_against_the_backend(self) -> None:
+    async def test_cancelled_attempt_does_not_change_the_backends_state(self) -> None:
         first, _ = await self.start(silent, GOOD)
         raw = await self.connect()
         raw.send(self.request("r"))
@@ -80,8 +80,8 @@
         await until(lambda: not len(self.gather.table))
         self.assertEqual(before, (entry.state, entry.why))
 
-    async def test_a_request_that_waits_for_its_turn_is_dropped(self) -> None:
-        """Two requests on one connection: its end drops the one in work and the next."""
+    async def test_pipelined_request_is_dropped_when_the_client_leaves(self) -> None:
+        """The end of a connection drops the request in progress and the one behind it."""
         first, second = await self.start(silent, GOOD)
         raw = await self.connect()
         raw.send(self.request("a") + self.request("b"))
@@ -93,7 +93,7 @@
 
 
 class AtMostOnce(EdgeCase):
-    async def test_what_may_run_once_is_not_broken_off(self) -> None:
+    async def test_at_most_once_attempt_is_not_cancelled(self) -> None:
         may_answer = asyncio.Event()
 
         async def slow(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
@@ -116,17 +116,17 @@
         self.assertEqual((["r", "answered"], []), (first.arrivals, second.arrivals))
         self.assertEqual((1, 1), self.client.connections_to(address=first.address))
 
-    async def test_one_that_was_turned_away_goes_nowhere_else(self) -> None:
+    async def test_rejected_attempt_of_an_abandoned_request_is_not_retried(self) -> None:
         may_answer = asyncio.Event()
 
-        async def refuses(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
+        async def rejects(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
             name = await backend.request(reader)
             await may_answer.wait()
             writer.write(f"HTTP/1.1 503 X\r\nKelp-Request-Id: {name}\r\n".encode())
             writer.write(b"Kelp-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
             await reader.read()
 
-        first, second = await self.start(refuses, GOOD)
+        first, second = await self.start(rejects, GOOD)
         raw = await self.connect()
         raw.send(self.request("r"))
         await until(lambda: first.arrivals == ["r"])
@@ -137,7 +137,7 @@
         self.assertEqual([], second.arrivals)
 
 
-class Server(AsyncCase):
+class ServerCancellation(AsyncCase):
     async def serve(self, *, is_cancelling: bool) -> tuple[HttpServer, Raw, list[str]]:
         events: list[str] = []
 
@@ -159,7 +159,7 @@
         await until(lambda: events == ["began"])
         return server, raw, events
 
-    async def test_a_handler_is_cancelled_only_where_the_server_says_so(self) -> None:
+    async def test_handler_is_cancelled_only_by_a_cancelling_server(self) -> None:
         for is_cancelling in (True, False):
             with self.subTest(is_cancelling=is_cancelling):
                 server, raw, events = await self.serve(is_cancelling=is_cancelling)
@@ -177,10 +177,10 @@
                 await asyncio.sleep(0)
 
 
-class Tree(unittest.TestCase):
-    """Which children are told, and what a child does on being told."""
+class SubtreeCancellation(unittest.TestCase):
+    """Which children are sent a cancellation, and what a cancelled child does."""
 
-    def test_children_that_still_work_are_told(self) -> None:
+    def test_working_children_are_sent_a_cancellation(self) -> None:
         sent: list[tuple[str, Gather]] = []
         transport = SimpleNamespace(
             send=lambda *, address, message, channel: sent.append((address, message))
@@ -204,10 +204,10 @@
         queries.cancel(record=record)
         self.assertEqual(["waits:1", "open:1"], [address for address, _ in sent])
         self.assertEqual([10, 11], [message.query_id for _, message in sent])
-        # An older node knows `is_resumed` alone, and begins nothing for it.
+        # An older version reads `is_resumed` alone and starts nothing for it.
         self.assertTrue(all(m.is_cancelled and m.is_resumed for _, m in sent))
 
-    def test_a_child_that_is_told_drops_its_part_and_begins_nothing(self) -> None:
+    def test_cancelled_child_drops_its_part_and_starts_nothing(self) -> None:
         dropped: list[tuple[str, int]] = []
         gather = SimpleNamespace(cancel=lambda *, root, ask_id: dropped.append((root, ask_id)))
         message = Gather(root="root", query_id=7, is_resumed=True, is_cancelled=True)
@@ -215,7 +215,7 @@
         self.assertEqual(([], 0), (reply.parts, reply.version))
         self.assertEqual([("root", 7)], dropped)
 
-    def test_only_an_open_attempt_that_may_run_once_holds_a_request(self) -> None:
+    def test_only_an_open_at_most_once_attempt_keeps_an_abandoned_request(self) -> None:
         for is_repeatable, is_open, is_over in (
             (True, True, True),
             (True, False, True),
@@ -235,7 +235,7 @@
             )
             self.assertEqual(is_over, record.is_droppable())
 
-    def test_its_end_is_an_error_of_its_own(self) -> None:
+    def test_abandoned_request_has_its_own_error_kind(self) -> None:
         self.assertEqual("caller_gone", CallerGoneError().kind)
 
 
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -1,4 +1,4 @@
-"""The tree's shape, and that no shape changes the body."""
+"""The shape of the gathering tree, its independence of the body, and invalid backend replies."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from kelpstage.testbed.stand_ins.records import Cut, best, part, sealed_reply
 
 
-def gathered(*, subtree: Subtree, cut: Cut, query: str, limit: int | None) -> list:
-    """What a branch passes up, by the rules of its level."""
+def gather_subtree(*, subtree: Subtree, cut: Cut, query: str, limit: int | None) -> list:
+    """Return the records that a subtree sends to its parent."""
     runs = [
         sort_and_truncate(
             records=[(-s, d) for s, d in part(query=query, cut=cut, shard=shard)],
@@ -23,15 +23,16 @@
         for shard in subtree.shards
     ]
     runs += [
-        gathered(subtree=child, cut=cut, query=query, limit=limit) for child in subtree.children
+        gather_subtree(subtree=child, cut=cut, query=query, limit=limit)
+        for child in subtree.children
     ]
     merged = merge(runs=runs, limit=None)
-    cut_at = lowest_limit(limit=limit)
-    return merged[:cut_at] if cut_at is not None and not subtree.children else merged
+    leaf_limit = lowest_limit(limit=limit)
+    return merged[:leaf_limit] if leaf_limit is not None and not subtree.children else merged
 
 
 class TreeTest(unittest.TestCase):
-    def test_shape_of_the_deployments(self) -> None:
+    def test_tree_shape_of_eight_shards(self) -> None:
         shards = tuple(f"s{n}" for n in range(8))
         tree = grow(root="r", shards=shards, helpers=[f"n{n}" for n in range(9)], fan_out=5)
         self.assertEqual(2, levels(shard_count=8, fan_out=5))
@@ -42,7 +43,7 @@
         )
         self.assertEqual(shards, tree.all_shards())
 
-    def test_every_shard_stands_once_in_any_tree(self) -> None:
+    def test_every_shard_is_in_any_tree_once(self) -> None:
         for count in (1, 2, 5, 6, 8, 25, 26, 60, 125, 126):
             for helpers in (0, 1, 3, 4, 30):
                 for fan_out in (2, 3, 5):
@@ -56,7 +57,7 @@
                     self.assertEqual(sorted(shards), sorted(tree.all_shards()))
                     self.assertLessEqual(tree.height(), levels(shard_count=count, fan_out=fan_out))
 
-    def test_any_shape_gives_the_oracles_body(self) -> None:
+    def test_any_tree_shape_gives_the_reference_body(self) -> None:
         rand = random.Random(5)
         for _ in range(60):
             cut = Cut(name="c", shards=tuple(f"s{n}" for n in range(rand.choice((1, 3, 8, 14)))))
@@ -71,7 +72,7 @@
                 fan_out=rand.choice((2, 3, 5)),
             )
             got = merge(
-                runs=[gathered(subtree=tree, cut=cut, query=query, limit=limit)], limit=limit
+                runs=[gather_subtree(subtree=tree, cut=cut, query=query, limit=limit)], limit=limit
             )
             self.assertEqual(
                 best(query=query, cut=cut, shards=frozenset(shards), limit=limit),
@@ -90,7 +91,7 @@
         )
         return read_reply(backend="b", reply=reply, shard="s1", cut="c1", order_by="score")
 
-    def test_good_reply_is_carried_byte_for_byte(self) -> None:
+    def test_valid_reply_is_kept_byte_for_byte(self) -> None:
         body = sealed_reply(query="name-04", cut=self.CUT, shard="s1")
         got = self.read(body)
         self.assertIsInstance(got, SealedPart)
@@ -99,32 +100,32 @@
             sorted(got.records),
         )
 
-    def test_every_lie_is_found_out(self) -> None:
+    def test_every_invalid_reply_is_rejected(self) -> None:
         body = sealed_reply(query="name-04", cut=self.CUT, shard="s1")
-        for lie in INVALID_REPLIES:
-            bent = damaged_body(body=body, lie=lie, shard="s1")
-            if bent != body:
-                with self.subTest(lie=lie):
-                    self.assertNotIsInstance(self.read(bent), SealedPart)
+        for kind in INVALID_REPLIES:
+            damaged = damaged_body(body=body, lie=kind, shard="s1")
+            if damaged != body:
+                with self.subTest(kind=kind):
+                    self.assertNotIsInstance(self.read(damaged), SealedPart)
         self.assertEqual("status", self.read(body, status=500).part)
         self.assertEqual("type", self.read(body, headers={"content-type": "text/html"}).part)
         self.assertEqual("encoding", self.read(body, headers={"content-encoding": "gzip"}).part)
         self.assertEqual("length", self.read(body, headers={"content-length": "3"}).part)
 
-    def test_no_cut_short_or_changed_byte_gets_in(self) -> None:
+    def test_truncated_or_altered_body_is_rejected(self) -> None:
         body = sealed_reply(query="name-04", cut=self.CUT, shard="s1")
         rand = random.Random(3)
         whole = self.read(body)
         for _ in range(300):
             place = rand.randrange(len(body))
             if rand.random() < 0.5:
-                bent = body[:place]
+                damaged = body[:place]
             else:
-                bent = (
+                damaged = (
                     body[:place]
                     + bytes([body[place] ^ (1 << rand.randrange(8))])
                     + body[place + 1 :]
                 )
-            got = self.read(bent)
-            if isinstance(got, SealedPart):  # a change between the records is none in them
+            got = self.read(damaged)
+            if isinstance(got, SealedPart):  # the change was outside the records
                 self.assertEqual(whole.records, got.records)
