--- a/kelpstage/core/leases/__init__.py
+++ b/kelpstage/core/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases of edges, and the writes of configurations that wait for them."""
+"""Edge leases, edge membership, and configuration writes, as the leader handles them."""
--- a/kelpstage/core/leases/lease_service.py
+++ b/kelpstage/core/leases/lease_service.py
@@ -1,7 +1,7 @@
-"""The leader's lease service: leases for edges, and what they report with their renewals.
+"""The leader's lease service: grants leases to edges and records what their renewals report.
 
-Epochs change one at a time: a write or a change of the membership is proposed only
-when no edge can serve the epoch before the last any more.
+Epochs change one at a time: a write or a membership change is proposed only when the current
+epoch is settled, so that no edge can serve an older one any more.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from kelpstage.common.ports.interfaces import Ports
 from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.messages import LeaseReply, Renew
-from kelpstage.core.leases.announcements import RELAYED_FROM_EDGES, EpochAnnouncer
+from kelpstage.core.leases.announcements import LARGE_MEMBERSHIP_EDGES, EpochAnnouncer
 from kelpstage.core.leases.configuration_writes import ConfigurationWrites
 from kelpstage.core.leases.epoch_settlement import EpochSettlement
 from kelpstage.core.leases.leader_confirmation import LeaderConfirmation
@@ -23,11 +23,11 @@
 from kelpstage.core.replica_task import ReplicaTask
 
 CONTACTS_IN_REPLY = 32
-CONTACTS_IN_LARGE_REPLY = 8  # edges learn the rest from each other's tables
+CONTACTS_IN_LARGE_REPLY = 8  # on large memberships; gossip distributes the others
 
 
 class LeaseService:
-    """Leases, writes and the membership, as the leader serves them."""
+    """Handles lease renewals, configuration writes and membership changes on the leader."""
 
     def __init__(
         self,
@@ -39,15 +39,19 @@
         own: str,
         tolerance: int = 0,
     ) -> None:
-        """`own` is the address of this core; `tolerance` the losses of cores to survive."""
+        """`own` is the address of this core; `tolerance` the number of core losses to survive."""
         self._ports = ports
         self._journal = journal
         self._task = task
-        self._own = own
+        self._own_address = own
         self._settlement = EpochSettlement(ports=ports, journal=journal, task=task)
         self._confirmation = LeaderConfirmation(ports=ports, task=task)
         self._announcer = EpochAnnouncer(
-            ports=ports, transport=transport, task=task, settlement=self._settlement, own=own
+            ports=ports,
+            transport=transport,
+            task=task,
+            settlement=self._settlement,
+            own_address=own,
         )
         self.membership_changes = MembershipChanges(
             ports=ports,
@@ -70,20 +74,20 @@
         return self._settlement.lease_table
 
     def is_settled(self, *, epoch: int) -> bool:
-        """Can no edge serve an epoch older than this one?"""
+        """True if no edge can serve an epoch older than this one."""
         return self._settlement.is_settled(epoch=epoch)
 
     def took_lead(self) -> None:
-        """Begin a leadership: no lease of it is known yet."""
+        """Start a leadership with an empty lease table, and remove absent edges while it lasts."""
         self._settlement.begin_leadership()
         self._ports.spawn(self.membership_changes.remove_absent())
 
     def applied(self) -> None:
         """Announce the newest epoch; called after each applied command."""
-        self._announcer.announce_newest()
+        self._announcer.announce_latest_epoch()
 
     async def renew(self, *, request: Renew) -> LeaseReply:
-        """Give an edge a lease, if this leader is confirmed after the request was received."""
+        """Grant a lease if a majority confirms this leader after the request was received."""
         cluster = self._task.cluster
         if request.cluster and request.cluster != cluster:
             return LeaseReply(cluster=cluster, why="another cluster")
@@ -94,25 +98,25 @@
             self._settlement.notify_edge_report()
             return LeaseReply(cluster=cluster, why="leaving")
         if request.cluster:
-            if not _note_report(lease_table, request=request, epoch=request.epoch, now_us=now_us):
-                return self._superseded(lease_table=lease_table, edge=request.edge)
+            if not _record_report(lease_table, request=request, epoch=request.epoch, now_us=now_us):
+                return self._superseded_reply(lease_table=lease_table, edge=request.edge)
             self._settlement.notify_edge_report()
         error = await self._confirm()
         if error is not None or lease_table is not self.lease_table:
-            return LeaseReply(cluster=cluster, why=error.why if error else "lead changed")
-        if not request.cluster and not _note_report(
+            return LeaseReply(cluster=cluster, why=error.why if error else "the leader changed")
+        if not request.cluster and not _record_report(
             lease_table, request=request, epoch=0, now_us=now_us
         ):
-            return self._superseded(lease_table=lease_table, edge=request.edge)
+            return self._superseded_reply(lease_table=lease_table, edge=request.edge)
         return self._grant(request=request, lease_table=lease_table, now_us=now_us)
 
     def _grant(self, *, request: Renew, lease_table: LeaseTable, now_us: int) -> LeaseReply:
-        """The reply to an edge on the membership, with a lease; any other one joins first."""
+        """The reply to a renewal: with a lease for a member; any other edge has to join first."""
         state = self._task.machine.state
         is_on_membership = request.edge in state.membership
         members = self._task.raft.members.current
         lease_table.contacts.note_cores(cores=[member.address for member in members])
-        is_small = lease_table.count() <= RELAYED_FROM_EDGES
+        is_small = lease_table.count() <= LARGE_MEMBERSHIP_EDGES
         peers, cores = lease_table.contacts.since(
             known=request.known,
             now_us=now_us,
@@ -124,7 +128,7 @@
             epoch=state.epoch,
             version=state.version,
             span_us=LEASE_SPAN_US,
-            leader_address=self._own,
+            leader_address=self._own_address,
             cores=cores,
             is_on_membership=is_on_membership,
             peers=peers,
@@ -144,23 +148,23 @@
     def _confirm(self) -> Awaitable[NoLeaderError | None]:
         return self._confirmation.confirm()
 
-    def _superseded(self, *, lease_table: LeaseTable, edge: str) -> LeaseReply:
-        """No lease for an incarnation below one that has reported.
+    def _superseded_reply(self, *, lease_table: LeaseTable, edge: str) -> LeaseReply:
+        """The rejection of an incarnation that is lower than one that has reported.
 
-        It may be the newer process all the same, on a clock that was stepped back: it
-        takes a number above.
+        The sender may still be the newer process, if its clock was stepped back, so the reply
+        holds the newest incarnation and the sender continues above it.
         """
         holder = lease_table.holder(edge=edge)
         return LeaseReply(
             cluster=self._task.cluster,
             why="superseded by a newer incarnation",
-            leader_address=self._own,
+            leader_address=self._own_address,
             newest_incarnation=holder.incarnation if holder else 0,
         )
 
 
-def _note_report(lease_table: LeaseTable, *, request: Renew, epoch: int, now_us: int) -> bool:
-    """Record what an edge reports; false if a newer incarnation of it has reported."""
+def _record_report(lease_table: LeaseTable, *, request: Renew, epoch: int, now_us: int) -> bool:
+    """Record what an edge reports; False if a newer incarnation of it has reported."""
     return lease_table.record_report(
         edge=request.edge,
         incarnation=request.incarnation,
--- a/kelpstage/core/leases/lease_table.py
+++ b/kelpstage/core/leases/lease_table.py
@@ -1,8 +1,8 @@
 """The leader's lease table: which edges may still be serving, and which epoch.
 
-In memory only, without I/O. A new leader knows of no lease, so it assumes that every edge
-of the membership got one the moment before it was elected. All times are microseconds.
-Which silence holds up what: docs/notes/edge-membership.md.
+In memory only, without I/O. A new leader does not know the earlier leases, so it assumes that
+every edge of the membership was granted one just before the election. All times are
+microseconds. For which absences delay what, see docs/notes/edge-membership.md.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 
 @dataclass(kw_only=True)
 class LeaseRecord:
-    """One edge as the leader knows it."""
+    """What one edge has reported, and the leases that it was granted."""
 
     incarnation: int = 0
     epoch: int = 0
-    reported_us: int = NEVER_US  # when it reported last, or left
-    has_left: bool = False  # this incarnation stopped serving, in order
-    leases: list[tuple[int, int]] = field(default_factory=list)  # epoch, when
-    relayed_by: str = ""  # address of the edge that carried its last renewal, if one did
+    reported_us: int = NEVER_US  # time of its last report, or of its leaving
+    has_left: bool = False  # this incarnation has shut down cleanly
+    leases: list[tuple[int, int]] = field(default_factory=list)  # epoch, time of the grant
+    relayed_by: str = ""  # address of the edge that relayed its last renewal, if any
 
 
 class LeaseTable:
-    """Leases given by this leader since it was elected.
+    """Leases granted by this leader since it was elected.
 
     >>> lease_table = LeaseTable(since_us=0)
     >>> lease_table.record_report(edge="a", incarnation=1, epoch=1, contact=None, now_us=10)
@@ -66,8 +66,8 @@
     ) -> bool:
         """Record the epoch that an edge reports as installed.
 
-        False, and without effect, if a newer incarnation of the edge has reported, or this
-        one has left.
+        Returns False and records nothing if a newer incarnation of the edge has reported, or
+        if this one has left.
 
         >>> lease_table = LeaseTable(since_us=0)
         >>> [lease_table.record_report(edge="a", incarnation=n, epoch=1, contact=None, now_us=10)
@@ -87,20 +87,20 @@
         holder.reported_us = now_us
         holder.relayed_by = relayed_by
         is_introduced = contact is not None and bool(contact.name)
-        self.contacts.note_report(
+        self.contacts.record_report(
             edge=edge, contact=contact if is_introduced else None, now_us=now_us
         )
         return True
 
     def record_lease(self, *, edge: str, epoch: int, now_us: int) -> None:
-        """Note that an edge got a lease for an epoch, now."""
+        """Record that an edge was granted a lease for an epoch at `now_us`."""
         holder = self._holders.setdefault(edge, LeaseRecord())
         oldest_us = now_us - OBSERVER_SPAN_US - OBSERVER_MARGIN_US
         holder.leases = [lease for lease in holder.leases if lease[1] > oldest_us]
         holder.leases.append((epoch, now_us))
 
     def give_back(self, *, edge: str, incarnation: int, now_us: int) -> None:
-        """An edge has left in order: it has stopped serving and confirming."""
+        """Record that an edge has shut down cleanly: it no longer serves or confirms."""
         holder = self._holders.setdefault(edge, LeaseRecord())
         if incarnation < holder.incarnation:
             return
@@ -108,15 +108,17 @@
         holder.has_left = True
         holder.leases = []
         holder.reported_us = now_us
-        self.contacts.forget(edge=edge)
+        self.contacts.remove(edge=edge)
 
     def has_left(self, *, edge: str) -> bool:
         """Did the newest process of this edge leave in order?"""
         holder = self._holders.get(edge)
         return holder is not None and holder.has_left
 
-    def _is_over(self, *, edge: str, epoch: int, now_us: int, span_us: int) -> bool:
-        """Are `span_us` over since the edge may have got a lease for an older epoch?"""
+    def _have_older_leases_expired(
+        self, *, edge: str, epoch: int, now_us: int, span_us: int
+    ) -> bool:
+        """True if `span_us` have passed since the last possible lease for an older epoch."""
         if now_us - self.since_us < span_us:
             return False
         holder = self._holders.get(edge)
@@ -130,8 +132,8 @@
         holder = self._holders.get(edge)
         return holder is not None and holder.epoch >= epoch
 
-    def _behind(self, *, epoch: int, membership: EdgeMembership) -> list[str]:
-        """Edges that lack an epoch, and have not left."""
+    def _edges_behind(self, *, epoch: int, membership: EdgeMembership) -> list[str]:
+        """The edges that have not installed an epoch and have not left."""
         return [
             edge
             for edge in membership.names
@@ -141,9 +143,9 @@
     def _may_confirm_older(
         self, *, edge: str, epoch: int, membership: EdgeMembership, now_us: int
     ) -> bool:
-        """May an edge that lacks this epoch still confirm an older one to its peers?"""
+        """True if an edge without this epoch may still confirm an older one to its peers."""
         span_us = OBSERVER_SPAN_US + OBSERVER_MARGIN_US
-        return not membership.is_observer(edge) or not self._is_over(
+        return not membership.is_observer(edge) or not self._have_older_leases_expired(
             edge=edge, epoch=epoch, now_us=now_us, span_us=span_us
         )
 
@@ -153,21 +155,24 @@
         epoch: int,
         membership: EdgeMembership,
         now_us: int,
-        gone: frozenset[str] = frozenset(),
+        lost_edges: frozenset[str] = frozenset(),
         is_strict: bool = False,
     ) -> bool:
-        """Can no edge serve an older epoch any more?
+        """True if no edge can serve an older epoch any more.
 
-        That is so when no edge that lacks the epoch can hold a lease for an older one, and
-        those that may still confirm an older one are no majority. Edges in `gone`, which an
-        operator states to be gone for good, do neither. With `is_strict` they have to be
-        less than half, so that a membership that differs by one edge has no such majority
-        either.
+        Of the edges without this epoch, none may hold a lease for an older one, and those that
+        may still confirm an older one must not be a majority. Edges in `lost_edges`, which an
+        operator has declared permanently lost, do neither. With `is_strict` the edges that may
+        confirm have to be less than half, so that they are no majority of a membership that
+        differs by one edge either.
         """
-        behind = [e for e in self._behind(epoch=epoch, membership=membership) if e not in gone]
+        behind = [
+            e for e in self._edges_behind(epoch=epoch, membership=membership) if e not in lost_edges
+        ]
         lease_us = LEASE_SPAN_US + LEASE_MARGIN_US
         if not all(
-            self._is_over(edge=e, epoch=epoch, now_us=now_us, span_us=lease_us) for e in behind
+            self._have_older_leases_expired(edge=e, epoch=epoch, now_us=now_us, span_us=lease_us)
+            for e in behind
         ):
             return False
         confirming = [
@@ -179,8 +184,8 @@
             return not membership.has_half(confirming)
         return not membership.has_majority(confirming)
 
-    def reported_lately(self, *, edges: Iterable[str], now_us: int) -> list[str]:
-        """Those edges that have reported within the span of a lease, or have left in order."""
+    def recently_reported(self, *, edges: Iterable[str], now_us: int) -> list[str]:
+        """The edges that have reported within one lease span, or have shut down cleanly."""
         return [
             edge
             for edge in edges
@@ -191,28 +196,28 @@
         ]
 
     def has_quorum(self, *, membership: EdgeMembership, now_us: int) -> bool:
-        """Are enough voting members there for a new epoch to settle: half of them?"""
+        """True if half of the voting members, enough to settle an epoch, have reported."""
         voters = membership.voters
-        return len(self.reported_lately(edges=voters, now_us=now_us)) * 2 >= len(voters)
+        return len(self.recently_reported(edges=voters, now_us=now_us)) * 2 >= len(voters)
 
     def absent_us(self, *, edge: str, now_us: int) -> int:
-        """For how long an edge has not reported to this leader, or has left."""
+        """The time since an edge last reported to this leader, or left."""
         holder = self._holders.get(edge)
         reported_us = NEVER_US if holder is None else holder.reported_us
         return now_us - max(reported_us, self.since_us)
 
     def holder(self, *, edge: str) -> LeaseRecord | None:
-        """What is known of an edge; None if it has never reported."""
+        """The record of an edge; None if it has never reported."""
         return self._holders.get(edge)
 
     def recent_contacts(self, *, now_us: int) -> list[EdgeContact]:
-        """Contacts of the edges that have reported within a lease's span.
+        """Contacts of the edges that have reported within one lease span.
 
-        Another one holds no lease, so that nothing waits for it; it learns of the newest
-        epoch from the answer to its next renewal, and fetches that state alone.
+        Any other edge holds no lease, so nothing waits for it. It learns of the newest epoch
+        from the reply to its next renewal and fetches only that state.
         """
         return self.contacts.reporting_since(oldest_us=now_us - LEASE_SPAN_US - LEASE_MARGIN_US)
 
     def count(self) -> int:
-        """How many edges have ever reported."""
+        """The number of edges that have ever reported."""
         return len(self._holders)
--- a/kelpstage/core/leases/membership_changes.py
+++ b/kelpstage/core/leases/membership_changes.py
@@ -1,9 +1,9 @@
-"""Changes of the membership of edges on the leader: who joins, and who is removed.
+"""Changes of the edge membership on the leader: joins and removals.
 
-Edges join when they ask for a lease. An edge that left in order, or that has been silent for
-long, is removed, so that majorities are counted over edges that exist. Each change is an
-epoch of its own, proposed when the one before is settled. Which absence counts, and why what
-comes back is safe: docs/notes/edge-membership.md.
+Edges join when they request a lease. An edge that has shut down cleanly, or that has not
+reported for long, is removed, so that majorities are counted over edges that exist. Each
+change is an epoch of its own, proposed when the previous one is settled. For which absences
+count, and why an edge that returns is safe, see docs/notes/edge-membership.md.
 """
 
 from __future__ import annotations
@@ -19,26 +19,28 @@
 from kelpstage.common.ports.interfaces import Ports
 from kelpstage.core.events import MembershipChanged
 from kelpstage.core.leases.epoch_settlement import EpochSettlement
-from kelpstage.core.leases.leader_confirmation import CONFIRM_US
+from kelpstage.core.leases.leader_confirmation import CONFIRM_TIMEOUT_US
 from kelpstage.core.leases.lease_table import LeaseTable
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.state.commands import AddEdge, Command, RemoveEdge
 from kelpstage.core.state.outcomes import MembershipSet
 from kelpstage.core.state.replicated_state import edge_membership
 
-MEMBERSHIP_WAIT_US = 5_000_000
-REMOVAL_LOOK_US = 500_000
-ABSENT_VOTER_US = 4_000_000  # the next counted machine may go soon after this one is replaced
-ABSENT_OBSERVER_US = 30_000_000  # longer than a restart: its name holds up nothing meanwhile
+MEMBERSHIP_CHANGE_TIMEOUT_US = 5_000_000
+REMOVAL_CHECK_INTERVAL_US = 500_000
+# Short, since the next voting machine may fail soon after this one is replaced.
+VOTER_REMOVAL_TIMEOUT_US = 4_000_000
+# Longer than a restart; an absent observer delays nothing meanwhile.
+OBSERVER_REMOVAL_TIMEOUT_US = 30_000_000
 
 
 def edge_to_remove(
     *, membership: EdgeMembership, lease_table: LeaseTable, least_voters: int, now_us: int
 ) -> str | None:
-    """The edge that has been absent for too long; None if no such edge may be removed.
+    """The next edge to remove because of its absence; None if none may be removed.
 
-    Voting members come first. At least `least_voters` of them are kept: with fewer, the ones
-    whose disks are lost for good could be more than half of them while the others restart.
+    Voting members come first. At least `least_voters` of them are kept: with fewer, those that
+    lost their disks could be more than half of the voting members while the others restart.
 
     >>> lease_table = LeaseTable(since_us=0)
     >>> membership = EdgeMembership(names=("a", "b"))
@@ -50,17 +52,17 @@
     observers = [edge for edge in membership.names if membership.is_observer(edge)]
     if len(voters) > least_voters:
         for edge in voters:
-            is_absent = lease_table.absent_us(edge=edge, now_us=now_us) >= ABSENT_VOTER_US
+            is_absent = lease_table.absent_us(edge=edge, now_us=now_us) >= VOTER_REMOVAL_TIMEOUT_US
             if is_absent or lease_table.has_left(edge=edge):
                 return edge
     for edge in observers:
-        if lease_table.absent_us(edge=edge, now_us=now_us) >= ABSENT_OBSERVER_US:
+        if lease_table.absent_us(edge=edge, now_us=now_us) >= OBSERVER_REMOVAL_TIMEOUT_US:
             return edge
     return None
 
 
 class MembershipChanges:
-    """Proposes the changes of the membership, one at a time."""
+    """Proposes membership changes, one at a time."""
 
     def __init__(
         self,
@@ -71,52 +73,52 @@
         settlement: EpochSettlement,
         tolerance: int,
     ) -> None:
-        """`tolerance` is how many counted machines may be lost at one time."""
+        """`tolerance` is the number of voting machines that may be lost at one time."""
         self._ports = ports
         self._journal = journal
         self._task = task
         self._settlement = settlement
         self._least_voters = max(1, 2 * tolerance)
-        self._joining: dict[str, bool] = {}  # is it an observer? In the order of their requests
+        self._joining: dict[str, bool] = {}  # edge: is_observer, in request order
         self._is_adding = False
 
     # --- joining ----------------------------------------------------------------------
 
     def begin_join(self, *, edge: str, is_observer: bool) -> None:
-        """Add an edge to the membership, or have it vote or not, with the next change."""
+        """Add an edge, or change whether it is an observer, with the next membership change."""
         self._joining[edge] = is_observer
         if not self._is_adding:
             self._is_adding = True
             self._ports.spawn(self._add_joining())
 
     async def _add_joining(self) -> None:
-        """Edges that ask while a change is being settled join together with the next one."""
+        """Add joining edges; requests during a change are batched into the next one."""
         try:
             while self._joining:
-                if await self._change(make=self._command_for_joining) is not None:
-                    self._joining.clear()  # they ask again
+                if await self._change(make_command=self._join_command) is not None:
+                    self._joining.clear()  # the edges request it again when they renew
         finally:
             self._is_adding = False
 
-    def _command_for_joining(self) -> Command:
+    def _join_command(self) -> Command:
         joining, self._joining = self._joining, {}
         edges = list(joining)
         observers = [edge for edge, is_observer in joining.items() if is_observer]
         add = AddEdge(edge=edges[0], more=edges[1:], observers=observers, is_joint=True)
         return Command(add=add)
 
-    # --- removal of those that are absent ---------------------------------------------
+    # --- removal of absent edges ------------------------------------------------------
 
     async def remove_absent(self) -> None:
-        """Remove edges that left or are silent, until this leadership is over."""
+        """Remove edges that have left or do not report, until this leadership ends."""
         lease_table = self._settlement.lease_table
         while lease_table is self._settlement.lease_table and self._task.is_leader:
-            await self._ports.clock.sleep(us=REMOVAL_LOOK_US)
-            if self._is_calm() and self._absent_edge() is not None:
-                await self._change(make=self._command_for_removal)
+            await self._ports.clock.sleep(us=REMOVAL_CHECK_INTERVAL_US)
+            if self._can_settle_removal() and self._absent_edge() is not None:
+                await self._change(make_command=self._removal_command)
 
-    def _is_calm(self) -> bool:
-        """Would a removal settle at once? Otherwise it would only hold up other changes."""
+    def _can_settle_removal(self) -> bool:
+        """True if a removal would settle at once; otherwise it would only delay other changes."""
         epoch = self._task.machine.state.epoch
         return self._settlement.has_quorum() and self._settlement.is_settled(epoch=epoch)
 
@@ -128,33 +130,33 @@
             now_us=self._ports.clock.now_us(),
         )
 
-    def _command_for_removal(self) -> Command | None:
-        edge = self._absent_edge()  # once more: it may be back
+    def _removal_command(self) -> Command | None:
+        edge = self._absent_edge()  # checked again, since the edge may have returned
         return None if edge is None else _remove_command(edge=edge)
 
     # --- removal by an operator -------------------------------------------------------
 
     async def remove_edges(self, *, edges: list[str]) -> MembershipSet | KelpstageError:
-        """Remove edges that are gone for good from the membership, one after the other.
+        """Remove permanently lost edges from the membership, one after the other.
 
-        Named together, they may be most of the membership: none of them counts for an
-        older epoch any more, so the others can settle what they could not before.
+        Together they may be most of the membership. None of them counts as able to serve an
+        older epoch any more, so the other edges can settle epochs that could not settle before.
         """
-        error: KelpstageError | None = await self._task.confirm(wait_us=CONFIRM_US)
+        error: KelpstageError | None = await self._task.confirm(wait_us=CONFIRM_TIMEOUT_US)
         if error is not None:
             return error
         for edge in edges:
             error = self._check_removable(edge=edge)
             if error is not None:
                 return error
-        self._settlement.gone = frozenset(edges)
+        self._settlement.lost_edges = frozenset(edges)
         try:
             for edge in edges:
-                error = await self._change(make=partial(_remove_command, edge=edge))
+                error = await self._change(make_command=partial(_remove_command, edge=edge))
                 if error is not None:
                     return error
         finally:
-            self._settlement.gone = frozenset()
+            self._settlement.lost_edges = frozenset()
         return MembershipSet(epoch=self._task.machine.state.epoch)
 
     def _check_removable(self, *, edge: str) -> KelpstageError | None:
@@ -168,28 +170,30 @@
 
     # --- one change -------------------------------------------------------------------
 
-    async def _change(self, *, make: Callable[[], Command | None]) -> KelpstageError | None:
-        async with self._settlement.change:
-            # While this waited for the lock, another core may have led.
-            error = await self._task.confirm(wait_us=CONFIRM_US)
+    async def _change(self, *, make_command: Callable[[], Command | None]) -> KelpstageError | None:
+        async with self._settlement.change_lock:
+            # Another core may have led while this change waited for the lock.
+            error = await self._task.confirm(wait_us=CONFIRM_TIMEOUT_US)
             if error is not None:
                 return error
             if not await self._settlement.wait_settled(
-                epoch=self._task.machine.state.epoch, wait_us=MEMBERSHIP_WAIT_US
+                epoch=self._task.machine.state.epoch, wait_us=MEMBERSHIP_CHANGE_TIMEOUT_US
             ):
-                return NoLeaderError(why="the epoch before is not settled")
-            command = make()
+                return NoLeaderError(why="the previous epoch is not settled")
+            command = make_command()
             if command is None:
                 return None
             outcome: MembershipSet | KelpstageError = await self._task.propose(
-                data=bytes(command), put_id="", wait_us=MEMBERSHIP_WAIT_US
+                data=bytes(command), put_id="", wait_us=MEMBERSHIP_CHANGE_TIMEOUT_US
             )
             if not isinstance(outcome, MembershipSet):
                 return outcome
             self._journal.add(
                 MembershipChanged(membership=list(self._task.machine.state.membership))
             )
-            await self._settlement.wait_settled(epoch=outcome.epoch, wait_us=MEMBERSHIP_WAIT_US)
+            await self._settlement.wait_settled(
+                epoch=outcome.epoch, wait_us=MEMBERSHIP_CHANGE_TIMEOUT_US
+            )
             return None
 
 
--- a/kelpstage/core/leases/validation.py
+++ b/kelpstage/core/leases/validation.py
@@ -1,4 +1,4 @@
-"""Validation of documents as configurations: the same on every core, at any time."""
+"""Validation of configuration documents; the result is the same on every core at any time."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from kelpstage.common.configuration.validation import read_configuration
 from kelpstage.common.errors.validation import InvalidConfigurationError
 
-RESULTS_KEPT = 8
+MAX_CACHED_RESULTS = 8
 
 
 def validate_document(*, document: bytes) -> InvalidConfigurationError | int:
-    """The document's faults, or the version that it states (0 for none).
+    """The faults of a document, or the version that it states (0 if none).
 
     >>> validate_document(document=b'{"forward": {}, "version": 7}')
     7
@@ -23,7 +23,7 @@
 
 
 class DocumentValidator:
-    """Validates documents, with a small cache, since a large one takes a while.
+    """Validates documents, with a small cache because validating a large document is slow.
 
     >>> validator = DocumentValidator()
     >>> validator.validate(document=b'{"forward": {}}')
@@ -34,11 +34,11 @@
         self._results: dict[bytes, InvalidConfigurationError | int] = {}
 
     def validate(self, *, document: bytes) -> InvalidConfigurationError | int:
-        """The result of `validate_document`, from the cache if it is there."""
+        """The result of `validate_document`, cached by the document's digest."""
         digest = hashlib.sha256(document).digest()
         result = self._results.get(digest)
         if result is None:
             result = self._results[digest] = validate_document(document=document)
-            while len(self._results) > RESULTS_KEPT:
+            while len(self._results) > MAX_CACHED_RESULTS:
                 del self._results[next(iter(self._results))]
         return result
--- a/tests/test_edge_membership.py
+++ b/tests/test_edge_membership.py
@@ -21,8 +21,8 @@
 from kelpstage.common.transport.messages import LeaseReply, StateDoc
 from kelpstage.core.leases.lease_table import LeaseTable
 from kelpstage.core.leases.membership_changes import (
-    ABSENT_OBSERVER_US,
-    ABSENT_VOTER_US,
+    OBSERVER_REMOVAL_TIMEOUT_US,
+    VOTER_REMOVAL_TIMEOUT_US,
     edge_to_remove,
 )
 from kelpstage.core.state.commands import AddEdge, Command, PutConfiguration, RemoveEdge
@@ -181,10 +181,10 @@
             report(self.lease_table, edge, epoch=1, now_us=now_us)
 
     def test_silent_voter(self) -> None:
-        self.hear("bcxy", now_us=ABSENT_VOTER_US)
-        self.assertIsNone(self.removed(now_us=ABSENT_VOTER_US - 1))
-        self.assertEqual("a", self.removed(now_us=ABSENT_VOTER_US))
-        self.assertIsNone(self.removed(now_us=ABSENT_VOTER_US, least_voters=3))
+        self.hear("bcxy", now_us=VOTER_REMOVAL_TIMEOUT_US)
+        self.assertIsNone(self.removed(now_us=VOTER_REMOVAL_TIMEOUT_US - 1))
+        self.assertEqual("a", self.removed(now_us=VOTER_REMOVAL_TIMEOUT_US))
+        self.assertIsNone(self.removed(now_us=VOTER_REMOVAL_TIMEOUT_US, least_voters=3))
 
     def test_voter_that_left(self) -> None:
         self.hear("abcxy", now_us=1)
@@ -194,14 +194,14 @@
     def test_observers(self) -> None:
         self.hear("abcxy", now_us=1)
         self.lease_table.give_back(edge="y", incarnation=1, now_us=2)
-        self.hear("abcx", now_us=ABSENT_OBSERVER_US)
-        self.assertIsNone(self.removed(now_us=ABSENT_OBSERVER_US + 1))
-        self.assertEqual("y", self.removed(now_us=ABSENT_OBSERVER_US + 2))
+        self.hear("abcx", now_us=OBSERVER_REMOVAL_TIMEOUT_US)
+        self.assertIsNone(self.removed(now_us=OBSERVER_REMOVAL_TIMEOUT_US + 1))
+        self.assertEqual("y", self.removed(now_us=OBSERVER_REMOVAL_TIMEOUT_US + 2))
 
     def test_silence_counts_from_the_election(self) -> None:
         self.lease_table = LeaseTable(since_us=VERY_LATE_US)
-        self.assertIsNone(self.removed(now_us=VERY_LATE_US + ABSENT_VOTER_US - 1))
-        self.assertEqual("a", self.removed(now_us=VERY_LATE_US + ABSENT_VOTER_US))
+        self.assertIsNone(self.removed(now_us=VERY_LATE_US + VOTER_REMOVAL_TIMEOUT_US - 1))
+        self.assertEqual("a", self.removed(now_us=VERY_LATE_US + VOTER_REMOVAL_TIMEOUT_US))
 
 
 class RightToConfirm(unittest.TestCase):
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -446,7 +446,7 @@
         self.assertIn("serves", found)
 
     def test_a_new_leader_that_does_not_wait(self) -> None:
-        with mock.patch.object(LeaseTable, "_is_over", lapsed_at_once):
+        with mock.patch.object(LeaseTable, "_have_older_leases_expired", lapsed_at_once):
             found = self.watched(transfer_beside_a_cut_off_edge)
         self.assertIn("a lease at", found)
 
--- a/tests/test_membership_scenarios.py
+++ b/tests/test_membership_scenarios.py
@@ -231,7 +231,7 @@
             self.assertIn("serves", " ".join(found), scenario.__name__)
 
     def test_a_leader_that_does_not_wait(self) -> None:
-        with mock.patch.object(LeaseTable, "_is_over", never_over):
+        with mock.patch.object(LeaseTable, "_have_older_leases_expired", never_over):
             found = run_scenario(most_behind_a_cut, seed=1)
         self.assertIn("a lease at", " ".join(found))
 
