--- a/kelpstage/core/state/commands.py
+++ b/kelpstage/core/state/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the replicated log: what one entry asks the state machine to do.
+"""The commands of the replicated log: what one entry does to the state machine.
 
 The field numbers are those of the log on disk and never change. A conditional write names
 the version that it replaces (`expected`), as `If-Match` does (RFC 9110, section 13.1.1).
@@ -17,7 +17,7 @@
     CoreState,
 )
 
-PACKED_FROM_BYTES = 512  # shorter documents are sent uncompressed
+MIN_COMPRESSED_BYTES = 512  # shorter documents are proposed uncompressed
 
 
 @dataclass
@@ -27,13 +27,15 @@
     put_id: str = bp.string_field(1)
     expected: int = bp.uint64_field(2)
     document: bytes = bp.bytes_field(3)
-    version: int = bp.uint64_field(4)  # that the operator gives it; 0: the next one
+    version: int = bp.uint64_field(4)  # given by the operator; 0: `expected` + 1
 
 
 @dataclass
 class RefusePut(bp.Message):
-    """Makes the refusal of a write final whose base version is still to come: a copy of
-    it that arrives once that version is current must not be applied any more."""
+    """Makes the rejection of a write final whose base version does not exist yet.
+
+    A copy of the write that arrives once that version is current is not applied.
+    """
 
     put_id: str = bp.string_field(1)
     digest: bytes = bp.bytes_field(2)
@@ -43,7 +45,7 @@
 
 @dataclass
 class PutDelta(bp.Message):
-    """A write whose document is sent as a delta against the one that it replaces.
+    """A write whose document is encoded as a delta against the one that it replaces.
 
     `expected` names the base; with `has_base` false the document is only compressed.
     """
@@ -51,8 +53,8 @@
     put_id: str = bp.string_field(1)
     expected: int = bp.uint64_field(2)
     delta: bytes = bp.bytes_field(3)
-    version: int = bp.uint64_field(4)  # that the operator gives it; 0: the next one
-    digest: bytes = bp.bytes_field(5)  # of the complete write, as `put_digest` makes it
+    version: int = bp.uint64_field(4)  # given by the operator; 0: `expected` + 1
+    digest: bytes = bp.bytes_field(5)  # of the complete write, from `put_digest`
     has_base: bool = bp.bool_field(6)
     base_digest: bytes = bp.bytes_field(7)
 
@@ -71,20 +73,20 @@
 
 @dataclass
 class AddEdge(bp.Message):
-    """Edges join the membership, or change whether they vote."""
+    """Adds edges to the membership, or changes whether they vote."""
 
     edge: str = bp.string_field(1)
-    more: List[str] = bp.string_field(2)  # that join together with it
-    observers: List[str] = bp.string_field(3)  # those of them that do not vote
-    is_joint: bool = bp.bool_field(4)  # settles in the membership before it as well
+    more: List[str] = bp.string_field(2)  # that join together with `edge`
+    observers: List[str] = bp.string_field(3)  # those of these edges that do not vote
+    is_joint: bool = bp.bool_field(4)  # the epoch settles in the previous membership as well
 
 
 @dataclass
 class RemoveEdge(bp.Message):
-    """An edge leaves the membership."""
+    """Removes an edge from the membership."""
 
     edge: str = bp.string_field(1)
-    is_joint: bool = bp.bool_field(2)  # settles in the membership before it as well
+    is_joint: bool = bp.bool_field(2)  # the epoch settles in the previous membership as well
 
 
 @dataclass
@@ -101,16 +103,16 @@
 def put_command(*, put: PutConfiguration, state: CoreState) -> Command:
     """The command for a write, in a compact encoding.
 
-    A write that replaces the document in force is encoded as a delta against it. That is
-    safe: a version is given to one document only, and a write that finds another version
-    in force is refused without decoding its document.
+    A write that replaces the current document is encoded as a delta against it. This is
+    safe: a version belongs to one document only, and a write that does not match the current
+    version is rejected without decoding its document.
 
     >>> before = CoreState(version=1, document=b"0123456789abcdef" * 64)
     >>> put = PutConfiguration(put_id="p", expected=1, document=before.document + b"!")
     >>> len(bytes(put_command(put=put, state=before))) < 100
     True
     """
-    if len(put.document) < PACKED_FROM_BYTES:
+    if len(put.document) < MIN_COMPRESSED_BYTES:
         return Command(put=put)
     base = state.document if put.expected == state.version else b""
     return Command(
--- a/kelpstage/core/state/digests.py
+++ b/kelpstage/core/state/digests.py
@@ -1,6 +1,6 @@
 """Digests that identify a write and a document.
 
-Both are stored in the replicated state, so their input bytes never change.
+Both are stored in the replicated state, so their input format must not change.
 """
 
 from __future__ import annotations
@@ -9,9 +9,9 @@
 
 
 def put_digest(*, document: bytes, expected: int, version: int = 0) -> bytes:
-    """The digest that tells a repeat of a write from another write (SHA-256, 32 bytes).
+    """The digest that identifies a write, so that retries are recognized (SHA-256, 32 bytes).
 
-    A version that is not stated is the one after the version that is replaced.
+    Without a stated version (0), the version is `expected` + 1.
 
     >>> plain = put_digest(document=b"{}", expected=1)
     >>> len(plain), plain == put_digest(document=b"{}", expected=1, version=2)
@@ -24,7 +24,7 @@
 
 
 def document_digest(*, document: bytes) -> bytes:
-    """The digest that names a document as the base of a delta (8 bytes of SHA-256).
+    """The digest that identifies a document as the base of a delta (8 bytes of SHA-256).
 
     >>> len(document_digest(document=b"{}"))
     8
--- a/kelpstage/core/state/machine.py
+++ b/kelpstage/core/state/machine.py
@@ -1,8 +1,8 @@
-"""The replicated state: configuration, membership, applied requests; changed by commands alone.
+"""The replicated state machine: configuration, edge membership and applied requests.
 
-Plain and the same on every replica: the outcome of a command depends on the commands
-before it and on nothing else. The outcome of a write is decided here and nowhere else,
-so it outlives restarts, changes of leader, snapshots and lost disks with the log itself.
+It is the same on every replica: the outcome of a command depends only on the commands before
+it. Write outcomes are decided only here, so they survive restarts, leader changes, snapshots
+and lost disks together with the log.
 See `docs/notes/control/orders.md`.
 """
 
@@ -34,23 +34,23 @@
 )
 from kelpstage.core.state.replicated_state import (
     DIGEST_PREFIX_BYTES,
-    ROW_BYTES,
+    DIGEST_ROW_BYTES,
     VERSION_BYTES,
     CoreState,
     RequestRecord,
-    read_rows,
+    read_digest_rows,
 )
 
 RECORDS_KEPT = 512  # complete records of the newest applied writes
 REFUSALS_KEPT = 512  # complete records of the newest refused writes
-DIGESTS_KEPT = 16_384  # applied writes before those: a digest prefix and the version
+DIGESTS_KEPT = 16_384  # older applied writes, as digest prefix and version
 
 
 class Machine:
     """The state machine: applies committed commands in log order.
 
-    Deterministic: no clock, no randomness, no I/O. `state` is what a snapshot holds; the
-    other attributes are indexes over it and are rebuilt from it.
+    Deterministic: no clock, no randomness, no I/O. A snapshot holds `state`; the other
+    attributes are indexes that are rebuilt from it.
 
     >>> machine = Machine(cluster="c")
     >>> put = Command(put=PutConfiguration(put_id="p", expected=0, document=b"{}"))
@@ -61,7 +61,7 @@
     PutSuperseded(expected=0, current=1)
     >>> machine.apply(data=bytes(put))
     PutApplied(version=1, epoch=1)
-    >>> put.put.put_id = "r"  # the same put under another id
+    >>> put.put.put_id = "r"  # the same write under another id
     >>> machine.apply(data=bytes(put))
     PutApplied(version=1, epoch=1)
     >>> machine.apply(data=bytes(Command(put=PutConfiguration(put_id="s", expected=1, version=7))))
@@ -75,9 +75,9 @@
         self._records: dict[str, RequestRecord] = {}
         self._early_refusals: dict[tuple[str, bytes], RequestRecord] = {}
         for record in [*self.state.refused, *self.state.puts]:
-            self._index(record=record)
-        self._taken = {record.digest: record for record in self.state.puts}
-        self._superseded = dict(read_rows(rows=self.state.superseded))
+            self._add_to_index(record=record)
+        self._applied_by_digest = {record.digest: record for record in self.state.puts}
+        self._compacted_versions = dict(read_digest_rows(rows=self.state.superseded))
 
     def apply(self, *, data: bytes) -> PutOutcome | MembershipSet:
         """Apply one committed command, a serialized `Command`, and return its outcome."""
@@ -99,13 +99,13 @@
         return self._decide(put=put, digest=digest) if decided is None else decided
 
     def _put_delta(self, *, put: PutDelta) -> PutOutcome:
-        """Only a write that replaces the document in force needs its complete document."""
+        """Apply a delta write; only one that replaces the current document is decoded."""
         decided = self.decided(put=put, digest=put.digest)
         if decided is not None:
             return decided
         document: bytes | None = b""
         if put.expected == self.state.version:
-            document = self._document_of(put=put)
+            document = self._decode_document(put=put)
         if document is None:
             return PutUnreadable()
         complete = PutConfiguration(
@@ -113,8 +113,8 @@
         )
         return self._decide(put=complete, digest=put.digest)
 
-    def _document_of(self, *, put: PutDelta) -> bytes | None:
-        """Apply a delta to the document in force; None if it does not fit that one."""
+    def _decode_document(self, *, put: PutDelta) -> bytes | None:
+        """Decode the document of a write; None if its delta does not match the current one."""
         base = self.state.document if put.has_base else b""
         if put.has_base and document_digest(document=base) != put.base_digest:
             return None
@@ -125,7 +125,7 @@
         return document if digest == put.digest else None
 
     def _decide(self, *, put: PutConfiguration, digest: bytes) -> PutOutcome:
-        record = self._record_of(put=put, digest=digest)
+        record = self._new_record(put=put, digest=digest)
         version = version_of(put=put)
         if put.expected != self.state.version or version <= self.state.version:
             self._record_refusal(record=record)
@@ -138,12 +138,12 @@
         if decided is not None:
             return decided
         if put.expected <= self.state.version:
-            return PutOutcomeUnknown(why="its base version has come meanwhile; ask again")
-        record = self._record_of(put=put, digest=put.digest)
+            return PutOutcomeUnknown(why="its base version exists by now; retry")
+        record = self._new_record(put=put, digest=put.digest)
         self._record_refusal(record=record)
         return outcome_of(record=record)
 
-    def _record_of(self, *, put: PutConfiguration | RefusePut, digest: bytes) -> RequestRecord:
+    def _new_record(self, *, put: PutConfiguration | RefusePut, digest: bytes) -> RequestRecord:
         return RequestRecord(
             put_id=put.put_id,
             digest=digest,
@@ -160,44 +160,50 @@
         state.old_membership, state.old_observers = [], []
         record.version, record.epoch = state.version, state.epoch
         state.puts.append(record)
-        self._index(record=record)
-        self._taken[record.digest] = record
+        self._add_to_index(record=record)
+        self._applied_by_digest[record.digest] = record
         while len(state.puts) > RECORDS_KEPT:
             self._compact(record=state.puts.pop(0))
 
     def _compact(self, *, record: RequestRecord) -> None:
-        """Keep only what identifies a repeat of an applied write: digest prefix and version."""
-        self._drop(record=record)
+        """Replace an applied write's record by its digest prefix and version.
+
+        They are enough to recognize a retry.
+        """
+        self._remove_from_index(record=record)
         state, prefix = self.state, record.digest[:DIGEST_PREFIX_BYTES]
-        self._superseded[prefix] = record.version
+        self._compacted_versions[prefix] = record.version
         state.superseded += prefix + record.version.to_bytes(VERSION_BYTES, "big")
-        while len(state.superseded) > DIGESTS_KEPT * ROW_BYTES:
-            oldest_prefix, oldest_version = next(read_rows(rows=state.superseded))
-            state.superseded = state.superseded[ROW_BYTES:]
+        while len(state.superseded) > DIGESTS_KEPT * DIGEST_ROW_BYTES:
+            oldest_prefix, oldest_version = next(read_digest_rows(rows=state.superseded))
+            state.superseded = state.superseded[DIGEST_ROW_BYTES:]
             state.forgotten_to = oldest_version
-            del self._superseded[oldest_prefix]
+            del self._compacted_versions[oldest_prefix]
 
     def _record_refusal(self, *, record: RequestRecord) -> None:
-        """Evict the oldest refusals first. A write whose base version is past would be
-        refused again, so its record may be evicted safely."""
+        """Record a rejected write, and evict the oldest such records beyond the limit.
+
+        A write whose base version is past would be rejected again, so evicting its record is
+        safe.
+        """
         self.state.refused.append(record)
-        self._index(record=record)
+        self._add_to_index(record=record)
         while len(self.state.refused) > REFUSALS_KEPT:
-            self._drop(record=self.state.refused.pop(0))
+            self._remove_from_index(record=self.state.refused.pop(0))
 
-    def _index(self, *, record: RequestRecord) -> None:
+    def _add_to_index(self, *, record: RequestRecord) -> None:
         if record.expected > record.found:
-            # Refused before its base version was there: that claims no id.
+            # Rejected before its base version existed: its id stays available to other writes.
             self._early_refusals[record.put_id, record.digest] = record
             return
         self._records[record.put_id] = record
 
-    def _drop(self, *, record: RequestRecord) -> None:
+    def _remove_from_index(self, *, record: RequestRecord) -> None:
         self._early_refusals.pop((record.put_id, record.digest), None)
         if self._records.get(record.put_id) is record:
             del self._records[record.put_id]
-        if self._taken.get(record.digest) is record:
-            del self._taken[record.digest]
+        if self._applied_by_digest.get(record.digest) is record:
+            del self._applied_by_digest[record.digest]
 
     def _add_edges(self, *, add: AddEdge) -> MembershipSet:
         joining = {add.edge, *add.more}
@@ -217,8 +223,8 @@
     def _set_membership(
         self, *, names: set[str], observers: set[str], is_joint: bool
     ) -> MembershipSet:
-        """Set the membership. A change of several edges is joint in every case; one of a
-        single edge was not in the logs of older versions."""
+        """Set the membership. A change of several edges is always joint; a change of a single
+        edge is not joint in logs of older software versions."""
         state = self.state
         before = set(state.membership)
         if names == before and observers == set(state.observers):
@@ -231,43 +237,51 @@
         return MembershipSet(epoch=state.epoch)
 
     def record(self, *, put_id: str) -> RequestRecord | None:
-        """The applied-request record of a write, if it is still kept completely."""
+        """The complete record of a write; None if it was compacted, evicted or never made."""
         return self._records.get(put_id)
 
     def decided(self, *, put: Put, digest: bytes) -> PutOutcome | None:
-        """The outcome of a write that was decided before, None of one that was not.
+        """The outcome of a write that was decided before; None if it was not decided.
 
         A write is recognized by its id, or by its digest if the same content was applied
-        under another id. One that may have been applied where no record was kept gets
+        under another id. A write that may have been applied, but has no record, gets
         `PutOutcomeUnknown`.
         """
         record = self._records.get(put.put_id)
         if record is not None and record.digest != digest:
             return PutVersionTaken()
-        record = self._taken.get(digest) or record or self._early_refusals.get((put.put_id, digest))
+        record = (
+            self._applied_by_digest.get(digest)
+            or record
+            or self._early_refusals.get((put.put_id, digest))
+        )
         if record is not None:
             return outcome_of(record=record)
-        version = self._superseded.get(digest[:DIGEST_PREFIX_BYTES])
+        version = self._compacted_versions.get(digest[:DIGEST_PREFIX_BYTES])
         if version is not None:
-            # Every epoch before the oldest complete record was settled before that was applied.
+            # Every epoch before the oldest complete record was settled before that write was
+            # applied.
             return PutApplied(version=version, epoch=self.state.puts[0].epoch)
         if version_of(put=put) <= self.state.forgotten_to:
-            return self._found_without_record(put=put, digest=digest)
+            return self._outcome_without_record(put=put, digest=digest)
         return None
 
-    def _found_without_record(self, *, put: Put, digest: bytes) -> PutOutcome | None:
-        """Only the write in force can be recognized by its content: others applied under
-        its version or a lower one left no record here."""
+    def _outcome_without_record(self, *, put: Put, digest: bytes) -> PutOutcome | None:
+        """The outcome of a write whose version may have been applied without a record here.
+
+        Only the current write can be recognized by its content. Others that were applied under
+        the same version or a lower one left no record.
+        """
         state = self.state
         if version_of(put=put) != state.version:
-            return PutOutcomeUnknown(why="too old to tell whether it was taken")
+            return PutOutcomeUnknown(why="too old to tell whether it was applied")
         in_force = put_digest(document=state.document, expected=put.expected, version=state.version)
         if digest == in_force:
             return PutApplied(version=state.version, epoch=state.epoch)
         return None
 
     def doc(self) -> StateDoc:
-        """The state as edges install it."""
+        """The part of the state that edges install."""
         state = self.state
         return StateDoc(
             cluster=state.cluster,
--- a/kelpstage/core/state/outcomes.py
+++ b/kelpstage/core/state/outcomes.py
@@ -1,7 +1,7 @@
 """The outcomes of commands, as the state machine decides them.
 
-An outcome is a value, not an error: it is the same on every replica, and it is kept with
-the applied request. The errors that operators see are derived from it by the leader.
+An outcome is a value, not an error: it is the same on every replica, and it is stored with
+the request's record. The leader derives the errors that operators see from it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PutApplied:
-    """The write was applied, as this version and epoch."""
+    """The write was applied and produced this version and epoch."""
 
     version: int
     epoch: int
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PutSuperseded:
-    """Another version was in force: the write changed nothing."""
+    """The write's base version was not the current one: the write changed nothing."""
 
     expected: int
     current: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PutNotAbove:
-    """The version given to the write is not above the one in force: it changed nothing."""
+    """The write's version is not above the current one: the write changed nothing."""
 
     version: int
     current: int
@@ -39,24 +39,24 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PutVersionTaken:
-    """The write's id was used before, for other content."""
+    """The write's id was already used for other content."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class PutOutcomeUnknown:
-    """Neither applied now nor refused: this log no longer holds the outcome."""
+    """The write was neither applied nor rejected now: its outcome is not known."""
 
     why: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class PutUnreadable:
-    """The write's delta does not fit the document in force: it changed nothing."""
+    """The write's delta does not match the current document: the write changed nothing."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class MembershipSet:
-    """The membership of edges was changed, under this epoch."""
+    """The edge membership was set, under this epoch."""
 
     epoch: int
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -345,7 +345,7 @@
         def forgetful(machine: Machine, **more: Any) -> None:
             real(machine, **more)
             machine.state.puts = []
-            machine._taken, machine._records, machine._superseded = {}, {}, {}
+            machine._applied_by_digest, machine._records, machine._compacted_versions = {}, {}, {}
 
         with (
             mock.patch.object(Machine, "__init__", forgetful),
