--- a/tests/rules_upheld.py
+++ b/tests/rules_upheld.py
@@ -270,7 +270,7 @@
         source="RULES",
         says="no machine serves an older configuration than one that was acknowledged",
         code=f"{EDGE}/lease/lease_holder.py:LeaseHolder.has_lease",
-        test="tests.test_leases.SlowClock.test_the_margin_is_enough_for_eight_percent",
+        test="tests.test_leases.SlowClock.test_the_lease_margin_covers_an_8_percent_slow_clock",
         planted="tests.test_leases.PlantedFaults.test_an_edge_that_serves_past_its_lease",
         days="`config_changes`, `core_cut`, `node_freeze`",
     ),
@@ -290,8 +290,9 @@
         source="RULES",
         says="one order at most is taken on each version; what is invalid or lost its race is not",
         code=f"{CORE}/state/machine.py:Machine.apply",
-        test="tests.test_orders.TwoMembers.test_two_under_one_number_in_every_order_of_arrival",
-        planted="tests.test_orders.Days.test_records_that_a_restart_forgets_are_noticed",
+        test="tests.test_orders.ConcurrentWrites"
+        ".test_one_of_two_writes_of_a_version_wins_in_any_arrival_order",
+        planted="tests.test_orders.WritesDuringFaults.test_records_lost_in_a_restart_are_detected",
         days="`config_race`, `one_number`, `config_invalid`",
     ),
     Upheld(
@@ -299,9 +300,9 @@
         source="NEWS-18",
         says="an order that was taken is acknowledged again, never refused",
         code=f"{CORE}/leases/configuration_writes.py:ConfigurationWrites._look_up",
-        test="tests.test_orders.AppliedRequests"
-        ".test_a_superseded_order_is_acknowledged_again_after_thousands_of_changes",
-        planted="tests.test_orders.Days.test_orders_that_are_not_looked_up_are_noticed",
+        test="tests.test_orders.RequestRecords"
+        ".test_a_superseded_write_is_acknowledged_again_after_thousands_of_writes",
+        planted="tests.test_orders.WritesDuringFaults.test_missing_lookups_are_detected",
         days="`ack_lost`, `order_repeated`",
     ),
     Upheld(
--- a/tests/test_edge_membership.py
+++ b/tests/test_edge_membership.py
@@ -1,4 +1,4 @@
-"""The counts over the membership of edges: settling, quorum, removal, the right to confirm."""
+"""Rules over the edge membership: settlement, quorum, removal and who may confirm an epoch."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 
-LATE_US = OBSERVER_SPAN_US + OBSERVER_MARGIN_US
-VERY_LATE_US = 10 * LATE_US
+OBSERVER_EXPIRY_US = OBSERVER_SPAN_US + OBSERVER_MARGIN_US
+LONG_AFTER_US = 10 * OBSERVER_EXPIRY_US
 
 
 def membership_of(names: str, observers: str = "") -> EdgeMembership:
@@ -52,8 +52,8 @@
     ]
 
 
-def changes() -> list[tuple[EdgeMembership, EdgeMembership]]:
-    """Memberships of up to five edges, each with all that one change makes of it."""
+def membership_changes() -> list[tuple[EdgeMembership, EdgeMembership]]:
+    """Memberships of up to four edges, each with the memberships that one change leads to."""
     out = []
     for count in range(1, 5):
         names = "abcde"[:count]
@@ -69,14 +69,16 @@
     return out
 
 
-class Settling(unittest.TestCase):
-    def test_once_settled_no_majority_lacks_the_epoch(self) -> None:
-        """Every change of small memberships, installed by every subset: when it counts as
-        settled, those without it are no majority of either membership that may confirm."""
+class EpochSettlement(unittest.TestCase):
+    def test_no_majority_lacks_a_settled_epoch(self) -> None:
+        """Tries every change of small memberships with every subset of edges that installed it.
+
+        When it counts as settled, the edges without it are no majority of either membership.
+        """
         settled = 0
-        for before, after in changes():
-            everybody = tuple(sorted({*before.names, *after.names}))
-            for installed in subsets(everybody):
+        for before, after in membership_changes():
+            all_edges = tuple(sorted({*before.names, *after.names}))
+            for installed in subsets(all_edges):
                 lease_table = LeaseTable(since_us=0)
                 for edge in installed:
                     report(lease_table, edge, epoch=2, now_us=1)
@@ -87,11 +89,13 @@
                     continue
                 settled += 1
                 for membership in (before, after):
-                    lacking = set(everybody) - set(installed)
-                    self.assertFalse(membership.has_majority(lacking), (before, after, installed))
+                    edges_without = set(all_edges) - set(installed)
+                    self.assertFalse(
+                        membership.has_majority(edges_without), (before, after, installed)
+                    )
         self.assertGreater(settled, 500)
 
-    def test_half_of_the_voting_members_settle_it_and_fewer_do_not(self) -> None:
+    def test_half_of_the_voting_members_are_needed_to_settle(self) -> None:
         for voters, needed in ((1, 1), (2, 1), (3, 2), (4, 2), (5, 3), (6, 3)):
             membership = membership_of("abcdef"[:voters] + "uvwxyz", "uvwxyz")
             for count in range(voters + 1):
@@ -99,30 +103,30 @@
                 for edge in membership.voters[:count]:
                     report(lease_table, edge, epoch=2, now_us=1)
                 is_settled = lease_table.is_settled(
-                    epoch=2, membership=membership, now_us=VERY_LATE_US
+                    epoch=2, membership=membership, now_us=LONG_AFTER_US
                 )
                 self.assertEqual(count >= needed, is_settled, (voters, count))
                 quorum = lease_table.has_quorum(membership=membership, now_us=2)
                 self.assertEqual(count >= needed, quorum, (voters, count))
 
-    def test_silent_observers_hold_it_up_for_their_span_and_no_longer(self) -> None:
+    def test_unresponsive_observers_delay_settlement_only_for_their_span(self) -> None:
         membership = membership_of("abcdefg", "cdefg")
         lease_table = LeaseTable(since_us=0)
         for edge in membership.names:
-            report(lease_table, edge, epoch=1, now_us=VERY_LATE_US)
-            lease_table.record_lease(edge=edge, epoch=1, now_us=VERY_LATE_US)
+            report(lease_table, edge, epoch=1, now_us=LONG_AFTER_US)
+            lease_table.record_lease(edge=edge, epoch=1, now_us=LONG_AFTER_US)
         for edge in "ab":
-            report(lease_table, edge, epoch=2, now_us=VERY_LATE_US + 1)
+            report(lease_table, edge, epoch=2, now_us=LONG_AFTER_US + 1)
 
         def is_settled(after_us: int) -> bool:
             return lease_table.is_settled(
-                epoch=2, membership=membership, now_us=VERY_LATE_US + after_us
+                epoch=2, membership=membership, now_us=LONG_AFTER_US + after_us
             )
 
-        self.assertFalse(is_settled(LATE_US - 1))
-        self.assertTrue(is_settled(LATE_US))
+        self.assertFalse(is_settled(OBSERVER_EXPIRY_US - 1))
+        self.assertTrue(is_settled(OBSERVER_EXPIRY_US))
 
-    def test_one_silent_edge_holds_it_up_for_a_lease(self) -> None:
+    def test_one_unresponsive_edge_delays_settlement_for_a_lease(self) -> None:
         membership = membership_of("abc", "c")
         lease_table = LeaseTable(since_us=0)
         for edge in "ab":
@@ -133,15 +137,17 @@
                 expected, lease_table.is_settled(epoch=2, membership=membership, now_us=now_us)
             )
 
-    def test_a_lease_for_the_newer_epoch_does_not_hold_it_up(self) -> None:
+    def test_a_lease_for_the_newer_epoch_does_not_delay_settlement(self) -> None:
         membership = membership_of("abc", "bc")
         lease_table = LeaseTable(since_us=0)
         report(lease_table, "a", epoch=2, now_us=1)
         for edge in "bc":
-            lease_table.record_lease(edge=edge, epoch=2, now_us=VERY_LATE_US)
-        self.assertTrue(lease_table.is_settled(epoch=2, membership=membership, now_us=VERY_LATE_US))
+            lease_table.record_lease(edge=edge, epoch=2, now_us=LONG_AFTER_US)
+        self.assertTrue(
+            lease_table.is_settled(epoch=2, membership=membership, now_us=LONG_AFTER_US)
+        )
 
-    def test_an_edge_that_left_holds_nothing_up(self) -> None:
+    def test_an_edge_that_left_does_not_delay_settlement(self) -> None:
         membership = membership_of("abc")
         lease_table = LeaseTable(since_us=0)
         report(lease_table, "a", epoch=2, now_us=1)
@@ -151,24 +157,24 @@
             lease_table.give_back(edge=edge, incarnation=1, now_us=2)
         self.assertTrue(lease_table.is_settled(epoch=2, membership=membership, now_us=3))
         self.assertTrue(lease_table.has_quorum(membership=membership, now_us=3))
-        self.assertFalse(report(lease_table, "b", epoch=1, now_us=4))  # under way when it left
+        self.assertFalse(report(lease_table, "b", epoch=1, now_us=4))  # sent before it left
         self.assertTrue(lease_table.is_settled(epoch=2, membership=membership, now_us=5))
         lease_table.record_report(edge="b", incarnation=2, epoch=0, contact=None, now_us=6)
         self.assertFalse(lease_table.is_settled(epoch=2, membership=membership, now_us=7))
 
-    def test_the_word_of_an_older_process_that_left_counts_for_nothing(self) -> None:
+    def test_leaving_of_an_older_incarnation_is_ignored(self) -> None:
         lease_table = LeaseTable(since_us=0)
         lease_table.record_report(edge="a", incarnation=2, epoch=1, contact=None, now_us=1)
         lease_table.give_back(edge="a", incarnation=1, now_us=2)
         self.assertFalse(lease_table.has_left(edge="a"))
 
 
-class Removal(unittest.TestCase):
+class AbsentEdgeRemoval(unittest.TestCase):
     def setUp(self) -> None:
         self.lease_table = LeaseTable(since_us=0)
         self.membership = membership_of("abcxy", "xy")
 
-    def removed(self, *, now_us: int, least_voters: int = 2) -> str | None:
+    def removal_candidate(self, *, now_us: int, least_voters: int = 2) -> str | None:
         return edge_to_remove(
             membership=self.membership,
             lease_table=self.lease_table,
@@ -176,35 +182,39 @@
             now_us=now_us,
         )
 
-    def hear(self, edges: str, *, now_us: int) -> None:
+    def report_edges(self, edges: str, *, now_us: int) -> None:
         for edge in edges:
             report(self.lease_table, edge, epoch=1, now_us=now_us)
 
-    def test_silent_voter(self) -> None:
-        self.hear("bcxy", now_us=VOTER_REMOVAL_TIMEOUT_US)
-        self.assertIsNone(self.removed(now_us=VOTER_REMOVAL_TIMEOUT_US - 1))
-        self.assertEqual("a", self.removed(now_us=VOTER_REMOVAL_TIMEOUT_US))
-        self.assertIsNone(self.removed(now_us=VOTER_REMOVAL_TIMEOUT_US, least_voters=3))
+    def test_absent_voter_is_removed_unless_needed(self) -> None:
+        self.report_edges("bcxy", now_us=VOTER_REMOVAL_TIMEOUT_US)
+        self.assertIsNone(self.removal_candidate(now_us=VOTER_REMOVAL_TIMEOUT_US - 1))
+        self.assertEqual("a", self.removal_candidate(now_us=VOTER_REMOVAL_TIMEOUT_US))
+        self.assertIsNone(self.removal_candidate(now_us=VOTER_REMOVAL_TIMEOUT_US, least_voters=3))
 
-    def test_voter_that_left(self) -> None:
-        self.hear("abcxy", now_us=1)
+    def test_voter_that_left_is_removed(self) -> None:
+        self.report_edges("abcxy", now_us=1)
         self.lease_table.give_back(edge="b", incarnation=1, now_us=2)
-        self.assertEqual("b", self.removed(now_us=3))
+        self.assertEqual("b", self.removal_candidate(now_us=3))
 
-    def test_observers(self) -> None:
-        self.hear("abcxy", now_us=1)
+    def test_absent_observer_is_removed(self) -> None:
+        self.report_edges("abcxy", now_us=1)
         self.lease_table.give_back(edge="y", incarnation=1, now_us=2)
-        self.hear("abcx", now_us=OBSERVER_REMOVAL_TIMEOUT_US)
-        self.assertIsNone(self.removed(now_us=OBSERVER_REMOVAL_TIMEOUT_US + 1))
-        self.assertEqual("y", self.removed(now_us=OBSERVER_REMOVAL_TIMEOUT_US + 2))
-
-    def test_silence_counts_from_the_election(self) -> None:
-        self.lease_table = LeaseTable(since_us=VERY_LATE_US)
-        self.assertIsNone(self.removed(now_us=VERY_LATE_US + VOTER_REMOVAL_TIMEOUT_US - 1))
-        self.assertEqual("a", self.removed(now_us=VERY_LATE_US + VOTER_REMOVAL_TIMEOUT_US))
+        self.report_edges("abcx", now_us=OBSERVER_REMOVAL_TIMEOUT_US)
+        self.assertIsNone(self.removal_candidate(now_us=OBSERVER_REMOVAL_TIMEOUT_US + 1))
+        self.assertEqual("y", self.removal_candidate(now_us=OBSERVER_REMOVAL_TIMEOUT_US + 2))
+
+    def test_absence_counts_from_the_election(self) -> None:
+        self.lease_table = LeaseTable(since_us=LONG_AFTER_US)
+        self.assertIsNone(
+            self.removal_candidate(now_us=LONG_AFTER_US + VOTER_REMOVAL_TIMEOUT_US - 1)
+        )
+        self.assertEqual(
+            "a", self.removal_candidate(now_us=LONG_AFTER_US + VOTER_REMOVAL_TIMEOUT_US)
+        )
 
 
-class RightToConfirm(unittest.TestCase):
+class EpochConfirmation(unittest.TestCase):
     def holder(self, *, me: str, epoch: int = 3) -> LeaseHolder:
         holder = LeaseHolder(me=me)
         doc = StateDoc(
@@ -218,7 +228,7 @@
         reply = LeaseReply(is_granted=True, cluster="c", epoch=epoch, span_us=LEASE_SPAN_US)
         holder.take_lease(reply=reply, sent_us=sent_us)
 
-    def test_an_observer_confirms_for_a_while_after_its_lease(self) -> None:
+    def test_an_observer_confirms_for_a_limited_time_after_its_lease(self) -> None:
         holder = self.holder(me="x")
         self.assertFalse(holder.may_confirm(now_us=0))
         self.lease(holder, epoch=3, sent_us=0)
@@ -232,12 +242,12 @@
         self.lease(holder, epoch=4, sent_us=OBSERVER_SPAN_US - 1)
         self.assertFalse(holder.may_confirm(now_us=OBSERVER_SPAN_US))
 
-    def test_a_voting_member_confirms_without_a_bound(self) -> None:
+    def test_a_voting_member_confirms_without_a_time_limit(self) -> None:
         holder = self.holder(me="a")
         self.lease(holder, epoch=3, sent_us=0)
-        self.assertTrue(holder.may_confirm(now_us=VERY_LATE_US))
+        self.assertTrue(holder.may_confirm(now_us=LONG_AFTER_US))
 
-    def test_who_has_left_serves_and_confirms_nothing(self) -> None:
+    def test_an_edge_that_left_neither_serves_nor_confirms(self) -> None:
         holder = self.holder(me="a")
         self.lease(holder, epoch=3, sent_us=0)
         holder.has_left = True
@@ -252,7 +262,7 @@
     def apply(self, **what: object) -> None:
         self.machine.apply(data=bytes(Command(**what)))
 
-    def test_observers_join_change_and_leave(self) -> None:
+    def test_observers_join_become_voters_and_leave(self) -> None:
         add = AddEdge(edge="a", more=["x", "y"], observers=["x", "y"], is_joint=True)
         self.apply(add=add)
         self.assertEqual(membership_of("axy", "xy"), edge_membership(state=self.machine.state))
@@ -266,7 +276,7 @@
         self.assertEqual(3, self.machine.state.epoch)
         self.assertEqual([], self.machine.doc().observers)
 
-    def test_a_write_leaves_the_membership_as_it_is(self) -> None:
+    def test_a_write_does_not_change_the_membership(self) -> None:
         self.apply(add=AddEdge(edge="a", more=["b"]))
         self.assertIsNone(previous_edge_membership(state=self.machine.state))
         self.apply(put=PutConfiguration(put_id="p", expected=0, document=b"{}"))
@@ -278,8 +288,8 @@
         self.assertIsNone(previous_edge_membership(state=self.machine.state))
 
 
-async def membership_seen(fleet: SimFleet) -> dict[str, Any]:
-    """The membership as the leader tells it to operators."""
+async def fetch_membership(fleet: SimFleet) -> dict[str, Any]:
+    """The membership as the leader reports it to operators."""
     leader = fleet.leader()
     assert leader is not None
     call = HttpCall(method="GET", url=f"http://{fleet.core_http(name=leader)}/v1/roster")
@@ -288,26 +298,26 @@
     return json.loads(reply.body)
 
 
-class ShownToOperators(unittest.TestCase):
-    def test_who_votes_who_has_left_and_whether_the_epoch_is_settled(self) -> None:
-        """Guards against a change that is held up while nothing shows by whom."""
+class MembershipView(unittest.TestCase):
+    def test_view_shows_voters_left_edges_and_settlement(self) -> None:
+        """Guards against a delayed change without an indication of which edge delays it."""
         seen: list[dict[str, Any]] = []
 
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             nodes = fleet.deployment.nodes
-            left, dark = [node.name for node in nodes if not node.has_disk][:2]
+            left, failed = [node.name for node in nodes if not node.has_disk][:2]
             await fleet.stop_edge(name=left)
-            fleet.processes[f"edge/{dark}"].kill(is_power=True)
+            fleet.processes[f"edge/{failed}"].kill(is_power=True)
             put = asyncio.ensure_future(fleet.put_next())
             await fleet.sleep(us=500_000)
-            seen.append(await membership_seen(fleet))
+            seen.append(await fetch_membership(fleet))
             await put
-            seen.append(await membership_seen(fleet))
+            seen.append(await fetch_membership(fleet))
             rows = {row["edge"]: row for row in seen[0]["edges"]}
             self.assertTrue(rows[left]["has_left"])
-            self.assertTrue(rows[dark]["is_behind"])
-            self.assertFalse(rows[dark]["has_left"])
+            self.assertTrue(rows[failed]["is_behind"])
+            self.assertFalse(rows[failed]["has_left"])
             voting = {name for name, row in rows.items() if row["is_voting"]}
             self.assertEqual({node.name for node in nodes if node.has_disk}, voting)
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,9 +1,9 @@
-"""Leases of edges: who may serve under which epoch while core machines are cut off.
+"""Edge leases: which edges may serve which epoch during network partitions of core machines.
 
-Simulated days with fixed seeds: cores and edges on the same machines, orders and reads at
-every core. Beside what `test_core_cuts` judges, every edge is looked at each 20 ms: once
-an order is acknowledged, no edge may hold a lease while it has an older epoch installed,
-and a second later (the age that a peer's word may have) none may serve an older version.
+Simulations with fixed seeds: cores and edges on the same machines, writes and reads at every
+core. In addition to the checks of `test_core_cuts`, every edge is checked each 20 ms. Once a
+write is acknowledged, no edge may hold a lease with an older epoch installed. One second later
+(the maximum age of a peer's confirmation), no edge may serve an older version.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 from kelpstage.testbed.simulation.world import SimClock
 from tests.test_core_cuts import CALL_US, CUT_US, History, Operators, Pairs
 
-LOOK_US = 20_000
+POLL_INTERVAL_US = 20_000
 ACKNOWLEDGED_WITHIN_US = 5_000_000
-# A leader that hears nothing is heard for one check-quorum span more.
+# A leader that receives nothing keeps sending for one more check-quorum span.
 ACKNOWLEDGED_LATE_US = ACKNOWLEDGED_WITHIN_US + 1_600_000
 READY_AGAIN_US = 4_000_000
-ORDERS_WHILE_RELAYED = 80  # in a day of 24 s, one each 0.2 s without trouble
+MIN_WRITES_WHILE_RELAYED = 80  # in a run of 24 s, with one write each 0.2 s without faults
 SEEDS = (1, 2)
 
 
 class FleetCores:
-    """The cores of a simulated fleet, as operators see them."""
+    """The cores of a simulated fleet, with the interface that `Operators` needs."""
 
     def __init__(self, *, fleet: SimFleet) -> None:
         self.fleet = fleet
@@ -60,8 +60,8 @@
 
 
 @dataclass(kw_only=True)
-class Watch:
-    """Looks at every edge all the while, and says what may not be."""
+class EdgeMonitor:
+    """Checks every edge continuously and records violations."""
 
     fleet: SimFleet
     history: History
@@ -71,13 +71,13 @@
 
     async def run(self) -> None:
         while self.is_open:
-            self.look()
-            await self.fleet.sleep(us=LOOK_US)
+            self.check_edges()
+            await self.fleet.sleep(us=POLL_INTERVAL_US)
 
-    def look(self) -> None:
+    def check_edges(self) -> None:
         now_us = self.fleet.now_us()
         newest = self.history.newest_before(at_us=now_us)
-        settled = self.history.newest_before(at_us=now_us - CONFIRMATION_US - LOOK_US)
+        settled = self.history.newest_before(at_us=now_us - CONFIRMATION_US - POLL_INTERVAL_US)
         for node in self.fleet.deployment.nodes:
             edge = self.fleet.daemons[f"edge/{node.name}"]
             process = self.fleet.processes[f"edge/{node.name}"]
@@ -86,31 +86,35 @@
             version = edge.lease_holder.configuration.version
             own_us = edge.ports.clock.now_us()
             if version < newest and edge.lease_holder.has_lease(now_us=own_us):
-                self._note(name=node.name, what=f"a lease at {version}, acknowledged {newest}")
+                self._add_violation(
+                    name=node.name, what=f"a lease at {version}, acknowledged {newest}"
+                )
             if edge.refusal():
-                self.unready_us[node.name] = self.unready_us.get(node.name, 0) + LOOK_US
+                self.unready_us[node.name] = self.unready_us.get(node.name, 0) + POLL_INTERVAL_US
             elif version < settled:
-                self._note(name=node.name, what=f"serves {version}, acknowledged {settled}")
+                self._add_violation(
+                    name=node.name, what=f"serves {version}, acknowledged {settled}"
+                )
 
-    def _note(self, *, name: str, what: str) -> None:
+    def _add_violation(self, *, name: str, what: str) -> None:
         self.violations.append(f"{self.fleet.now_us()}: {name}: {what}")
 
 
 @dataclass(kw_only=True)
-class Day:
-    """What a day came to."""
+class ScenarioResult:
+    """The result of one scenario run."""
 
     history: History
-    watch: Watch
+    monitor: EdgeMonitor
     acknowledged_after_us: int = 0
     ready_after_us: int = 0
-    unready_us: dict[str, int] = field(default_factory=dict)  # while the cut held
+    unready_us: dict[str, int] = field(default_factory=dict)  # during the partition
 
 
-Story = Callable[[SimFleet, Day], Awaitable[None]]
+Scenario = Callable[[SimFleet, ScenarioResult], Awaitable[None]]
 
 
-def between(*, left: list[str], right: list[str]) -> Pairs:
+def links_between(*, left: list[str], right: list[str]) -> Pairs:
     """Every link between two sets of machines, in both directions."""
     return [p for a in left for b in right if a != b for p in ((a, b), (b, a))]
 
@@ -119,91 +123,99 @@
     return [node.name for node in fleet.deployment.nodes]
 
 
-async def hold(*, fleet: SimFleet, day: Day, pairs: Pairs) -> None:
-    """Hold a cut for twenty seconds, heal it, wait until every edge serves."""
+async def hold_partition(*, fleet: SimFleet, result: ScenarioResult, pairs: Pairs) -> None:
+    """Apply a network partition for 20 s, heal it, and wait until every edge serves."""
     began_us = fleet.now_us()
-    before = dict(day.watch.unready_us)
+    before = dict(result.monitor.unready_us)
     fleet.world.cuts |= set(pairs)
     await fleet.sleep(us=CUT_US)
-    day.unready_us = {name: us - before.get(name, 0) for name, us in day.watch.unready_us.items()}
-    after = [when for when, _ in day.history.acknowledged if when > began_us + 50_000]
-    day.acknowledged_after_us = min(after, default=began_us + CUT_US) - began_us
+    result.unready_us = {
+        name: us - before.get(name, 0) for name, us in result.monitor.unready_us.items()
+    }
+    after = [when for when, _ in result.history.acknowledged if when > began_us + 50_000]
+    result.acknowledged_after_us = min(after, default=began_us + CUT_US) - began_us
     fleet.world.cuts -= set(pairs)
     fleet.world.flush()
-    day.ready_after_us = await fleet.wait_for(
+    result.ready_after_us = await fleet.wait_for(
         what="all edges ready",
         is_there=lambda: len(fleet.ready_edges()) == len(machines(fleet=fleet)),
     )
 
 
-def run_day(scenario: Story, *, seed: int) -> Day:
-    """Operators at work over a story."""
-    days: list[Day] = []
+def run_scenario(scenario: Scenario, *, seed: int) -> ScenarioResult:
+    """Run a scenario while operators write and read configurations."""
+    results: list[ScenarioResult] = []
 
-    async def tell(fleet: SimFleet) -> None:
+    async def play(fleet: SimFleet) -> None:
         await fleet.start()
-        await fleet.wait_for(what="a whole membership", is_there=fleet.is_membership_whole)
+        await fleet.wait_for(what="a complete membership", is_there=fleet.is_membership_whole)
         operators = Operators(cores=FleetCores(fleet=fleet), call_us=CALL_US)
         await operators.order()
         await fleet.wait_for(
             what="all ready",
             is_there=lambda: len(fleet.ready_edges()) == len(machines(fleet=fleet)),
         )
-        watch = Watch(fleet=fleet, history=operators.history)
-        day = Day(history=operators.history, watch=watch)
-        days.append(day)
-        tasks = [asyncio.ensure_future(watch.run())]
+        monitor = EdgeMonitor(fleet=fleet, history=operators.history)
+        result = ScenarioResult(history=operators.history, monitor=monitor)
+        results.append(result)
+        tasks = [asyncio.ensure_future(monitor.run())]
         tasks += [asyncio.ensure_future(operators.keep_ordering())]
         tasks += [
             asyncio.ensure_future(operators.keep_reading(member=m)) for m in fleet.core_address
         ]
         await fleet.sleep(us=1_500_000)
-        await scenario(fleet, day)
-        operators.is_open = watch.is_open = False
+        await scenario(fleet, result)
+        operators.is_open = monitor.is_open = False
         for task in tasks:
             await task
 
-    run_sim(seed=seed, deployment=load(name="tiny"), scenario=tell)
-    return days[0]
+    run_sim(seed=seed, deployment=load(name="tiny"), scenario=play)
+    return results[0]
 
 
-async def leader_with_an_edge(fleet: SimFleet, day: Day) -> None:
-    """The leader's machine and an edge that reaches it alone, cut from all others."""
+async def leader_isolated_with_one_edge(fleet: SimFleet, result: ScenarioResult) -> None:
+    """The leader's machine and one other edge are partitioned from all other machines."""
     left = [fleet.leader(), "node-04"]
     right = [n for n in machines(fleet=fleet) if n not in left]
-    await hold(fleet=fleet, day=day, pairs=between(left=left, right=right))
+    await hold_partition(fleet=fleet, result=result, pairs=links_between(left=left, right=right))
 
 
-async def leader_from_cores_alone(fleet: SimFleet, day: Day) -> None:
-    """The leader is cut from the other cores; all edges without a disk reach it."""
+async def leader_isolated_from_cores(fleet: SimFleet, result: ScenarioResult) -> None:
+    """The leader is partitioned from the other cores; all edges without a disk reach it."""
     leader = fleet.leader()
-    await hold(fleet=fleet, day=day, pairs=between(left=[leader], right=list(fleet.core_address)))
+    await hold_partition(
+        fleet=fleet,
+        result=result,
+        pairs=links_between(left=[leader], right=list(fleet.core_address)),
+    )
 
 
-async def follower_from_cores_alone(fleet: SimFleet, day: Day) -> None:
+async def follower_isolated_from_cores(fleet: SimFleet, result: ScenarioResult) -> None:
     leader = fleet.leader()
     name = next(n for n in fleet.core_address if n != leader)
-    await hold(fleet=fleet, day=day, pairs=between(left=[name], right=list(fleet.core_address)))
+    await hold_partition(
+        fleet=fleet, result=result, pairs=links_between(left=[name], right=list(fleet.core_address))
+    )
 
 
-async def leader_hears_nothing(fleet: SimFleet, day: Day) -> None:
+async def leader_receives_nothing(fleet: SimFleet, result: ScenarioResult) -> None:
     leader = fleet.leader()
     others = [n for n in machines(fleet=fleet) if n != leader]
-    await hold(fleet=fleet, day=day, pairs=[(n, leader) for n in others])
+    await hold_partition(fleet=fleet, result=result, pairs=[(n, leader) for n in others])
 
 
-async def leader_is_not_heard(fleet: SimFleet, day: Day) -> None:
+async def leader_sends_nothing(fleet: SimFleet, result: ScenarioResult) -> None:
     leader = fleet.leader()
     others = [n for n in machines(fleet=fleet) if n != leader]
-    await hold(fleet=fleet, day=day, pairs=[(leader, n) for n in others])
+    await hold_partition(fleet=fleet, result=result, pairs=[(leader, n) for n in others])
 
 
-async def transfer_beside_a_cut_off_edge(fleet: SimFleet, day: Day) -> None:
-    """An edge is cut off; at once the leader hands over, so that a new leader is there
-    while the edge holds a lease of the one before."""
+async def leadership_transfer_with_isolated_edge(fleet: SimFleet, result: ScenarioResult) -> None:
+    """An edge is isolated and the leader hands over at once, so that a new leader is elected
+    while the edge holds a lease from the previous one."""
     others = [n for n in machines(fleet=fleet) if n != "node-04"]
     for _ in range(4):
-        fleet.world.cuts |= set(between(left=["node-04"], right=others))
+        fleet.world.cuts |= set(links_between(left=["node-04"], right=others))
         leader = fleet.leader()
         fleet.daemons[f"core/{leader}"].task.inbox.put_nowait(TransferLeadership())
         await fleet.sleep(us=4_000_000)
@@ -212,52 +224,58 @@
         await fleet.sleep(us=1_100_000)
 
 
-class Cuts(unittest.TestCase):
-    def judge(
-        self, scenario: Story, *, bound_us: int = ACKNOWLEDGED_WITHIN_US, cut_off: int = 0
-    ) -> list[Day]:
-        """Every seed's day holds; at most so many edges refuse while the cut holds."""
-        days = [run_day(scenario, seed=seed) for seed in SEEDS]
-        for seed, day in zip(SEEDS, days, strict=True):
-            told = f"seed {seed}: {day.acknowledged_after_us} {day.ready_after_us}"
-            self.assertEqual(day.history.violations[:5], [], told)
-            self.assertEqual(day.watch.violations[:5], [], told)
-            self.assertLess(day.acknowledged_after_us, bound_us, told)
-            self.assertLess(day.ready_after_us, READY_AGAIN_US, told)
-            self.assertEqual(len(day.unready_us), cut_off, f"{told} {day.unready_us}")
-        return days
-
-    def test_the_leader_with_an_edge(self) -> None:
-        for day in self.judge(leader_with_an_edge, cut_off=2):
-            least_us = CUT_US - LEASE_SPAN_US - LOOK_US
-            self.assertGreaterEqual(min(day.unready_us.values()), least_us)
-
-    def test_the_leader_from_the_cores_alone(self) -> None:
-        for day in self.judge(leader_from_cores_alone):
-            self.assertGreater(len(day.history.acknowledged), ORDERS_WHILE_RELAYED)
-
-    def test_a_follower_from_the_cores_alone(self) -> None:
-        for day in self.judge(follower_from_cores_alone):
-            self.assertGreater(len(day.history.acknowledged), ORDERS_WHILE_RELAYED)
-
-    def test_the_leader_hears_nothing(self) -> None:
-        self.judge(leader_hears_nothing, bound_us=ACKNOWLEDGED_LATE_US, cut_off=1)
-
-    def test_a_transfer_beside_a_cut_off_edge(self) -> None:
+class NetworkPartitions(unittest.TestCase):
+    def check(
+        self,
+        scenario: Scenario,
+        *,
+        bound_us: int = ACKNOWLEDGED_WITHIN_US,
+        expected_unready: int = 0,
+    ) -> list[ScenarioResult]:
+        """Run every seed; exactly `expected_unready` edges reject requests in the partition."""
+        results = [run_scenario(scenario, seed=seed) for seed in SEEDS]
+        for seed, result in zip(SEEDS, results, strict=True):
+            context = f"seed {seed}: {result.acknowledged_after_us} {result.ready_after_us}"
+            self.assertEqual(result.history.violations[:5], [], context)
+            self.assertEqual(result.monitor.violations[:5], [], context)
+            self.assertLess(result.acknowledged_after_us, bound_us, context)
+            self.assertLess(result.ready_after_us, READY_AGAIN_US, context)
+            self.assertEqual(
+                len(result.unready_us), expected_unready, f"{context} {result.unready_us}"
+            )
+        return results
+
+    def test_leader_isolated_with_one_edge(self) -> None:
+        for result in self.check(leader_isolated_with_one_edge, expected_unready=2):
+            least_us = CUT_US - LEASE_SPAN_US - POLL_INTERVAL_US
+            self.assertGreaterEqual(min(result.unready_us.values()), least_us)
+
+    def test_leader_isolated_from_the_other_cores(self) -> None:
+        for result in self.check(leader_isolated_from_cores):
+            self.assertGreater(len(result.history.acknowledged), MIN_WRITES_WHILE_RELAYED)
+
+    def test_follower_isolated_from_the_other_cores(self) -> None:
+        for result in self.check(follower_isolated_from_cores):
+            self.assertGreater(len(result.history.acknowledged), MIN_WRITES_WHILE_RELAYED)
+
+    def test_leader_receives_nothing(self) -> None:
+        self.check(leader_receives_nothing, bound_us=ACKNOWLEDGED_LATE_US, expected_unready=1)
+
+    def test_leadership_transfer_with_an_isolated_edge(self) -> None:
         for seed in SEEDS:
-            day = run_day(transfer_beside_a_cut_off_edge, seed=seed)
-            self.assertEqual(day.history.violations[:5], [])
-            self.assertEqual(day.watch.violations[:5], [])
-            self.assertGreater(len(day.history.acknowledged), 10)
+            result = run_scenario(leadership_transfer_with_isolated_edge, seed=seed)
+            self.assertEqual(result.history.violations[:5], [])
+            self.assertEqual(result.monitor.violations[:5], [])
+            self.assertGreater(len(result.history.acknowledged), 10)
 
-    def test_the_leader_is_not_heard(self) -> None:
-        self.judge(leader_is_not_heard, cut_off=1)
+    def test_leader_sends_nothing(self) -> None:
+        self.check(leader_sends_nothing, expected_unready=1)
 
 
-class HintsOfCores(unittest.TestCase):
-    """What a core says that does not lead may be of any age: it adds, and replaces nothing."""
+class RepliesOfFollowers(unittest.TestCase):
+    """A core list from a follower may be stale, so it only adds to the known cores."""
 
-    def test_a_core_that_was_away_does_not_take_the_others_from_an_edge(self) -> None:
+    def test_a_stale_core_list_does_not_replace_known_cores(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             edge = fleet.daemons["edge/node-05"]
@@ -271,13 +289,13 @@
             )
             self.assertLessEqual(known, set(edge.leases.cores))
             await fleet.sleep(us=2_000_000)
-            self.assertEqual(known, set(edge.leases.cores))  # the leader's word replaces
+            self.assertEqual(known, set(edge.leases.cores))  # the list from the leader replaces it
 
         run_sim(seed=1, deployment=load(name="tiny"), scenario=scenario)
 
 
 class RelayedRenewals(unittest.TestCase):
-    def test_a_wave_that_breaks_off_does_not_end_them_for_good(self) -> None:
+    def test_relaying_works_again_after_an_attempt_fails(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             leases = fleet.daemons["edge/node-05"].leases
@@ -295,11 +313,11 @@
         run_sim(seed=1, deployment=load(name="tiny"), scenario=scenario)
 
 
-async def an_edge_cut_off_from_all(fleet: SimFleet, day: Day) -> None:
-    """Cut off at eight places of the second, so that a lease is of every age."""
+async def edge_isolated_repeatedly(fleet: SimFleet, result: ScenarioResult) -> None:
+    """Isolate an edge at eight offsets within a second, so that its lease varies in age."""
     others = [n for n in machines(fleet=fleet) if n != "node-04"]
     for _ in range(8):
-        pairs = between(left=["node-04"], right=others)
+        pairs = links_between(left=["node-04"], right=others)
         fleet.world.cuts |= set(pairs)
         await fleet.sleep(us=3_500_000)
         fleet.world.cuts -= set(pairs)
@@ -308,9 +326,9 @@
 
 
 class SlowClock(unittest.TestCase):
-    """An edge whose clock runs slow keeps its lease for longer than it was given."""
+    """An edge with a slow clock keeps its lease for longer than it was granted."""
 
-    def watched(self, *, rate: float) -> list[str]:
+    def violations_of(self, *, rate: float) -> list[str]:
         real = SimClock.now_us
 
         def now_us(self: SimClock) -> int:
@@ -318,22 +336,25 @@
             return int(real(self) * rate) if is_slow else real(self)
 
         with mock.patch.object(SimClock, "now_us", now_us):
-            day = run_day(an_edge_cut_off_from_all, seed=1)
-        self.assertEqual(day.history.violations[:5], [])
-        return day.watch.violations
+            result = run_scenario(edge_isolated_repeatedly, seed=1)
+        self.assertEqual(result.history.violations[:5], [])
+        return result.monitor.violations
 
-    def test_the_margin_is_enough_for_eight_percent(self) -> None:
-        self.assertEqual(self.watched(rate=0.92)[:5], [])
+    def test_the_lease_margin_covers_an_8_percent_slow_clock(self) -> None:
+        self.assertEqual(self.violations_of(rate=0.92)[:5], [])
 
-    def test_it_is_not_for_twenty_five(self) -> None:
-        self.assertIn("a lease at", " ".join(self.watched(rate=0.75)))
+    def test_the_lease_margin_does_not_cover_a_25_percent_slow_clock(self) -> None:
+        self.assertIn("a lease at", " ".join(self.violations_of(rate=0.75)))
 
 
 class SteppedClock(unittest.TestCase):
-    """No answer depends on the clock on the wall: edges that start again after it was
-    stepped back are heard, hold leases and count as having installed what they have."""
+    """No result depends on the wall clock.
 
-    def test_most_edges_start_again_an_hour_earlier(self) -> None:
+    Edges that restart after it was stepped back get leases, the other edges accept their gossip,
+    and their epochs count as installed.
+    """
+
+    def test_edges_restart_after_the_wall_clock_was_set_back(self) -> None:
         stepped_back_us = 3_600_000_000
 
         async def scenario(fleet: SimFleet) -> None:
@@ -363,26 +384,28 @@
             run_sim(seed=seed, deployment=load(name="tiny"), scenario=scenario)
 
 
-class SupersededReadings(unittest.TestCase):
-    """A reading of the list that lay in a cut link is no news when it arrives, however
-    young it says it is: readings are numbered."""
+class StaleDiscoveryReadings(unittest.TestCase):
+    """A reading of the endpoint list that was delayed by a partition is ignored.
+
+    Its stated age does not count: readings are numbered.
+    """
 
-    LIFE = Instance(instance_id="i", service="s", address="127.0.0.1:1")
+    INSTANCE = Instance(instance_id="i", service="s", address="127.0.0.1:1")
 
-    def two_rolls(self) -> tuple[EndpointList, EndpointList]:
-        """A reader, and a node that took its first reading."""
+    def reader_and_node(self) -> tuple[EndpointList, EndpointList]:
+        """A reader, and a node that accepted its first reading."""
         first, node = EndpointList(me="first", own="first:1"), EndpointList(me="node", own="node:1")
-        first.apply_listing(instances=[self.LIFE], read_us=0, now_us=1_000)
+        first.apply_listing(instances=[self.INSTANCE], read_us=0, now_us=1_000)
         node.apply_update(update=first.update(now_us=1_000), now_us=2_000)
         return first, node
 
-    def test_a_late_reading_of_a_reader_before(self) -> None:
-        first, node = self.two_rolls()
-        first.apply_listing(instances=[self.LIFE], read_us=500_000, now_us=501_000)
-        late = first.update(now_us=501_000)  # 1 ms old as it is sent; it lies in the link
+    def test_a_late_reading_of_a_previous_reader_is_ignored(self) -> None:
+        first, node = self.reader_and_node()
+        first.apply_listing(instances=[self.INSTANCE], read_us=500_000, now_us=501_000)
+        late = first.update(now_us=501_000)  # 1 ms old when sent; delayed by the link
         second = EndpointList(me="second", own="second:1")
         second.apply_update(update=node.update(now_us=600_000, is_whole=True), now_us=601_000)
-        draining = replace(self.LIFE, is_draining=True)
+        draining = replace(self.INSTANCE, is_draining=True)
         for turn in range(3, 10):
             now_us = turn * 1_000_000
             second.apply_listing(instances=[draining], read_us=now_us, now_us=now_us)
@@ -393,66 +416,68 @@
         self.assertEqual(node.reader, "second")
         self.assertEqual(node.fresh_us, 9_010_000)
 
-    def test_a_late_reading_that_says_the_same_does_not_count_as_fresh(self) -> None:
-        first, node = self.two_rolls()
+    def test_an_unchanged_late_reading_does_not_refresh_the_list(self) -> None:
+        first, node = self.reader_and_node()
         late = first.update(now_us=2_000)
         second = EndpointList(me="second", own="second:1")
         second.apply_update(update=node.update(now_us=600_000, is_whole=True), now_us=601_000)
-        second.apply_listing(instances=[self.LIFE], read_us=3_000_000, now_us=3_000_000)
+        second.apply_listing(instances=[self.INSTANCE], read_us=3_000_000, now_us=3_000_000)
         node.apply_update(update=second.update(now_us=3_000_000), now_us=3_000_000)
         node.apply_update(update=late, now_us=9_000_000)
         self.assertEqual(node.fresh_us, 3_000_000)
         self.assertEqual(node.reader, "second")
 
-    def test_a_reader_that_began_anew_goes_on_above_what_it_hears(self) -> None:
-        first, node = self.two_rolls()
+    def test_a_restarted_reader_continues_above_the_number_it_receives(self) -> None:
+        first, node = self.reader_and_node()
         for turn in range(1, 6):
-            first.apply_listing(instances=[self.LIFE], read_us=turn, now_us=turn)
+            first.apply_listing(instances=[self.INSTANCE], read_us=turn, now_us=turn)
         node.apply_update(update=first.update(now_us=10), now_us=10)
         fresh = EndpointList(me="fresh", own="fresh:1")
-        other = replace(self.LIFE, instance_id="j")
+        other = replace(self.INSTANCE, instance_id="j")
         fresh.apply_listing(instances=[other], read_us=2_000_000, now_us=2_000_000)
         node.apply_update(update=fresh.update(now_us=2_000_000, is_whole=True), now_us=2_000_000)
-        self.assertEqual(list(node.instances), ["i"])  # its first number counts for little
+        self.assertEqual(list(node.instances), ["i"])  # its reading has a lower number
         fresh.apply_update(update=node.update(now_us=2_100_000), now_us=2_100_000)
         fresh.apply_listing(instances=[other], read_us=3_000_000, now_us=3_000_000)
         node.apply_update(update=fresh.update(now_us=3_000_000, is_whole=True), now_us=3_000_000)
         self.assertEqual(list(node.instances), ["j"])
 
 
-async def unconfirmed(self: LeaseService) -> None:
-    """Planted fault: a deposed leader goes on renewing leases."""
+async def skip_confirmation(self: LeaseService) -> None:
+    """Planted fault: a deposed leader continues to renew leases."""
 
 
-def lapsed_at_once(self: LeaseTable, *, edge: str, epoch: int, now_us: int, span_us: int) -> bool:
-    """Planted fault: a new leader holds unknown leases for lapsed."""
+def expire_unknown_leases(
+    self: LeaseTable, *, edge: str, epoch: int, now_us: int, span_us: int
+) -> bool:
+    """Planted fault: a new leader assumes that unknown leases have expired."""
     holder = self._holders.get(edge)
     return holder is None or not holder.leases
 
 
 class PlantedFaults(unittest.TestCase):
-    """The watch is shown to notice faults of its kind."""
+    """The monitor detects planted faults."""
 
-    def watched(self, scenario: Story) -> str:
-        return " ".join(run_day(scenario, seed=1).watch.violations)
+    def violations_of(self, scenario: Scenario) -> str:
+        return " ".join(run_scenario(scenario, seed=1).monitor.violations)
 
     def test_leases_renewed_by_a_deposed_leader(self) -> None:
         with (
-            mock.patch.object(LeaseService, "_confirm", unconfirmed),
+            mock.patch.object(LeaseService, "_confirm", skip_confirmation),
             mock.patch.object(RaftState, "has_quorum_contact", lambda self: True),
         ):
-            found = self.watched(leader_with_an_edge)
+            found = self.violations_of(leader_isolated_with_one_edge)
         self.assertIn("a lease at", found)
         self.assertIn("serves", found)
 
     def test_a_new_leader_that_does_not_wait(self) -> None:
-        with mock.patch.object(LeaseTable, "_have_older_leases_expired", lapsed_at_once):
-            found = self.watched(transfer_beside_a_cut_off_edge)
+        with mock.patch.object(LeaseTable, "_have_older_leases_expired", expire_unknown_leases):
+            found = self.violations_of(leadership_transfer_with_isolated_edge)
         self.assertIn("a lease at", found)
 
     def test_an_edge_that_serves_past_its_lease(self) -> None:
         with mock.patch.object(LeaseHolder, "refusal", lambda self, *, now_us: ""):
-            found = self.watched(leader_with_an_edge)
+            found = self.violations_of(leader_isolated_with_one_edge)
         self.assertIn("serves", found)
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders: repeats, lost answers, two operators, changes of leader, bad input."""
+"""Configuration writes of operators: retries, lost replies, two operators, leader changes."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 from tests.test_cores import hurt, play
 
 
-class AppliedRequests(unittest.TestCase):
-    """The replicated record of orders: what a repeat hears, however late it comes."""
+class RequestRecords(unittest.TestCase):
+    """The replicated records of writes: the outcome of a retry, however late it arrives."""
 
     def setUp(self) -> None:
         self.machine = Machine(cluster="c")
@@ -48,13 +48,13 @@
         )
         return machine.apply(data=bytes(Command(put=put)))
 
-    def change(self, *, times: int) -> None:
+    def apply_writes(self, *, times: int) -> None:
         for _ in range(times):
             base = self.machine.state.version
             outcome = self.put(self.machine, base=base, version=base + 2, text=f"on {base}")
             self.assertIsInstance(outcome, PutApplied)
 
-    def refuse(self, *, times: int) -> None:
+    def reject_writes(self, *, times: int) -> None:
         for number in range(times):
             outcome = self.put(self.machine, base=0, version=9, text=f"late {number}")
             self.assertIsInstance(outcome, PutSuperseded)
@@ -62,11 +62,11 @@
     def restored(self) -> Machine:
         return Machine(cluster="c", state=CoreState().parse(bytes(self.machine.state)))
 
-    def test_a_superseded_order_is_acknowledged_again_after_thousands_of_changes(self) -> None:
-        self.change(times=1)
+    def test_a_superseded_write_is_acknowledged_again_after_thousands_of_writes(self) -> None:
+        self.apply_writes(times=1)
         first = dict(base=0, version=2, text="on 0")
         for _ in range(4):
-            self.change(times=700)
+            self.apply_writes(times=700)
             self.assertEqual(2, self.put(self.machine, **first).version)
             self.assertEqual(2, self.put(self.machine, **first, put_id="another").version)
             self.machine = self.restored()
@@ -76,37 +76,37 @@
             self.assertEqual(base + 2, outcome.version)
         self.assertEqual(RECORDS_KEPT, len(self.machine.state.puts))
 
-    def test_refusals_never_push_out_what_was_taken(self) -> None:
-        self.change(times=3)
-        self.refuse(times=RECORDS_KEPT + REFUSALS_KEPT + 9)
+    def test_rejections_never_evict_applied_writes(self) -> None:
+        self.apply_writes(times=3)
+        self.reject_writes(times=RECORDS_KEPT + REFUSALS_KEPT + 9)
         outcome = self.put(self.machine, base=0, version=2, text="on 0")
         self.assertEqual(PutApplied(version=2, epoch=1), outcome)
         self.assertEqual(REFUSALS_KEPT, len(self.machine.state.refused))
 
-    def test_the_loser_of_a_superseded_base_is_still_refused(self) -> None:
-        self.change(times=RECORDS_KEPT + 20)
+    def test_a_conflicting_write_on_a_superseded_base_is_still_rejected(self) -> None:
+        self.apply_writes(times=RECORDS_KEPT + 20)
         for machine in (self.machine, self.restored()):
             outcome = self.put(machine, base=0, version=2, text="another on 0")
             self.assertEqual(PutSuperseded(expected=0, current=machine.state.version), outcome)
 
-    def test_a_snapshot_decides_as_the_replica_that_took_it(self) -> None:
-        self.change(times=RECORDS_KEPT + 30)
-        self.refuse(times=7)
+    def test_a_restored_snapshot_decides_like_its_replica(self) -> None:
+        self.apply_writes(times=RECORDS_KEPT + 30)
+        self.reject_writes(times=7)
         again = self.restored()
-        orders = [
+        writes = [
             *({"base": b, "version": b + 2, "text": f"on {b}"} for b in range(0, 1200, 2)),
             *({"base": 0, "version": 9, "text": f"late {n}"} for n in range(9)),
             {"base": again.state.version, "version": again.state.version, "text": "not above"},
             {"base": again.state.version, "version": again.state.version + 1, "text": "next"},
         ]
-        for one in orders:
-            self.assertEqual(self.put(self.machine, **one), self.put(again, **one))
+        for write in writes:
+            self.assertEqual(self.put(self.machine, **write), self.put(again, **write))
             self.assertEqual(bytes(self.machine.state), bytes(again.state))
 
-    def test_beyond_the_oldest_digest_there_is_no_clear_answer_rather_than_a_refusal(self) -> None:
+    def test_writes_older_than_the_kept_digests_are_unknown_not_rejected(self) -> None:
         kept, state_machine.DIGESTS_KEPT = state_machine.DIGESTS_KEPT, 40
         self.addCleanup(setattr, state_machine, "DIGESTS_KEPT", kept)
-        self.change(times=RECORDS_KEPT + 60)
+        self.apply_writes(times=RECORDS_KEPT + 60)
         forgotten = self.machine.state.forgotten_to
         self.assertEqual(40, forgotten)
         for machine in (self.machine, self.restored()):
@@ -118,24 +118,24 @@
                 wanted = PutOutcomeUnknown if base < forgotten else PutSuperseded
                 self.assertIsInstance(other, wanted, base)
 
-    def test_the_record_costs_few_bytes(self) -> None:
-        self.change(times=2_000)
+    def test_records_use_few_bytes(self) -> None:
+        self.apply_writes(times=2_000)
         self.assertLess(len(bytes(self.machine.state)), RECORDS_KEPT * 100 + 1_500 * 24 + 200)
 
-    def test_a_refused_order_on_a_version_to_come_is_never_taken_later(self) -> None:
-        self.change(times=1)
+    def test_a_rejected_write_on_a_future_version_is_never_applied(self) -> None:
+        self.apply_writes(times=1)
         digest = put_digest(document=b"early", expected=4, version=6)
         refusal = RefusePut(put_id="early", digest=digest, expected=4, version=6)
         outcome = self.machine.apply(data=bytes(Command(refuse=refusal)))
         self.assertEqual(PutSuperseded(expected=4, current=2), outcome)
-        self.change(times=1)
+        self.apply_writes(times=1)
         for machine in (self.machine, self.restored()):
             outcome = self.put(machine, base=4, version=6, text="early", put_id="early")
             self.assertEqual(PutSuperseded(expected=4, current=2), outcome)
             self.assertEqual(4, machine.state.version)
 
-    def test_a_refusal_that_comes_when_its_base_is_there_decides_nothing(self) -> None:
-        self.change(times=1)
+    def test_a_rejection_after_its_base_version_exists_has_no_effect(self) -> None:
+        self.apply_writes(times=1)
         digest = put_digest(document=b"x", expected=2, version=4)
         refusal = Command(refuse=RefusePut(put_id="x", digest=digest, expected=2, version=4))
         self.assertIsInstance(self.machine.apply(data=bytes(refusal)), PutOutcomeUnknown)
@@ -143,23 +143,23 @@
         self.assertEqual(PutApplied(version=4, epoch=2), outcome)
         self.assertEqual(outcome, self.machine.apply(data=bytes(refusal)))
 
-    def test_a_version_that_is_not_above_is_refused_for_good(self) -> None:
-        self.change(times=1)
+    def test_a_version_not_above_the_current_is_rejected_permanently(self) -> None:
+        self.apply_writes(times=1)
         low = dict(base=2, version=2, text="same number")
         self.assertEqual(PutNotAbove(version=2, current=2), self.put(self.machine, **low))
-        self.change(times=1)
+        self.apply_writes(times=1)
         self.assertEqual(PutNotAbove(version=2, current=2), self.put(self.machine, **low))
 
 
-class LeaseTable:
-    """What the operators of a simulated site sent, read and were answered."""
+class OperatorHistory:
+    """The writes and reads of the operators of a simulated site, with the replies."""
 
     def __init__(self) -> None:
         self.writes: list[Write] = []
         self.bodies: dict[str, bytes] = {}
         self.reads: list[Read] = []
 
-    def order(self, *, key: str, base: int, version: int) -> Write:
+    def new_write(self, *, key: str, base: int, version: int) -> Write:
         body = order(lambda raw: raw.update(Note=key), revision=version)
         content = hashlib.sha256(body).hexdigest()
         write = Write(key=key, base=base, version=version, content=content)
@@ -171,37 +171,37 @@
         return [write for write in self.writes if write.of(Answer.ACKNOWLEDGED)]
 
     def anomalies(self) -> list[str]:
-        return [one.why for one in find_anomalies(writes=self.writes, reads=self.reads)]
+        return [anomaly.why for anomaly in find_anomalies(writes=self.writes, reads=self.reads)]
 
 
-class OrderSite(Site):
-    """A site with operators whose every call is recorded."""
+class OperatorSite(Site):
+    """A site whose operator calls are all recorded."""
 
     def __init__(self, **more: Any) -> None:
         super().__init__(**more)
-        self.lease_table = LeaseTable()
-        self.is_open = True
-        self.lost_share = 0.6
+        self.history = OperatorHistory()
+        self.is_running = True
+        self.lost_reply_probability = 0.6
 
     async def send(self, write: Write, *, member: str, rand: random.Random | None = None) -> Answer:
-        """One call with an order; its answer may be lost on its way."""
+        """Send a write once; with `rand` the reply may be lost."""
         sent_us = self.world.now_us()
         reply = await self.replace(
-            member, self.lease_table.bodies[write.key], base=str(write.base), wait_us=1_000_000
+            member, self.history.bodies[write.key], base=str(write.base), wait_us=1_000_000
         )
         status = reply.status if isinstance(reply, HttpReply) else 0
         assert status in (0, 200, 400, 412, 503), reply
         answer = ANSWERS.get(status, Answer.UNCLEAR)
-        if rand is not None and rand.random() < self.lost_share:
+        if rand is not None and rand.random() < self.lost_reply_probability:
             answer = Answer.UNCLEAR
         done_us = self.world.now_us()
         write.tries.append(Try(sent_us=sent_us, done_us=done_us, answer=answer))
         return answer
 
-    async def insist(self, write: Write, *, rand: random.Random) -> Answer:
-        """Send an order again and again, to any member, until it has a clear answer."""
+    async def send_until_decided(self, write: Write, *, rand: random.Random) -> Answer:
+        """Send a write to random members until it has a clear reply."""
         answer = Answer.UNCLEAR
-        while answer is Answer.UNCLEAR and self.is_open:
+        while answer is Answer.UNCLEAR and self.is_running:
             answer = await self.send(write, member=rand.choice(self.names), rand=rand)
             await self.sleep(rand.randrange(10_000, 300_000))
         return answer
@@ -221,31 +221,34 @@
         if reply.status == 200:
             version = json.loads(reply.body)["Revision"]
             content = hashlib.sha256(reply.body).hexdigest()
-        self.lease_table.reads.append(
+        self.history.reads.append(
             Read(sent_us=sent_us, done_us=self.world.now_us(), version=version, content=content)
         )
         return version
 
-    async def operate(self, *, who: str, rand: random.Random, at_once: int, step: int) -> None:
-        """Orders on top of what is read, `at_once` under way together; what was taken is
-        sent again now and then. A `step` makes every operator pick the same number."""
+    async def run_operator(self, *, who: str, rand: random.Random, at_once: int, step: int) -> None:
+        """Read the version and send `at_once` concurrent writes on it, until the run ends.
+
+        Some acknowledged writes are sent again. With a `step` every operator picks the same
+        version.
+        """
         turn = 0
-        while self.is_open:
+        while self.is_running:
             base = await self.read_once(member=rand.choice(self.names))
             if base is None:
                 await self.sleep(100_000)
                 continue
             turn += 1
-            orders = [
-                self.lease_table.order(
+            writes = [
+                self.history.new_write(
                     key=f"{who}{turn}.{place}",
                     base=base,
                     version=base + (step or rand.randrange(1, 9)),
                 )
                 for place in range(at_once)
             ]
-            await asyncio.gather(*(self.insist(write, rand=rand) for write in orders))
-            known = self.lease_table.acknowledged()
+            await asyncio.gather(*(self.send_until_decided(write, rand=rand) for write in writes))
+            known = self.history.acknowledged()
             for write in rand.sample(known, min(2, len(known))):
                 await self.send(write, member=rand.choice(self.names))
 
@@ -254,134 +257,144 @@
 ANSWERS = {200: Answer.ACKNOWLEDGED, 412: Answer.CONFLICT, 400: Answer.INVALID}
 
 
-def day(*, seed: int, count: int, at_once: int, step: int, troubles: int = 7) -> OrderSite:
-    """Operators at work while machines of the core suffer what is to be borne."""
-    sites: list[OrderSite] = []
+def run_faults(
+    *, seed: int, count: int, at_once: int, step: int, fault_count: int = 7
+) -> OperatorSite:
+    """Run operators while core machines have faults within the tolerance."""
+    sites: list[OperatorSite] = []
 
-    async def scenario(site: OrderSite) -> None:
+    async def scenario(site: OperatorSite) -> None:
         sites.append(site)
         rand = random.Random(f"orders/{seed}")
         await site.start(is_first=True)
         await site.wait_for(lambda: len(site.voters()) == 2 * site.tolerance + 1)
         work = [
             site.outside.spawn(
-                site.operate(
+                site.run_operator(
                     who=who, rand=random.Random(f"{seed}/{who}"), at_once=at_once, step=step
                 )
             )
             for who in ("a", "b")
         ]
-        for _ in range(troubles):
-            before = len(site.lease_table.acknowledged())
+        for _ in range(fault_count):
+            before = len(site.history.acknowledged())
             await site.wait_for(
                 lambda b=before: (
-                    len(site.lease_table.acknowledged()) > b or any(w.done() for w in work)
+                    len(site.history.acknowledged()) > b or any(w.done() for w in work)
                 ),
                 us=30_000_000,
             )
             await hurt(site, rand)
             await site.wait_for(lambda: len(site.voters()) >= 2 * site.tolerance + 1, us=15_000_000)
-        site.is_open = False
-        for one in work:
-            await one
+        site.is_running = False
+        for task in work:
+            await task
         site.kill(*rand.sample(site.names, site.tolerance), is_disk=True)
         site.kill(*site.up(), is_power=True)
         await site.start()
         await site.wait_for(lambda: len(site.voters()) >= 2 * site.tolerance + 1)
         for member in site.names:
             await site.read_once(member=member)
-        for write in site.lease_table.acknowledged():  # superseded or not, everywhere
+        for write in site.history.acknowledged():  # superseded or not, everywhere
             for member in site.names:
                 await site.send(write, member=member)
 
-    play(scenario, seed=seed, count=count, tolerance=(count - 1) // 2, make=OrderSite)
+    play(scenario, seed=seed, count=count, tolerance=(count - 1) // 2, make=OperatorSite)
     return sites[0]
 
 
-async def _soon(value: Any) -> Any:
+async def _return_value(value: Any) -> Any:
     return value
 
 
-class Days(unittest.TestCase):
-    """Days of trouble by seed: one order of all changes explains every answer."""
+class WritesDuringFaults(unittest.TestCase):
+    """With random faults, a single order of all writes explains every reply."""
 
-    def check(self, **plan: int) -> OrderSite:
-        site = day(**plan)
-        self.assertEqual([], site.lease_table.anomalies(), plan)
-        self.assertGreater(len(site.lease_table.acknowledged()), 5, "hardly anything was taken")
+    def check(self, **plan: int) -> OperatorSite:
+        site = run_faults(**plan)
+        self.assertEqual([], site.history.anomalies(), plan)
+        self.assertGreater(len(site.history.acknowledged()), 5, "almost no write was applied")
         return site
 
-    def test_two_operators_with_one_number(self) -> None:
+    def test_two_operators_with_the_same_version(self) -> None:
         for seed in range(5):
             with self.subTest(seed=seed):
                 site = self.check(seed=seed, count=3, at_once=1, step=2)
-                numbers = Counter((write.base, write.version) for write in site.lease_table.writes)
-                self.assertGreater(max(numbers.values()), 1, "they never met")
+                numbers = Counter((write.base, write.version) for write in site.history.writes)
+                self.assertGreater(
+                    max(numbers.values()), 1, "no two writes had the same base and version"
+                )
 
-    def test_two_operators_with_one_number_over_many_snapshots(self) -> None:
+    def test_two_operators_with_the_same_version_over_many_snapshots(self) -> None:
         with mock.patch.object(snapshots, "SNAPSHOT_ENTRIES", 3):
             for seed in range(10, 13):
                 with self.subTest(seed=seed):
                     self.check(seed=seed, count=3, at_once=1, step=2)
 
-    def test_eight_orders_under_way_at_once(self) -> None:
+    def test_eight_writes_in_flight(self) -> None:
         for seed in range(20, 23):
             with self.subTest(seed=seed):
                 site = self.check(seed=seed, count=3, at_once=4, step=0)
-                refused = [write for write in site.lease_table.writes if write.is_refused]
+                refused = [write for write in site.history.writes if write.is_refused]
                 self.assertGreater(len(refused), 10)
 
-    def found(self, **plan: int) -> str:
-        """What the checker says of a day, over a few seeds."""
+    def first_anomaly(self, **plan: int) -> str:
+        """The first anomaly that the checker finds over a few seeds; empty if none."""
         for seed in range(60, 66):
-            anomalies = day(seed=seed, count=3, at_once=1, step=2, **plan).lease_table.anomalies()
+            anomalies = run_faults(
+                seed=seed, count=3, at_once=1, step=2, **plan
+            ).history.anomalies()
             if anomalies:
                 return anomalies[0]
         return ""
 
-    def test_records_that_a_restart_forgets_are_noticed(self) -> None:
+    def test_records_lost_in_a_restart_are_detected(self) -> None:
         real = Machine.__init__
 
-        def forgetful(machine: Machine, **more: Any) -> None:
+        def without_records(machine: Machine, **more: Any) -> None:
             real(machine, **more)
             machine.state.puts = []
             machine._applied_by_digest, machine._records, machine._compacted_versions = {}, {}, {}
 
         with (
-            mock.patch.object(Machine, "__init__", forgetful),
+            mock.patch.object(Machine, "__init__", without_records),
             mock.patch.object(snapshots, "SNAPSHOT_ENTRIES", 3),
         ):
-            self.assertIn("was taken, and refused", self.found())
+            self.assertIn("was taken, and refused", self.first_anomaly())
 
-    def test_orders_that_are_not_looked_up_are_noticed(self) -> None:
-        with mock.patch.object(ConfigurationWrites, "_look_up", lambda self, **_: _soon(None)):
-            self.assertIn("was taken, and refused", self.found())
+    def test_missing_lookups_are_detected(self) -> None:
+        with mock.patch.object(
+            ConfigurationWrites, "_look_up", lambda self, **_: _return_value(None)
+        ):
+            self.assertIn("was taken, and refused", self.first_anomaly())
 
-    def test_one_number_among_eight_at_five_voters(self) -> None:
+    def test_eight_writes_of_the_same_version_with_five_voters(self) -> None:
         with self.subTest(seed=40):
-            self.check(seed=40, count=5, at_once=4, step=3, troubles=8)
+            self.check(seed=40, count=5, at_once=4, step=3, fault_count=8)
+
 
+class WritesInFlight(unittest.TestCase):
+    """A write that is in the log when its leader loses its leadership."""
 
-class InFlight(unittest.TestCase):
-    """An order that is in the log when its leader loses the lead."""
+    def lose_leadership(self, *, seed: int) -> tuple[OperatorSite, Answer]:
+        """The entry reaches the other members, but their replies do not reach the leader.
 
-    def lead_is_lost(self, *, seed: int) -> tuple[OrderSite, Answer]:
-        """The entry reaches the others, no answer of theirs reaches the leader; what the
-        order's sender is answered, and then everybody."""
+        Returns the site, and the reply to the sender of the write.
+        """
         out: list[Any] = []
 
-        async def scenario(site: OrderSite) -> None:
+        async def scenario(site: OperatorSite) -> None:
             await site.start(is_first=True)
             await site.wait_for(lambda: len(site.voters()) == 3)
-            first = site.lease_table.order(key="first", base=0, version=3)
-            await site.insist(first, rand=random.Random(seed))
+            first = site.history.new_write(key="first", base=0, version=3)
+            await site.send_until_decided(first, rand=random.Random(seed))
             leader = site.leader()
             others = [name for name in site.names if name != leader]
             log = site.daemons[leader].task.raft.log
             before = log.last_index
-            sent = site.lease_table.order(key="sent", base=3, version=5)
-            rival = site.lease_table.order(key="rival", base=3, version=5)
-            call = asyncio.ensure_future(self.patient(site, sent, member=leader))
+            sent = site.history.new_write(key="sent", base=3, version=5)
+            rival = site.history.new_write(key="rival", base=3, version=5)
+            call = asyncio.ensure_future(self.send_with_long_timeout(site, sent, member=leader))
             while log.last_index == before:
                 await site.sleep(500)
             for other in others:
@@ -390,7 +403,7 @@
             await site.wait_for(lambda: site.leader() in others)
             await asyncio.gather(
                 *(
-                    site.insist(write, rand=random.Random(f"{seed}/{place}"))
+                    site.send_until_decided(write, rand=random.Random(f"{seed}/{place}"))
                     for place, write in enumerate((rival, sent))
                 )
             )
@@ -402,13 +415,15 @@
                 await site.read_once(member=member)
             out.extend((site, answer))
 
-        play(scenario, seed=seed, count=3, tolerance=1, make=OrderSite)
+        play(scenario, seed=seed, count=3, tolerance=1, make=OperatorSite)
         return out[0], out[1]
 
-    async def patient(self, site: OrderSite, write: Write, *, member: str) -> Answer:
-        """The order by the product's own interface, which can wait for longer."""
+    async def send_with_long_timeout(
+        self, site: OperatorSite, write: Write, *, member: str
+    ) -> Answer:
+        """Send a write over the product's own interface, which allows a longer timeout."""
         sent_us = site.world.now_us()
-        document, version = CONFIGURATION.to_document(body=site.lease_table.bodies[write.key])
+        document, version = CONFIGURATION.to_document(body=site.history.bodies[write.key])
         reply = await site.outside.ports.net.fetch(
             call=HttpCall(
                 method="PUT",
@@ -428,18 +443,18 @@
         write.tries.append(Try(sent_us=sent_us, done_us=site.world.now_us(), answer=answer))
         return answer
 
-    def test_it_has_no_clear_answer_until_it_is_found_taken(self) -> None:
+    def test_the_reply_is_unclear_until_the_write_is_found_applied(self) -> None:
         for seed in range(6):
             with self.subTest(seed=seed):
-                site, answer = self.lead_is_lost(seed=seed)
+                site, answer = self.lose_leadership(seed=seed)
                 self.assertIs(Answer.UNCLEAR, answer)
-                self.assertEqual([], site.lease_table.anomalies())
-                _, sent, rival = site.lease_table.writes
+                self.assertEqual([], site.history.anomalies())
+                _, sent, rival = site.history.writes
                 self.assertGreaterEqual(len(sent.of(Answer.ACKNOWLEDGED)), 3)
                 self.assertGreaterEqual(len(rival.of(Answer.CONFLICT)), 3)
                 self.assertFalse(sent.is_refused or rival.of(Answer.ACKNOWLEDGED))
 
-    def test_a_refusal_of_what_may_yet_commit_is_noticed(self) -> None:
+    def test_rejecting_a_write_that_may_still_commit_is_detected(self) -> None:
         real = ReplicaTask._take
 
         def take(self: ReplicaTask, *, event: Any) -> None:
@@ -451,41 +466,41 @@
             self._proposals.clear()
 
         with mock.patch.object(ReplicaTask, "_take", take):
-            found = [self.lead_is_lost(seed=seed)[0].lease_table.anomalies() for seed in range(3)]
+            found = [self.lose_leadership(seed=seed)[0].history.anomalies() for seed in range(3)]
         self.assertIn("sent was taken, and refused (another version is current)", sum(found, []))
 
 
-class TwoMembers(unittest.TestCase):
-    """Copies of orders at several members at the same time."""
+class ConcurrentWrites(unittest.TestCase):
+    """Copies of writes, sent to several members at the same time."""
 
-    def test_one_order_at_every_member_at_once(self) -> None:
-        async def scenario(site: OrderSite) -> None:
+    def test_one_write_sent_to_every_member_is_applied_once(self) -> None:
+        async def scenario(site: OperatorSite) -> None:
             await site.start(is_first=True)
             await site.wait_for(lambda: len(site.voters()) == 3)
             for turn in range(6):
                 version = turn + 1
-                write = site.lease_table.order(key=f"o{turn}", base=turn, version=version)
+                write = site.history.new_write(key=f"o{turn}", base=turn, version=version)
                 answers = await asyncio.gather(
                     *(site.send(write, member=member) for member in site.names * 2)
                 )
                 self.assertEqual({Answer.ACKNOWLEDGED}, set(answers))
             puts = site.daemons[site.leader()].task.machine.state.puts
-            self.assertEqual(6, len(puts), "each was taken once")
-            self.assertEqual([], site.lease_table.anomalies())
+            self.assertEqual(6, len(puts), "each write is applied once")
+            self.assertEqual([], site.history.anomalies())
 
-        play(scenario, seed=7, count=3, tolerance=1, make=OrderSite)
+        play(scenario, seed=7, count=3, tolerance=1, make=OperatorSite)
 
-    def test_two_under_one_number_in_every_order_of_arrival(self) -> None:
-        """Each at one of the members, `gap_us` apart, each repeated everywhere after it."""
+    def test_one_of_two_writes_of_a_version_wins_in_any_arrival_order(self) -> None:
+        """Two writes are sent `gap_us` apart to one member each, and then again to all members."""
 
-        async def scenario(site: OrderSite) -> None:
+        async def scenario(site: OperatorSite) -> None:
             await site.start(is_first=True)
             await site.wait_for(lambda: len(site.voters()) == 3)
             base = 0
             for gap_us in (-40_000, -9_000, -1_000, 0, 1_000, 9_000, 40_000):
                 for members in itertools.product(site.names, repeat=2):
                     pair = [
-                        site.lease_table.order(key=f"{side}{base}", base=base, version=base + 2)
+                        site.history.new_write(key=f"{side}{base}", base=base, version=base + 2)
                         for side in "ab"
                     ]
                     answers = await asyncio.gather(
@@ -501,35 +516,35 @@
                         for write, answer in zip(pair, answers, strict=True):
                             self.assertIs(answer, await site.send(write, member=member))
                     base += 2
-            self.assertEqual([], site.lease_table.anomalies())
+            self.assertEqual([], site.history.anomalies())
 
-        play(scenario, seed=8, count=3, tolerance=1, make=OrderSite)
+        play(scenario, seed=8, count=3, tolerance=1, make=OperatorSite)
 
     async def send_later(
-        self, site: OrderSite, write: Write, *, member: str, after_us: int
+        self, site: OperatorSite, write: Write, *, member: str, after_us: int
     ) -> Answer:
         await site.sleep(after_us)
         return await site.send(write, member=member)
 
 
-class Recovery(unittest.TestCase):
-    """Orders after a recovery from a survivor that was behind an acknowledgement."""
+class RecoveryFromSurvivor(unittest.TestCase):
+    """Writes after a recovery from a survivor that lacks acknowledged writes."""
 
-    def test_what_an_edge_gave_back_is_acknowledged_again_and_what_lies_between_unclear(
+    def test_recovered_writes_are_acknowledged_and_those_between_unclear(
         self,
     ) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()  # version 1
             left = next(name for name in fleet.core_address if name != fleet.leader())
             others = [name for name in fleet.core_address if name != left]
-            orders = {
+            writes = {
                 base: {"document": fleet.configuration(note=f"on {base}"), "put_id": f"on-{base}"}
                 for base in (1, 2, 3, 4)
             }
 
             async def send(base: int, *, core: str | None = None, **more: Any) -> dict:
-                order_row = {**orders[base], **more}
-                return await fleet.put(expected=base, core=core, wait_us=2_000_000, **order_row)
+                write_args = {**writes[base], **more}
+                return await fleet.put(expected=base, core=core, wait_us=2_000_000, **write_args)
 
             self.assertEqual(200, (await send(1))["status"])
             fleet.kill_core(name=left)
@@ -548,50 +563,52 @@
             await fleet.sleep(us=4_000_000)
             known = [await send(base, core=left) for base in (1, 2, 3)]
             self.assertEqual(
-                ["ok", "unresolved", "ok"], [row["end"] for row in known], "none is refused"
+                ["ok", "unresolved", "ok"], [row["end"] for row in known], "none is rejected"
             )
             rival = fleet.configuration(note="rival")
             late = await send(2, core=left, document=rival, put_id="rival")
-            self.assertEqual("unresolved", late["end"], "it may have been the one taken")
+            self.assertEqual("unresolved", late["end"], "it may have been the applied write")
             late = await send(3, core=left, document=rival, put_id="rival")
-            self.assertEqual("version_mismatch", late["end"], "its version is another's")
+            self.assertEqual(
+                "version_mismatch", late["end"], "its version belongs to another write"
+            )
 
         run_sim(seed=1, deployment=fleet_deployment(name="tiny"), scenario=scenario)
 
 
-class NotSettled(unittest.TestCase):
-    """A taken order whose acknowledgement an edge still holds up."""
+class UnsettledWrites(unittest.TestCase):
+    """An applied write whose acknowledgement an edge still delays."""
 
-    def test_sent_again_anywhere_it_waits_for_the_same_outcome(self) -> None:
-        for is_lead_lost in (False, True):
-            with self.subTest(is_lead_lost=is_lead_lost):
-                self.assertGreater(self.answers_before_the_lease_ends(is_lead_lost), 3)
+    def test_a_retry_at_any_core_waits_for_the_same_outcome(self) -> None:
+        for is_leader_killed in (False, True):
+            with self.subTest(is_leader_killed=is_leader_killed):
+                self.assertGreater(self.unclear_replies_before_lease_end(is_leader_killed), 3)
 
-    def answers_before_the_lease_ends(self, is_lead_lost: bool) -> int:
-        """How many unclear answers came first; a refusal or an early 200 fails the test."""
+    def unclear_replies_before_lease_end(self, is_leader_killed: bool) -> int:
+        """The number of unclear replies before the 200; a rejection or early 200 fails the test."""
         counts: list[int] = []
 
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             edge = fleet.daemons["edge/node-05"]
             fleet.processes["edge/node-05"].freeze()
-            order_row = {
+            write_args = {
                 "document": fleet.configuration(note="two"),
                 "expected": 1,
                 "put_id": "two",
             }
             leader, cores = fleet.leader(), list(fleet.core_address)
-            row = await fleet.put(core=leader, wait_us=200_000, **order_row)
+            row = await fleet.put(core=leader, wait_us=200_000, **write_args)
             self.assertEqual("unresolved", row["end"])
             lease_ends_us = edge.lease_holder.lease_until_us()
-            if is_lead_lost:
+            if is_leader_killed:
                 fleet.kill_core(name=leader)
                 cores.remove(leader)
             unclear = 0
             for turn in range(200):
                 core = cores[turn % len(cores)]
                 rows = await asyncio.gather(
-                    *(fleet.put(core=core, wait_us=200_000, **order_row) for _ in range(2))
+                    *(fleet.put(core=core, wait_us=200_000, **write_args) for _ in range(2))
                 )
                 for row in rows:
                     self.assertIn(row["status"], (0, 200, 503), row)
@@ -603,7 +620,7 @@
             counts.append(unclear)
             fleet.processes["edge/node-05"].thaw()
             for core in cores:
-                again = await fleet.put(core=core, **order_row)
+                again = await fleet.put(core=core, **write_args)
                 self.assertEqual(200, again["status"])
 
         run_sim(seed=2, deployment=fleet_deployment(name="tiny"), scenario=scenario)
