--- a/kelpstage/core/leases/lease_table.py
+++ b/kelpstage/core/leases/lease_table.py
@@ -111,7 +111,7 @@
         self.contacts.remove(edge=edge)
 
     def has_left(self, *, edge: str) -> bool:
-        """Did the newest process of this edge leave in order?"""
+        """True if the newest incarnation of this edge has shut down cleanly."""
         holder = self._holders.get(edge)
         return holder is not None and holder.has_left
 
--- a/tests/drawn_membership.py
+++ b/tests/drawn_membership.py
@@ -234,8 +234,8 @@
     violations: tuple[str, ...]
 
     def __str__(self) -> str:
-        lead = ", changing leader" if self.has_leader_changes else ""
-        head = f"{self.deployment} {self.seed}{lead}: {', '.join(self.steps)}: "
+        leader_note = ", changing leader" if self.has_leader_changes else ""
+        head = f"{self.deployment} {self.seed}{leader_note}: {', '.join(self.steps)}: "
         return head + ("kept" if not self.violations else "\n  ".join(("", *self.violations)))
 
 
--- a/tests/test_edge_membership.py
+++ b/tests/test_edge_membership.py
@@ -63,8 +63,8 @@
             out += [(before, membership_of(names + "x", "".join(observers)))]
             out += [(before, membership_of(names + "xyz", "".join(observers) + "z"))]
             out += [
-                (before, membership_of(names.replace(gone, ""), "".join(observers)))
-                for gone in names
+                (before, membership_of(names.replace(removed, ""), "".join(observers)))
+                for removed in names
             ]
     return out
 
--- a/tests/test_membership_scenarios.py
+++ b/tests/test_membership_scenarios.py
@@ -150,12 +150,12 @@
 async def voter_restarts_while_another_is_lost(run: ScenarioRun) -> None:
     """Two voters are down at the same time, one of them permanently, and the leader changes.
     The other one restarts and a replacement joins."""
-    stopped, gone = run.rand.sample(run.voters(), 2)
+    stopped, lost = run.rand.sample(run.voters(), 2)
     await run.stop(name=stopped)
-    run.cut_power(name=gone)
-    run.remove_from_fleet(name=gone)
-    zone = run.fleet.world.machines[gone].zone
-    del run.fleet.core_address[gone]
+    run.cut_power(name=lost)
+    run.remove_from_fleet(name=lost)
+    zone = run.fleet.world.machines[lost].zone
+    del run.fleet.core_address[lost]
     await run.fleet.sleep(us=run.rand.randrange(1, 9) * 1_000_000)
     await run.start(name=stopped)
     await run.add_machine(zone=zone, has_core=True)
