--- a/kelpstage/core/store/layout.py
+++ b/kelpstage/core/store/layout.py
@@ -1,8 +1,8 @@
 """Names of the files in a core's data folder.
 
-Log segments, snapshots and the synced mark carry the name of the replica that wrote
-them. Which replica a folder belongs to is said by `identity` alone, so replacing or
-removing that one file decides at once which of the others count.
+The names of log segments, snapshots and the synced mark contain the name of the replica
+that wrote them. The file `identity` alone states which replica owns the folder, so replacing
+or deleting that one file atomically decides which of the other files are valid.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 IDENTITY_PATH = "identity"
 UNFINISHED_SUFFIX = ".new"
 MARK_SUFFIX = ".synced"
-_NAME = re.compile(r"(?P<replica>.+)-(?P<number>\d+)\.(?P<kind>seg|snap)")
+_FILE_NAME = re.compile(r"(?P<replica>.+)-(?P<number>\d+)\.(?P<kind>seg|snap)")
 
 
 @dataclass(frozen=True, kw_only=True)
 class FileName:
-    """The parts of a segment's or a snapshot's name.
+    """The parsed name of a segment or a snapshot.
 
-    `number` is the segment's place in the log, or the index that the snapshot covers.
+    `number` is the segment's position in the log, or the last index that the snapshot covers.
     """
 
     replica: str
@@ -32,7 +32,7 @@
 
 
 def segment_path(*, replica: str, number: int) -> str:
-    """Where a segment is; numbers go up by one.
+    """The path of a segment; segments are numbered consecutively.
 
     >>> segment_path(replica="a", number=3)
     'log/a-00000003.seg'
@@ -41,7 +41,7 @@
 
 
 def snapshot_path(*, replica: str, index: int) -> str:
-    """Where the snapshot up to an index is.
+    """The path of the snapshot that covers the log up to an index.
 
     >>> snapshot_path(replica="a", index=7)
     'snapshots/a-00000000000000000007.snap'
@@ -50,7 +50,7 @@
 
 
 def mark_path(*, replica: str) -> str:
-    """Where the synced mark is.
+    """The path of a replica's synced mark.
 
     >>> mark_path(replica="a")
     'log/a.synced'
@@ -58,15 +58,15 @@
     return f"{LOG_FOLDER}/{replica}{MARK_SUFFIX}"
 
 
-def parse_name(*, name: str) -> FileName | None:
-    """The parts of a name without its folder; `None` for other files.
+def parse_file_name(*, name: str) -> FileName | None:
+    """Parse the name of a segment or snapshot, without its folder; `None` for other files.
 
-    >>> parse_name(name="a-00000003.seg")
+    >>> parse_file_name(name="a-00000003.seg")
     FileName(replica='a', number=3, is_segment=True)
-    >>> parse_name(name="a.synced") is None
+    >>> parse_file_name(name="a.synced") is None
     True
     """
-    found = _NAME.fullmatch(name)
+    found = _FILE_NAME.fullmatch(name)
     if found is None:
         return None
     return FileName(
@@ -77,12 +77,12 @@
 
 
 def owner_of(*, name: str) -> str | None:
-    """Whose segment, snapshot or mark this is; `None` for files of other kinds.
+    """The replica that owns a segment, snapshot or mark; `None` for files of other kinds.
 
     >>> owner_of(name="a-00000003.seg"), owner_of(name="a.synced"), owner_of(name="notes")
     ('a', 'a', None)
     """
-    parts = parse_name(name=name)
+    parts = parse_file_name(name=name)
     if parts is not None:
         return parts.replica
     return name.removesuffix(MARK_SUFFIX) if name.endswith(MARK_SUFFIX) else None
--- a/kelpstage/core/store/reading.py
+++ b/kelpstage/core/store/reading.py
@@ -1,6 +1,6 @@
 """Reads a replica's snapshot, log segments and synced mark from its data folder.
 
-Nothing is written here; `recovery.rebuild` checks that the parts fit together.
+It writes nothing; `recovery.rebuild` checks that the parts are consistent with each other.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
         self._replica = replica
 
     async def newest_snapshot(self, *, cluster: str) -> DiskSnapshot | None | KelpstageError:
-        """The newest snapshot, None if there is none; `LogDamagedError` if it is not valid."""
-        indexes = await self._folder.numbers(folder=SNAPSHOT_FOLDER, replica=self._replica)
+        """The newest snapshot, `None` if there is none; `LogDamagedError` if it is not valid."""
+        indexes = await self._folder.file_numbers(folder=SNAPSHOT_FOLDER, replica=self._replica)
         if isinstance(indexes, KelpstageError):
             return indexes
         if not indexes:
@@ -49,19 +49,19 @@
         if isinstance(snapshot, KelpstageError):
             return snapshot
         if snapshot.index != indexes[-1] or snapshot.cluster != cluster:
-            return LogDamagedError(path=path, offset=0, why="a snapshot of something else")
+            return LogDamagedError(path=path, offset=0, why="snapshot of another index or cluster")
         return snapshot
 
     async def synced_mark(self) -> SyncedMark | None | KelpstageError:
-        """How much of the log is known to be synced; None if no valid mark was found."""
+        """How much of the log is known to be synced; `None` if there is no valid mark."""
         data = await self._disk.read(path=mark_path(replica=self._replica))
         if isinstance(data, KelpstageError):
             return data
         return read_mark(data=data or b"")
 
     async def live_segments(self, *, mark: SyncedMark | None) -> list[Segment] | KelpstageError:
-        """The segments from the newest one that begins with a base on; all if none does."""
-        numbers = await self._folder.numbers(folder=LOG_FOLDER, replica=self._replica)
+        """Read the newest segment that begins with a base and all later ones; all if none does."""
+        numbers = await self._folder.file_numbers(folder=LOG_FOLDER, replica=self._replica)
         if isinstance(numbers, KelpstageError):
             return numbers
         segments: list[Segment] = []
--- a/kelpstage/core/store/records.py
+++ b/kelpstage/core/store/records.py
@@ -1,13 +1,14 @@
 """Formats of the files on a core's disk: segments, snapshots, identity, synced mark.
 
-Each file begins with four letters and a format number. Then come sealed records (a
-marker, a length, a checksum, a body): any number in a segment, one in each other file.
-
-A segment's record holds all that was written between two syncs. At most one record, the
-last, can be unsynced, so a bad record with a good one behind it is damage, while one with
-nothing behind it may be a write that a loss of power interrupted. The synced mark tells these two
-apart: it states how much of the log was synced for certain, and bytes before it that fail
-their check are damage.
+Each file begins with a header: a four-byte magic number and a format version. Checksummed
+records follow (a marker, a length, a checksum, a body): any number in a segment, exactly one
+in each other file.
+
+A segment's record holds everything that was written between two syncs. At most one record,
+the last, can be unsynced. So an invalid record that a valid one follows is damage, while an
+invalid record at the end may be a write that a power loss interrupted. The synced mark resolves
+the second case: it states how much of the log is known to be synced, and bytes before it that
+fail their checksum are damage.
 """
 
 from __future__ import annotations
@@ -29,11 +30,11 @@
 MARK_MAGIC = b"KMRK"
 _FORMAT_NUMBER = struct.Struct("!H")
 _MARK_BODY = struct.Struct("!QQ")
-_VERSION = _FORMAT_NUMBER.pack(FORMAT)
-SEGMENT_HEAD = SEGMENT_MAGIC + _VERSION
-SNAPSHOT_HEAD = SNAPSHOT_MAGIC + _VERSION
-IDENTITY_HEAD = IDENTITY_MAGIC + _VERSION
-MARK_HEAD = MARK_MAGIC + _VERSION
+_FORMAT_VERSION = _FORMAT_NUMBER.pack(FORMAT)
+SEGMENT_HEADER = SEGMENT_MAGIC + _FORMAT_VERSION
+SNAPSHOT_HEADER = SNAPSHOT_MAGIC + _FORMAT_VERSION
+IDENTITY_HEADER = IDENTITY_MAGIC + _FORMAT_VERSION
+MARK_HEADER = MARK_MAGIC + _FORMAT_VERSION
 _Message = TypeVar("_Message", bound=bp.Message)
 
 
@@ -41,9 +42,9 @@
 class DiskStep(bp.Message):
     """One write of a replica: the changes to its log, term and vote.
 
-    With `is_base` the log begins anew behind a snapshot at `base_index`, and what earlier
-    steps say no longer counts. Then the log is truncated from `cut_from` on (0: it is not),
-    then `entries` are added, then `term` and `vote` are set if `has_vote`.
+    With `is_base` the log restarts after a snapshot at `base_index` and replaces all earlier
+    steps. Then the log is truncated from index `cut_from` on (0: no truncation), `entries`
+    are appended, and `term` and `vote` are set if `has_vote`.
     """
 
     cut_from: int = bp.uint64_field(1)
@@ -60,8 +61,8 @@
 class DiskRecord(bp.Message):
     """All steps between two syncs, in order.
 
-    The first record of a segment that goes on from the one before names that one's size,
-    so that records missing at its end are noticed.
+    The first record of a segment that continues the previous one holds the size of that
+    segment in `previous_size`, so that records missing at its end are detected.
     """
 
     steps: List[DiskStep] = bp.message_field(1)
@@ -81,7 +82,7 @@
 
 @dataclass
 class DiskIdentity(bp.Message):
-    """Which replica this folder belongs to; without a cluster it is in none yet."""
+    """The replica that owns this folder; `cluster` is empty until the replica joins one."""
 
     replica: str = bp.string_field(1)
     cluster: str = bp.string_field(2)
@@ -89,15 +90,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SyncedMark:
-    """All segments before `segment`, and `size` bytes of it, were synced for certain."""
+    """All segments before `segment`, and the first `size` bytes of it, are known to be synced."""
 
     segment: int
     size: int
 
 
 @dataclass(frozen=True, kw_only=True)
-class PlacedRecord:
-    """A record and the offset in bytes at which it begins."""
+class RecordAtOffset:
+    """A record and the byte offset at which it begins."""
 
     offset: int
     record: DiskRecord
@@ -105,31 +106,31 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Segment:
-    """A segment as read: its good records, and the offset at which they end."""
+    """A segment as read: its valid records, and the offset at which they end."""
 
     path: str
     number: int
     data: bytes
-    records: list[PlacedRecord]
+    records: list[RecordAtOffset]
     end: int
 
     @property
     def begins_with_base(self) -> bool:
-        """Does it supersede all older segments?"""
+        """True when the first step is a base, which supersedes all older segments."""
         steps = self.records[0].record.steps if self.records else []
         return bool(steps) and steps[0].is_base
 
     @property
-    def last_write(self) -> int:
-        """The offset at which the newest good write begins; a segment's head and its first
+    def last_write_offset(self) -> int:
+        """The offset at which the last valid write begins; a segment's header and its first
         record are one write."""
         return self.records[-1].offset if len(self.records) > 1 else 0
 
 
-def other_format(*, path: str, data: bytes, magic: bytes) -> FormatMismatchError | None:
-    """Is this a file of ours in a format that this version does not read?
+def format_mismatch(*, path: str, data: bytes, magic: bytes) -> FormatMismatchError | None:
+    """The error for a file of this kind in a format that this version does not read, or `None`.
 
-    >>> other_format(path="p", data=b"KLOG" + struct.pack("!H", 9), magic=b"KLOG").why
+    >>> format_mismatch(path="p", data=b"KLOG" + struct.pack("!H", 9), magic=b"KLOG").why
     'format 9, this version reads 1'
     """
     if not data.startswith(magic) or len(data) < len(magic) + _FORMAT_NUMBER.size:
@@ -145,148 +146,150 @@
 ) -> Segment | LogDamagedError | FormatMismatchError:
     """Read a segment's records.
 
-    `synced` bytes of it were synced for certain. Only the last segment may end in a
-    record that was being written, and only behind those.
+    The first `synced` bytes are known to be synced. Only the last segment may end in an
+    incomplete record, and only after those bytes.
 
-    >>> data = SEGMENT_HEAD + seal(body=bytes(DiskRecord(steps=[DiskStep()]))) + b"torn"
+    >>> data = SEGMENT_HEADER + seal(body=bytes(DiskRecord(steps=[DiskStep()]))) + b"torn"
     >>> segment = read_segment(path="p", number=1, data=data, is_last=True)
     >>> len(segment.records), segment.end == len(data) - 4
     (1, True)
     >>> read_segment(path="p", number=1, data=data, is_last=False).offset == len(data) - 4
     True
     >>> read_segment(path="p", number=1, data=data, is_last=True, synced=len(data)).why
-    'a record that was synced fails its check'
+    'a synced record fails its checksum'
     """
-    records: list[PlacedRecord] = []
+    records: list[RecordAtOffset] = []
     end = 0
-    if data.startswith(SEGMENT_HEAD):
+    if data.startswith(SEGMENT_HEADER):
         outcome = _read_records(path=path, data=data)
         if isinstance(outcome, LogDamagedError):
             return outcome
         records, end = outcome.records, outcome.end
     is_complete = end == len(data) and end > 0
     if not is_complete and (not is_last or end < synced or has_sealed(data=data, start=end)):
-        other = other_format(path=path, data=data, magic=SEGMENT_MAGIC)
-        return other or LogDamagedError(path=path, offset=end, why=_why_bad(end=end, synced=synced))
+        mismatch = format_mismatch(path=path, data=data, magic=SEGMENT_MAGIC)
+        return mismatch or LogDamagedError(
+            path=path, offset=end, why=_damage_reason(end=end, synced=synced)
+        )
     if end < synced:
         return LogDamagedError(path=path, offset=end, why="synced records are missing")
     return Segment(path=path, number=number, data=data, records=records, end=end)
 
 
-def _why_bad(*, end: int, synced: int) -> str:
+def _damage_reason(*, end: int, synced: int) -> str:
     if not end:
-        return "not a segment of this format"
+        return "segment header is not valid"
     if end < synced:
-        return "a record that was synced fails its check"
-    return "a record fails its check"
+        return "a synced record fails its checksum"
+    return "a record fails its checksum"
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Records:
-    records: list[PlacedRecord]
+class _ReadRecords:
+    records: list[RecordAtOffset]
     end: int
 
 
-def _read_records(*, path: str, data: bytes) -> _Records | LogDamagedError:
-    """The good records from a segment's beginning on."""
-    offset = len(SEGMENT_HEAD)
-    records: list[PlacedRecord] = []
+def _read_records(*, path: str, data: bytes) -> _ReadRecords | LogDamagedError:
+    """Read the valid records from the beginning of a segment up to the first invalid one."""
+    offset = len(SEGMENT_HEADER)
+    records: list[RecordAtOffset] = []
     while (found := unseal(data=data, offset=offset)) is not None:
-        body, behind = found
+        body, next_offset = found
         record = _parse(body=body, kind=DiskRecord)
         if record is None:
-            return LogDamagedError(path=path, offset=offset, why="a record is unreadable")
-        records.append(PlacedRecord(offset=offset, record=record))
-        offset = behind
-    return _Records(records=records, end=offset)
+            return LogDamagedError(path=path, offset=offset, why="a record does not parse")
+        records.append(RecordAtOffset(offset=offset, record=record))
+        offset = next_offset
+    return _ReadRecords(records=records, end=offset)
 
 
 def _parse(*, body: bytes, kind: type[_Message]) -> _Message | None:
-    """A message, or `None` where the checksum holds over bytes that do not parse."""
+    """Parse a message; `None` if bytes with a valid checksum do not parse."""
     message = kind()
     try:
         message.parse(body)
-    except Exception:  # betterproto raises whatever its parts do
+    except Exception:  # betterproto passes on any exception of its field decoders
         return None
     return message
 
 
 def write_snapshot(*, snapshot: DiskSnapshot) -> bytes:
-    """A snapshot as its file.
+    """Encode a snapshot as the content of its file.
 
     >>> read_snapshot(path="p", data=write_snapshot(snapshot=DiskSnapshot(index=4))).index
     4
     """
-    return SNAPSHOT_HEAD + seal(body=bytes(snapshot))
+    return SNAPSHOT_HEADER + seal(body=bytes(snapshot))
 
 
 def read_snapshot(
     *, path: str, data: bytes
 ) -> DiskSnapshot | LogDamagedError | FormatMismatchError:
-    """The reverse of `write_snapshot`.
+    """Decode the content of a snapshot file.
 
     >>> read_snapshot(path="p", data=b"junk").kind
     'log_damaged'
     """
-    return _read_one(path=path, data=data, magic=SNAPSHOT_MAGIC, kind=DiskSnapshot)
+    return _read_single_record(path=path, data=data, magic=SNAPSHOT_MAGIC, kind=DiskSnapshot)
 
 
 def write_identity(*, identity: DiskIdentity) -> bytes:
-    """An identity as its file.
+    """Encode an identity as the content of its file.
 
     >>> read_identity(path="p", data=write_identity(identity=DiskIdentity(replica="a"))).replica
     'a'
     """
-    return IDENTITY_HEAD + seal(body=bytes(identity))
+    return IDENTITY_HEADER + seal(body=bytes(identity))
 
 
 def read_identity(
     *, path: str, data: bytes
 ) -> DiskIdentity | LogDamagedError | FormatMismatchError:
-    """The reverse of `write_identity`.
+    """Decode the content of the identity file.
 
     >>> read_identity(path="p", data=b"").why
-    'it fails its check'
+    'header or checksum is not valid'
     """
-    return _read_one(path=path, data=data, magic=IDENTITY_MAGIC, kind=DiskIdentity)
+    return _read_single_record(path=path, data=data, magic=IDENTITY_MAGIC, kind=DiskIdentity)
 
 
-def _read_one(
+def _read_single_record(
     *, path: str, data: bytes, magic: bytes, kind: type[_Message]
 ) -> _Message | LogDamagedError | FormatMismatchError:
-    """The single record of a file."""
-    other = other_format(path=path, data=data, magic=magic)
-    if other is not None:
-        return other
-    damage = LogDamagedError(path=path, offset=0, why="it fails its check")
-    if not data.startswith(magic + _VERSION):
+    """Decode a file that holds exactly one record."""
+    mismatch = format_mismatch(path=path, data=data, magic=magic)
+    if mismatch is not None:
+        return mismatch
+    damage = LogDamagedError(path=path, offset=0, why="header or checksum is not valid")
+    if not data.startswith(magic + _FORMAT_VERSION):
         return damage
-    found = unseal(data=data, offset=len(magic + _VERSION))
+    found = unseal(data=data, offset=len(magic + _FORMAT_VERSION))
     if found is None or found[1] != len(data):
         return damage
     return _parse(body=found[0], kind=kind) or damage
 
 
 def write_mark(*, mark: SyncedMark) -> bytes:
-    """A synced mark as its file, always of one size, so that it is replaced in place.
+    """Encode a synced mark as its file, which has a fixed size so that it is overwritten in place.
 
     >>> len(write_mark(mark=SyncedMark(segment=1, size=6)))
     34
     """
-    return MARK_HEAD + seal(body=_MARK_BODY.pack(mark.segment, mark.size))
+    return MARK_HEADER + seal(body=_MARK_BODY.pack(mark.segment, mark.size))
 
 
 def read_mark(*, data: bytes) -> SyncedMark | None:
-    """The reverse; `None` for a mark whose write was interrupted, which states nothing.
+    """Decode a synced mark; `None` if its write was interrupted, which says nothing about the log.
 
     >>> read_mark(data=write_mark(mark=SyncedMark(segment=1, size=6)))
     SyncedMark(segment=1, size=6)
     >>> read_mark(data=b"torn") is None
     True
     """
-    if not data.startswith(MARK_HEAD):
+    if not data.startswith(MARK_HEADER):
         return None
-    found = unseal(data=data, offset=len(MARK_HEAD))
+    found = unseal(data=data, offset=len(MARK_HEADER))
     if found is None or len(found[0]) != _MARK_BODY.size:
         return None
     segment, size = _MARK_BODY.unpack(found[0])
--- a/kelpstage/core/store/recovery.py
+++ b/kelpstage/core/store/recovery.py
@@ -1,7 +1,7 @@
-"""Rebuilds a replica's term, vote and log from segments and a snapshot that were read.
+"""Rebuilds a replica's term, vote and log from its segments and snapshot, without I/O.
 
-No I/O. The log counts from the newest segment on that begins with a base; older ones are
-leftovers, any of which may have survived a loss of power.
+The log starts at the newest segment that begins with a base. Older segments are obsolete;
+a power loss may restore any of them after they were deleted.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @dataclass(kw_only=True)
 class Recovered:
-    """What a replica finds on its disk."""
+    """The state of a replica as recovered from its disk."""
 
     identity: DiskIdentity
     term: int = 0
@@ -36,7 +36,7 @@
 
 @dataclass(kw_only=True)
 class _Replay:
-    """Term, vote and log as the steps taken so far leave them."""
+    """Term, vote and log after the steps that were applied so far."""
 
     term: int = 0
     vote: str = ""
@@ -44,8 +44,8 @@
     base_term: int = 0
     entries: list[LogEntry] = field(default_factory=list)
 
-    def take(self, *, step: DiskStep) -> bool:
-        """Follow one step; false when it does not fit what came before."""
+    def apply(self, *, step: DiskStep) -> bool:
+        """Apply one step; false when its entries do not continue the log."""
         if step.is_base:
             self.base_index, self.base_term = step.base_index, step.base_term
             self.entries = []
@@ -67,36 +67,36 @@
     snapshot: DiskSnapshot | None,
     mark: SyncedMark | None,
 ) -> Recovered | LogDamagedError:
-    """A replica's state from the segments that count, oldest first, and its newest snapshot.
+    """Rebuild a replica's state from its valid segments, oldest first, and its newest snapshot.
 
     >>> rebuild(identity=DiskIdentity(replica="a"), segments=[], snapshot=None, mark=None).term
     0
     >>> rebuild(identity=DiskIdentity(replica="a"), segments=[],
     ...     snapshot=DiskSnapshot(index=4), mark=None).why
-    'there is no log beside the snapshot'
+    'the snapshot has no log'
     """
-    damage = _cut_short(segments=segments)
-    damage = damage or _missing(segments=segments, snapshot=snapshot, mark=mark)
+    damage = _truncated_segment(segments=segments)
+    damage = damage or _missing_segment(segments=segments, snapshot=snapshot, mark=mark)
     if damage is not None:
         return damage
     replay = _Replay()
     for segment in segments:
-        for placed in segment.records:
-            if not all(replay.take(step=step) for step in placed.record.steps):
+        for located in segment.records:
+            if not all(replay.apply(step=step) for step in located.record.steps):
                 return LogDamagedError(
-                    path=segment.path, offset=placed.offset, why="entries out of order"
+                    path=segment.path, offset=located.offset, why="entries out of order"
                 )
-    return _join(identity=identity, replay=replay, snapshot=snapshot)
+    return _combine_log_and_snapshot(identity=identity, replay=replay, snapshot=snapshot)
 
 
-def is_to_begin_anew(*, segments: list[Segment], index: int) -> bool:
-    """Is a new segment to be begun, with all that a log behind this index has?
+def must_start_segment(*, segments: list[Segment], index: int) -> bool:
+    """True when a new segment must be written that holds the whole log after `index`.
 
-    So it is where the last one was not begun any more, and where the log on disk has
-    another base: a snapshot survived, but not the segment behind it. Entries behind the
-    snapshot would then follow on ones that they do not fit.
+    This is so when the last segment holds no record, and when the log on disk has another
+    base: a snapshot survived a power loss but the segment after it did not. Without a new
+    segment, entries after the snapshot would follow entries that they do not continue.
 
-    >>> is_to_begin_anew(segments=[], index=0), is_to_begin_anew(segments=[], index=4)
+    >>> must_start_segment(segments=[], index=0), must_start_segment(segments=[], index=4)
     (False, True)
     """
     if not segments:
@@ -107,10 +107,13 @@
     return first.base_index != index
 
 
-def base_behind(*, snapshot: DiskSnapshot, tail: list[LogEntry], term: int, vote: str) -> DiskStep:
-    """The step that begins a segment behind a snapshot; `tail` are the entries behind it.
+def base_after_snapshot(
+    *, snapshot: DiskSnapshot, tail: list[LogEntry], term: int, vote: str
+) -> DiskStep:
+    """The first step of the segment after a snapshot; `tail` are the later entries.
 
-    >>> base_behind(snapshot=DiskSnapshot(index=7, term=2), tail=[], term=3, vote="a").base_index
+    >>> snapshot = DiskSnapshot(index=7, term=2)
+    >>> base_after_snapshot(snapshot=snapshot, tail=[], term=3, vote="a").base_index
     7
     """
     return DiskStep(
@@ -124,10 +127,10 @@
     )
 
 
-def base_of(*, recovered: Recovered) -> DiskStep:
-    """The step that begins a segment with all that a replica has.
+def base_from_recovered(*, recovered: Recovered) -> DiskStep:
+    """The first step of a segment that holds the complete recovered state of a replica.
 
-    >>> base_of(recovered=Recovered(identity=DiskIdentity(replica="a"), term=3)).term
+    >>> base_from_recovered(recovered=Recovered(identity=DiskIdentity(replica="a"), term=3)).term
     3
     """
     return DiskStep(
@@ -141,10 +144,10 @@
     )
 
 
-def _missing(
+def _missing_segment(
     *, segments: list[Segment], snapshot: DiskSnapshot | None, mark: SyncedMark | None
 ) -> LogDamagedError | None:
-    """Is a segment gone that must be there?"""
+    """The damage if a required segment is missing, else `None`."""
     numbers = [segment.number for segment in segments]
     why = ""
     if mark is not None and mark.segment > max(numbers, default=0):
@@ -154,25 +157,27 @@
     elif segments and numbers != list(range(numbers[0], numbers[0] + len(numbers))):
         why = "a segment is missing"
     elif snapshot is not None and not any(segment.records for segment in segments):
-        why = "there is no log beside the snapshot"
+        why = "the snapshot has no log"
     return LogDamagedError(path=LOG_FOLDER, offset=0, why=why) if why else None
 
 
-def _cut_short(*, segments: list[Segment]) -> LogDamagedError | None:
-    """Are records missing at the end of a segment that another one goes on from?"""
+def _truncated_segment(*, segments: list[Segment]) -> LogDamagedError | None:
+    """The damage if a segment that another one continues lacks records at its end, else `None`."""
     for before, after in zip(segments, segments[1:], strict=False):
         if after.records and after.records[0].record.previous_size != before.end:
             return LogDamagedError(path=before.path, offset=before.end, why="records are missing")
     return None
 
 
-def _join(
+def _combine_log_and_snapshot(
     *, identity: DiskIdentity, replay: _Replay, snapshot: DiskSnapshot | None
 ) -> Recovered | LogDamagedError:
-    """Put the log behind the snapshot, which may be newer than the log's base."""
+    """Start the log after the snapshot, which may be newer than the log's base."""
     base = snapshot.index if snapshot else 0
     if replay.base_index > base:
-        return LogDamagedError(path=SNAPSHOT_FOLDER, offset=0, why="the log's snapshot is not here")
+        return LogDamagedError(
+            path=SNAPSHOT_FOLDER, offset=0, why="the snapshot at the log's base is missing"
+        )
     log = MemoryLog(
         base_index=replay.base_index, base_term=replay.base_term, entries=replay.entries
     )
--- a/kelpstage/core/store/task.py
+++ b/kelpstage/core/store/task.py
@@ -1,4 +1,4 @@
-"""The disk task: owner of the store; writes in order and reports what is synced."""
+"""The disk task owns the store: it writes in order and reports what is synced."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PersistRequest:
-    """A snapshot to write, with the log's entries behind it, term and vote.
+    """A request to write a snapshot with the log entries after it, the term and the vote.
 
-    `number` is reported as synced, like a `Persist`'s; 0 is not.
+    `number` is reported as synced, like that of a `Persist`; 0 is not reported.
     """
 
     snapshot: DiskSnapshot
@@ -31,10 +31,10 @@
 
 
 class DiskTask:
-    """Performs writes in order; one failure ends it, and the replica is to be rebuilt.
+    """Performs writes in order; it ends at the first failure, after which the replica recovers.
 
-    What is put into `inbox` is written in that order, and reported only when it is synced:
-    `on_synced` with the number up to which all is, `on_kept` with a snapshot's index.
+    Items in `inbox` are written in order and reported only when they are synced: `on_synced`
+    gets the number up to which all writes are synced, `on_kept` the index of a snapshot.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         on_kept: Callable[[int], None],
         on_error: Callable[[KelpstageError], None],
     ) -> None:
-        """The store must have been recovered. `now_us` reads a clock, for the durations."""
+        """The store must be recovered already. `now_us` reads the clock that measures durations."""
         self.durations = {"log": DurationHistogram(), "snapshot": DurationHistogram()}
         self._now_us = now_us
         self.inbox: Queue[Persist | PersistRequest] = Queue()
@@ -54,13 +54,13 @@
         self._on_synced = on_synced
         self._on_kept = on_kept
         self._on_error = on_error
-        self._next: PersistRequest | None = None  # out of the inbox, not written yet
+        self._next_item: PersistRequest | None = None  # taken from the inbox, not written yet
 
     async def run(self) -> None:
-        """Write until a write fails."""
+        """Write items from the inbox until a write fails."""
         while True:
-            item = self._next or await self.inbox.get()
-            self._next = None
+            item = self._next_item or await self.inbox.get()
+            self._next_item = None
             began_us = self._now_us()
             outcome = await self._write(item)
             name = "log" if isinstance(item, Persist) else "snapshot"
@@ -76,15 +76,15 @@
 
     @_write.register
     async def _write_steps(self, item: Persist) -> KelpstageError | None:
-        """Group commit: all writes in the queue go into one record and one sync."""
+        """Group commit: all queued writes up to the next snapshot share one record and one sync."""
         batch = [item]
         while not self.inbox.empty():
             following = self.inbox.get_nowait()
             if not isinstance(following, Persist):
-                self._next = following
+                self._next_item = following
                 break
             batch.append(following)
-        outcome = await self._store.append(steps=[step_of(write=write) for write in batch])
+        outcome = await self._store.append(steps=[disk_step_of(write=write) for write in batch])
         if outcome is None:
             self._on_synced(batch[-1].number)
         return outcome
@@ -102,10 +102,10 @@
         return None
 
 
-def step_of(*, write: Persist) -> DiskStep:
-    """A replica's write as it stands on disk.
+def disk_step_of(*, write: Persist) -> DiskStep:
+    """Convert a replica's write to its format on disk.
 
-    >>> step_of(write=Persist(number=1, term=4, vote="a")).has_vote
+    >>> disk_step_of(write=Persist(number=1, term=4, vote="a")).has_vote
     True
     """
     return DiskStep(
--- a/tests/test_store_planted_faults.py
+++ b/tests/test_store_planted_faults.py
@@ -75,7 +75,7 @@
     whole = Store.set_aside
 
     async def set_aside(self: Store) -> KelpstageError | None:
-        await self._drop(is_needless=lambda name: True)
+        await self._delete_files(is_obsolete=lambda name: True)
         return await whole(self)
 
     return mock.patch.object(Store, "set_aside", set_aside)
@@ -86,7 +86,7 @@
     whole = Store._begin_segment
 
     async def begin(self: Store, **named: Any) -> KelpstageError | None:
-        await self._drop_before(segment=self._segment + 1, index=0)
+        await self._delete_superseded(segment=self._segment_number + 1, index=0)
         return await whole(self, **named)
 
     return mock.patch.object(Store, "_begin_segment", begin)
@@ -109,7 +109,7 @@
     whole = Store.write_identity
 
     async def write(self: Store, *, identity: DiskIdentity) -> KelpstageError | None:
-        await self._drop(is_needless=self._is_foreign)
+        await self._delete_files(is_obsolete=self._is_foreign)
         return await whole(self, identity=identity)
 
     return mock.patch.object(Store, "write_identity", write)
@@ -132,10 +132,10 @@
     async def write_synced(
         self: Store, *, path: str, at: int, data: bytes, is_new: bool
     ) -> KelpstageError | None:
-        size, self._size = self._size, at + len(data)
+        size, self._segment_size = self._segment_size, at + len(data)
         error = await self._disk.append(path=path, data=data, at=at)
         await self.mark_synced()
-        self._size = size
+        self._segment_size = size
         error = error or await whole(self._disk, path=path)
         return error or await self._disk.sync_folder(folder=LOG_FOLDER)
 
@@ -143,7 +143,7 @@
 
 
 def is_last_empty(*, segments: list[Segment], index: int) -> bool:
-    """`is_to_begin_anew` that does not look at the index."""
+    """`must_start_segment` that does not look at the index."""
     return bool(segments) and not segments[-1].records
 
 
@@ -165,7 +165,7 @@
     ),
     "a core's records are not synced": (lambda: disk_skips("sync", where=is_segment), CORES),
     "a core does not finish a snapshot that was cut off": (
-        lambda: mock.patch.object(store_module, "is_to_begin_anew", is_last_empty),
+        lambda: mock.patch.object(store_module, "must_start_segment", is_last_empty),
         INSTALLING,
     ),
     "a segment's name is not synced": (
@@ -199,11 +199,11 @@
     "a snapshot loses the term": (lambda: snapshot_loses(term=0), PREFIXES),
     "the mark comes before the sync": (mark_too_soon, PREFIXES),
     "a segment's head is not written again": (
-        lambda: mock.patch.object(Segment, "last_write", property(offset_of_last)),
+        lambda: mock.patch.object(Segment, "last_write_offset", property(offset_of_last)),
         FAILED_SYNC,
     ),
     "the last record is synced but not written again": (
-        lambda: mock.patch.object(Segment, "last_write", property(lambda self: self.end)),
+        lambda: mock.patch.object(Segment, "last_write_offset", property(lambda self: self.end)),
         FAILED_SYNC,
     ),
     "the mark is never written": (
@@ -215,11 +215,11 @@
         REMOVED,
     ),
     "a snapshot that was cut off is not finished": (
-        lambda: mock.patch.object(store_module, "is_to_begin_anew", is_last_empty),
+        lambda: mock.patch.object(store_module, "must_start_segment", is_last_empty),
         PREFIXES,
     ),
     "a segment cut short is not noticed": (
-        lambda: mock.patch.object(recovery, "_cut_short", lambda **named: None),
+        lambda: mock.patch.object(recovery, "_truncated_segment", lambda **named: None),
         CUT_OFF,
     ),
 }
