--- a/kelpstage/core/web/__init__.py
+++ b/kelpstage/core/web/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' HTTP."""
+"""The operators' HTTP interface of a core."""
--- a/kelpstage/core/web/call_validation.py
+++ b/kelpstage/core/web/call_validation.py
@@ -1,6 +1,6 @@
 """Validation of operators' calls: headers, paths and limits.
 
-Any core refuses here what no leader is needed for.
+Any core rejects an invalid call with these checks, without asking the leader.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from kelpstage.common.transport.messages import ForwardOperatorCall
 
 DEFAULT_WAIT_US = 10_000_000
-LONGEST_WAIT_US = 120_000_000
+MAX_WAIT_US = 120_000_000
 
 
 def read_request(*, call: HttpCall, path: str) -> ForwardOperatorCall | KelpstageError:
-    """The request of an operator's call, or why no leader would accept it."""
+    """Parse an operator's call into a request; an error if no leader would accept it."""
     wait_us = _read_wait_us(call=call)
     if isinstance(wait_us, KelpstageError):
         return wait_us
@@ -41,17 +41,17 @@
         wait_us=wait_us,
         version=version,
     )
-    return _refuse_early(request=request) or request
+    return _validate_request(request=request) or request
 
 
 def _read_wait_us(*, call: HttpCall) -> int | BadRequestError:
-    """How long the caller waits, in microseconds; the default if it does not say."""
+    """How long the caller waits, in microseconds; the default without the header."""
     given = call.headers.get("kelp-time-left-us")
     if given is None:
         return DEFAULT_WAIT_US
-    if not _is_digits(given) or not 0 < int(given) <= LONGEST_WAIT_US:
+    if not _is_digits(given) or not 0 < int(given) <= MAX_WAIT_US:
         return BadRequestError(
-            part="Kelp-Time-Left-Us", why=f"whole microseconds, 1 to {LONGEST_WAIT_US}"
+            part="Kelp-Time-Left-Us", why=f"whole microseconds, 1 to {MAX_WAIT_US}"
         )
     return int(given)
 
@@ -61,7 +61,7 @@
 
 
 def _read_version(*, call: HttpCall) -> int | BadRequestError:
-    """The version that the operator gives a write; 0 if none is stated."""
+    """The version that the operator assigns to a write; 0 without the header."""
     given = call.headers.get("kelp-version", "").strip('"')
     if not given:
         return 0
@@ -70,14 +70,14 @@
     return int(given)
 
 
-def _refuse_early(*, request: ForwardOperatorCall) -> KelpstageError | None:
-    """The error of a call that no leader would accept, None for others."""
+def _validate_request(*, request: ForwardOperatorCall) -> KelpstageError | None:
+    """The error for a call that no leader would accept, else `None`."""
     if request.url == "/v1/configuration":
         if request.method == "GET":
             return None
         if request.method != "PUT":
             return MethodNotAllowedError(method=request.method, allowed="GET, PUT")
-        return _refuse_put(request=request)
+        return _validate_put(request=request)
     allowed = _allowed_method(path=request.url)
     if allowed is None:
         return UnknownResourceError(path=request.url)
@@ -87,19 +87,19 @@
 
 
 def _allowed_method(*, path: str) -> str | None:
-    """The one method of a resource other than the configuration; None if there is none."""
+    """The method allowed on a resource other than the configuration; `None` if unknown."""
     if path.startswith("/v1/puts/") or path == "/v1/roster":
         return "GET"
     return "DELETE" if path.startswith("/v1/roster/") else None
 
 
-def _refuse_put(*, request: ForwardOperatorCall) -> KelpstageError | None:
+def _validate_put(*, request: ForwardOperatorCall) -> KelpstageError | None:
     given = request.if_match.strip('"')
     if not given:
         return MissingIfMatchError(why="If-Match: the version that this put replaces, 0 for none")
     if not _is_digits(given):
         return BadRequestError(part="If-Match", why="a whole version number")
-    if request.version and request.version <= int(given):  # whatever version is in force
+    if request.version and request.version <= int(given):  # whatever the current version is
         return VersionNotAboveError(version=request.version, current=int(given))
     if not 0 < len(request.put_id) <= 64 or not request.put_id.isascii() or "/" in request.put_id:
         return BadRequestError(part="Kelp-Put-Id", why="1 to 64 ASCII characters without a slash")
--- a/kelpstage/core/web/metrics.py
+++ b/kelpstage/core/web/metrics.py
@@ -1,7 +1,7 @@
-"""A core's own figures, read from the owners of its state when they are asked for.
+"""The metrics of a core, read from its components on every scrape.
 
-Every name is explained in docs/metrics.md; `tests/test_metrics.py` holds page and code
-together.
+Every name is explained in docs/metrics.md; `tests/test_metrics.py` checks that the page and
+the code agree.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def core_families(*, core: OperatorContext) -> Iterator[MetricFamily]:
-    """All figures of a core; those of the replica only while one runs."""
+    """Yield all metrics of a core; those of the replica only while it runs."""
     task, lease_service = core.task, core.lease_service
     yield MetricFamily.gauge(
         "kelpstage_replica_running",
--- a/kelpstage/core/web/operators.py
+++ b/kelpstage/core/web/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface of a core; any core forwards to the leader."""
+"""The operators' HTTP interface of a core; a core that does not lead forwards to the leader."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 from kelpstage.core.web.views import LOCAL_VIEWS, membership_view
 
 READ_WAIT_US = 2_000_000
-LEADER_WAIT_US = 400_000  # that a call is held while a leader is being elected
-LEADER_LOOK_US = 20_000
+LEADER_WAIT_US = 400_000  # how long a call waits for a leader election
+LEADER_POLL_US = 20_000
 
 
 async def serve_operators(*, core: OperatorContext, call: HttpCall) -> HttpReply:
-    """Answer one operator's call."""
+    """Handle one HTTP call of an operator."""
     path = urlsplit(call.url).path
     if path == METRICS_PATH and call.method == "GET":
         return await metrics_reply(clock=core.ports.clock, collect=lambda: core_families(core=core))
@@ -50,25 +50,27 @@
     request.wait_us = max(1, request.wait_us - waited_us)
     task = core.task
     if task is not None and task.is_leader:
-        return _from_forwarded(reply=await answer_as_leader(core=core, request=request))
+        return _to_http_reply(reply=await answer_as_leader(core=core, request=request))
     if task is None or not task.leader_address:
         why = core.waits_for or "no leader is known to this core"
-        return _refusal_of(core=core, request=request) or error_reply(error=NoLeaderError(why=why))
+        return _rejection_of(core=core, request=request) or error_reply(
+            error=NoLeaderError(why=why)
+        )
     reply = await forward_to_leader(core=core, request=request)
     if isinstance(reply, ForwardOperatorCallReply):
-        return _from_forwarded(reply=reply)
-    refusal = _refusal_of(core=core, request=request)
-    if refusal is not None:
-        return refusal
+        return _to_http_reply(reply=reply)
+    rejection = _rejection_of(core=core, request=request)
+    if rejection is not None:
+        return rejection
     if request.method == "PUT":
-        return _unresolved(
-            put_id=request.put_id, why=f"the leader was lost meanwhile: {reply.kind}"
+        return _unresolved_reply(
+            put_id=request.put_id, why=f"the leader did not reply: {reply.kind}"
         )
     return error_reply(error=NoLeaderError(why=f"leader not reached: {reply.kind}"))
 
 
-def _refusal_of(*, core: OperatorContext, request: ForwardOperatorCall) -> HttpReply | None:
-    """The refusal of a document that no leader would accept, where none was reached."""
+def _rejection_of(*, core: OperatorContext, request: ForwardOperatorCall) -> HttpReply | None:
+    """The rejection of an invalid document when no leader was reached, else `None`."""
     if request.method != "PUT":
         return None
     if core.lease_service is None:
@@ -79,9 +81,9 @@
 
 
 async def _await_leader(*, core: OperatorContext, wait_us: int) -> int:
-    """Hold a call for a moment while no leader is known: one is probably being elected.
+    """Delay a call briefly while no leader is known, since an election is probably under way.
 
-    Returns how long it was held, in microseconds.
+    Returns the delay in microseconds.
     """
     clock = core.ports.clock
     began_us = clock.now_us()
@@ -89,16 +91,16 @@
     while core.task is not None and not core.task.leader_address:
         if clock.now_us() >= until_us:
             break
-        await clock.sleep(us=LEADER_LOOK_US)
+        await clock.sleep(us=LEADER_POLL_US)
     return clock.now_us() - began_us
 
 
 def _kept_us(*, wait_us: int) -> int:
-    """How long a call is held while no leader is known."""
+    """The longest delay of a call while no leader is known."""
     return min(LEADER_WAIT_US, wait_us // 2)
 
 
-def _from_forwarded(*, reply: ForwardOperatorCallReply) -> HttpReply:
+def _to_http_reply(*, reply: ForwardOperatorCallReply) -> HttpReply:
     headers = {"Content-Type": JSON_TYPE}
     if reply.retry_after:
         headers["Retry-After"] = reply.retry_after
@@ -109,7 +111,7 @@
     return HttpReply(status=reply.status, headers=headers, body=reply.body)
 
 
-def _unresolved(*, put_id: str, why: str) -> HttpReply:
+def _unresolved_reply(*, put_id: str, why: str) -> HttpReply:
     return error_reply(
         error=WriteUnresolvedError(put_id=put_id, why=why),
         headers={"Location": f"/v1/puts/{put_id}"},
@@ -120,7 +122,7 @@
     *, core: OperatorContext, request: ForwardOperatorCall
 ) -> ForwardOperatorCallReply:
     """Answer as the leader; `NoLeaderError` (503) if this core does not lead."""
-    reply = await _answer(core=core, ask=request)
+    reply = await _answer(core=core, request=request)
     return ForwardOperatorCallReply(
         status=reply.status,
         body=reply.body,
@@ -131,38 +133,40 @@
     )
 
 
-async def _answer(*, core: OperatorContext, ask: ForwardOperatorCall) -> HttpReply:
+async def _answer(*, core: OperatorContext, request: ForwardOperatorCall) -> HttpReply:
     task, lease_service = core.task, core.lease_service
     if task is None or lease_service is None or not task.is_leader:
         no_leader = error_reply(error=NoLeaderError(why="this core does not lead"))
-        return _refusal_of(core=core, request=ask) or no_leader
-    if ask.method == "PUT":
+        return _rejection_of(core=core, request=request) or no_leader
+    if request.method == "PUT":
         outcome = await lease_service.puts.put(
-            document=ask.body,
-            expected=int(ask.if_match.strip('"')),
-            put_id=ask.put_id,
-            wait_us=ask.wait_us * 9 // 10,
-            version=ask.version,
+            document=request.body,
+            expected=int(request.if_match.strip('"')),
+            put_id=request.put_id,
+            wait_us=request.wait_us * 9 // 10,
+            version=request.version,
         )
-        return _put_reply(outcome=outcome, put_id=ask.put_id)
-    if ask.method == "DELETE":
-        names = unquote(ask.url.removeprefix("/v1/roster/")).split(",")
+        return _put_reply(outcome=outcome, put_id=request.put_id)
+    if request.method == "DELETE":
+        names = unquote(request.url.removeprefix("/v1/roster/")).split(",")
         removal = await lease_service.membership_changes.remove_edges(edges=names)
         if isinstance(removal, KelpstageError):
             return error_reply(error=removal)
         return json_reply(body={"epoch": removal.epoch, "roster": task.machine.state.membership})
-    error = await _confirm_read(core=core, task=task, wait_us=ask.wait_us * 9 // 10)
+    error = await _confirm_read(core=core, task=task, wait_us=request.wait_us * 9 // 10)
     if error is not None:
         return error_reply(error=error)
-    if ask.url == "/v1/configuration":
+    if request.url == "/v1/configuration":
         return _get_configuration(task=task)
-    if ask.url == "/v1/roster":
+    if request.url == "/v1/roster":
         return json_reply(
             body=membership_view(
                 task=task, lease_service=lease_service, now_us=core.ports.clock.now_us()
             )
         )
-    return _get_put(lease_service=lease_service, put_id=unquote(ask.url.removeprefix("/v1/puts/")))
+    return _get_put(
+        lease_service=lease_service, put_id=unquote(request.url.removeprefix("/v1/puts/"))
+    )
 
 
 def _put_reply(*, outcome: PutApplied | KelpstageError, put_id: str) -> HttpReply:
@@ -172,17 +176,17 @@
             headers={"ETag": f'"{outcome.version}"'},
         )
     if isinstance(outcome, WriteUnresolvedError):
-        return _unresolved(put_id=put_id, why=outcome.why)
+        return _unresolved_reply(put_id=put_id, why=outcome.why)
     return error_reply(error=outcome)
 
 
 async def _confirm_read(
     *, core: OperatorContext, task: ReplicaTask, wait_us: int
 ) -> KelpstageError | None:
-    """Confirm that what `task` has applied may be read (the read index of Raft).
+    """Confirm that the state that `task` has applied is current (ReadIndex of Raft).
 
-    The confirmation is void if the process stood still meanwhile, so that the call's time is
-    over, or if the replica was rebuilt from its disk: that one may have applied less.
+    The confirmation is invalid if the process was paused beyond the call's deadline, or if the
+    replica restarted from its disk meanwhile, because the new one may have applied less.
     """
     clock = core.ports.clock
     wait_us = min(wait_us, READ_WAIT_US)
@@ -191,16 +195,16 @@
     if error is not None:
         return error
     if core.task is not task:
-        return NoLeaderError(why="this replica was started anew meanwhile")
+        return NoLeaderError(why="this replica restarted during the read")
     if clock.now_us() > until_us:
-        return NoLeaderError(why="confirmed too late: this process stood still")
+        return NoLeaderError(why="confirmed after the deadline: this process was paused")
     return None
 
 
 def _get_configuration(*, task: ReplicaTask) -> HttpReply:
     state = task.machine.state
     if not state.version:
-        return error_reply(error=NoConfigurationError(why="none was put yet"))
+        return error_reply(error=NoConfigurationError(why="no configuration was written yet"))
     return HttpReply(
         status=200,
         headers={"Content-Type": JSON_TYPE, "ETag": f'"{state.version}"'},
--- a/kelpstage/core/web/views.py
+++ b/kelpstage/core/web/views.py
@@ -1,4 +1,4 @@
-"""What a core reports of itself without asking the leader, and its views of the cluster.
+"""Status views that a core serves without asking the leader, and its view of the membership.
 
 The JSON keys are part of the public interface.
 """
@@ -21,7 +21,7 @@
 def membership_view(
     *, task: ReplicaTask, lease_service: LeaseService, now_us: int
 ) -> dict[str, Any]:
-    """The membership with what the leader knows of each edge."""
+    """The membership with the leader's lease and contact data of each edge."""
     state = task.machine.state
     membership = edge_membership(state=state)
     rows = []
@@ -95,7 +95,7 @@
     }
     if task.is_leader:
         view["margin"] = task.raft.margin()
-        assert core.lease_service is not None, "there is one while the replica runs"
+        assert core.lease_service is not None, "the lease service exists while the replica runs"
         membership = membership_view(
             task=task, lease_service=core.lease_service, now_us=core.ports.clock.now_us()
         )
