--- a/tests/power_loss.py
+++ b/tests/power_loss.py
@@ -1,4 +1,4 @@
-"""What the tests of a core's disk share: a disk without a loop, every way to lose power."""
+"""Helpers for tests of a core's disk: synchronous disk access, enumerated power losses."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class InstantClock:
-    """A clock on which nothing takes time; `on_sleep` hears of every wait."""
+    """A clock that never advances; `on_sleep` is called on every sleep."""
 
     def __init__(self) -> None:
         self.on_sleep: Callable[[], None] = lambda: None
 
     def now_us(self) -> int:
-        """Always the same moment."""
+        """Returns 0 always."""
         return 0
 
     async def sleep(self, *, us: int) -> None:
@@ -26,16 +26,16 @@
 
 
 def finish(work: Coroutine[Any, Any, Any]) -> Any:
-    """Run disk work that waits for nothing else to its end."""
+    """Run a coroutine that waits only for the simulated disk, and return its result."""
     try:
         work.send(None)
     except StopIteration as done:
         return done.value
-    raise AssertionError("it waits for something that is not the disk")
+    raise AssertionError("the coroutine waits for something other than the disk")
 
 
-def copy_of(*, platter: Platter, seed: int) -> Platter:
-    """Another disk with the same content, names and unsynced changes."""
+def copy_platter(*, platter: Platter, seed: int) -> Platter:
+    """Copy a platter with its content, names and unsynced changes."""
     copies: dict[int, SimFile] = {}
 
     def copied(file: SimFile | None) -> SimFile | None:
@@ -54,7 +54,7 @@
 
 
 class Machine:
-    """One machine: its platter, and ports to it."""
+    """A machine with a platter, and ports that access it."""
 
     def __init__(self, *, seed: int = 1) -> None:
         self.clock = InstantClock()
@@ -66,10 +66,10 @@
             rand=random.Random(f"{seed}/process"),
             spawn=lambda work: None,
         )
-        self.use(platter=self.platter)
+        self.attach(platter=self.platter)
 
-    def use(self, *, platter: Platter) -> None:
-        """Put another disk in."""
+    def attach(self, *, platter: Platter) -> None:
+        """Replace the disk."""
         self.platter = platter
         self.ports.disk = SimDisk(clock=self.clock, platter=platter, rand=random.Random(1))
 
@@ -80,8 +80,10 @@
         work: Coroutine[Any, Any, Any],
         faults: dict[int, Callable[[], None]] | None = None,
     ) -> tuple[bool, Any]:
-        """Run until so many single changes of the disk are made, with faults before some
-        of them; was that the end, and what came out?"""
+        """Run `work` until `step` changes of the disk are made, injecting `faults` by step.
+
+        Returns whether the work completed, and its result.
+        """
         made = [0]
 
         def count(name: str) -> None:
@@ -101,50 +103,52 @@
             self.platter.on_step = lambda name: None
 
 
-class Ways:
-    """Every row of choices in turn: hand out `choose`, go on while `advance()`.
+class ChoiceSequences:
+    """Enumerates all sequences of choices: use `choose`, then repeat while `advance()`.
 
-    >>> ways = Ways(); rows = [(ways.choose(2), ways.choose(2))]
-    >>> while ways.advance(): rows.append((ways.choose(2), ways.choose(2)))
+    >>> choices = ChoiceSequences(); rows = [(choices.choose(2), choices.choose(2))]
+    >>> while choices.advance(): rows.append((choices.choose(2), choices.choose(2)))
     >>> rows
     [(0, 0), (0, 1), (1, 0), (1, 1)]
     """
 
     def __init__(self) -> None:
-        self._row: list[int] = []
+        self._choices: list[int] = []
         self._limits: list[int] = []
-        self._place = 0
+        self._position = 0
 
     def choose(self, limit: int) -> int:
-        """The next choice, below `limit`."""
-        if self._place == len(self._row):
-            self._row.append(0)
+        """Returns the next choice of the sequence, below `limit`."""
+        if self._position == len(self._choices):
+            self._choices.append(0)
             self._limits.append(limit)
-        self._place += 1
-        return self._row[self._place - 1]
+        self._position += 1
+        return self._choices[self._position - 1]
 
     def advance(self) -> bool:
-        """Set up the next row; false after the last."""
-        self._place = 0
-        while self._row and self._row[-1] + 1 == self._limits[-1]:
-            self._row.pop()
+        """Go to the next sequence; false after the last one."""
+        self._position = 0
+        while self._choices and self._choices[-1] + 1 == self._limits[-1]:
+            self._choices.pop()
             self._limits.pop()
-        if not self._row:
+        if not self._choices:
             return False
-        self._row[-1] += 1
+        self._choices[-1] += 1
         return True
 
 
-def every_way(*, limit: int, seed: int) -> Iterator[Callable[[int], int]]:
-    """Choosers for all ways in which a loss of power can go; of more than `limit` ways
-    the first ones and as many random ones."""
-    ways = Ways()
-    yield ways.choose
+def power_loss_outcomes(*, limit: int, seed: int) -> Iterator[Callable[[int], int]]:
+    """Yield a chooser for each outcome of a power loss.
+
+    With more than `limit` outcomes, yield the first `limit` and as many random ones.
+    """
+    sequences = ChoiceSequences()
+    yield sequences.choose
     for _ in range(limit - 1):
-        if not ways.advance():
+        if not sequences.advance():
             return
-        yield ways.choose
-    if ways.advance():
+        yield sequences.choose
+    if sequences.advance():
         rand = random.Random(seed)
         for _ in range(limit):
             yield rand.randrange
--- a/tests/test_cores_power_loss.py
+++ b/tests/test_cores_power_loss.py
@@ -1,4 +1,4 @@
-"""Simulated cores that all lose power at any change of any of their disks, twice."""
+"""Tests simulated cores that all lose power at any change of any of their disks, twice."""
 
 from __future__ import annotations
 
@@ -14,52 +14,52 @@
 from kelpstage.core.store.store import Store
 from tests.test_cores import Cores, play
 
-SECOND_MOST = 60
-SEGMENT_BYTES = 400  # so that each core has several
-DARK_US = 300_000
-READS_MOST = 100
+SECOND_OUTAGE_MAX_CHANGES = 60
+SEGMENT_BYTES = 400  # small, so that each core has several segments
+POWER_OFF_US = 300_000
+MAX_READ_ATTEMPTS = 100
 
 
 class Outage:
-    """Takes the power from all cores at a change of one of their disks."""
+    """Cuts the power of all cores at a change of one of their disks."""
 
     def __init__(self, *, cores: Cores) -> None:
         self.cores = cores
-        self.fell = asyncio.Event()
-        self.made = 0
+        self.power_lost = asyncio.Event()
+        self.changes = 0
         self._left = -1
         for name in cores.names:
             cores.world.machines[name].platter.on_step = self._step
 
     def arm(self, *, after: int) -> None:
-        """Let it come after so many changes from now on."""
-        self.fell.clear()
+        """Cut the power after this many further disk changes."""
+        self.power_lost.clear()
         self._left = after
 
     def _step(self, change: str) -> None:
-        self.made += 1
+        self.changes += 1
         self._left -= 1
         if self._left != -1:
             return
         self.cores.kill(*self.cores.up(), is_power=True)
-        self.fell.set()
+        self.power_lost.set()
         raise asyncio.CancelledError()
 
 
 def is_founded(*, cores: Cores) -> bool:
-    """Has any core been in a cluster?"""
+    """True when any core is a member of a cluster."""
     return any(core.identity and core.identity.cluster for core in cores.daemons.values())
 
 
-async def work_through(*, cores: Cores) -> None:
-    """Founding, some puts, a snapshot on every core, another put, and again."""
+async def run_workload(*, cores: Cores) -> None:
+    """Found the cluster, then put and take snapshots on every core, twice."""
     await cores.wait_for(lambda: len(cores.voters()) == 3)
     for _ in range(2):
-        await put_and_keep(cores=cores)
+        await put_and_snapshot(cores=cores)
 
 
-async def put_and_keep(*, cores: Cores) -> None:
-    """Some puts, a snapshot on every core, another put."""
+async def put_and_snapshot(*, cores: Cores) -> None:
+    """Put three times, take a snapshot on every core, put again."""
     for _ in range(3):
         await cores.put()
     for name in cores.up():
@@ -69,14 +69,14 @@
     await cores.put()
 
 
-async def until_dark(*, work: Any, outage: Outage) -> bool:
-    """Run until the work is over or the power is gone; is it gone?"""
+async def run_until_outage(*, work: Any, outage: Outage) -> bool:
+    """Run until the work completes or power is lost; true if power was lost."""
     working = asyncio.ensure_future(work)
-    falling = asyncio.ensure_future(outage.fell.wait())
-    await asyncio.wait({working, falling}, return_when=asyncio.FIRST_COMPLETED)
-    is_dark = outage.fell.is_set()
-    falling.cancel()
-    if is_dark:
+    waiting = asyncio.ensure_future(outage.power_lost.wait())
+    await asyncio.wait({working, waiting}, return_when=asyncio.FIRST_COMPLETED)
+    is_power_lost = outage.power_lost.is_set()
+    waiting.cancel()
+    if is_power_lost:
         working.cancel()
         await asyncio.wait({working})
         return True
@@ -85,70 +85,72 @@
 
 
 async def set_aside(self: Core, *, damage: Any) -> None:
-    """No loss of power makes a replica damaged."""
-    raise AssertionError(f"set aside: {damage}")
+    """Fail the test: a power loss must not leave a damaged replica."""
+    raise AssertionError(f"replica discarded as damaged: {damage}")
 
 
-class AllLosePower(unittest.TestCase):
-    def fall(self, *, seed: int, first: int, second: int) -> int:
-        """Lose power after `first` changes, and after `second` of the next start; how many
-        changes there were in all."""
-        made = []
+class AllCoresLosePower(unittest.TestCase):
+    def lose_power(self, *, seed: int, first: int, second: int) -> int:
+        """Lose power after `first` changes, and again `second` changes after the restart.
+
+        Returns the total number of changes.
+        """
+        changes = []
 
         async def scenario(cores: Cores) -> None:
             outage = Outage(cores=cores)
             outage.arm(after=first)
             await cores.start(is_first=True)
-            await until_dark(work=work_through(cores=cores), outage=outage)
-            await self.come_back(cores=cores, outage=outage, second=second)
-            made.append(outage.made)
+            await run_until_outage(work=run_workload(cores=cores), outage=outage)
+            await self.restart_and_verify(cores=cores, outage=outage, second=second)
+            changes.append(outage.changes)
 
-        self.run_story(scenario, seed=seed)
-        return made[0]
+        self.run_scenario(scenario, seed=seed)
+        return changes[0]
 
-    def fall_while_installing(self, *, seed: int, first: int, second: int) -> int:
-        """The same from the moment on when a core comes back that is to install a snapshot."""
-        made = []
+    def lose_power_while_installing(self, *, seed: int, first: int, second: int) -> int:
+        """Like `lose_power`, from the restart of a core that must install a snapshot."""
+        changes = []
 
         async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
-            await work_through(cores=cores)
-            late = next(name for name in cores.names if name != cores.leader())
-            cores.kill(late)
-            await put_and_keep(cores=cores)
+            await run_workload(cores=cores)
+            lagging = next(name for name in cores.names if name != cores.leader())
+            cores.kill(lagging)
+            await put_and_snapshot(cores=cores)
             outage = Outage(cores=cores)
             outage.arm(after=first)
-            await cores.start(late)
-            await until_dark(work=self.catch_up(cores=cores, late=late), outage=outage)
-            await self.come_back(cores=cores, outage=outage, second=second)
-            made.append(outage.made)
+            await cores.start(lagging)
+            await run_until_outage(work=self.catch_up(cores=cores, lagging=lagging), outage=outage)
+            await self.restart_and_verify(cores=cores, outage=outage, second=second)
+            changes.append(outage.changes)
 
-        self.run_story(scenario, seed=seed)
-        return made[0]
+        self.run_scenario(scenario, seed=seed)
+        return changes[0]
 
-    async def catch_up(self, *, cores: Cores, late: str) -> None:
-        """Wait until this core has installed a snapshot and has all that was put."""
+    async def catch_up(self, *, cores: Cores, lagging: str) -> None:
+        """Wait until this core has installed a snapshot and the newest version."""
 
         def is_there() -> bool:
-            task = cores.daemons[late].task
+            task = cores.daemons[lagging].task
             return task is not None and task.machine.state.version == cores.version
 
         await cores.wait_for(is_there)
-        self.assertEqual(1, cores.daemons[late].journal.counts["SnapshotInstalled"])
+        self.assertEqual(1, cores.daemons[lagging].journal.counts["SnapshotInstalled"])
         await cores.put()
 
-    async def come_back(self, *, cores: Cores, outage: Outage, second: int) -> None:
-        """Start all again, as often as the power was lost, and see that nothing is gone."""
+    async def restart_and_verify(self, *, cores: Cores, outage: Outage, second: int) -> None:
+        """Restart all cores after each power loss and check that no acknowledged put is lost."""
         for after in (second, -1):
-            if outage.fell.is_set():
-                await cores.sleep(DARK_US)
+            if outage.power_lost.is_set():
+                await cores.sleep(POWER_OFF_US)
                 is_first = not is_founded(cores=cores)
                 outage.arm(after=after)
                 await cores.start(is_first=is_first)
-                await until_dark(work=self.read_and_put(cores=cores), outage=outage)
+                await run_until_outage(work=self.read_and_put(cores=cores), outage=outage)
 
-    def run_story(self, scenario: Callable[[Cores], Awaitable[None]], *, seed: int) -> None:
-        """Play it with small segments; setting a replica aside is a failure."""
+    def run_scenario(self, scenario: Callable[[Cores], Awaitable[None]], *, seed: int) -> None:
+        """Run a scenario with small segments; discarding a replica is a failure."""
         sizes = {"segment_bytes": SEGMENT_BYTES}
         with (
             mock.patch.object(Core, "_set_aside", set_aside),
@@ -157,7 +159,7 @@
             play(scenario, seed=seed, count=3, tolerance=1)
 
     async def read_and_put(self, *, cores: Cores) -> None:
-        """What was acknowledged is there, or one that was on its way; a new one is taken."""
+        """The acknowledged put or one in flight is readable; a new one is accepted."""
         await cores.wait_for(lambda: len(cores.voters()) == 3)
         version = await self.read_version(cores=cores)
         self.assertGreaterEqual(version, cores.version)
@@ -166,8 +168,8 @@
         self.assertEqual(cores.version, (await cores.read())[0])
 
     async def read_version(self, *, cores: Cores) -> int:
-        """The version in force, 0 if there is none yet."""
-        for turn in range(READS_MOST):
+        """Returns the current version, 0 if there is none yet."""
+        for turn in range(MAX_READ_ATTEMPTS):
             name = cores.up()[turn % len(cores.up())]
             reply = await cores.call(name, "GET", headers={"Kelp-Time-Left-Us": "900000"})
             if not isinstance(reply, KelpstageError) and reply.status == 404:
@@ -175,23 +177,27 @@
             if not isinstance(reply, KelpstageError) and reply.status == 200:
                 return int(reply.headers["etag"].strip('"'))
             await cores.sleep(200_000)
-        raise AssertionError(f"not read back: {reply}")
+        raise AssertionError(f"no read of the configuration succeeded: {reply}")
 
-    def test_after_any_change(self) -> None:
-        made = self.fall(seed=1, first=-1, second=-1)
-        self.assertGreater(made, 100)
-        for first in range(0, made, 4):
+    def test_power_loss_after_any_disk_change(self) -> None:
+        changes = self.lose_power(seed=1, first=-1, second=-1)
+        self.assertGreater(changes, 100)
+        for first in range(0, changes, 4):
             rand = random.Random(first)
             with self.subTest(first=first):
-                self.fall(seed=1, first=first, second=rand.randrange(SECOND_MOST))
-
-    def test_while_a_snapshot_is_installed(self) -> None:
-        made = self.fall_while_installing(seed=1, first=-1, second=-1)
-        self.assertGreater(made, 20)
-        for first in range(0, made, 2):
+                self.lose_power(
+                    seed=1, first=first, second=rand.randrange(SECOND_OUTAGE_MAX_CHANGES)
+                )
+
+    def test_power_loss_while_a_snapshot_is_installed(self) -> None:
+        changes = self.lose_power_while_installing(seed=1, first=-1, second=-1)
+        self.assertGreater(changes, 20)
+        for first in range(0, changes, 2):
             rand = random.Random(first)
             with self.subTest(first=first):
-                self.fall_while_installing(seed=1, first=first, second=rand.randrange(SECOND_MOST))
+                self.lose_power_while_installing(
+                    seed=1, first=first, second=rand.randrange(SECOND_OUTAGE_MAX_CHANGES)
+                )
 
 
 if __name__ == "__main__":
