--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -1,5 +1,8 @@
-"""Operators' orders that are broken, oversized, nested, doubled, out of range or cut short:
-a refusal with the fault's path at any member, and nothing changed."""
+"""Tests that every member rejects an invalid configuration and changes nothing.
+
+The rejection names the path of the fault. The bodies are malformed, truncated, oversized, deeply
+nested, out of range or contain duplicate keys.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 from tests.test_cores import Cores, play
 
 REPLACE = "/api/Config.Replace"
-GOOD = {
+VALID = {
     "Revision": 7,
     "RouteTable": [
         {
@@ -60,8 +63,8 @@
 
 
 def order(change: Callable[[dict], Any] | None = None, *, revision: int = 7) -> bytes:
-    """The good configuration, changed."""
-    raw = copy.deepcopy(GOOD)
+    """Returns the body of the valid configuration after `change`."""
+    raw = copy.deepcopy(VALID)
     raw["Revision"] = revision
     if change is not None:
         change(raw)
@@ -69,14 +72,14 @@
 
 
 def with_number(text: str, *, key: str = "DeadlineMs") -> bytes:
-    """The good configuration with a number as it is written here in one place."""
+    """Returns the valid configuration with `text` as the number of the first `key`."""
     place = '"' + key + '": '
     head, _, tail = order().decode().partition(place)
     digits = len(tail) - len(tail.lstrip("0123456789."))
     return (head + place + text + tail[digits:]).encode()
 
 
-def doubled(key: str) -> bytes:
+def with_duplicate_key(key: str) -> bytes:
     text = order().decode()
     place = '"' + key + '": '
     return text.replace(place, place + "1, " + place, 1).encode()
@@ -84,22 +87,22 @@
 
 NESTED = b"[" * 200_000 + b"]" * 200_000
 ROUTE, OTHER = "RouteTable.0", "RouteTable.1"
-BAD: dict[str, tuple[str, bytes]] = {  # what it is: where the fault is, the body
+INVALID: dict[str, tuple[str, bytes]] = {  # case: the path that the rejection names, the body
     "empty": ("", b""),
-    "no table": ("", b"7"),
-    "cut short": ("", order()[:-30]),
-    "cut in a character": (
+    "not a table": ("", b"7"),
+    "a truncated body": ("", order()[:-30]),
+    "truncated within a character": (
         "",
         order(lambda r: r.update(x="é")).replace(b"\\u00e9", "é".encode()[:1]),
     ),
     "not UTF-8": ("", order().replace(b"a.example", b"a.ex\xffmple")),
     "UTF-16": ("", order().decode().encode("utf-16")),
-    "more after it": ("", order() + b"{}"),
-    "nested without end": ("", NESTED),
+    "trailing data": ("", order() + b"{}"),
+    "deeply nested": ("", NESTED),
     "oversized": ("", order() + b" " * (5 << 20)),
-    "oversized once it is translated": ("", order(lambda r: r.update(Note="x" * 4_193_500))),
-    "a doubled key": ("Revision", doubled("Revision")),
-    "a doubled key within": ("DeadlineMs", doubled("DeadlineMs")),
+    "oversized after translation": ("", order(lambda r: r.update(Note="x" * 4_193_500))),
+    "a duplicate key": ("Revision", with_duplicate_key("Revision")),
+    "a duplicate nested key": ("DeadlineMs", with_duplicate_key("DeadlineMs")),
     "NaN": ("NaN", with_number("NaN")),
     "infinite": ("Infinity", with_number("-Infinity")),
     "above any float": ("out of range", with_number("1e999")),
@@ -125,10 +128,10 @@
     "routes that are a table": ("RouteTable", order(lambda r: r.update(RouteTable={}))),
     "no routes": ("RouteTable", order(lambda r: r.pop("RouteTable"))),
     "no services": ("ServiceTable", order(lambda r: r.pop("ServiceTable"))),
-    "a route that is none": ("RouteTable.2", order(lambda r: r["RouteTable"].append(7))),
+    "a route that is not a table": ("RouteTable.2", order(lambda r: r["RouteTable"].append(7))),
     "a route of lists": ("RouteTable.2", order(lambda r: r["RouteTable"].append([["Name", 1]]))),
     "a route without a name": (f"{ROUTE}.Name", order(lambda r: r["RouteTable"][0].pop("Name"))),
-    "a name that is no text": (
+    "a name that is not text": (
         f"{ROUTE}.Name",
         order(lambda r: r["RouteTable"][0].update(Name=["x"])),
     ),
@@ -141,7 +144,7 @@
         f"{OTHER}.Name",
         order(lambda r: r["RouteTable"][1].update(Name="r-all")),
     ),
-    "a route nested deep": (
+    "a deeply nested route": (
         "",
         order(lambda r: r["RouteTable"][0].update(FanOut=7)).replace(
             b'"FanOut": 7', b'"FanOut": ' + b"[" * 900 + b"]" * 900
@@ -152,7 +155,10 @@
         order(lambda r: r["RouteTable"][0].update(Tries="2")),
     ),
     "negative tries": (f"{ROUTE}.Tries", order(lambda r: r["RouteTable"][0].update(Tries=-2))),
-    "half a try": (f"{ROUTE}.Tries", order(lambda r: r["RouteTable"][0].update(Tries=1.5))),
+    "a fractional number of tries": (
+        f"{ROUTE}.Tries",
+        order(lambda r: r["RouteTable"][0].update(Tries=1.5)),
+    ),
     "a negative rank": (f"{ROUTE}.Rank", order(lambda r: r["RouteTable"][0].update(Rank=-1))),
     "a rank that is text": (
         f"{ROUTE}.Rank",
@@ -164,7 +170,7 @@
         order(lambda r: r["RouteTable"][0].update(TopN=10**30)),
     ),
     "a quorum of 2": ("quorum", order(lambda r: r["RouteTable"][0].update(Quorum=2))),
-    "a variant that is none": (
+    "a variant that is a list": (
         f"{ROUTE}.Variant",
         order(lambda r: r["RouteTable"][0].update(Variant=["idempotent"])),
     ),
@@ -172,7 +178,7 @@
         f"{OTHER}.Weighted.0.Share",
         order(lambda r: r["RouteTable"][1]["Weighted"][0].update(Share=-1)),
     ),
-    "a negative share made good by another": (
+    "a negative share offset by another": (
         f"{OTHER}.Weighted.2.Share",
         order(lambda r: r["RouteTable"][1]["Weighted"].append({"Service": "s3", "Share": -1})),
     ),
@@ -200,7 +206,7 @@
         "health_path",
         order(lambda r: r["ServiceTable"][0].update(HealthPath=7)),
     ),
-    # The bench's own, but for those that need the version in force.
+    # The kinds of the platform's test bench, except those that need the current version.
     "cut_short": ("", order()[: len(order()) // 2]),
     "unknown_service": (
         "fan_out.1",
@@ -219,17 +225,17 @@
         order(lambda r: [one.update(Share=0) for one in r["RouteTable"][1]["Weighted"]]),
     ),
     "no_timeout": ("deadline_us", order(lambda r: r["RouteTable"][0].update(DeadlineMs=0))),
-    "shared_key": ("PathPrefix", doubled("PathPrefix")),
+    "shared_key": ("PathPrefix", with_duplicate_key("PathPrefix")),
     "shared_key of two services": (
         "ServiceTable.1.Name",
         order(lambda r: r["ServiceTable"][1].update(Name="s1")),
     ),
 }
-BASES = ("-1", "1.0", "x", "0x1", "9" * 25, "1 2", "\u0663", "NaN")
+INVALID_BASES = ("-1", "1.0", "x", "0x1", "9" * 25, "1 2", "\u0663", "NaN")
 
 
 class Site(Cores):
-    """Cores that speak as the platform does."""
+    """Cores that serve the platform's operator interface."""
 
     serve = staticmethod(load(name="operator_calls").operator_calls(own=serve_operators))
 
@@ -246,17 +252,16 @@
             )
         )
 
-    async def until_taken(self, body: bytes, *, base: str) -> None:
+    async def put_until_accepted(self, body: bytes, *, base: str) -> None:
         for turn in range(40):
             reply = await self.replace(self.up()[turn % len(self.up())], body, base=base)
             if isinstance(reply, HttpReply) and reply.status == 200:
                 return
             await self.sleep(200_000)
-        raise AssertionError(f"never acknowledged: {reply}")
+        raise AssertionError(f"the configuration was never acknowledged: {reply}")
 
     def states(self) -> set[tuple[int, str, int]]:
-        """Version, the document's digest and the count of orders taken, wherever a replica
-        runs."""
+        """Returns version, document digest and number of accepted puts of each running replica."""
         tasks = [self.daemons[name].task for name in self.up()]
         states = [task.machine.state for task in tasks if task is not None]
         return {
@@ -265,63 +270,69 @@
         }
 
 
-def play_site(scenario: Any) -> None:
+def run_cores(scenario: Any) -> None:
     play(scenario, seed=3, count=3, tolerance=1, make=Site)
 
 
-class Refused(unittest.TestCase):
-    def check(self, reply: HttpReply | KelpstageError, *, path: str, what: str) -> None:
+class RejectedConfigurations(unittest.TestCase):
+    def assert_rejected(self, reply: HttpReply | KelpstageError, *, path: str, what: str) -> None:
         self.assertIsInstance(reply, HttpReply, what)
         self.assertIn(reply.status, (400, 413, 422), (what, reply.body[:200]))
         self.assertTrue(json.loads(reply.body), what)
         self.assertIn(path, reply.body.decode(), what)
 
-    def test_each_is_refused_with_its_path_at_any_member_and_changes_nothing(self) -> None:
+    def test_every_member_rejects_with_the_path_and_changes_nothing(self) -> None:
         async def scenario(site: Site) -> None:
             await site.start(is_first=True)
-            await site.until_taken(order(revision=5), base="0")
+            await site.put_until_accepted(order(revision=5), base="0")
             await site.sleep(500_000)
             before = site.states()
             self.assertEqual(1, len(before))
-            for what, (path, body) in BAD.items():
+            for what, (path, body) in INVALID.items():
                 for name in site.names:
                     with self.subTest(what=what, member=name):
                         reply = await site.replace(name, body, base="5")
-                        self.check(reply, path=path, what=what)
-            for base in BASES:
+                        self.assert_rejected(reply, path=path, what=what)
+            for base in INVALID_BASES:
                 for name in site.names:
                     reply = await site.replace(name, order(), base=base)
-                    self.check(reply, path="", what=f"base {base}")
+                    self.assert_rejected(reply, path="", what=f"base {base}")
             self.assertEqual(before, site.states())
-            await site.until_taken(order(), base="5")
+            await site.put_until_accepted(order(), base="5")
 
-        play_site(scenario)
+        run_cores(scenario)
 
-    def test_each_is_refused_where_no_leader_is_known(self) -> None:
+    def test_rejected_while_no_leader_is_known(self) -> None:
         async def scenario(site: Site) -> None:
             await site.start(is_first=True)
-            await site.until_taken(order(revision=5), base="0")
+            await site.put_until_accepted(order(revision=5), base="0")
             left = next(name for name in site.names if name != site.leader())
             site.kill(*(name for name in site.names if name != left))
             await site.wait_for(lambda: not site.daemons[left].task.leader_address)
             before = site.states()
-            for what, (path, body) in BAD.items():
+            for what, (path, body) in INVALID.items():
                 with self.subTest(what=what):
-                    self.check(await site.replace(left, body, base="5"), path=path, what=what)
-            for base in BASES:
-                self.check(await site.replace(left, order(), base=base), path="", what=base)
+                    self.assert_rejected(
+                        await site.replace(left, body, base="5"), path=path, what=what
+                    )
+            for base in INVALID_BASES:
+                self.assert_rejected(
+                    await site.replace(left, order(), base=base), path="", what=base
+                )
             low = await site.replace(left, order(revision=5), base="5")
-            self.check(low, path="", what="same_version on its own base")
+            self.assert_rejected(low, path="", what="same_version on its own base")
             good = await site.replace(left, order(), base="5")
-            self.assertEqual(503, good.status, "it may be good: no clear answer")
+            self.assertEqual(
+                503, good.status, "a valid configuration is not rejected while no leader is known"
+            )
             self.assertEqual(before, site.states())
 
-        play_site(scenario)
+        run_cores(scenario)
 
-    def test_each_is_refused_where_the_leader_is_silent(self) -> None:
+    def test_rejected_while_the_leader_does_not_respond(self) -> None:
         async def scenario(site: Site) -> None:
             await site.start(is_first=True)
-            await site.until_taken(order(revision=5), base="0")
+            await site.put_until_accepted(order(revision=5), base="0")
             leader = site.leader()
             other = next(name for name in site.names if name != leader)
             for what in ("cut_short", "unknown_service", "no_weight", "no_timeout", "same_place"):
@@ -329,17 +340,17 @@
                 self.assertEqual(
                     site.address(leader), site.daemons[other].task.leader_address, what
                 )
-                path, body = BAD[what]
+                path, body = INVALID[what]
                 reply = await site.replace(other, body, base="5")
-                self.check(reply, path=path, what=what)
+                self.assert_rejected(reply, path=path, what=what)
                 site.processes[leader].thaw()
                 await site.sleep(3_000_000)
-                leader = await self.settled_leader(site)
+                leader = await self.agreed_leader(site)
                 other = next(name for name in site.names if name != leader)
 
-        play_site(scenario)
+        run_cores(scenario)
 
-    async def settled_leader(self, site: Site) -> str:
+    async def agreed_leader(self, site: Site) -> str:
         def is_agreed() -> bool:
             known = {site.daemons[name].task.leader_address for name in site.names}
             return len(known) == 1 and known != {""}
@@ -347,49 +358,52 @@
         await site.wait_for(is_agreed)
         return next(n for n in site.names if site.daemons[n].task.is_leader)
 
-    def test_what_the_version_in_force_forbids(self) -> None:
-        """old_version, same_version, stale_match: at each member, with and without a base
-        that is current."""
+    def test_versions_that_conflict_with_the_current_one(self) -> None:
+        """old_version, same_version and stale_match at each member, on current and other bases."""
 
         async def scenario(site: Site) -> None:
             await site.start(is_first=True)
-            await site.until_taken(order(revision=3), base="0")
-            await site.until_taken(order(revision=5), base="3")
+            await site.put_until_accepted(order(revision=3), base="0")
+            await site.put_until_accepted(order(revision=5), base="3")
             cases = [
                 ("old_version", order(revision=4), "5", {400}),
                 ("same_version", order(revision=5), "5", {400}),
-                ("same_version as taken, another base", order(revision=5), "4", {400, 412}),
+                ("same_version as accepted, another base", order(revision=5), "4", {400, 412}),
                 ("stale_match", order(revision=9), "3", {412}),
                 ("stale_match", order(revision=9), "0", {412}),
                 ("stale_match, old_version", order(revision=4), "3", {400, 412}),
-                ("a base to come", order(revision=9), "7", {412}),
+                ("a future base", order(revision=9), "7", {412}),
             ]
-            before = [self.in_force(site)]
+            before = [self.current_configuration(site)]
             for what, body, base, statuses in cases:
                 for name in site.names:
                     reply = await site.replace(name, body, base=base)
                     self.assertIn(reply.status, statuses, (what, reply.body))
-            self.assertEqual(before, [self.in_force(site)])
-            await site.until_taken(order(revision=7), base="5")
-            for name in site.names:  # it was refused: it is not taken now that its base is there
+            self.assertEqual(before, [self.current_configuration(site)])
+            await site.put_until_accepted(order(revision=7), base="5")
+            for name in site.names:  # still rejected although its base is current now
                 reply = await site.replace(name, order(revision=9), base="7")
                 self.assertEqual(412, reply.status)
             for revision, base in ((3, "0"), (5, "3"), (7, "5")):
                 for name in site.names:
                     reply = await site.replace(name, order(revision=revision), base=base)
-                    self.assertEqual(200, reply.status, "taken, superseded, sent again")
-            self.assertEqual(7, self.in_force(site)[0])
+                    self.assertEqual(
+                        200,
+                        reply.status,
+                        "an accepted and superseded configuration that is sent again",
+                    )
+            self.assertEqual(7, self.current_configuration(site)[0])
 
-        play_site(scenario)
+        run_cores(scenario)
 
     @staticmethod
-    def in_force(site: Site) -> tuple[int, bytes]:
+    def current_configuration(site: Site) -> tuple[int, bytes]:
         state = site.daemons[site.leader()].task.machine.state
         return state.version, state.document
 
 
-class Fuzz(unittest.TestCase):
-    """Bytes and values changed at random: a reply below 500 or a good configuration."""
+class FuzzedConfigurations(unittest.TestCase):
+    """Random changes of bytes and values are rejected with 400, or accepted as valid (503 here)."""
 
     VALUES = (
         None,
@@ -435,11 +449,11 @@
         json.loads(reply.body)
         return reply.status
 
-    def test_values_changed_at_random(self) -> None:
+    def test_random_value_changes(self) -> None:
         statuses: set[int] = set()
         for seed in range(600):
             rand = random.Random(f"values/{seed}")
-            raw = copy.deepcopy(GOOD)
+            raw = copy.deepcopy(VALID)
             for _ in range(rand.randrange(1, 4)):
                 self.change(rand, raw)
             with self.subTest(seed=seed):
@@ -449,7 +463,7 @@
         self.assertEqual({400, 503}, statuses)
 
     def change(self, rand: random.Random, raw: dict) -> None:
-        """One value, anywhere, becomes another, goes, or comes twice."""
+        """Replace, delete or duplicate one value at a random place."""
         place: Any = raw
         while True:
             keys = list(place) if isinstance(place, dict) else list(range(len(place)))
@@ -468,7 +482,7 @@
         else:
             place[key] = rand.choice(self.VALUES)
 
-    def test_bytes_changed_at_random(self) -> None:
+    def test_random_byte_changes(self) -> None:
         good = order()
         for seed in range(600):
             rand = random.Random(f"bytes/{seed}")
@@ -481,13 +495,13 @@
             with self.subTest(seed=seed):
                 self.assertIn(self.status_of(bytes(body)), (400, 503), bytes(body))
 
-    def test_every_cut_of_a_good_one(self) -> None:
+    def test_every_truncation_of_a_valid_body(self) -> None:
         good = order()
         for length in range(0, len(good) - 1, 7):
             self.assertEqual(400, self.status_of(good[:length]))
-        self.assertEqual(503, self.status_of(good), "no leader here, and nothing wrong with it")
+        self.assertEqual(503, self.status_of(good), "a valid configuration, but no leader")
 
-    def test_nesting_of_every_depth(self) -> None:
+    def test_nesting_depths(self) -> None:
         for depth in (*range(1, 40, 7), *range(300, 1_100, 9), 5_000, 100_000):
             for place in ("FanOut", "Quorum", "HostName"):
                 nest = b"[" * depth + b"]" * depth
@@ -497,12 +511,12 @@
                 with self.subTest(depth=depth, place=place):
                     self.assertEqual(400, self.status_of(body))
 
-    def test_bases_at_random(self) -> None:
-        for base in BASES:
+    def test_invalid_bases(self) -> None:
+        for base in INVALID_BASES:
             self.assertEqual(400, self.status_of(order(), base=base), base)
 
     def test_the_products_own_interface(self) -> None:
-        """The same documents and headers, where nothing is translated before."""
+        """The product's own interface, without the platform's translation before it."""
         for seed in range(400):
             rand = random.Random(f"own/{seed}")
             document, _ = load(name="configuration").to_document(body=order())
@@ -526,7 +540,7 @@
 
 
 class NoLeaderCore:
-    """As much of a core as an order meets that has not come up yet."""
+    """The part of a core that handles an operator's call before the core is ready."""
 
     task = None
     lease_service = None
