--- a/kelpstage/edge/backend/__init__.py
+++ b/kelpstage/edge/backend/__init__.py
@@ -1,1 +1,1 @@
-"""The registry of backends: discovery, health, gossip of states, and selection."""
+"""Backends: registry, endpoint discovery, health, gossip of their states, and selection."""
--- a/kelpstage/edge/backend/address_poll.py
+++ b/kelpstage/edge/backend/address_poll.py
@@ -1,9 +1,9 @@
-"""The platform's list of backends: polled, late, a hint.
+"""Polls the platform's list of backends and applies its changes to the registry.
 
-A backend that the list calls stopping is not asked while it says so: the platform
-knows before the backend does. All else counts only when it changes from one reading
-to the next, and only as a reason to check it: a list that lost its rows must not drain
-the fleet.
+The list lags behind the actual state, so it is only a hint. A backend that the list shows as
+stopping receives no requests while the list says so, because the platform knows of a stop
+before the backend does. Any other state has an effect only when it changes between two
+polls, and then only triggers a health check: a list that lost its rows must not drain the fleet.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 POLL_TIMEOUT_US = 1_500_000
 
 
-def read_list(*, body: bytes) -> dict[str, tuple[str, str]] | None:
-    """Names with address and state, or `None` if the list can't be read.
+def parse_list(*, body: bytes) -> dict[str, tuple[str, str]] | None:
+    """Parse a list into address and state by backend name; `None` if it is malformed.
 
-    >>> read_list(body=b'{"backends":[{"name":"b","address":"127.0.0.1:9","state":"running"}]}')
+    >>> parse_list(body=b'{"backends":[{"name":"b","address":"127.0.0.1:9","state":"running"}]}')
     {'b': ('127.0.0.1:9', 'running')}
-    >>> read_list(body=b'[]') is None
+    >>> parse_list(body=b'[]') is None
     True
     """
     try:
@@ -41,10 +41,11 @@
 
 
 class AddressPollTask:
-    """Polls the list and passes what changed in it to the registry.
+    """Polls the list and passes its changes to the registry.
 
-    `on_addresses` is called when an address has changed, `check_soon` with each backend
-    that is to be checked, and whether it runs anew.
+    `on_changed` is called with each backend whose new state peers are to be notified of,
+    `on_addresses` when an address has changed, and `check_soon` with each backend that is to
+    be checked and whether the list shows it as running again.
     """
 
     def __init__(
@@ -64,11 +65,11 @@
         self._on_addresses = on_addresses
         self._check_soon = check_soon
         self.listed: dict[str, tuple[str, str]] = {}
-        self.is_read = False
+        self.has_read_list = False
         ports.keep(self._run())
 
     def addresses(self) -> dict[str, str]:
-        """The addresses of the latest reading, by backend name."""
+        """The addresses in the latest list, by backend name."""
         return {name: address for name, (address, _) in self.listed.items()}
 
     async def _run(self) -> None:
@@ -77,17 +78,17 @@
                 call=HttpCall(method="GET", url=self._url, wait_us=POLL_TIMEOUT_US)
             )
             if not isinstance(reply, KelpstageError) and reply.status == 200:
-                listed = read_list(body=reply.body)
+                listed = parse_list(body=reply.body)
                 if listed is not None:
-                    self._follow(listed=listed)
+                    self._apply_list(listed=listed)
             await self._ports.clock.sleep(us=POLL_INTERVAL_US)
 
-    def _follow(self, *, listed: dict[str, tuple[str, str]]) -> None:
+    def _apply_list(self, *, listed: dict[str, tuple[str, str]]) -> None:
         now_us = self._ports.clock.now_us()
         states = {name: state for name, (_, state) in listed.items()}
         self._registry.set_platform_states(states=states, now_us=now_us)
         before, self.listed = self.listed, listed
-        was_read, self.is_read = self.is_read, True
+        was_read, self.has_read_list = self.has_read_list, True
         if self.addresses() != {name: a for name, (a, _) in before.items()}:
             self._on_addresses()
         if not was_read:
--- a/kelpstage/edge/backend/backend_state.py
+++ b/kelpstage/edge/backend/backend_state.py
@@ -1,4 +1,4 @@
-"""The state of a backend, as it is shared between edges and shown to operators."""
+"""The state of a backend, as edges gossip it and operators see it."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class BackendState(IntEnum):
-    """What is known of a backend; the numbers travel in gossip and never change.
+    """The state of a backend; the numbers are sent in gossip and never change.
 
-    Of two reports of the same version the higher number is taken over. `UNREACHABLE`
-    and `INVALID_REPLIES` are never the state of an entry: they are reports of one
-    observer about what it met itself.
+    Of two reports of the same version the one with the higher number takes precedence.
+    `UNREACHABLE` and `INVALID_REPLIES` are never the state of an entry: they report what one
+    edge has observed itself.
     """
 
     UP = 0
--- a/kelpstage/edge/backend/connection_limits.py
+++ b/kelpstage/edge/backend/connection_limits.py
@@ -1,4 +1,4 @@
-"""How many connections this edge may have to one instance: its share of the maximum."""
+"""Limits the connections of this edge to one instance to its share of the maximum."""
 
 from __future__ import annotations
 
@@ -7,13 +7,15 @@
 from kelpstage.common.configuration.types import Configuration
 from kelpstage.edge.backend.entry import BackendEntry
 
-CONNECTION_SHARE_PERCENT = 80  # of a service's connections that the edges share
-EDGE_COUNT_WINDOW_US = 30_000_000  # connections of an edge that left may last for so long
+CONNECTION_SHARE_PERCENT = 80  # of max_connections, divided among the edges
+EDGE_COUNT_WINDOW_US = 30_000_000  # connections of a departed edge may persist for this long
 
 
 def connection_limit(*, max_connections: int, live_edges: int) -> int:
-    """How many connections one edge may have to one backend: its share, with a margin
-    for those that are just being opened, closed or counted out; at least one.
+    """Return how many connections one edge may have to one backend.
+
+    That is the edge's share of 80 %, at least 1; the rest is a margin for connections that
+    are being opened or closed or whose share is changing. 0 means unlimited.
 
     >>> connection_limit(max_connections=88, live_edges=12)
     5
@@ -28,7 +30,7 @@
 
 
 class ConnectionLimits:
-    """Owns the configured maxima by service and the number of edges that share them.
+    """Holds the configured maximum of each service and the number of edges that share it.
 
     >>> limits = ConnectionLimits()
     >>> limits.set_live_edges(count=9, now_us=0), limits.set_live_edges(count=8, now_us=1)
@@ -40,20 +42,20 @@
     def __init__(self) -> None:
         self.live_edges = 1
         self._max_connections: dict[str, int] = {}
-        self._edge_counts: list[tuple[int, int]] = []  # (time, count), the newest last
+        self._edge_counts: list[tuple[int, int]] = []  # (time, count), newest last
 
     def configure(self, *, configuration: Configuration) -> None:
-        """Follow the services of a configuration."""
+        """Take the maximum of each service from a configuration."""
         self._max_connections = {
             name: service.max_connections
             for name, service in getattr(configuration, "services", {}).items()
         }
 
     def set_live_edges(self, *, count: int, now_us: int) -> bool:
-        """Note how many edges live now; true if the number that counts has changed.
+        """Record the number of live edges; true if `live_edges` has changed.
 
-        The highest of the last half minute counts, since the connections of an edge may
-        outlast it.
+        `live_edges` is the highest count of the last `EDGE_COUNT_WINDOW_US`, since the
+        connections of an edge may outlast it.
         """
         counts = self._edge_counts
         recent = [
@@ -73,7 +75,7 @@
     def apply(
         self, *, instances: Mapping[str, Iterable[str]], entries: Mapping[str, BackendEntry]
     ) -> None:
-        """Set the limit of every discovered instance, given by service."""
+        """Set the connection limit of each instance; `instances` holds their ids by service."""
         for service, names in instances.items():
             limit = connection_limit(
                 max_connections=self._max_connections.get(service, 0),
--- a/kelpstage/edge/backend/dissemination.py
+++ b/kelpstage/edge/backend/dissemination.py
@@ -1,33 +1,33 @@
-"""Who is sent an endpoint list by whom: the dissemination plan.
+"""The dissemination plan of endpoint list updates: which edge sends to which.
 
-In a small fleet the reader sends to everybody. In a larger one it sends to one relay in
-each zone, with the addresses that the relay is to send to; each relay sends to five at
-most, who send to the rest: what crosses between regions grows with the zones, not with
-the nodes.
+In a small fleet the reader sends to all edges. In a larger one it sends to one relay in each
+other zone, together with the addresses that the relay is to forward to. A relay sends to at
+most five edges, which forward to the rest. So the traffic between regions grows with the
+number of zones and not with the number of edges.
 """
 
 from __future__ import annotations
 
 import zlib
 
-DIRECT_COUNT = 16  # up to so many peers, the reader sends to each of them itself
-RELAY_FAN_OUT = 5  # peers that a relay sends to itself
+MAX_DIRECT_PEERS = 16  # up to this many peers, the reader sends to each one directly
+RELAY_FAN_OUT = 5  # peers that one edge sends to directly
 
-# Addresses that are sent to, each with those that it is to relay to.
+# Addresses to send to, each with the addresses that it relays to.
 Plan = list[tuple[str, list[str]]]
 
 
 def rank_key(*, name: str) -> tuple[int, str]:
-    """The order in which edges take over the reading; the same at each of them."""
+    """Sort key of the order in which edges become the reader; the same on all edges."""
     return zlib.crc32(f"list|{name}".encode()), name
 
 
-def shares(*, addresses: list[str], fan_out: int) -> Plan:
-    """Who is sent an update, and to whom each of them relays it.
+def relay_plan(*, addresses: list[str], fan_out: int) -> Plan:
+    """Divide the addresses among up to `fan_out` relays, which are the first addresses.
 
-    >>> shares(addresses=["a", "b", "c", "d", "e"], fan_out=2)
+    >>> relay_plan(addresses=["a", "b", "c", "d", "e"], fan_out=2)
     [('a', ['c', 'e']), ('b', ['d'])]
-    >>> shares(addresses=[], fan_out=5)
+    >>> relay_plan(addresses=[], fan_out=5)
     []
     """
     return [
@@ -37,8 +37,9 @@
 
 
 def dissemination_plan(*, by_zone: dict[str, list[str]], own_zone: str) -> Plan:
-    """To whom the reader sends a reading, and to whom those relay it. The addresses of
-    each zone stand with the best relay first.
+    """Return to which addresses the reader sends a list, and to which ones those relay it.
+
+    The addresses of each zone are ordered, the best relay first.
 
     >>> dissemination_plan(by_zone={"z": ["a", "b"], "y": ["c"]}, own_zone="z")
     [('a', []), ('b', []), ('c', [])]
@@ -47,10 +48,10 @@
     >>> len(plan), plan[-1][0], len(plan[-1][1]), sum(1 + len(rest) for _, rest in plan)
     (10, 'f0', 14, 90)
     """
-    if sum(map(len, by_zone.values())) <= DIRECT_COUNT:
+    if sum(map(len, by_zone.values())) <= MAX_DIRECT_PEERS:
         return [(address, []) for zone in by_zone.values() for address in zone]
-    plan = shares(addresses=by_zone.get(own_zone, []), fan_out=RELAY_FAN_OUT)
+    plan = relay_plan(addresses=by_zone.get(own_zone, []), fan_out=RELAY_FAN_OUT)
     for zone, addresses in sorted(by_zone.items()):
         if zone != own_zone:
-            plan += shares(addresses=addresses, fan_out=1)
+            plan += relay_plan(addresses=addresses, fan_out=1)
     return plan
--- a/kelpstage/edge/backend/ejected_check.py
+++ b/kelpstage/edge/backend/ejected_check.py
@@ -1,9 +1,9 @@
-"""Health checks of ejected instances: about one a second for each, in the whole fleet.
+"""Health checks of ejected instances, about one a second per instance in the whole fleet.
 
-A health check is priced and takes a slot, and its answer may be false either way. So
-instances that answer requests are never checked, and a good answer only ends an
-ejection early, at the edge that checked: the instance is then tried with one request
-at a time.
+A health check costs money and occupies a slot, and its result may be a false positive or a
+false negative. So instances that answer requests are never checked, and a successful check
+only ends an ejection early on the edge that made it. The instance then gets one request at a
+time until it answers.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def checker_of(*, instance_id: str, zone: str, edges: dict[str, str]) -> str:
-    """The one edge that checks an instance: in its zone, if there is one.
+    """Return the one edge that checks an instance; an edge in its zone is preferred.
 
     >>> checker_of(instance_id="i", zone="z", edges={"n1": "z", "n2": "y"})
     'n1'
@@ -34,11 +34,11 @@
 
 
 class EjectedCheckTask:
-    """Checks the suspected instances that fall to this edge.
+    """Checks the suspected instances that are assigned to this edge.
 
-    `edges` gives the live edges with their zones, this one among them; `health_path`
-    that of a service (empty: it is not checked); `instance_header` the header in which an
-    instance names itself.
+    `edges` returns the zones of the live edges by name, including this edge; `health_path`
+    returns the path of a service's health check (empty: its instances are not checked);
+    `instance_header` is the header in which an instance sends its id.
     """
 
     def __init__(
@@ -85,10 +85,10 @@
                 connection_limit=entry.connection_limit,
             )
         )
-        if isinstance(reply, KelpstageError) or not self._is_good(reply=reply, entry=entry):
+        if isinstance(reply, KelpstageError) or not self._is_healthy(reply=reply, entry=entry):
             return
         self._registry.note_healthy(name=entry.name, now_us=self._ports.clock.now_us())
 
-    def _is_good(self, *, reply: HttpReply, entry: BackendEntry) -> bool:
-        """Is it well, and is it the instance that was meant?"""
+    def _is_healthy(self, *, reply: HttpReply, entry: BackendEntry) -> bool:
+        """True if the reply is a success and names the instance that the check was meant for."""
         return reply.status == 200 and reply.headers.get(self._instance_header) == entry.name
--- a/kelpstage/edge/backend/eligibility.py
+++ b/kelpstage/edge/backend/eligibility.py
@@ -1,4 +1,4 @@
-"""May a backend be asked now, and by what may it be checked?"""
+"""Decides whether a backend may receive requests now, and how it may be checked."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
     is_reported_unreachable,
 )
 
-DRAIN_RECHECK_US = 30_000_000  # a draining backend gets one health check in so long
+DRAIN_RECHECK_US = 30_000_000  # interval of the health checks of a draining backend
 
 
 class CheckKind(Enum):
-    """How a declared backend may be checked now."""
+    """Ways to check a declared backend."""
 
-    HEALTH_CHECK = "health check"  # by a request
-    CONNECT_CHECK = "connect check"  # by a bare connection, without a byte
+    HEALTH_CHECK = "health check"  # an HTTP request
+    CONNECT_CHECK = "connect check"  # a connection on which no byte is sent
     NONE = "none"
 
 
 class Eligibility:
-    """Answers from the entries and the platform's list; owns no state."""
+    """Decides from the entries and the platform's list; holds no state of its own."""
 
     def __init__(
         self, *, me: str, instances: InstanceRegistry, platform_states: PlatformStates
@@ -36,7 +36,7 @@
         self._platform_states = platform_states
 
     def refusal(self, *, name: str, configuration: Configuration, now_us: int) -> str:
-        """Why this backend may not be asked now; empty if it may."""
+        """Return why this backend may not receive requests now; empty if it may."""
         known = self._instances.entries.get(name)
         if known is not None and known.is_discovered:
             return self.refusal_of_instance(entry=known, now_us=now_us)
@@ -57,7 +57,7 @@
         return ""
 
     def refusal_of_instance(self, *, entry: BackendEntry, now_us: int) -> str:
-        """Why an instance may not be asked now; empty if it may."""
+        """Return why an instance may not receive requests now; empty if it may."""
         if entry.gone_us:
             return "not on the list"
         if entry.state == BackendState.DRAINING:
@@ -68,23 +68,26 @@
             if entry.in_flight:
                 return "on trial"
         if 0 < entry.connection_limit <= entry.in_flight:
-            return "no free line"
+            return "connection limit reached"
         return ""
 
     def is_unreachable(self, *, name: str) -> bool:
-        """Did it give this edge itself no answer?"""
+        """True if the backend did not answer requests of this edge."""
         return self._me in self._instances.entry(name=name).unreachable_by
 
     def is_suspected(self, *, name: str, now_us: int) -> bool:
-        """Did it send invalid replies a moment ago, do peers report it unreachable, or
-        does the platform's list leave it out? Then others are asked first."""
+        """True if other backends are preferred to this one.
+
+        It sent invalid replies recently, several edges report it unreachable, or the
+        platform's list does not contain it.
+        """
         entry = self._instances.entry(name=name)
         if now_us < entry.suspected_until_us:
             return True
         if self._platform_states.is_missing(name=name, now_us=now_us):
             return True
-        # Not more than asked last: two sides of a network partition would otherwise
-        # condemn each other's backends, and have none left when it heals.
+        # A suspected backend is only ranked last, never refused: otherwise each side of a network
+        # partition would exclude the other side's backends and have none left when it heals.
         if now_us - entry.responded_us < UNREACHABLE_REPORT_TTL_US:
             return False
         return is_reported_unreachable(entry=entry, now_us=now_us)
@@ -92,12 +95,12 @@
     def allowed_check(
         self, *, name: str, configuration: Configuration, now_us: int, is_first: bool
     ) -> CheckKind:
-        """How a declared backend may be checked now.
+        """Return how a declared backend may be checked now.
 
-        One that is known to drain or to be gone gets no request, not even a health
-        check. One that is gone is connected to until it accepts again; one that drains,
-        until it refuses. So that a drain that was called off does not last for ever, the
-        first of its checkers (`is_first`) asks it once in `DRAIN_RECHECK_US`.
+        A backend that is draining or gone gets no request, not even a health check. It gets
+        connect checks instead: a gone backend until it accepts connections again, a draining
+        one until it refuses them. The first of a backend's checkers (`is_first`) also sends a
+        health check once per `DRAIN_RECHECK_US`, so that a cancelled drain is noticed.
         """
         declared = configuration.backends.get(name)
         if declared is not None and declared.is_draining:
--- a/kelpstage/edge/backend/endpoint_source.py
+++ b/kelpstage/edge/backend/endpoint_source.py
@@ -1,4 +1,4 @@
-"""Where a list of endpoints comes from: the form of its pages, and the product's own form."""
+"""Sources of the endpoint list: the interface of a page format, and the native format."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 
 class EndpointSource(Protocol):
-    """Knows the form of a list: what to call for a page, and what a page says.
+    """Builds the requests for the pages of a list and parses the replies.
 
-    An entry that can't be read is passed over; a page that can't is a `KelpstageError`.
+    A malformed entry is skipped; a malformed page results in a `KelpstageError`.
     """
 
     def page_call(self, token: str | None) -> HttpCall:
-        """The call for a page; the first one has no token."""
+        """Return the request for a page; the first page has no token."""
         ...
 
     def read_page(self, reply: HttpReply) -> tuple[list[Instance], str | None] | KelpstageError:
-        """The instances of a page, and the token of the next one, `None` after the last."""
+        """Return the instances of a page and the token of the next page, `None` after the last."""
         ...
 
 
 class HttpEndpointSource:
-    """The product's own form: `{"instances": [{...}], "next": token or null}`.
+    """The native format: `{"lives": [{...}], "next": token or null}`.
 
     >>> adapter = HttpEndpointSource(url="http://127.0.0.1:9/lives")
     >>> adapter.page_call("p2").url
@@ -48,14 +48,14 @@
         self._url = url
 
     def page_call(self, token: str | None) -> HttpCall:
-        """A GET of the page."""
+        """Return a GET request for the page."""
         query = f"?page={token}" if token else ""
         return HttpCall(
             method="GET", url=f"{self._url}{query}", wait_us=PAGE_TIMEOUT_US, connection_limit=1
         )
 
     def read_page(self, reply: HttpReply) -> tuple[list[Instance], str | None] | KelpstageError:
-        """The instances of a page, and the token of the next one."""
+        """Return the instances of a page and the token of the next page."""
         if reply.status != 200:
             return InvalidReplyError(backend="list", part="status", why=str(reply.status))
         try:
@@ -64,12 +64,14 @@
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
             return InvalidReplyError(backend="list", part="form", why=type(error).__name__)
         if not isinstance(rows, list) or not isinstance(token, (str, type(None))):
-            return InvalidReplyError(backend="list", part="form", why="no list, or no token")
+            return InvalidReplyError(
+                backend="list", part="form", why="entries or token have the wrong type"
+            )
         return [instance for instance in map(_own_instance, rows) if instance is not None], token
 
 
 def _own_instance(row: Any) -> Instance | None:
-    """An entry of the list; `None` if it can't be read."""
+    """Parse an entry of the list; `None` if it is malformed."""
     if not isinstance(row, dict):
         return None
     texts: list[Any] = [row.get(name) for name in ("instance", "service")]
--- a/kelpstage/edge/backend/entry.py
+++ b/kelpstage/edge/backend/entry.py
@@ -1,21 +1,21 @@
-"""One backend as the registry of this edge knows it."""
+"""The record of one backend in the registry of this edge."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 from kelpstage.edge.backend.backend_state import BackendState
-from kelpstage.edge.backend.outlier_detection import Evidence
+from kelpstage.edge.backend.outlier_detection import OutlierStatistics
 
-NEVER_US = -(10**12)  # a time before every clock reading
+NEVER_US = -(10**12)  # earlier than any clock reading
 
 
 @dataclass(kw_only=True, slots=True)
 class BackendEntry:
     """A declared backend, or a discovered instance (`is_discovered`) of a service.
 
-    Times are clock readings in microseconds. `version` orders the shared states: the
-    higher one is the later knowledge; 0 has never been gossiped.
+    Times are clock readings in microseconds. `version` orders the gossiped states: a higher
+    version is newer, and 0 means that no state was gossiped yet.
     """
 
     name: str
@@ -25,7 +25,9 @@
     since_us: int = 0
     why: str = "declared"
     seen_by: str = ""
-    unreachable_by: dict[str, int] = field(default_factory=dict)  # time by observing edge
+    unreachable_by: dict[str, int] = field(
+        default_factory=dict
+    )  # time of the latest report by observing edge
     unanswered_in_a_row: int = 0
     in_flight: int = 0
     invalid_replies_in_a_row: int = 0
@@ -34,7 +36,7 @@
     drain_checked_us: int = 0
     overdue_until_us: int = 0
     responded_us: int = NEVER_US
-    # --- discovered instances alone ---
+    # --- discovered instances only ---
     is_discovered: bool = False
     service: str = ""
     zone: str = ""
@@ -45,9 +47,9 @@
     connection_limit: int = 0
     distance_us: int = 0
     charge_us: int = 0
-    seen: Evidence = field(default_factory=Evidence)
+    seen: OutlierStatistics = field(default_factory=OutlierStatistics)
 
     @property
     def is_draining(self) -> bool:
-        """Does it finish what it has and take nothing new?"""
+        """True if the backend finishes its requests in flight and must not receive new ones."""
         return self.state == BackendState.DRAINING
--- a/kelpstage/edge/backend/health.py
+++ b/kelpstage/edge/backend/health.py
@@ -1,9 +1,8 @@
-"""What answers and failures, seen by this edge, change in the entries of backends.
+"""Updates the entries of backends after answers and failures that this edge has observed.
 
-A declared backend is judged by health checks and requests alike; a discovered
-instance by its requests alone (`outlier_detection.py`). A backend that gives no answer
-at all is `UNREACHABLE` for each observer on its own: one cut connection must not
-condemn it for all.
+The state of a declared backend follows from health checks and requests, that of a discovered
+instance from requests alone (`outlier_detection.py`). Each edge on its own regards a backend
+that does not answer as `UNREACHABLE`: one broken connection must not exclude it for all edges.
 """
 
 from __future__ import annotations
@@ -17,16 +16,16 @@
 from kelpstage.edge.backend.platform_states import PlatformStates
 from kelpstage.edge.backend.suspected_instances import SuspectedInstances
 
-UNANSWERED_LIMIT = 2  # requests in a row; then a declared backend is unreachable
-INVALID_REPLY_BACKOFF_US = 1_000_000  # asked last for so long, doubled by each in a row
+UNANSWERED_LIMIT = 2  # consecutive requests after which a declared backend is unreachable
+INVALID_REPLY_BACKOFF_US = 1_000_000  # ranked last for this long; doubles with each consecutive one
 INVALID_REPLY_DOUBLINGS = 4  # up to 16 s
-OVERDUE_PENALTY_US = 2_000_000  # asked last for so long after a missed window
+OVERDUE_PENALTY_US = 2_000_000  # ranked last for this long after a missed deadline
 
 
 class BackendHealth:
-    """Applies what this edge has seen itself; owns no state beside the entries.
+    """Applies the observations of this edge; holds no state besides the entries.
 
-    `on_changed` is given the name of each backend that peers are to be notified of.
+    `on_changed` is called with the name of each backend that peers are to be notified of.
     """
 
     def __init__(
@@ -48,7 +47,7 @@
     # --- discovered instances -------------------------------------------------------
 
     def note_answer(self, *, name: str, took_us: int, now_us: int) -> None:
-        """An instance gave a good answer, `took_us` after it was asked."""
+        """Record that an instance answered correctly, `took_us` after the request was sent."""
         entry = self._entries.get(name)
         if entry is None:
             return
@@ -60,7 +59,7 @@
         entry.seen.note_answer(took_us=net_us, now_us=now_us)
 
     def note_overloaded(self, *, name: str, now_us: int) -> None:
-        """An instance said that it did not run a request: it is loaded, not ill."""
+        """Record that an instance rejected a request: it is overloaded, not faulty."""
         entry = self._entries.get(name)
         if entry is not None:
             entry.responded_us = now_us
@@ -69,28 +68,28 @@
     def note_failure(
         self, *, name: str, why: str, now_us: int, waited_us: int | None = None
     ) -> bool:
-        """A request failed at an instance; true if it is ejected from now on.
+        """Record that a request to an instance failed; true if the instance is now ejected.
 
-        `why` is one of `outlier_detection`'s causes, `waited_us` how long a `SILENT` one
-        was waited for. A connection refused by an instance that answered a moment ago,
-        and a short silence, are signs of load first.
+        `why` is one of the causes in `outlier_detection`, and `waited_us` is the time waited
+        for the answer if the cause is `SILENT`. A connection that is refused shortly after an
+        answer, or a short silence, indicates load rather than a failure.
         """
         entry = self._entries.get(name)
         if entry is None:
             return False
-        weighed = entry.seen.weigh(why=why, waited_us=waited_us, now_us=now_us)
-        if weighed != why:
+        cause = entry.seen.classify_failure(why=why, waited_us=waited_us, now_us=now_us)
+        if cause != why:
             entry.seen.note_overloaded(now_us=now_us)
-        if not weighed or not entry.seen.note_failure(why=weighed, now_us=now_us):
+        if not cause or not entry.seen.note_failure(why=cause, now_us=now_us):
             return False
         entry.unreachable_by[self._me] = now_us
         self._on_changed(name)
         self._suspected.add(name=name)
-        self._instances.forget_zones(service=entry.service)
+        self._instances.invalidate_zones(service=entry.service)
         return True
 
     def note_healthy(self, *, name: str, now_us: int) -> None:
-        """An ejected instance passed its health check: it may be tried now."""
+        """Record that an ejected instance passed its health check: it may be tried now."""
         entry = self._entries.get(name)
         if entry is None:
             return
@@ -99,8 +98,11 @@
             entry.seen.ejected_until_us = now_us
 
     def _observe_instance(self, *, entry: BackendEntry, state: int, why: str, now_us: int) -> bool:
-        """`observe` for an instance: it may begin to drain, once; a refused connection is
-        evidence; only an answer to a request brings it back."""
+        """Handle `observe` for an instance.
+
+        A drain is recorded once and is permanent. A refused connection counts as a failure,
+        and only an answer to a request ends the ejection.
+        """
         if state == BackendState.GONE:
             return self.note_failure(name=entry.name, why=outlier_detection.REFUSED, now_us=now_us)
         if state != BackendState.DRAINING or entry.state == BackendState.DRAINING:
@@ -108,18 +110,18 @@
         entry.state, entry.why, entry.seen_by = BackendState.DRAINING, why, self._me
         entry.version, entry.since_us = entry.version + 1, now_us
         self._on_changed(entry.name)
-        self._instances.forget_zones(service=entry.service)
+        self._instances.invalidate_zones(service=entry.service)
         return True
 
-    # --- declared backends, or both -------------------------------------------------
+    # --- declared backends, or both kinds -------------------------------------------
 
     def observe(
         self, *, name: str, state: int, why: str, now_us: int, asked_us: int | None = None
     ) -> bool:
-        """Note a state that was seen; true if peers are to be notified.
+        """Record an observed state; true if peers are to be notified.
 
-        Only an exchange that began (`asked_us`) after the bad state was noted may say
-        that a backend is up again.
+        A backend becomes `UP` again only by an exchange that started (`asked_us`) after its
+        bad state was recorded.
         """
         entry = self._instances.entry(name=name)
         if entry.is_discovered:
@@ -141,10 +143,10 @@
         return True
 
     def note_no_answer(self, *, name: str, now_us: int) -> bool:
-        """No answer came; true if peers are to be notified.
+        """Record that a request got no answer; true if peers are to be notified.
 
-        Two in a row make a declared backend unreachable to this edge, and gone if the
-        platform's list leaves it out as well.
+        After `UNANSWERED_LIMIT` in a row a declared backend is unreachable for this edge. It
+        is gone if it is missing from the platform's list as well.
         """
         entry = self._instances.entry(name=name)
         if entry.is_discovered:
@@ -157,13 +159,15 @@
         entry.unreachable_by[self._me] = now_us
         self._on_changed(name)
         if self._platform_states.is_missing(name=name, now_us=now_us):
-            why = "silent, and not on the platform's list"
+            why = "no answer, and not on the platform's list"
             is_new |= self.observe(name=name, state=BackendState.GONE, why=why, now_us=now_us)
         return is_new
 
     def note_overdue(self, *, name: str, now_us: int) -> None:
-        """It missed a window and has not answered yet: others are asked first, before it
-        costs more searches a retry."""
+        """Record that a backend missed a deadline and has not answered yet.
+
+        Others are preferred to it, so that further searches do not need a retry.
+        """
         entry = self._instances.entry(name=name)
         if entry.is_discovered:
             entry.seen.note_overloaded(now_us=now_us)  # instances pause now and then
@@ -171,19 +175,19 @@
         entry.overdue_until_us = now_us + OVERDUE_PENALTY_US
 
     def is_overdue(self, *, name: str, now_us: int) -> bool:
-        """Did it miss a window a moment ago, with no answer since?"""
+        """True if the backend missed a deadline recently and has not answered since."""
         return now_us < self._instances.entry(name=name).overdue_until_us
 
     def note_response(self, *, name: str, now_us: int) -> None:
-        """Any response at all shows that the backend is reachable."""
+        """Record a response of any kind: the backend is reachable."""
         entry = self._instances.entry(name=name)
         entry.responded_us = now_us
         entry.unanswered_in_a_row = entry.overdue_until_us = 0
-        if not entry.is_discovered:  # an instance is judged by its answers, not by any response
+        if not entry.is_discovered:  # for an instance only `note_answer` counts
             entry.unreachable_by.pop(self._me, None)
 
     def note_invalid_reply(self, *, name: str, now_us: int) -> None:
-        """A reply failed its checks: others are asked first, longer each time in a row."""
+        """Record an invalid reply: others are preferred, longer with each consecutive one."""
         entry = self._instances.entry(name=name)
         if entry.is_discovered:
             self.note_failure(name=name, why=outlier_detection.GARBLED, now_us=now_us)
@@ -195,8 +199,8 @@
         entry.invalid_reply_us = now_us
 
     def note_valid_reply(self, *, name: str) -> None:
-        """A reply of a declared backend passed its checks."""
+        """Record that a reply of a declared backend passed its checks."""
         entry = self._instances.entry(name=name)
         if entry.is_discovered:
-            return  # `note_answer` says it, with the time it took
+            return  # `note_answer` records it, with the latency
         entry.invalid_replies_in_a_row, entry.suspected_until_us = 0, 0
--- a/kelpstage/edge/backend/health_check.py
+++ b/kelpstage/edge/backend/health_check.py
@@ -1,7 +1,7 @@
-"""Health checks of declared backends: a few edges check each, gossip notifies the others.
+"""Health checks of declared backends: a few edges check each, and gossip notifies the others.
 
-A health check is a request. A backend that is known to drain or to be gone gets a
-connect check instead: a connection that is opened and closed again, without a byte.
+A health check is a request. A backend that is known to be draining or gone gets a connect
+check instead: a connection that is opened and closed without sending a byte.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 
-CHECK_INTERVAL_US = 1_000_000  # each backend is checked once in so long
+CHECK_INTERVAL_US = 1_000_000  # of one backend by one edge
 CHECK_TIMEOUT_US = 800_000
 CHECKERS_PER_BACKEND = 3  # edges
 
 
 def checkers_of(*, backend: str, edges: list[str]) -> list[str]:
-    """The edges that check a backend; all edges work out the same.
+    """Return the edges that check a backend; every edge computes the same result.
 
     >>> checkers_of(backend="b", edges=["n1", "n2"])
     ['n1', 'n2']
@@ -38,7 +38,7 @@
 
 
 def state_of(*, reply: HttpReply) -> BackendState | None:
-    """The state that a health check's reply reports, or `None` if it reports none.
+    """Return the state that the reply to a health check reports, or `None` if it has none.
 
     >>> state_of(reply=HttpReply(status=200, body=b'{"state":"draining"}')) == BackendState.DRAINING
     True
@@ -56,9 +56,9 @@
 
 
 class HealthCheckTask:
-    """Checks the backends that fall to this edge.
+    """Checks the backends that are assigned to this edge.
 
-    `on_changed` is given the name of each backend that peers are to be notified of.
+    `on_changed` is called with the name of each backend that peers are to be notified of.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
         return is_own_share or self._me in entry.unreachable_by
 
     def check_soon(self, *, name: str, is_new: bool = False) -> None:
-        """Check one backend now; `is_new` if the platform says that it runs anew."""
+        """Start a check of a backend; `is_new` if the platform reports that it is running again."""
         entry = self._registry.entries.get(name)
         if entry is None or not entry.address or entry.is_discovered:
             return
@@ -122,7 +122,7 @@
         self._ports.spawn(self._health_check(name=name, address=entry.address))
 
     async def _connect_check(self, *, name: str, address: str) -> None:
-        """A bare connection: does the backend accept it, or is nobody there any more?"""
+        """Open and close a connection, to see whether the backend still accepts connections."""
         self._counts["knocks"] += 1
         outcome = await self._ports.net.connect(address=address, wait_us=CHECK_TIMEOUT_US)
         entry = self._registry.entries.get(name)
--- a/kelpstage/edge/backend/instance.py
+++ b/kelpstage/edge/backend/instance.py
@@ -1,8 +1,8 @@
-"""Instances of backends: every start of a backend is an instance of its own.
+"""Instances of backends: each start of a backend is a separate instance.
 
-The endpoint list comes from outside (`discovery.py`); this module knows what an instance
-is and how two lists are compared. A list's digest is the XOR of its instances' hashes,
-so that a change costs no walk over the rest.
+This module defines an instance and how two endpoint lists are compared; `discovery.py` reads
+the list. A list's digest is the XOR of its instances' hashes, so that a change updates the
+digest without iterating over the other instances.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 class Instance:
     """One start of a backend.
 
-    `slots` is how many requests it works on at a time, `cold_us` how much longer it
-    is slow from its start (warming up); that one is not part of its identity.
+    `slots` is the number of requests that it processes at a time. `cold_us` is the remaining
+    slow start after startup; it is not part of the instance's hash.
     """
 
     instance_id: str
@@ -37,8 +37,9 @@
 
 
 def bounded(*, instance: Instance) -> Instance | None:
-    """The instance with its numbers inside what a message carries, or `None` if a text of it
-    can't be sent on.
+    """Return the instance with its numbers clamped to what a message can carry.
+
+    `None` if one of its texts is too long or can't be encoded as UTF-8.
 
     >>> bounded(instance=Instance(instance_id="i", service="s", address="a:1", slots=2**70)).slots
     1000000
@@ -64,7 +65,7 @@
 
 
 def hash_of(*, instance: Instance) -> int:
-    """64 bits of everything but `cold_us`.
+    """Return a 64-bit hash of all fields except `cold_us`.
 
     >>> instance = Instance(instance_id="i", service="s", address="127.0.0.1:1")
     >>> from dataclasses import replace
@@ -88,7 +89,7 @@
 
 
 def digest_of(*, instances: Iterable[Instance]) -> int:
-    """The digest of a complete list, whatever its order.
+    """Return the digest of a complete list, independent of its order.
 
     >>> digest_of(instances=[])
     0
@@ -100,7 +101,7 @@
 
 
 def message_of(*, instance: Instance, cold_us: int) -> InstanceMsg:
-    """An instance as it travels; its `cold_us` counts from now.
+    """Return the message that describes an instance; `cold_us` is relative to the current time.
 
     >>> instance = Instance(instance_id="i", service="s", address="127.0.0.1:1", slots=2)
     >>> instance_of(message=message_of(instance=instance, cold_us=0)) == instance
@@ -119,7 +120,7 @@
 
 
 def instance_of(*, message: InstanceMsg) -> Instance:
-    """The instance that a message describes."""
+    """Return the instance that a message describes."""
     return Instance(
         instance_id=message.instance_id,
         service=message.service,
--- a/kelpstage/edge/backend/instance_registry.py
+++ b/kelpstage/edge/backend/instance_registry.py
@@ -11,18 +11,18 @@
 from kelpstage.edge.backend.instance import Instance
 from kelpstage.edge.backend.zones import ZoneDistances
 
-REMOVED_INSTANCE_TTL_US = 60_000_000  # an entry outlives its instance, for late answers
-MEDIAN_CACHE_US = 200_000  # a median of a service is good for so long
-ZONES_CACHE_US = 50_000  # a root asks for the zones at every shard of every search
-DEFAULT_LATENCY_US = 20_000  # of a service that nobody has answered for yet
+REMOVED_INSTANCE_TTL_US = 60_000_000  # an entry is kept after removal, for late answers
+MEDIAN_CACHE_US = 200_000  # lifetime of the cached median of a service
+ZONES_CACHE_US = 50_000  # a root edge needs the zones for each shard of each search
+DEFAULT_LATENCY_US = 20_000  # of a service without any answer yet
 
 
 class InstanceRegistry:
-    """Owns the entries, which instances each service has, and what is derived of them.
+    """Holds the entries, the instances of each service, and values derived from them.
 
-    Declared backends come from the configuration, under their names. Discovered
-    instances come from the endpoint list, under their instance ids: one that drains
-    never comes back, one that the list leaves out is gone at once.
+    Declared backends come from the configuration and are keyed by name. Discovered instances
+    come from the endpoint list and are keyed by instance id. An instance that drains never
+    becomes available again, and one that is missing from the list is removed at once.
     """
 
     def __init__(self, *, me: str, zone_distances: ZoneDistances, limits: ConnectionLimits) -> None:
@@ -36,14 +36,14 @@
         self._zones: dict[str, tuple[int, frozenset[str]]] = {}  # (time, zones) by service
 
     def entry(self, *, name: str) -> BackendEntry:
-        """The entry of a backend, made if there is none yet."""
+        """Return the entry of a backend; creates it if there is none."""
         entry = self.entries.get(name)
         if entry is None:
             entry = self.entries[name] = BackendEntry(name=name)
         return entry
 
     def declare(self, *, configuration: Configuration, listed: dict[str, str]) -> None:
-        """Follow a configuration; an address that it leaves out is taken from `listed`."""
+        """Apply a configuration; `listed` provides the addresses that it does not contain."""
         self._limits.configure(configuration=configuration)
         self.apply_limits()
         for name, backend in configuration.backends.items():
@@ -60,7 +60,7 @@
     # --- discovered instances -------------------------------------------------------
 
     def set_instances(self, instances: Iterable[Instance], now_us: int) -> list[str]:
-        """Take over a complete list; gives the instances that came, went or began to drain."""
+        """Apply a complete list; returns the ids added, removed or newly draining."""
         self.are_instances_known = True
         changed: list[str] = []
         names: dict[str, list[str]] = {}
@@ -91,7 +91,7 @@
         entry.warming_up_until_us = now_us + instance.cold_us if instance.cold_us > 0 else 0
         if not instance.is_draining or entry.state == BackendState.DRAINING:
             return is_new
-        # Not gossiped: every edge receives it with the endpoint list.
+        # Not gossiped: every edge receives this drain with the endpoint list.
         entry.state, entry.since_us = BackendState.DRAINING, now_us
         entry.why, entry.seen_by = "draining on the list", self._me
         return True
@@ -112,19 +112,19 @@
         """Set the connection limit of each discovered instance."""
         self._limits.apply(instances=self._instances, entries=self.entries)
 
-    def measure_distances(self) -> None:
-        """Take over the round trips that were measured since."""
+    def update_distances(self) -> None:
+        """Update the instances with the latest measured round trips."""
         for names in self._instances.values():
             for name in names:
                 entry = self.entries[name]
                 entry.distance_us = self.zone_distances.distance_us(zone=entry.zone)
 
     def instances_of(self, service: str) -> tuple[str, ...]:
-        """Ids of the instances that the list gives for a service, sorted."""
+        """Return the sorted ids of the listed instances of a service."""
         return self._instances.get(service, ())
 
     def zones_of(self, *, service: str, now_us: int) -> frozenset[str]:
-        """Zones with an instance of this service that may be asked; cached for a moment."""
+        """Return the zones with an available instance of a service; cached for `ZONES_CACHE_US`."""
         known = self._zones.get(service)
         if known is not None and 0 <= now_us - known[0] < ZONES_CACHE_US:
             return known[1]
@@ -135,12 +135,12 @@
         self._zones[service] = (now_us, zones)
         return zones
 
-    def forget_zones(self, *, service: str) -> None:
-        """An instance of this service may be asked no longer: drop the cached zones."""
+    def invalidate_zones(self, *, service: str) -> None:
+        """Drop the cached zones of a service, because one of its instances became unavailable."""
         self._zones.pop(service, None)
 
     def median_us(self, *, service: str, now_us: int) -> float:
-        """The median latency of a service's instances, for one of which nothing is known."""
+        """Return the median latency of a service's instances; used for those without answers."""
         known = self._medians.get(service)
         if known is not None and now_us - known[0] < MEDIAN_CACHE_US:
             return known[1]
--- a/kelpstage/edge/backend/listing.py
+++ b/kelpstage/edge/backend/listing.py
@@ -1,4 +1,4 @@
-"""Reading a complete endpoint list, page by page."""
+"""Reads a complete endpoint list, page by page."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from kelpstage.edge.backend.endpoint_source import EndpointSource
 from kelpstage.edge.backend.instance import Instance
 
-PAGE_LIMIT, FIRST_PAGE_LIMIT = 20, 60  # pages of a reading, later on and of the first one
+PAGE_LIMIT, FIRST_PAGE_LIMIT = 20, 60  # pages of a later reading, and of the first one
 
 
 class ListingReader:
-    """Reads all pages of a list; remembers how many there were (`pages`, 0: not read yet)."""
+    """Reads all pages of a list; `pages` is the count of the last reading, 0 before the first."""
 
     def __init__(self, *, ports: Ports, source: EndpointSource, counts: Counter[str]) -> None:
         self.pages = 0
@@ -23,7 +23,7 @@
         self._counts = counts
 
     async def read(self, *, until_us: int) -> list[Instance] | KelpstageError:
-        """The complete list, or why there is none; no page is asked for after `until_us`."""
+        """Return the complete list or the error; requests no further page after `until_us`."""
         found: dict[str, Instance] = {}
         tokens: set[str] = set()
         token: str | None = None
@@ -40,9 +40,9 @@
                 self.pages = len(tokens) + 1
                 return list(found.values())
             if token in tokens:
-                return _invalid(part="token", why="a page stands twice")
+                return _invalid(part="token", why="a page token occurs twice")
             if self._ports.clock.now_us() > until_us:
-                return _invalid(part="pages", why="took too long")
+                return _invalid(part="pages", why="reading took too long")
             tokens.add(token)
         return _invalid(part="pages", why=f"more than {limit}")
 
@@ -55,12 +55,12 @@
 
 
 def _add(*, instances: list[Instance], found: dict[str, Instance]) -> InvalidReplyError | None:
-    """Add a page's instances to those found before it."""
+    """Add the instances of a page to those of the earlier pages."""
     for instance in instances:
         known = found.setdefault(instance.instance_id, instance)
         if (known.service, known.address) != (instance.service, instance.address):
-            return _invalid(part="entry", why="an instance stands twice")
-        if instance.is_draining:  # it moved to a later page meanwhile
+            return _invalid(part="entry", why="an instance is listed twice")
+        if instance.is_draining:  # it moved to a later page during the reading
             found[instance.instance_id] = instance
     return None
 
--- a/kelpstage/edge/backend/registry.py
+++ b/kelpstage/edge/backend/registry.py
@@ -1,10 +1,10 @@
-"""The registry of backends: what this edge knows of each, from whichever source.
+"""The registry of backends: everything that this edge knows of each backend.
 
-A facade over its parts, each the one owner of its state: the entries and instances
-(`instance_registry.py`), the connection limits (`connection_limits.py`), the platform's
-list (`platform_states.py`), what is suspected (`suspected_instances.py`), what evidence
-changes (`health.py`), what is gossiped (`state_gossip.py`), who may be asked
-(`eligibility.py`).
+A facade over its parts, each of which alone holds its state: entries and instances
+(`instance_registry.py`), connection limits (`connection_limits.py`), the platform's list
+(`platform_states.py`), suspected instances (`suspected_instances.py`), updates after answers
+and failures (`health.py`), gossiped states (`state_gossip.py`), and the decision whether a
+backend may receive requests (`eligibility.py`).
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class BackendRegistry:
-    """Backends by name: declared ones, and discovered instances under their ids.
+    """All backends: declared ones by name and discovered instances by id.
 
     Times are clock readings in microseconds.
 
@@ -65,19 +65,19 @@
 
     @property
     def are_instances_known(self) -> bool:
-        """Was a list of instances taken over yet?"""
+        """True once a list of instances was applied."""
         return self._instances.are_instances_known
 
     def entry(self, *, name: str) -> BackendEntry:
-        """The entry of a backend, made if there is none yet."""
+        """Return the entry of a backend; creates it if there is none."""
         return self._instances.entry(name=name)
 
     def declare(self, *, configuration: Configuration, listed: dict[str, str]) -> None:
-        """Follow a configuration; an address that it leaves out is taken from `listed`."""
+        """Apply a configuration; `listed` provides the addresses that it does not contain."""
         self._instances.declare(configuration=configuration, listed=listed)
 
     def set_instances(self, instances: Iterable[Instance], now_us: int) -> list[str]:
-        """Take over a complete list; gives the instances that came, went or began to drain.
+        """Apply a complete list; returns the ids added, removed or newly draining.
 
         >>> from dataclasses import replace
         >>> registry = BackendRegistry(me="n1")
@@ -94,11 +94,11 @@
         return self._instances.set_instances(instances, now_us)
 
     def instances_of(self, service: str) -> tuple[str, ...]:
-        """Ids of the instances that the list gives for a service, sorted."""
+        """Return the sorted ids of the listed instances of a service."""
         return self._instances.instances_of(service)
 
     def zones_of(self, *, service: str, now_us: int) -> frozenset[str]:
-        """Zones with an instance of this service that may be asked.
+        """Return the zones with an available instance of a service.
 
         >>> from dataclasses import replace
         >>> registry = BackendRegistry(me="n1")
@@ -113,15 +113,15 @@
         return self._instances.zones_of(service=service, now_us=now_us)
 
     def median_us(self, *, service: str, now_us: int) -> float:
-        """The median latency of a service's instances."""
+        """Return the median latency of a service's instances."""
         return self._instances.median_us(service=service, now_us=now_us)
 
-    def measure_distances(self) -> None:
-        """Take over the round trips to zones that were measured since."""
-        self._instances.measure_distances()
+    def update_distances(self) -> None:
+        """Update the instances with the latest measured round trips to their zones."""
+        self._instances.update_distances()
 
     def set_live_edges(self, *, count: int, now_us: int) -> None:
-        """How many edges live now: they share the connections to the backends.
+        """Record the number of live edges, which share the connections to the backends.
 
         >>> registry = BackendRegistry(me="n1")
         >>> registry.set_live_edges(count=9, now_us=0)
@@ -134,102 +134,104 @@
 
     @property
     def live_edges(self) -> int:
-        """How many edges share the connections: the highest count of the last half minute."""
+        """The number of edges that share the connections: the highest of the last half minute."""
         return self._limits.live_edges
 
     def set_platform_states(self, *, states: dict[str, str], now_us: int) -> None:
-        """What the platform's list says: who is stopping is not asked, and who is left out
-        is asked last, while it says so and is still being read."""
+        """Record a reading of the platform's list, which counts until it expires.
+
+        A backend that is stopping receives no requests, and one that is missing is ranked last.
+        """
         self._platform_states.set_states(states=states, now_us=now_us)
 
-    # --- evidence (`health.py`) -----------------------------------------------------
+    # --- answers and failures (`health.py`) -----------------------------------------
 
     def note_answer(self, *, name: str, took_us: int, now_us: int) -> None:
-        """An instance gave a good answer, `took_us` after it was asked."""
+        """Record that an instance answered correctly, `took_us` after the request was sent."""
         self._health.note_answer(name=name, took_us=took_us, now_us=now_us)
 
     def note_overloaded(self, *, name: str, now_us: int) -> None:
-        """An instance said that it did not run a request."""
+        """Record that an instance rejected a request because it is overloaded."""
         self._health.note_overloaded(name=name, now_us=now_us)
 
     def note_failure(
         self, *, name: str, why: str, now_us: int, waited_us: int | None = None
     ) -> bool:
-        """A request failed at an instance; true if it is ejected from now on."""
+        """Record that a request to an instance failed; true if the instance is now ejected."""
         return self._health.note_failure(name=name, why=why, now_us=now_us, waited_us=waited_us)
 
     def note_healthy(self, *, name: str, now_us: int) -> None:
-        """An ejected instance passed its health check."""
+        """Record that an ejected instance passed its health check."""
         self._health.note_healthy(name=name, now_us=now_us)
 
     def observe(
         self, *, name: str, state: int, why: str, now_us: int, asked_us: int | None = None
     ) -> bool:
-        """Note a state that was seen; true if peers are to be notified."""
+        """Record an observed state; true if peers are to be notified."""
         return self._health.observe(
             name=name, state=state, why=why, now_us=now_us, asked_us=asked_us
         )
 
     def note_no_answer(self, *, name: str, now_us: int) -> bool:
-        """No answer came; true if peers are to be notified."""
+        """Record that a request got no answer; true if peers are to be notified."""
         return self._health.note_no_answer(name=name, now_us=now_us)
 
     def note_overdue(self, *, name: str, now_us: int) -> None:
-        """It missed a window and has not answered yet."""
+        """Record that a backend missed a deadline and has not answered yet."""
         self._health.note_overdue(name=name, now_us=now_us)
 
     def is_overdue(self, *, name: str, now_us: int) -> bool:
-        """Did it miss a window a moment ago, with no answer since?"""
+        """True if the backend missed a deadline recently and has not answered since."""
         return self._health.is_overdue(name=name, now_us=now_us)
 
     def note_response(self, *, name: str, now_us: int) -> None:
-        """Some response came, whatever is in it."""
+        """Record a response of any kind."""
         self._health.note_response(name=name, now_us=now_us)
 
     def note_invalid_reply(self, *, name: str, now_us: int) -> None:
-        """A reply failed its checks."""
+        """Record that a reply failed its checks."""
         self._health.note_invalid_reply(name=name, now_us=now_us)
 
     def note_valid_reply(self, *, name: str) -> None:
-        """A reply passed its checks."""
+        """Record that a reply passed its checks."""
         self._health.note_valid_reply(name=name)
 
     def suspected_instances(self, *, now_us: int) -> list[BackendEntry]:
-        """Instances that some edge has ejected, with no answer here since."""
+        """Return the instances that an edge has ejected and that did not answer here since."""
         return self._suspected.current(now_us=now_us)
 
     # --- gossip (`state_gossip.py`) -------------------------------------------------
 
     def on_backend_state_received(self, *, backend_state: BackendStateMsg, now_us: int) -> bool:
-        """Take over a peer's later knowledge; true if it changed something."""
+        """Apply a peer's report if it is newer; true if it changed something."""
         return self._gossip.on_received(backend_state=backend_state, now_us=now_us)
 
     def backend_states(self, *, now_us: int) -> list[BackendStateMsg]:
-        """The states for the next datagram to a peer."""
+        """Return the states for the next datagram to a peer."""
         return self._gossip.states(now_us=now_us)
 
     # --- eligibility (`eligibility.py`) ---------------------------------------------
 
     def refusal(self, *, name: str, configuration: Configuration, now_us: int) -> str:
-        """Why this backend may not be asked now; empty if it may."""
+        """Return why this backend may not receive requests now; empty if it may."""
         return self._eligibility.refusal(name=name, configuration=configuration, now_us=now_us)
 
     def refusal_of_instance(self, *, entry: BackendEntry, now_us: int) -> str:
-        """Why an instance may not be asked now; empty if it may."""
+        """Return why an instance may not receive requests now; empty if it may."""
         return self._eligibility.refusal_of_instance(entry=entry, now_us=now_us)
 
     def is_unreachable(self, *, name: str, now_us: int) -> bool:
-        """Did it give this edge itself no answer?"""
+        """True if the backend did not answer requests of this edge."""
         return self._eligibility.is_unreachable(name=name)
 
     def is_suspected(self, *, name: str, now_us: int) -> bool:
-        """Are others to be asked first, if there are any?"""
+        """True if other backends are preferred to this one."""
         return self._eligibility.is_suspected(name=name, now_us=now_us)
 
     def allowed_check(
         self, *, name: str, configuration: Configuration, now_us: int, is_first: bool
     ) -> CheckKind:
-        """How a declared backend may be checked now; `is_first` of those that check it.
+        """Return how a declared backend may be checked; `is_first`: this edge is its first checker.
 
         >>> from kelpstage.edge.backend.backend_state import BackendState
         >>> from kelpstage.edge.backend.eligibility import DRAIN_RECHECK_US
--- a/kelpstage/edge/backend/reply.py
+++ b/kelpstage/edge/backend/reply.py
@@ -1,9 +1,8 @@
-"""Reading and checking of a backend's reply: the only module that knows its form.
+"""Parses and checks the reply of a backend; the only module that knows its format.
 
-A reply is a JSON object: `shard`, `cut`, `count`, `stamp`, `records`. The stamp
-is the SHA-256, in hex, over each record's exact bytes as they stand in the
-body, each behind its length as eight bytes. Records are cut out of the body as
-they stand; nothing is written anew.
+A reply is a JSON object with `shard`, `cut`, `count`, `stamp` and `records`. The stamp is the
+SHA-256, in hex, over the records: for each one its length as eight bytes and then its exact
+bytes in the body. Records are copied from the body byte for byte and never serialized again.
 """
 
 from __future__ import annotations
@@ -19,22 +18,22 @@
 from kelpstage.common.errors.backends import InvalidReplyError
 from kelpstage.common.ports.interfaces import HttpReply
 
-SPACE = re.compile(r"[ \t\n\r]*")
+WHITESPACE = re.compile(r"[ \t\n\r]*")
 RANK_MIN, RANK_MAX = -(2**63) + 1, 2**63 - 1
-REPLY_LIMIT = 16 * 1024 * 1024  # bytes of a body
+REPLY_LIMIT = 16 * 1024 * 1024  # bytes of the body
 
 
-def _no_constants(name: str) -> object:
-    raise ValueError(f"{name} is not JSON")
+def _reject_constant(name: str) -> object:
+    raise ValueError(f"{name} is not valid JSON")
 
 
-# `scan_once` gives a value and where it ends; the typed stubs leave it out.
-_decoder: Any = json.JSONDecoder(parse_constant=_no_constants)
+# `scan_once` returns a value and its end position; the type stubs lack it.
+_decoder: Any = json.JSONDecoder(parse_constant=_reject_constant)
 
 
 @dataclass(frozen=True, kw_only=True)
 class SealedPart:
-    """A part that passed every check."""
+    """The result of one shard, which passed every check."""
 
     shard: str
     cut: str
@@ -44,7 +43,7 @@
 
 
 def stamp_of(*, records: list[bytes]) -> str:
-    """The stamp over records' exact bytes.
+    """Return the stamp over the exact bytes of records.
 
     >>> stamp_of(records=[b"{}"])[:8]
     '7cf4b3ea'
@@ -56,129 +55,129 @@
     return digest.hexdigest()
 
 
-def _skip(*, text: str, place: int) -> int:
-    return SPACE.match(text, place).end()  # type: ignore[union-attr]  # matches no text too
+def _skip_whitespace(*, text: str, position: int) -> int:
+    return WHITESPACE.match(text, position).end()  # type: ignore[union-attr]  # also matches the empty string
 
 
-def _scan_records(*, text: str, place: int) -> tuple[list[tuple[object, str]], int]:
-    """Values of an array with their exact texts."""
-    if text[place] != "[":
+def _scan_records(*, text: str, position: int) -> tuple[list[tuple[object, str]], int]:
+    """Return the values of an array with their exact texts, and the end position."""
+    if text[position] != "[":
         raise ValueError("records is not an array")
-    place = _skip(text=text, place=place + 1)
+    position = _skip_whitespace(text=text, position=position + 1)
     out: list[tuple[object, str]] = []
-    if text[place] == "]":
-        return out, place + 1
+    if text[position] == "]":
+        return out, position + 1
     while True:
-        value, end = _decoder.scan_once(text, place)
-        out.append((value, text[place:end]))
-        place = _skip(text=text, place=end)
-        if text[place] == "]":
-            return out, place + 1
-        if text[place] != ",":
-            raise ValueError("records: comma or end expected")
-        place = _skip(text=text, place=place + 1)
+        value, end = _decoder.scan_once(text, position)
+        out.append((value, text[position:end]))
+        position = _skip_whitespace(text=text, position=end)
+        if text[position] == "]":
+            return out, position + 1
+        if text[position] != ",":
+            raise ValueError("expected a comma or the end of records")
+        position = _skip_whitespace(text=text, position=position + 1)
 
 
 def _scan_reply(*, text: str) -> dict[str, Any]:
-    """The fields of a reply, its records with their exact texts."""
-    place = _skip(text=text, place=0)
-    if text[place] != "{":
-        raise ValueError("not an object")
+    """Return the fields of a reply, with the exact text of each record."""
+    position = _skip_whitespace(text=text, position=0)
+    if text[position] != "{":
+        raise ValueError("reply is not an object")
     fields: dict[str, Any] = {}
-    place = _skip(text=text, place=place + 1)
-    while text[place] != "}":
-        if text[place] != '"':
-            raise ValueError("a name expected")
-        name, place = scanstring(text, place + 1)
+    position = _skip_whitespace(text=text, position=position + 1)
+    while text[position] != "}":
+        if text[position] != '"':
+            raise ValueError("expected a field name")
+        name, position = scanstring(text, position + 1)
         if name in fields:
-            raise ValueError(f"{name} stands twice")
-        place = _skip(text=text, place=place)
-        if text[place] != ":":
-            raise ValueError("colon expected")
-        place = _skip(text=text, place=place + 1)
+            raise ValueError(f"duplicate field {name}")
+        position = _skip_whitespace(text=text, position=position)
+        if text[position] != ":":
+            raise ValueError("expected a colon")
+        position = _skip_whitespace(text=text, position=position + 1)
         if name == "records":
-            fields[name], place = _scan_records(text=text, place=place)
+            fields[name], position = _scan_records(text=text, position=position)
         else:
-            fields[name], place = _decoder.scan_once(text, place)
-        place = _skip(text=text, place=place)
-        if text[place] == ",":
-            place = _skip(text=text, place=place + 1)
-            if text[place] == "}":
-                raise ValueError("a comma before the end")
-        elif text[place] != "}":
-            raise ValueError("comma or end expected")
-    if _skip(text=text, place=place + 1) != len(text):
-        raise ValueError("more behind the object")
+            fields[name], position = _decoder.scan_once(text, position)
+        position = _skip_whitespace(text=text, position=position)
+        if text[position] == ",":
+            position = _skip_whitespace(text=text, position=position + 1)
+            if text[position] == "}":
+                raise ValueError("trailing comma")
+        elif text[position] != "}":
+            raise ValueError("expected a comma or the end of the object")
+    if _skip_whitespace(text=text, position=position + 1) != len(text):
+        raise ValueError("data after the end of the object")
     return fields
 
 
-def _check_head(*, backend: str, reply: HttpReply) -> InvalidReplyError | None:
-    """The first error of the status line, the headers or the body's length, if any."""
+def _check_headers(*, backend: str, reply: HttpReply) -> InvalidReplyError | None:
+    """Return the first error of the status, the headers or the body's length; `None` if valid."""
 
-    def bad(part: str, why: str) -> InvalidReplyError:
+    def invalid(part: str, why: str) -> InvalidReplyError:
         return InvalidReplyError(backend=backend, part=part, why=why)
 
     if reply.status != 200:
-        return bad("status", str(reply.status))
+        return invalid("status", str(reply.status))
     kind = reply.headers.get("content-type", "").split(";")[0].strip().lower()
     if kind != "application/json":
-        return bad("type", kind or "none")
+        return invalid("type", kind or "none")
     if reply.headers.get("content-encoding", "identity") != "identity":
-        return bad("encoding", reply.headers["content-encoding"])
+        return invalid("encoding", reply.headers["content-encoding"])
     if len(reply.body) > REPLY_LIMIT:
-        return bad("length", f"{len(reply.body)} bytes")
+        return invalid("length", f"{len(reply.body)} bytes")
     stated = reply.headers.get("content-length")
     if stated is not None and stated != str(len(reply.body)):
-        return bad("length", f"{len(reply.body)} of {stated} bytes")
+        return invalid("length", f"received {len(reply.body)} of {stated} bytes")
     return None
 
 
 def read_reply(
     *, backend: str, reply: HttpReply, shard: str, cut: str, order_by: str
 ) -> SealedPart | InvalidReplyError:
-    """Check a complete reply: status, type, encoding, form, shard, cut, count, stamp.
+    """Check a complete reply: status, type, encoding, format, shard, cut, count and stamp.
 
     >>> record = b'{"score":3}'
     >>> body = (b'{"shard":"s","cut":"c","count":1,"stamp":"'
     ...         + stamp_of(records=[record]).encode() + b'","records":[' + record + b']}')
-    >>> ask = dict(backend="b", shard="s", cut="c", order_by="score")
+    >>> expected = dict(backend="b", shard="s", cut="c", order_by="score")
     >>> good = HttpReply(status=200, headers={"content-type": "application/json"}, body=body)
-    >>> read_reply(reply=good, **ask).records
+    >>> read_reply(reply=good, **expected).records
     [(-3, b'{"score":3}')]
-    >>> torn = HttpReply(status=200, headers=good.headers, body=body[:-1])
-    >>> read_reply(reply=torn, **ask).part
+    >>> truncated = HttpReply(status=200, headers=good.headers, body=body[:-1])
+    >>> read_reply(reply=truncated, **expected).part
     'form'
     """
 
-    def bad(part: str, why: str) -> InvalidReplyError:
+    def invalid(part: str, why: str) -> InvalidReplyError:
         return InvalidReplyError(backend=backend, part=part, why=why)
 
-    head_error = _check_head(backend=backend, reply=reply)
-    if head_error is not None:
-        return head_error
+    header_error = _check_headers(backend=backend, reply=reply)
+    if header_error is not None:
+        return header_error
     try:
         fields = _scan_reply(text=reply.body.decode("utf-8"))
     except UnicodeDecodeError:
-        return bad("encoding", "not UTF-8")
+        return invalid("encoding", "not UTF-8")
     except (ValueError, IndexError, StopIteration, RecursionError) as error:
-        return bad("form", str(error)[:200] or type(error).__name__)
+        return invalid("form", str(error)[:200] or type(error).__name__)
     if fields.get("shard") != shard:
-        return bad("shard", f"{fields.get('shard')!r}"[:80])
+        return invalid("shard", f"{fields.get('shard')!r}"[:80])
     if fields.get("cut") != cut:
-        return bad("cut", f"{fields.get('cut')!r}"[:80])
+        return invalid("cut", f"{fields.get('cut')!r}"[:80])
     scanned = fields.get("records")
     if not isinstance(scanned, list) or type(fields.get("count")) is not int:
-        return bad("form", "records and count are needed")
+        return invalid("form", "records or count is missing or has the wrong type")
     if fields["count"] != len(scanned):
-        return bad("count", f"{len(scanned)} records, {fields['count']} stated")
+        return invalid("count", f"{len(scanned)} records, {fields['count']} declared")
     raw = [text.encode("utf-8") for _, text in scanned]
     if fields.get("stamp") != stamp_of(records=raw):
-        return bad("stamp", "does not fit the records")
+        return invalid("stamp", "does not match the records")
     records: list[tuple[int, bytes]] = []
     for (value, _), data in zip(scanned, raw, strict=False):
         rank = value.get(order_by) if isinstance(value, dict) else None
         if type(rank) is not int or not RANK_MIN <= rank <= RANK_MAX:
-            return bad("record", f"{order_by} is not a whole number of 64 bits")
+            return invalid("record", f"{order_by} is not a 64-bit integer")
         records.append((-rank, data))
     return SealedPart(
         shard=shard, cut=cut, stamp=fields["stamp"], count=len(records), records=records
--- a/kelpstage/edge/backend/selection.py
+++ b/kelpstage/edge/backend/selection.py
@@ -1,9 +1,9 @@
-"""Choosing the backend for a shard.
+"""Selects the backend for a shard.
 
-Declared backends are chosen by latency and zone, as declared. Discovered instances are
-chosen by the time that an answer is expected to take, weighted at random: all edges share
-their few slots and none sees what the others have sent, so that the best must not draw
-everybody.
+Declared backends are ranked by latency, load and zone. Discovered instances are ranked by the
+expected time of an answer with a random weight. All edges share the few slots of an instance
+and none sees the requests of the others, so without randomness all of them would send to the
+best one.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 )
 from kelpstage.edge.gather.latency import LatencyEstimates
 
-LATENCY_STEP_US = 2_000  # latencies of declared backends are compared in such steps
+LATENCY_STEP_US = 2_000  # latencies of declared backends are rounded down to steps
 FAR_US = 30_000  # added to the cost of a declared backend in another zone
-WARMING_UP_FACTOR = 1.6  # of the expected time, during the slow start
-# An instance of 1.3 times the cost is drawn once in 15 times, of twice once in 1,000.
+WARMING_UP_FACTOR = 1.6  # of the expected latency, during slow start
+# An instance with 1.3 times the cost is chosen once in 15 times, with twice the cost 1 in 1,000.
 RANDOM_CHOICE_POWER = 10
-MEAN_RANDOM_WEIGHT = 1.0  # of all, where nothing is drawn at random
+MEAN_RANDOM_WEIGHT = 1.0  # weight of every instance without a random generator
 
 
-# Refused, suspected, overdue, cost, a random number, name.
+# Refused, suspected, overdue, cost, tie-breaking random number, name.
 Rank = tuple[bool, bool, bool, float, float, str]
 
 
 @dataclass(slots=True)
 class Option:
-    """One backend as the choice saw it; the lowest rank is chosen.
+    """One candidate of a selection; the one with the lowest rank is chosen.
 
-    `refusal` says why it may not be asked, and is empty if it may; `mean_us` is its
+    `refusal` is the reason why it may not receive requests, empty if it may; `mean_us` is its
     latency estimate.
     """
 
@@ -62,14 +62,14 @@
     now_us: int,
     rand: random.Random | None,
 ) -> list[Option]:
-    """All backends of a shard, best first, the refused ones last with the reason.
+    """Return all backends of a shard, best first, refused ones last with the reason.
 
-    A shard whose service has discovered instances has those; any other has the backends
-    that the configuration's selector picks.
+    The backends are those that the configuration's selector matches or, if it matches none,
+    the discovered instances of the service.
 
-    Suspected ones come after the others, and those that missed a window and are silent
-    still. The lowest cost is chosen: what is in flight, weighted by the backend's latency
-    estimate, and a charge for another zone; ties at random.
+    Suspected and overdue backends rank after the others. Then the lowest cost ranks first:
+    the requests in flight weighted by the latency estimate, plus a charge for another zone.
+    Ties are broken at random.
     """
     instances = registry.instances_of(shard)
     if instances and not configuration.backends_of(collection=collection, shard=shard):
@@ -111,36 +111,37 @@
     now_us: int,
     rand: random.Random | None,
 ) -> list[Option]:
-    """Instances by the time that an answer is expected to take, weighted at random.
+    """Return the instances ranked by the expected time of an answer, with a random weight.
 
-    That time is the instance's own latency (the service's median where nothing is known),
-    longer for what is in flight over its slots, while it warms up and after failures,
-    and the way to its zone. So speed, queues and distance weigh, and equals share alike.
+    The expected time is the instance's latency (the service's median if it has no answers
+    yet), raised by requests in flight per slot, slow start and failures, plus the distance to
+    its zone. So speed, queueing and distance count, and equal instances share the load
+    equally.
 
-    If every one that the list gives is ejected, the least bad one is offered still.
+    If no instance is available, the ejected one that may be tried soonest is offered.
     """
     entries, own_zone = registry.entries, registry.zone_distances.zone
     median_us = registry.median_us(service=service, now_us=now_us)
-    draw = rand.random if rand else None
+    random_number = rand.random if rand else None
     out = []
-    is_any_free = False
+    is_any_available = False
     for name in instances:
         entry = entries[name]
         refusal = (
             ""
-            if _is_unimpaired(entry)
+            if _is_unrestricted(entry)
             else registry.refusal_of_instance(entry=entry, now_us=now_us)
         )
         seen = entry.seen
         mean_us = seen.latency_us(median_us=median_us, now_us=now_us)
-        cost = expected_us(entry=entry, mean_us=mean_us, now_us=now_us)
+        cost = expected_cost_us(entry=entry, mean_us=mean_us, now_us=now_us)
         is_suspected = bool(entry.unreachable_by) and _is_reported_ejected(
             entry=entry, now_us=now_us
         )
-        random_part = -log(1.0 - draw()) if draw else MEAN_RANDOM_WEIGHT
+        random_part = -log(1.0 - random_number()) if random_number else MEAN_RANDOM_WEIGHT
         weight = cost**RANDOM_CHOICE_POWER * random_part
         if not refusal:
-            is_any_free = True
+            is_any_available = True
         out.append(
             Option(
                 name,
@@ -154,7 +155,7 @@
             )
         )
     out.sort(key=_rank)
-    if not is_any_free:
+    if not is_any_available:
         _offer_least_bad(options=out, registry=registry, now_us=now_us)
     return out
 
@@ -163,8 +164,8 @@
     return option.rank
 
 
-def _is_unimpaired(entry: BackendEntry) -> bool:
-    """Nothing speaks against it: the common case, found without a call."""
+def _is_unrestricted(entry: BackendEntry) -> bool:
+    """True if no condition can refuse the instance; this skips a call in the common case."""
     return (
         not entry.state
         and not entry.seen.ejected_until_us
@@ -173,8 +174,8 @@
     )
 
 
-def expected_us(*, entry: BackendEntry, mean_us: float, now_us: int) -> float:
-    """How long an answer is expected to take, with the charge of its zone, in microseconds."""
+def expected_cost_us(*, entry: BackendEntry, mean_us: float, now_us: int) -> float:
+    """Return the expected time of an answer plus the charge of its zone, in microseconds."""
     seen = entry.seen
     load = entry.in_flight + 1
     if now_us < seen.overloaded_until_us:
@@ -185,12 +186,12 @@
     if now_us < entry.warming_up_until_us:
         cost *= WARMING_UP_FACTOR
     if seen.failure_share:
-        cost = seen.with_failures(cost_us=cost, now_us=now_us)
+        cost = seen.failure_adjusted_cost_us(cost_us=cost, now_us=now_us)
     return cost + entry.distance_us + entry.charge_us
 
 
 def _is_reported_ejected(*, entry: BackendEntry, now_us: int) -> bool:
-    """Have several peers ejected it, and did this edge have no answer since?"""
+    """True if several peers ejected the instance and it has not answered this edge since."""
     reports = sum(
         now_us - at_us < UNREACHABLE_REPORT_TTL_US and at_us > entry.responded_us
         for at_us in entry.unreachable_by.values()
@@ -199,7 +200,7 @@
 
 
 def _offer_least_bad(*, options: list[Option], registry: BackendRegistry, now_us: int) -> None:
-    """Ejected instances are better than none: the one that may be tried soonest."""
+    """Move the ejected instance that may be tried soonest to the front, without a refusal."""
     ejected = [option for option in options if option.refusal in ("shunned", "on trial")]
     if not ejected:
         return
--- a/kelpstage/edge/backend/state_gossip.py
+++ b/kelpstage/edge/backend/state_gossip.py
@@ -1,8 +1,8 @@
-"""Which backend states this edge gossips, and what it takes over from its peers.
+"""Gossip of backend states: what this edge sends, and what it applies from its peers.
 
-Shared states carry a version: the higher one is the later knowledge, and at the same
-version the worse state stands. Reports of one observer (`UNREACHABLE`,
-`INVALID_REPLIES`) carry none and count for a while only.
+A shared state carries a version. The higher version is newer, and of two states with the same
+version the one with the higher number takes precedence. The reports of a single edge
+(`UNREACHABLE`, `INVALID_REPLIES`) have no version and expire.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from kelpstage.edge.backend.instance_registry import InstanceRegistry
 from kelpstage.edge.backend.suspected_instances import SuspectedInstances
 
-RECENT_CHANGE_US = 3_000_000  # a change goes into every datagram for so long
+RECENT_CHANGE_US = 3_000_000  # a change is in every datagram for this long
 STATES_PER_DATAGRAM = 16
-OLDER_STATES_AT_LEAST = 4  # of which each datagram has room, however much has changed
-INVALID_REPLY_GOSSIP_US = 1_000_000  # an invalid reply is reported for so long
-EJECTION_GOSSIP_US = 2_000_000  # an ejection is reported for so long
-REPORTED_INVALID_REPLY_TTL_US = 4_000_000  # a peer's report of one counts for so long
+MIN_OLDER_STATES = 4  # each datagram has room for these besides the changes
+INVALID_REPLY_GOSSIP_US = 1_000_000  # an invalid reply is reported for this long
+EJECTION_GOSSIP_US = 2_000_000  # an ejection is reported for this long
+REPORTED_INVALID_REPLY_TTL_US = 4_000_000  # lifetime of a peer's report of one
 
 
 class StateGossip:
-    """Owns the names of the backends whose state is out of the ordinary."""
+    """Holds the names of the backends whose state may have to be gossiped."""
 
     def __init__(
         self, *, me: str, instances: InstanceRegistry, suspected: SuspectedInstances
@@ -35,13 +35,13 @@
         self._next_older_state = 0
 
     def mark_changed(self, name: str) -> None:
-        """There may be something to gossip of this backend."""
+        """Record that the state of a backend may have to be gossiped."""
         self._changed.add(name)
 
     # --- received -------------------------------------------------------------------
 
     def on_received(self, *, backend_state: BackendStateMsg, now_us: int) -> bool:
-        """Take over later knowledge; true if it changed something."""
+        """Apply a peer's report if it is newer; true if it changed something."""
         entry = self._entries.get(backend_state.backend)
         is_unreachable = backend_state.state == BackendState.UNREACHABLE
         if entry is None or backend_state.seen_by == self._me and is_unreachable:
@@ -56,7 +56,7 @@
             return is_new
         if entry.is_discovered:
             return self._on_instance_state(entry=entry, backend_state=backend_state, now_us=now_us)
-        # In the message the version's field is called `turn`.
+        # The message's field `turn` is the version.
         if (backend_state.turn, backend_state.state) <= (entry.version, entry.state):
             return False
         entry.version, entry.state = backend_state.turn, backend_state.state
@@ -76,7 +76,7 @@
         entry.version = max(1, backend_state.turn)
         entry.why, entry.seen_by = backend_state.why, backend_state.seen_by
         self.mark_changed(entry.name)
-        self._instances.forget_zones(service=entry.service)
+        self._instances.invalidate_zones(service=entry.service)
         return is_new
 
     def _on_invalid_reply(
@@ -90,19 +90,19 @@
     # --- sent -----------------------------------------------------------------------
 
     def states(self, *, now_us: int) -> list[BackendStateMsg]:
-        """Recent changes, then a share of the older states, in rotation."""
+        """Return the recent changes and a part of the older states, which rotate."""
         recent: list[BackendStateMsg] = []
         older: list[BackendStateMsg] = []
         for name in sorted(self._changed):
             entry = self._entries.get(name)
-            if entry is None or not self._is_unusual(entry=entry, now_us=now_us):
+            if entry is None or not self._has_state_to_send(entry=entry, now_us=now_us):
                 self._changed.discard(name)
                 continue
             recent += self._own_reports(entry=entry, now_us=now_us)
             if entry.version:
                 is_recent = now_us - entry.since_us < RECENT_CHANGE_US
                 (recent if is_recent else older).append(_shared_state(entry=entry))
-        room = max(OLDER_STATES_AT_LEAST, STATES_PER_DATAGRAM - len(recent))
+        room = max(MIN_OLDER_STATES, STATES_PER_DATAGRAM - len(recent))
         if older:
             start = self._next_older_state % len(older)
             self._next_older_state += room
@@ -123,7 +123,7 @@
             for state in reported
         ]
 
-    def _is_unusual(self, *, entry: BackendEntry, now_us: int) -> bool:
+    def _has_state_to_send(self, *, entry: BackendEntry, now_us: int) -> bool:
         if entry.version or self._me in entry.unreachable_by:
             return not entry.gone_us
         return now_us - entry.invalid_reply_us < INVALID_REPLY_GOSSIP_US
--- a/kelpstage/edge/backend/suspected_instances.py
+++ b/kelpstage/edge/backend/suspected_instances.py
@@ -1,4 +1,4 @@
-"""Which discovered instances some edge has ejected lately."""
+"""The discovered instances that an edge has ejected recently."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from kelpstage.edge.backend.backend_state import BackendState
 from kelpstage.edge.backend.entry import BackendEntry
 
-UNREACHABLE_REPORT_TTL_US = 4_000_000  # a report of an edge that it repeats no more
-UNREACHABLE_REPORT_QUORUM = 2  # so many edges have to report it: one may be cut off itself
+UNREACHABLE_REPORT_TTL_US = 4_000_000  # lifetime of a report that its edge does not repeat
+UNREACHABLE_REPORT_QUORUM = 2  # reporting edges needed: one edge may be partitioned itself
 
 
 def is_reported_unreachable(*, entry: BackendEntry, now_us: int) -> bool:
-    """Do several edges report that a backend does not answer?"""
+    """True if several edges report that a backend does not answer."""
     reports = sum(
         now_us - at_us < UNREACHABLE_REPORT_TTL_US for at_us in entry.unreachable_by.values()
     )
@@ -20,18 +20,18 @@
 
 
 class SuspectedInstances:
-    """Owns the names of the instances that this or another edge ejected."""
+    """Holds the names of the instances that this or another edge has ejected."""
 
     def __init__(self, *, entries: Mapping[str, BackendEntry]) -> None:
         self._entries = entries
         self._names: set[str] = set()
 
     def add(self, *, name: str) -> None:
-        """This or another edge has ejected an instance."""
+        """Record that this or another edge has ejected an instance."""
         self._names.add(name)
 
     def current(self, *, now_us: int) -> list[BackendEntry]:
-        """Those that have given no answer here since, while the reports are fresh."""
+        """Return those that have not answered this edge since, until the reports expire."""
         found = []
         for name in sorted(self._names):
             entry = self._entries.get(name)
--- a/kelpstage/edge/backend/zones.py
+++ b/kelpstage/edge/backend/zones.py
@@ -1,17 +1,17 @@
-"""How far the zones are from this edge, and what it costs to cross between them."""
+"""Distances from this edge to the zones, and the cost of traffic between zones."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-SAME_ZONE_US, SAME_REGION_US, FAR_US = 1_000, 3_000, 22_000  # round trips, as guessed
-REGION_CHARGE_US = 25_000  # bytes between regions are expensive
+SAME_ZONE_US, SAME_REGION_US, FAR_US = 1_000, 3_000, 22_000  # assumed round trips
+REGION_CHARGE_US = 25_000  # traffic between regions is expensive
 ZONE_CHARGE_US = 3_000
 
 
 @dataclass(kw_only=True)
 class ZoneDistances:
-    """Zones and their regions; a round trip is guessed until one was measured.
+    """Zones and their regions; a round trip is assumed until one was measured.
 
     >>> regions = {"a1": "a", "a2": "a", "b1": "b"}
     >>> zone_distances = ZoneDistances(zone="a1", region="a", zones=regions)
@@ -28,16 +28,16 @@
     measured: dict[str, int] = field(default_factory=dict)
 
     def is_same_region(self, *, zone: str) -> bool:
-        """A zone of no known region is far, unless it is this edge's own."""
+        """True if a zone is this edge's own or is known to be in the same region."""
         region = self.zones.get(zone)
         return zone == self.zone or region is not None and region == self.own_region()
 
     def own_region(self) -> str | None:
-        """The region of this edge; `None` if it is not known."""
+        """Return the region of this edge; `None` if it is not known."""
         return self.region or self.zones.get(self.zone)
 
     def distance_us(self, *, zone: str) -> int:
-        """A round trip to a zone, in microseconds."""
+        """Return the round trip to a zone, in microseconds."""
         if zone in self.measured:
             return self.measured[zone]
         if zone == self.zone:
@@ -45,12 +45,15 @@
         return SAME_REGION_US if self.is_same_region(zone=zone) else FAR_US
 
     def charge_us(self, *, zone: str) -> int:
-        """The price of bytes to a zone, expressed as time in microseconds."""
+        """Return the price of traffic to a zone, expressed as time in microseconds."""
         if zone == self.zone:
             return 0
         return ZONE_CHARGE_US if self.is_same_region(zone=zone) else REGION_CHARGE_US
 
     def note_round_trip(self, *, zone: str, took_us: int) -> None:
-        """A round trip to a node in that zone was measured: the short ones count."""
+        """Record a measured round trip to a node in a zone.
+
+        A shorter one applies at once; a longer one moves the estimate by a sixteenth.
+        """
         known = self.measured.get(zone, took_us)
         self.measured[zone] = min(took_us, known + (took_us - known) // 16)
--- a/tests/rules_upheld.py
+++ b/tests/rules_upheld.py
@@ -227,7 +227,7 @@
         source="RULES, NEWS-18",
         says="nothing goes to an instance that the list shows as draining or gone",
         code=f"{EDGE}/backend/eligibility.py:Eligibility.refusal_of_instance",
-        test="tests.test_backends.BackendRegistryTest.test_drains_are_for_ever",
+        test="tests.test_backends.BackendRegistryTest.test_a_drain_is_permanent",
         taken_out=TakenOut(
             target="kelpstage.edge.backend.registry:BackendRegistry.refusal_of_instance",
             by=always(""),
@@ -349,8 +349,8 @@
         source="RULES",
         says="retries stay within the ratio and the slack, over all machines",
         code=f"{EDGE}/retries/budget.py:Budget.take",
-        test="tests.test_backends.StatedBudgetTest"
-        ".test_a_new_instance_has_no_slack_until_a_window_has_passed",
+        test="tests.test_backends.RetryBudgetTest"
+        ".test_a_restarted_edge_has_no_slack_for_one_window",
         taken_out=TakenOut(
             target="kelpstage.edge.retries.budget:Budget._room_under_ratio", by=always(9)
         ),
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,5 +1,5 @@
-"""Lives of backends: the list and who reads it, its news, the choice among lives and
-the budget of further attempts."""
+"""Instances of backends: the endpoint list and its reader, dissemination of updates, health,
+selection, and the budget of retries."""
 
 from __future__ import annotations
 
@@ -52,16 +52,16 @@
     return Instance(instance_id=name, service=service, **{"slots": 2, "zone": "a1", **fields})
 
 
-class ListServer:
-    """The list as a platform serves it: pages, a lag, a rate, and troubles."""
+class EndpointListServer:
+    """Serves the endpoint list in pages, with injected faults, and records the calls."""
 
     def __init__(self, *, world: World) -> None:
         self.world = world
         self.rows: list[dict] = []
         self.page_size = 4
-        self.trouble = ""
+        self.fault = ""
         self.calls: list[tuple[int, str]] = []
-        self.readings: list[tuple[int, str]] = []
+        self.first_page_calls: list[tuple[int, str]] = []
 
     def add(self, *, one: Instance) -> None:
         self.rows.append(
@@ -87,49 +87,52 @@
         self.calls.append((now_us, node))
         token = call.url.partition("page=")[2]
         if not token:
-            self.readings.append((now_us, node))
+            self.first_page_calls.append((now_us, node))
         at = int(token or 0)
         page: Any = {
             "lives": self.rows[at : at + self.page_size],
             "next": str(at + self.page_size) if at + self.page_size < len(self.rows) else None,
         }
-        if self.trouble in ("429", "500"):
-            return HttpReply(status=int(self.trouble))
-        if self.trouble == "loop":
+        if self.fault in ("429", "500"):
+            return HttpReply(status=int(self.fault))
+        if self.fault == "loop":
             page["next"] = "0"
-        if self.trouble == "endless":
+        if self.fault == "endless":
             page["next"] = str(at + 1)
-        if self.trouble == "empty":
+        if self.fault == "empty":
             page = {"lives": [], "next": None}
-        if self.trouble == "no list":
+        if self.fault == "no list":
             page = {"lives": 7}
-        if self.trouble == "twice":
+        if self.fault == "twice":
             page = {
                 "lives": [
                     {**row, "address": f"10.8.8.8:{n + 1}"} for n in (1, 2) for row in self.rows
                 ],
                 "next": None,
             }
-        if self.trouble == "one bad":
+        if self.fault == "one bad":
             page = {"lives": [{**self.rows[0], "instance": 9}, *self.rows], "next": None}
         body = json.dumps(page).encode()
-        return HttpReply(status=200, body=body[:-3] if self.trouble == "cut" else body)
+        return HttpReply(status=200, body=body[:-3] if self.fault == "cut" else body)
 
 
 class Node:
-    """The parts of an edge that know of the list and of peers."""
+    """The parts of an edge that handle the endpoint list and its peers."""
 
     def __init__(self, *, world: World, name: str, zone: str, turn: int) -> None:
         self.world, self.name, self.zone = world, name, zone
         self.own = f"10.{turn // 200}.{turn % 200}.1:7000"
         self.machine = world.add_machine(name=name, zone=zone)
         world.homes[self.own] = self.machine
-        self.serial = 0
+        self.incarnation_number = 0
 
     async def start(self, *, seeds: list["Node"], adapter: Any) -> None:
-        self.serial += 1
+        self.incarnation_number += 1
         self.process = SimProcess(
-            world=self.world, name=f"{self.name}", machine=self.machine, instance=self.serial
+            world=self.world,
+            name=f"{self.name}",
+            machine=self.machine,
+            instance=self.incarnation_number,
         )
         ports, counts = self.process.ports, Counter()
         self.counts = counts
@@ -139,7 +142,7 @@
             me=MemberMsg(
                 name=self.name,
                 address=self.own,
-                incarnation=self.serial,
+                incarnation=self.incarnation_number,
                 beat=1,
                 zone=self.zone,
                 is_ready=True,
@@ -160,7 +163,7 @@
         await self.gossip.open()
         for seed in seeds:
             self.swim.meet(name=seed.name, address=seed.own, incarnation=1, now_us=0)
-        self.heard: list[int] = []
+        self.update_times_us: list[int] = []
         self.discovery = DiscoveryTask(
             ports=ports,
             transport=self.transport,
@@ -177,20 +180,20 @@
 
     async def _on_message(self, message: Any, source: str) -> Any:
         if isinstance(message, EndpointUpdate):
-            self.heard.append(self.world.now_us())
+            self.update_times_us.append(self.world.now_us())
             self.discovery.take(update=message)
         if isinstance(message, FetchEndpoints):
             return self.discovery.answer(ask=message)
         return None
 
 
-class ListStory(unittest.TestCase):
-    """A fleet that reads a list, on virtual time."""
+class EndpointListScenario(unittest.TestCase):
+    """Base class: a fleet that reads an endpoint list, on virtual time."""
 
     zones = ("a1", "b1", "c1")
     count = 9
 
-    def run_story(self, scenario: Callable[[], Awaitable], seed: int = 1) -> None:
+    def run_scenario(self, scenario: Callable[[], Awaitable], seed: int = 1) -> None:
         loop = VirtualLoop()
         asyncio.set_event_loop(loop)
         try:
@@ -203,7 +206,7 @@
         self.world = World(seed=seed, loop=loop, far_us=(8_000, 9_000))
         outside = self.world.add_machine(name="outside", zone="out")
         self.world.homes[LIST] = outside
-        self.list = ListServer(world=self.world)
+        self.list = EndpointListServer(world=self.world)
         for n in range(10):
             self.list.add(one=instance(f"i{n}", service=f"s{n // 2}", zone=self.zones[n % 3]))
         process = SimProcess(world=self.world, name="list", machine=outside, instance=1)
@@ -231,27 +234,29 @@
     async def wait(self, us: int) -> None:
         await asyncio.sleep(us / SECOND)
 
-    def alive(self) -> list[Node]:
+    def running_nodes(self) -> list[Node]:
         return [node for node in self.nodes if node.process.is_alive]
 
     def readers(self) -> list[Node]:
-        return [node for node in self.alive() if node.discovery.is_reader]
+        return [node for node in self.running_nodes() if node.discovery.is_reader]
 
     async def wait_for(self, is_there: Callable[[], bool], within_us: int) -> int:
-        """How long it took; fails after `within_us`."""
+        """Return how long it took; fails after `within_us`."""
         started_us = self.world.now_us()
         while not is_there():
             if self.world.now_us() - started_us > within_us:
-                self.fail(f"not within {within_us} us")
+                self.fail(f"condition not met within {within_us} us")
             await self.wait(10_000)
         return self.world.now_us() - started_us
 
-    def all_know(self, names: set[str]) -> bool:
-        return all(set(node.discovery.endpoints.instances) == names for node in self.alive())
+    def all_have(self, names: set[str]) -> bool:
+        return all(
+            set(node.discovery.endpoints.instances) == names for node in self.running_nodes()
+        )
 
 
-class ReaderTest(ListStory):
-    def test_one_reads_and_all_know(self) -> None:
+class ListReaderTest(EndpointListScenario):
+    def test_one_edge_reads_the_list_and_all_receive_it(self) -> None:
         async def scenario() -> None:
             await self.wait(8 * SECOND)
             self.assertEqual(1, len(self.readers()))
@@ -259,30 +264,31 @@
             await self.wait(10 * SECOND)
             self.assertEqual({self.readers()[0].name}, {node for _, node in self.list.calls})
             self.assertIn(len(self.list.calls), range(27, 34))  # ten readings of three pages
-            self.assertTrue(self.all_know({f"i{n}" for n in range(10)}))
+            self.assertTrue(self.all_have({f"i{n}" for n in range(10)}))
             for node in self.nodes:
                 self.assertEqual(("i2", "i3"), node.registry.instances_of("s1"))
                 self.assertLess(self.world.now_us() - node.discovery.endpoints.fresh_us, 1_300_000)
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
-    def test_start_keeps_to_the_rate(self) -> None:
+    def test_call_rate_at_startup_is_bounded(self) -> None:
         async def scenario() -> None:
             await self.wait(8 * SECOND)
             calls = [at for at, _ in self.list.calls]
             busiest = max(sum(at <= one < at + SECOND for one in calls) for at in calls)
             self.assertLessEqual(busiest, 40)
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
-    def test_another_reads_on_when_the_reader_is_killed(self) -> None:
+    def test_another_edge_reads_after_the_reader_is_killed(self) -> None:
         async def scenario() -> None:
             await self.wait(8 * SECOND)
             reader = self.readers()[0]
             reader.process.kill()
             self.list.row("i4")["state"] = "draining"
             took_us = await self.wait_for(
-                lambda: all(n.registry.entries["i4"].is_draining for n in self.alive()), 3 * SECOND
+                lambda: all(n.registry.entries["i4"].is_draining for n in self.running_nodes()),
+                3 * SECOND,
             )
             self.assertLess(took_us, 2_600_000)
             await self.wait(3 * SECOND)
@@ -293,63 +299,63 @@
 
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
-                self.run_story(scenario, seed=seed)
+                self.run_scenario(scenario, seed=seed)
 
-    def test_drain_is_known_in_time_with_the_reader_killed_at_any_moment(self) -> None:
+    def test_drain_is_received_in_time_when_the_reader_is_killed(self) -> None:
         async def scenario() -> None:
             await self.wait(8 * SECOND)
             for turn in range(6):
                 victim = self.readers()[0]
-                before = len(self.list.readings)
+                before = len(self.list.first_page_calls)
                 await self.wait_for(
-                    lambda before=before: len(self.list.readings) > before, 2 * SECOND
+                    lambda before=before: len(self.list.first_page_calls) > before, 2 * SECOND
                 )
-                await self.wait(turn * 7_000)  # between its pages, or as it tells the others
+                await self.wait(turn * 7_000)  # between two pages, or while it sends its update
                 name = f"i{turn}"
                 self.list.row(name)["state"] = "draining"
                 victim.process.kill()
                 await self.wait_for(
                     lambda name=name: all(
-                        n.registry.entries[name].is_draining for n in self.alive()
+                        n.registry.entries[name].is_draining for n in self.running_nodes()
                     ),
                     3 * SECOND,
                 )
                 await self.start(victim)
                 await self.wait(6 * SECOND)
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
     def test_leaving_reader_hands_over_at_once(self) -> None:
         async def scenario() -> None:
             await self.wait(8 * SECOND)
             reader = self.readers()[0]
             reader.discovery.leave()
-            self.list.readings.clear()
-            await self.wait_for(lambda: bool(self.list.readings), 700_000)
-            self.assertNotEqual(reader.name, self.list.readings[0][1])
+            self.list.first_page_calls.clear()
+            await self.wait_for(lambda: bool(self.list.first_page_calls), 700_000)
+            self.assertNotEqual(reader.name, self.list.first_page_calls[0][1])
             reader.swim.me.status = LEAVING
             reader.gossip.spread()
             await self.wait(1_500_000)
             self.list.row("i6")["state"] = "draining"
             await self.wait_for(lambda: reader.registry.entries["i6"].is_draining, 1_500_000)
-            self.assertNotIn(reader.name, {name for _, name in self.list.readings})
+            self.assertNotIn(reader.name, {name for _, name in self.list.first_page_calls})
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_reader_that_the_list_turns_away_is_followed_by_another(self) -> None:
+    def test_a_reader_that_cannot_reach_the_list_is_replaced(self) -> None:
         async def scenario() -> None:
             await self.wait(8 * SECOND)
             reader = self.readers()[0]
             self.world.cut(a=reader.machine.name, b="outside")
             self.list.drop("i9")
-            await self.wait_for(lambda: self.all_know({f"i{n}" for n in range(9)}), 4 * SECOND)
+            await self.wait_for(lambda: self.all_have({f"i{n}" for n in range(9)}), 4 * SECOND)
             await self.wait(4 * SECOND)
             self.assertEqual(1, len(self.readers()))
             self.assertIsNot(reader, self.readers()[0])
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
-    def test_both_sides_of_a_cut_read_and_one_goes_on_after_it(self) -> None:
+    def test_both_sides_of_a_partition_read_and_one_reader_remains(self) -> None:
         async def scenario() -> None:
             await self.wait(8 * SECOND)
             here = [node for node in self.nodes if node.zone == "a1"]
@@ -359,41 +365,43 @@
                     self.world.cut(a=a.machine.name, b=b.machine.name)
             await self.wait(8 * SECOND)
             self.list.drop("i9")
-            await self.wait_for(lambda: self.all_know({f"i{n}" for n in range(9)}), 3 * SECOND)
+            await self.wait_for(lambda: self.all_have({f"i{n}" for n in range(9)}), 3 * SECOND)
             self.assertEqual(1, sum(node.discovery.is_reader for node in here))
             self.assertEqual(1, sum(node.discovery.is_reader for node in there))
             self.world.heal()
             await self.wait(8 * SECOND)
             self.assertEqual(1, len(self.readers()))
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
-    def test_two_that_read_at_the_same_moment_settle_it(self) -> None:
+    def test_simultaneous_readers_are_reduced_to_one(self) -> None:
         async def scenario() -> None:
             await self.wait(8 * SECOND)
             now_us = self.world.now_us()
             for node in self.nodes:
-                node.discovery.is_reader, node.discovery._read_us = True, now_us + 200_000
+                node.discovery.is_reader, node.discovery._next_read_us = True, now_us + 200_000
                 node.discovery._wake.set_result(None)
             await self.wait(3 * SECOND)
             self.assertEqual(1, len(self.readers()))
 
         for seed in (1, 2, 3, 4):
             with self.subTest(seed=seed):
-                self.run_story(scenario, seed=seed)
+                self.run_scenario(scenario, seed=seed)
 
-    def test_lost_news_are_asked_for(self) -> None:
+    def test_a_lost_update_is_fetched_from_a_peer(self) -> None:
         async def scenario() -> None:
             await self.wait(8 * SECOND)
             node = next(node for node in self.nodes if not node.discovery.is_reader)
             endpoints = node.discovery.endpoints
-            endpoints._change(changed=[instance("ghost")], gone=["i1"], now_us=self.world.now_us())
-            await self.wait_for(lambda: self.all_know({f"i{n}" for n in range(10)}), 2 * SECOND)
+            endpoints._apply_changes(
+                changed=[instance("ghost")], gone=["i1"], now_us=self.world.now_us()
+            )
+            await self.wait_for(lambda: self.all_have({f"i{n}" for n in range(10)}), 2 * SECOND)
             self.assertEqual(1, node.counts["list_gaps"])
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_restarted_node_asks_a_peer_and_not_the_list(self) -> None:
+    def test_a_restarted_node_fetches_the_list_from_a_peer(self) -> None:
         async def scenario() -> None:
             await self.wait(8 * SECOND)
             node = next(node for node in self.nodes if not node.discovery.is_reader)
@@ -405,29 +413,29 @@
             await self.wait(5 * SECOND)
             self.assertNotIn(node.name, {name for _, name in self.list.calls})
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
 
-class BadListTest(ListStory):
+class InvalidListTest(EndpointListScenario):
     count = 3
 
-    def test_a_bad_list_changes_nothing(self) -> None:
+    def test_an_invalid_list_changes_nothing(self) -> None:
         async def scenario() -> None:
             await self.wait(8 * SECOND)
             known = {f"i{n}" for n in range(10)}
-            for trouble in ("429", "500", "loop", "endless", "empty", "no list", "twice", "cut"):
-                with self.subTest(trouble=trouble):
-                    self.list.trouble = trouble
+            for fault in ("429", "500", "loop", "endless", "empty", "no list", "twice", "cut"):
+                with self.subTest(fault=fault):
+                    self.list.fault = fault
                     self.list.calls.clear()
                     for _ in range(60):
                         await self.wait(100_000)
-                        self.assertTrue(self.all_know(known))
+                        self.assertTrue(self.all_have(known))
                         self.assertEqual(
                             2, len(self.nodes[0].registry.instances_of("s0")), "still offered"
                         )
                     busiest = len(self.list.calls) / 6
-                    self.assertLess(busiest, 30 if trouble == "endless" else 12)
-                    self.list.trouble = ""
+                    self.assertLess(busiest, 30 if fault == "endless" else 12)
+                    self.list.fault = ""
                     await self.wait_for(
                         lambda: all(
                             self.world.now_us() - node.discovery.endpoints.fresh_us < SECOND
@@ -436,65 +444,68 @@
                         14 * SECOND,
                     )
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
-    def test_one_bad_entry_is_passed_over(self) -> None:
+    def test_one_invalid_entry_is_skipped(self) -> None:
         async def scenario() -> None:
             await self.wait(8 * SECOND)
-            self.list.trouble = "one bad"
+            self.list.fault = "one bad"
             self.list.add(one=instance("new"))
             await self.wait_for(
-                lambda: self.all_know({f"i{n}" for n in range(10)} | {"new"}), 3 * SECOND
+                lambda: self.all_have({f"i{n}" for n in range(10)} | {"new"}), 3 * SECOND
             )
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
 
-class LargeFleetTest(ListStory):
-    """Six zones in three regions."""
+class LargeFleetTest(EndpointListScenario):
+    """A fleet of 60 edges in six zones of three regions."""
 
     zones = ("a1", "a2", "b1", "b2", "c1", "c2")
     count = 60
 
-    def test_all_are_told_through_relays(self) -> None:
+    def test_updates_reach_all_nodes_through_relays(self) -> None:
         async def scenario() -> None:
             await self.wait(15 * SECOND)
             self.assertEqual(1, len(self.readers()))
             reader = self.readers()[0]
             sent: list[str] = []
-            lines_send = reader.transport.send
+            original_send = reader.transport.send
 
             def send(*, address: str, message: Any, **rest: Any) -> None:
                 if isinstance(message, EndpointUpdate):
                     sent.append(address)
-                lines_send(address=address, message=message, **rest)
+                original_send(address=address, message=message, **rest)
 
             reader.transport.send = send
             self.list.calls.clear()
             self.list.drop("i0")
             took_us = await self.wait_for(
-                lambda: self.all_know({f"i{n}" for n in range(1, 10)}), 2 * SECOND
+                lambda: self.all_have({f"i{n}" for n in range(1, 10)}), 2 * SECOND
             )
             self.assertLess(took_us, 1_300_000)
             await self.wait(5 * SECOND - took_us)
             zones = {node.own: node.zone for node in self.nodes}
             other = [address for address in sent if zones[address] != reader.zone]
-            self.assertLessEqual(len(other), 5 * 6)  # one in each zone, each second
+            self.assertLessEqual(len(other), 5 * 6)  # one per other zone and second
             self.assertEqual({reader.name}, {name for _, name in self.list.calls})
             asks = sum(node.counts["list_asks"] for node in self.nodes)
             relay = next(
-                node for node in self.alive() if node.zone != reader.zone and node.own in sent
+                node
+                for node in self.running_nodes()
+                if node.zone != reader.zone and node.own in sent
             )
             relay.process.kill()
             self.list.row("i5")["state"] = "draining"
             await self.wait_for(
-                lambda: all(n.registry.entries["i5"].is_draining for n in self.alive()), 3 * SECOND
+                lambda: all(n.registry.entries["i5"].is_draining for n in self.running_nodes()),
+                3 * SECOND,
             )
             self.assertLess(sum(node.counts["list_asks"] for node in self.nodes) - asks, 30)
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_drain_seen_in_a_reply_is_known_to_all_in_a_second(self) -> None:
+    def test_a_drain_reported_in_a_reply_reaches_all_nodes_within_a_second(self) -> None:
         async def scenario() -> None:
             await self.wait(15 * SECOND)
             node = self.nodes[7]
@@ -506,10 +517,11 @@
             )
             node.gossip.spread()
             await self.wait_for(
-                lambda: all(n.registry.entries["i3"].is_draining for n in self.alive()), SECOND
+                lambda: all(n.registry.entries["i3"].is_draining for n in self.running_nodes()),
+                SECOND,
             )
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
 
 class BackendRegistryTest(unittest.TestCase):
@@ -537,7 +549,7 @@
         first = self.choose(registry, now_us)[0]
         return "" if first.refusal else first.backend
 
-    def test_drains_are_for_ever(self) -> None:
+    def test_a_drain_is_permanent(self) -> None:
         registry = self.registry(instance("i1"), instance("i2", is_draining=True), instance("i3"))
         self.assertTrue(self.choose(registry, 1)[-1].refusal.startswith("draining"))
         self.assertTrue(
@@ -565,7 +577,7 @@
         )  # a list that lost its rows
         self.assertEqual("i3", self.best(registry, 12))
 
-    def test_a_rumor_of_a_drain_is_taken(self) -> None:
+    def test_a_gossiped_drain_is_applied(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"))
         backend_state = BackendStateMsg(
             backend="i1", state=BackendState.DRAINING, turn=1, seen_by="n2", why="sign"
@@ -574,7 +586,7 @@
         self.assertFalse(registry.on_backend_state_received(backend_state=backend_state, now_us=2))
         self.assertEqual("i2", self.best(registry, 3))
 
-    def test_gone_at_once_and_its_address_may_be_anothers(self) -> None:
+    def test_an_unlisted_instance_is_removed_and_its_address_can_be_reused(self) -> None:
         old, new = instance("i1", address="10.8.0.1:80"), instance("j1", "t", address="10.8.0.1:80")
         registry = self.registry(old, instance("i2"))
         registry.entries["i1"].in_flight = 1
@@ -584,10 +596,10 @@
         self.assertEqual("10.8.0.1:80", registry.entries["j1"].address)
         registry.note_failure(
             name="i1", why=outlier_detection.RESET, now_us=6
-        )  # what was in flight
+        )  # a request in flight
         self.assertEqual("", self.choose(registry, 7)[0].refusal)
 
-    def test_what_is_forgotten_leaves_no_trace(self) -> None:
+    def test_expired_entries_are_not_recreated_by_late_answers(self) -> None:
         registry = self.registry(instance("i1"))
         registry.set_instances([instance("i2")], 10)
         registry.set_instances([instance("i3")], 70 * SECOND)
@@ -599,7 +611,7 @@
         )
         self.assertEqual({"i2", "i3"}, set(registry.entries))
 
-    def test_never_all_are_shunned(self) -> None:
+    def test_one_instance_is_offered_when_all_are_ejected(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"))
         for n, name in enumerate(("i1", "i2")):
             self.assertTrue(
@@ -607,9 +619,9 @@
             )
         ranked = self.choose(registry, 5)
         self.assertEqual(["", "shunned"], [option.refusal for option in ranked])
-        self.assertEqual("i1", ranked[0].backend, "its time is nearest")
+        self.assertEqual("i1", ranked[0].backend, "its ejection ends first")
 
-    def test_shunned_longer_each_time_and_tried_one_by_one(self) -> None:
+    def test_ejections_double_and_end_with_one_request_at_a_time(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"))
         now_us, spans = 0, []
         for _ in range(7):
@@ -629,7 +641,7 @@
         registry.entries["i1"].in_flight = 1
         self.assertEqual("", {o.backend: o.refusal for o in self.choose(registry, now_us)}["i1"])
 
-    def test_one_late_answer_is_no_illness(self) -> None:
+    def test_one_late_answer_does_not_eject(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"))
         registry.note_overdue(name="i1", now_us=1_000)
         self.assertEqual("i2", self.best(registry, 2_000))
@@ -639,7 +651,7 @@
         self.assertTrue(all(not o.refusal for o in self.choose(registry, 104_000)))
         self.assertTrue(registry.note_no_answer(name="i1", now_us=105_000))
 
-    def test_a_instance_that_was_slow_is_tried_again(self) -> None:
+    def test_a_slow_instance_is_tried_again_later(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"), instance("i3"))
         for name, took_us in (("i1", 60_000), ("i2", 12_000), ("i3", 13_000)):
             for _ in range(9):
@@ -654,11 +666,11 @@
         self.assertLess(chosen(SECOND), 3)
         self.assertGreater(chosen(40 * SECOND), 30)
 
-    def test_what_may_be_load_is_no_illness(self) -> None:
+    def test_signs_of_load_do_not_eject(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"))
         registry.note_answer(name="i1", took_us=12_000, now_us=SECOND)
         seen = registry.entries["i1"].seen
-        for _n in range(5):  # sent just before the caller's time was over
+        for _n in range(5):  # sent shortly before the caller's deadline
             self.assertFalse(
                 registry.note_failure(
                     name="i1", why=outlier_detection.SILENT, now_us=SECOND, waited_us=90_000
@@ -677,19 +689,19 @@
             )
         )
 
-    def test_full_is_loaded_and_not_ill(self) -> None:
+    def test_overload_does_not_eject(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"))
         for n in range(20):
             registry.note_overloaded(name="i1", now_us=n)
         self.assertEqual("i2", self.best(registry, 50_000))
         self.assertEqual("i1", self.best(registry, 200_000))
 
-    def test_peers_that_shun_make_it_second_choice(self) -> None:
+    def test_an_instance_ejected_by_peers_ranks_last_until_it_answers(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"))
-        for voice in ("n2", "n3"):
+        for peer in ("n2", "n3"):
             registry.on_backend_state_received(
                 backend_state=BackendStateMsg(
-                    backend="i1", state=BackendState.UNREACHABLE, seen_by=voice
+                    backend="i1", state=BackendState.UNREACHABLE, seen_by=peer
                 ),
                 now_us=1_000,
             )
@@ -697,7 +709,7 @@
         registry.note_answer(name="i1", took_us=9_000, now_us=3_000)
         self.assertEqual("i1", self.best(registry, 4_000))
 
-    def test_a_refused_connection_is_told_for_a_while(self) -> None:
+    def test_a_refused_connection_is_gossiped_for_a_limited_time(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"))
         self.assertTrue(
             registry.observe(name="i1", state=BackendState.GONE, why="refused", now_us=5)
@@ -708,7 +720,7 @@
         )
         self.assertEqual([], registry.backend_states(now_us=3 * SECOND))
 
-    def test_cold_and_far_ones_come_after(self) -> None:
+    def test_slow_start_and_distance_rank_lower(self) -> None:
         registry = self.registry(instance("i1", cold_us=5 * SECOND), instance("i2"))
         self.assertEqual("i2", self.best(registry, 1))
         self.assertEqual("i1", self.best(registry, 6 * SECOND))
@@ -716,23 +728,23 @@
         registry = self.registry(far, instance("i1", zone="a2"), instance("i2"))
         self.assertEqual(["i2", "i1", "i0"], [o.backend for o in self.choose(registry, 1)])
         registry.entries["i2"].in_flight = registry.entries["i1"].in_flight = 5
-        self.assertEqual("i0", self.best(registry, 1), "the near ones are clearly worse")
+        self.assertEqual("i0", self.best(registry, 1), "the near ones have a higher cost")
 
-    def test_a_near_one_that_often_fails_comes_after_a_far_one(self) -> None:
+    def test_a_near_instance_that_often_fails_ranks_after_a_distant_one(self) -> None:
         registry = self.registry(instance("i1"), instance("i2", zone="b1"))
         for name in ("i1", "i2"):
             for _ in range(9):
                 registry.note_answer(name=name, took_us=14_000, now_us=0)
         self.assertEqual("i1", self.best(registry, 1))
         registry.note_failure(name="i1", why=outlier_detection.RESET, now_us=2)
-        self.assertEqual("i1", self.best(registry, 3), "one failure is little")
-        for n in range(3, 9):  # every other one fails
+        self.assertEqual("i1", self.best(registry, 3), "one failure does not outweigh the distance")
+        for n in range(3, 9):  # every other request fails
             registry.note_answer(name="i1", took_us=14_000, now_us=n)
             registry.note_failure(name="i1", why=outlier_detection.FAILED, now_us=n)
         self.assertEqual("i2", self.best(registry, 10))
         self.assertEqual("i1", self.best(registry, 20 * SECOND))
 
-    def test_a_instance_whose_lines_are_in_use_is_refused(self) -> None:
+    def test_an_instance_at_its_connection_limit_is_refused(self) -> None:
         class Configuration:
             services = {"s": type("S", (), {"max_connections": 30})}
             backends: dict = {}
@@ -743,11 +755,11 @@
         self.assertEqual(2, registry.entries["i1"].connection_limit)
         registry.entries["i1"].in_flight = 2
         refusals = {o.backend: o.refusal for o in self.choose(registry, 1)}
-        self.assertEqual({"i1": "no free line", "i2": ""}, refusals)
+        self.assertEqual({"i1": "connection limit reached", "i2": ""}, refusals)
 
 
-class ReadyTest(unittest.TestCase):
-    def test_an_edge_is_not_ready_before_it_knows_the_list(self) -> None:
+class ReadinessTest(unittest.TestCase):
+    def test_an_edge_is_not_ready_before_it_has_the_list(self) -> None:
         endpoints = EndpointList(me="n", own="n:1")
         edge = SimpleNamespace(
             is_leaving=False,
@@ -758,96 +770,101 @@
         self.assertEqual("the list of backends is not known yet", Edge.refusal(edge))
         endpoints.apply_listing(instances=[instance("i1")], read_us=1, now_us=2)
         self.assertEqual("", Edge.refusal(edge))
-        edge.discovery = None  # a deployment without a list
+        edge.discovery = None  # a deployment without an endpoint list
         self.assertEqual("", Edge.refusal(edge))
 
 
-class SuspectTest(ListStory):
-    """Who probes what, and what a probe's answer does."""
+class EjectedCheckTest(EndpointListScenario):
+    """Which edge checks an ejected instance, and what the result of the check does."""
 
     count = 3
 
     async def start(self, node: Node) -> None:
         await super().start(node)
-        node.probes = EjectedCheckTask(
+        node.ejected_checks = EjectedCheckTask(
             ports=node.process.ports,
             registry=node.registry,
             me=node.name,
-            edges=lambda: {one.name: one.zone for one in self.alive()},
+            edges=lambda: {one.name: one.zone for one in self.running_nodes()},
             health_path=lambda service: "/health",
             instance_header="Kelp-Instance",
             counts=node.counts,
         )
 
-    def probes(self) -> dict[str, int]:
+    def check_counts(self) -> dict[str, int]:
         return {node.name: node.counts["life_probes"] for node in self.nodes}
 
-    def test_only_suspects_are_probed_by_one_and_a_good_answer_ends_it(self) -> None:
-        said = HttpReply(status=200, headers={"kelp-instance": "i1"})
-        taken = []
+    def test_one_edge_checks_an_ejected_instance_and_a_valid_answer_ends_the_ejection(self) -> None:
+        reply = HttpReply(status=200, headers={"kelp-instance": "i1"})
+        requested_urls = []
 
         async def answer(call: HttpCall) -> HttpReply:
-            taken.append(call.url)
-            return said
+            requested_urls.append(call.url)
+            return reply
 
         async def scenario() -> None:
-            nonlocal said
+            nonlocal reply
             machine = self.world.add_machine(name="backend", zone="b1")
             address = self.list.row("i1")["address"]
             self.world.homes[address] = machine
             process = SimProcess(world=self.world, name="backend", machine=machine, instance=1)
             await process.ports.net.serve_http(address=address, on_call=answer, body_limit=9)
             await self.wait(8 * SECOND)
-            self.assertEqual({0}, set(self.probes().values()))
+            self.assertEqual({0}, set(self.check_counts().values()))
             for node in self.nodes:
-                for _ in range(5):  # eight seconds
+                for _ in range(5):  # an ejection of eight seconds
                     now_us = self.world.now_us()
                     node.registry.entries["i1"].seen.ejected_until_us = 0
                     node.registry.note_failure(
                         name="i1", why=outlier_detection.REFUSED, now_us=now_us
                     )
             for other in ({"kelp-instance": "i9"}, {}):
-                said = HttpReply(status=200, headers=other)
+                reply = HttpReply(status=200, headers=other)
                 await self.wait(1_100_000)
-                self.assertTrue(all(self.shuns(node) for node in self.nodes))
-            said = HttpReply(status=200, headers={"kelp-instance": "i1"})
+                self.assertTrue(all(self.is_ejected_at(node) for node in self.nodes))
+            reply = HttpReply(status=200, headers={"kelp-instance": "i1"})
             await self.wait(1_100_000)
             near = next(node for node in self.nodes if node.zone == "b1")
-            self.assertFalse(self.shuns(near))
-            self.assertEqual({near.name}, {n for n, count in self.probes().items() if count})
-            self.assertIn(len(taken), (3, 4))
+            self.assertFalse(self.is_ejected_at(near))
+            self.assertEqual({near.name}, {n for n, count in self.check_counts().items() if count})
+            self.assertIn(len(requested_urls), (3, 4))
             await self.wait(10 * SECOND)
-            self.assertLessEqual(len(taken), 4)
+            self.assertLessEqual(len(requested_urls), 4)
             process.kill()
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
-    def shuns(self, node: Node) -> bool:
+    def is_ejected_at(self, node: Node) -> bool:
         return node.registry.entries["i1"].seen.is_ejected(now_us=self.world.now_us())
 
 
-class ChoiceSpreadTest(unittest.TestCase):
-    """Twelve nodes, two lives of two slots, the choice as it is: what waits, and where."""
+class InstanceSelectionTest(unittest.TestCase):
+    """How twelve nodes spread requests over two instances of two slots, and how long they wait."""
 
-    def play(self, *, choose: Callable, rate: int, zones: tuple[str, ...], seed: int) -> Counter:
-        """30 s of requests at `rate` a second, 12 ms each; counts by life, and waits."""
+    def simulate(
+        self, *, choose: Callable, rate: int, zones: tuple[str, ...], seed: int
+    ) -> Counter:
+        """Run 30 s of 12 ms requests with `rate` per second; return counts and total waits."""
         rand = random.Random(seed)
         instances = [instance(f"i{n}", zone=zone) for n, zone in enumerate(zones)]
-        homes = ("a1", "b1", "c1")
+        node_zones = ("a1", "b1", "c1")
         registries = []
         for n in range(12):
-            registry = BackendRegistry(me=f"n{n}", zone_distances=ZoneDistances(zone=homes[n % 3]))
+            registry = BackendRegistry(
+                me=f"n{n}", zone_distances=ZoneDistances(zone=node_zones[n % 3])
+            )
             registry.set_instances(instances, 0)
             registries.append(registry)
-        seen: Counter = Counter()
-        free = {one.instance_id: [0.0] * one.slots for one in instances}  # when each slot is free
-        back: list[tuple[float, int, str, float]] = []
+        totals: Counter = Counter()
+        # The times at which the slots of each instance become free.
+        free = {one.instance_id: [0.0] * one.slots for one in instances}
+        pending_answers: list[tuple[float, int, str, float]] = []
         now_us = 0.0
         while now_us < 30 * SECOND:
             now_us += rand.expovariate(rate) * SECOND
-            back.sort()
-            while back and back[0][0] <= now_us:
-                done_us, n, name, sent_us = back.pop(0)
+            pending_answers.sort()
+            while pending_answers and pending_answers[0][0] <= now_us:
+                done_us, n, name, sent_us = pending_answers.pop(0)
                 registries[n].entries[name].in_flight -= 1
                 registries[n].note_answer(
                     name=name, took_us=int(done_us - sent_us), now_us=int(done_us)
@@ -856,20 +873,20 @@
             name = choose(registry=registries[n], now_us=int(now_us), rand=rand)
             entry = registries[n].entries[name]
             entry.in_flight += 1
-            way_us = entry.distance_us / 2
+            one_way_us = entry.distance_us / 2
             slots = free[name]
-            at = min(range(len(slots)), key=slots.__getitem__)
-            start_us = max(now_us + way_us, slots[at])
-            slots[at] = start_us + 12_000 * rand.uniform(0.7, 1.3)
-            back.append((slots[at] + way_us, n, name, now_us))
-            seen[name] += 1
-            seen["wait_us"] += int(start_us - now_us - way_us)
-            seen["took_us"] += int(slots[at] + way_us - now_us)
-            seen["far"] += entry.distance_us > 5_000
-        return seen
+            slot = min(range(len(slots)), key=slots.__getitem__)
+            start_us = max(now_us + one_way_us, slots[slot])
+            slots[slot] = start_us + 12_000 * rand.uniform(0.7, 1.3)
+            pending_answers.append((slots[slot] + one_way_us, n, name, now_us))
+            totals[name] += 1
+            totals["wait_us"] += int(start_us - now_us - one_way_us)
+            totals["took_us"] += int(slots[slot] + one_way_us - now_us)
+            totals["far"] += entry.distance_us > 5_000
+        return totals
 
     @staticmethod
-    def as_chosen(*, registry: BackendRegistry, now_us: int, rand: random.Random) -> str:
+    def by_selection(*, registry: BackendRegistry, now_us: int, rand: random.Random) -> str:
         return options(
             configuration=EMPTY,
             registry=registry,
@@ -882,32 +899,35 @@
         )[0].backend
 
     @staticmethod
-    def by_lot(*, registry: BackendRegistry, now_us: int, rand: random.Random) -> str:
+    def at_random(*, registry: BackendRegistry, now_us: int, rand: random.Random) -> str:
         return rand.choice(registry.instances_of("s"))
 
-    def test_equals_share_alike(self) -> None:
-        seen = self.play(choose=self.as_chosen, rate=77, zones=("a1", "a1"), seed=1)
-        self.assertLess(abs(seen["i0"] - seen["i1"]), 0.12 * (seen["i0"] + seen["i1"]))
+    def test_equal_instances_share_the_load(self) -> None:
+        totals = self.simulate(choose=self.by_selection, rate=77, zones=("a1", "a1"), seed=1)
+        self.assertLess(abs(totals["i0"] - totals["i1"]), 0.12 * (totals["i0"] + totals["i1"]))
 
-    def test_sooner_than_by_lot_and_less_goes_far(self) -> None:
+    def test_selection_is_faster_and_sends_less_far_than_random_choice(self) -> None:
         for rate in (77, 200):
             with self.subTest(rate=rate):
-                kind = {"rate": rate, "zones": ("a1", "b1"), "seed": 2}
-                ours, lot = (self.play(choose=c, **kind) for c in (self.as_chosen, self.by_lot))
-                self.assertLess(ours["took_us"], 0.85 * lot["took_us"])
-                self.assertLess(ours["wait_us"], 1.1 * lot["wait_us"])
-                self.assertLess(ours["far"], 0.65 * lot["far"])
+                case = {"rate": rate, "zones": ("a1", "b1"), "seed": 2}
+                selected, drawn = (
+                    self.simulate(choose=choose, **case)
+                    for choose in (self.by_selection, self.at_random)
+                )
+                self.assertLess(selected["took_us"], 0.85 * drawn["took_us"])
+                self.assertLess(selected["wait_us"], 1.1 * drawn["wait_us"])
+                self.assertLess(selected["far"], 0.65 * drawn["far"])
 
-    def test_nobody_herds_when_it_is_full(self) -> None:
-        """At 80 % of what the slots can do the wait stays under two services."""
-        seen = self.play(choose=self.as_chosen, rate=266, zones=("a1", "b1"), seed=3)
-        self.assertLess(seen["wait_us"] / (seen["i0"] + seen["i1"]), 24_000)
+    def test_waiting_stays_bounded_at_high_load(self) -> None:
+        """At 80 % load the mean wait stays below two service times."""
+        totals = self.simulate(choose=self.by_selection, rate=266, zones=("a1", "b1"), seed=3)
+        self.assertLess(totals["wait_us"] / (totals["i0"] + totals["i1"]), 24_000)
 
 
-class StatedBudgetTest(unittest.TestCase):
-    """The sum over all nodes stays inside what the deployment states."""
+class RetryBudgetTest(unittest.TestCase):
+    """The retries of all nodes together stay within the configured budget."""
 
-    def play(
+    def simulate(
         self,
         *,
         nodes: int,
@@ -916,66 +936,76 @@
         rate: float,
         seed: int,
         restarts: int = 0,
-        greed: int = 4,
+        contenders: int = 4,
         seconds: int = 60,
     ) -> tuple[list[int], list[int]]:
-        """Every node asks for further attempts all the time; (firsts, extras), in us."""
+        """Let all nodes request retries continuously.
+
+        Returns the times of first attempts and of retries, in microseconds.
+        """
         rand = random.Random(seed)
-        born = [0] * nodes
+        started = [0] * nodes
 
-        def fresh(n: int, now_us: int) -> Budget:
+        def new_budget(n: int, now_us: int) -> Budget:
             return Budget(ratio=ratio, slack=slack, me=f"n{n}", born_us=now_us)
 
-        budgets = [fresh(n, 0) for n in range(nodes)]
-        ends = sorted(rand.randrange(seconds * SECOND) for _ in range(restarts))
-        firsts, extras, now_us = [], [], 0
+        budgets = [new_budget(n, 0) for n in range(nodes)]
+        restart_times = sorted(rand.randrange(seconds * SECOND) for _ in range(restarts))
+        first_attempts, retries, now_us = [], [], 0
         while now_us < seconds * SECOND:
             now_us += int(rand.expovariate(rate) * SECOND)
-            while ends and ends[0] < now_us:
+            while restart_times and restart_times[0] < now_us:
                 n = rand.randrange(nodes)
-                budgets[n], born[n] = fresh(n, ends.pop(0)), now_us
+                budgets[n], started[n] = new_budget(n, restart_times.pop(0)), now_us
             budget = budgets[rand.randrange(nodes)]
             budget.note_edges(edges=nodes, now_us=now_us)
             budget.first(service="s", shard="", now_us=now_us)
-            firsts.append(now_us)
-            for one in (budget, *rand.sample(budgets, min(nodes, greed))):
+            first_attempts.append(now_us)
+            for one in (budget, *rand.sample(budgets, min(nodes, contenders))):
                 while one.take(service="s", shard="", now_us=now_us, edges=nodes):
-                    extras.append(now_us)
-        return firsts, extras
+                    retries.append(now_us)
+        return first_attempts, retries
 
-    def most_over(self, *, firsts: list[int], extras: list[int], ratio: float, slack: int) -> float:
-        """By how much the worst window is over the bound; below zero: never."""
+    def worst_excess(
+        self, *, first_attempts: list[int], retries: list[int], ratio: float, slack: int
+    ) -> float:
+        """Return by how much the worst window exceeds the bound; negative if none does."""
         span_us = 10 * SECOND
 
         def count(times: list[int], start_us: int) -> int:
             return bisect_left(times, start_us + span_us) - bisect_left(times, start_us)
 
         worst = -float("inf")
-        for start_us in extras:
-            asked = max(count(firsts, start_us - back) for back in (0, span_us, span_us // 2))
-            worst = max(worst, count(extras, start_us) - ratio * asked - slack)
+        for start_us in retries:
+            asked = max(
+                count(first_attempts, start_us - back) for back in (0, span_us, span_us // 2)
+            )
+            worst = max(worst, count(retries, start_us) - ratio * asked - slack)
         return worst
 
-    def test_sums_hold_with_restarts(self) -> None:
-        kinds = {
+    def test_total_retries_stay_within_the_budget_with_restarts(self) -> None:
+        cases = {
             "ten nodes": {"nodes": 10, "ratio": 0.17, "slack": 57, "rate": 77},
             "twelve nodes": {"nodes": 12, "ratio": 0.2, "slack": 64, "rate": 93},
             "ninety nodes": {"nodes": 90, "ratio": 0.087, "slack": 96, "rate": 67},
             "ninety nodes, seldom": {"nodes": 90, "ratio": 0.087, "slack": 96, "rate": 9},
             "more nodes than slack": {"nodes": 200, "ratio": 0.087, "slack": 60, "rate": 60},
         }
-        for name, kind in kinds.items():
+        for name, case in cases.items():
             for restarts in (0, 60):
-                with self.subTest(kind=name, restarts=restarts):
-                    firsts, extras = self.play(**kind, restarts=restarts, seed=1)
-                    over = self.most_over(
-                        firsts=firsts, extras=extras, ratio=kind["ratio"], slack=kind["slack"]
+                with self.subTest(case=name, restarts=restarts):
+                    first_attempts, retries = self.simulate(**case, restarts=restarts, seed=1)
+                    over = self.worst_excess(
+                        first_attempts=first_attempts,
+                        retries=retries,
+                        ratio=case["ratio"],
+                        slack=case["slack"],
                     )
                     self.assertLess(over, 0)
-                    self.assertTrue(extras)
+                    self.assertTrue(retries)
 
-    def test_nobody_starves_where_a_share_is_under_one(self) -> None:
-        """Ninety nodes, a share of 0.75 and few requests: each has its turn."""
+    def test_every_node_may_retry_when_its_share_is_below_one(self) -> None:
+        """Each of ninety nodes, with a share of 0.75 and few requests, gets retries at times."""
         spent: Counter = Counter()
         for n in range(90):
             budget = Budget(ratio=0.087, slack=96, me=f"n{n}", born_us=0)
@@ -984,13 +1014,13 @@
                 spent[n] += budget.take(service="s", shard="", now_us=at, edges=90)
         self.assertTrue(all(2 <= spent[n] <= 5 for n in range(90)), spent)
 
-    def test_a_new_instance_has_no_slack_until_a_window_has_passed(self) -> None:
+    def test_a_restarted_edge_has_no_slack_for_one_window(self) -> None:
         budget = Budget(ratio=0.2, slack=64, me="n", born_us=5 * SECOND)
         for at in range(5 * SECOND, 15 * SECOND, 50_000):
             self.assertFalse(budget.take(service="s", shard="", now_us=at, edges=4))
         self.assertTrue(budget.take(service="s", shard="", now_us=15 * SECOND, edges=4))
 
-    def test_a_shard_is_bounded_whichever_route_asks(self) -> None:
+    def test_the_budget_of_a_shard_is_shared_by_its_routes(self) -> None:
         budget = Budget(ratio=0.2, slack=0, me="n", born_us=0)
         budget.note_edges(edges=10, now_us=0)
         for n in range(100):
@@ -999,9 +1029,9 @@
             budget.take(service=f"route{n % 2}", shard="s1", now_us=200, edges=10)
             for n in range(20)
         ]
-        self.assertEqual(4, sum(taken))  # 0.8 of a fifth of the 25 that s1 got
+        self.assertEqual(4, sum(taken))  # 0.8 of a fifth of the 25 first attempts of s1
 
-    def test_a_cut_does_not_double_the_slack(self) -> None:
+    def test_a_network_partition_does_not_double_the_slack(self) -> None:
         budget = Budget(ratio=0.2, slack=100, me="n", born_us=0)
         budget.note_edges(edges=10, now_us=10 * SECOND)
         self.assertEqual(7, budget.room(service="s", now_us=60 * SECOND, edges=2))
--- a/tests/test_platform_fuzz.py
+++ b/tests/test_platform_fuzz.py
@@ -1,5 +1,8 @@
-"""The platform's list and settings with malformed bytes: a typed failure, or what can be
-used, hashed and sent on; never an exception, which would end the process."""
+"""Fuzz tests of the platform's endpoint list and of settings files.
+
+Malformed input results in a typed error or in values that can be hashed and sent, but never in
+an exception, which would end the process.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +22,11 @@
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpReply
 from kelpstage.common.transport.messages import InstanceMsg
-from kelpstage.edge.backend.address_poll import read_list
+from kelpstage.edge.backend.address_poll import parse_list
 from kelpstage.edge.backend.instance import digest_of, instance_of, message_of
 from tests.test_platform import FIELDS, load
 
-ROW = {
+ENTRY = {
     "InstanceId": "i-1",
     "Service": "s",
     "Address": "10.0.0.1:80",
@@ -33,8 +36,8 @@
     "Condition": "ready",
     "ColdLeftMs": 0,
 }
-DEEP = b"[" * 200_000
-ODD: tuple[Any, ...] = (
+DEEPLY_NESTED = b"[" * 200_000
+UNUSUAL_VALUES: tuple[Any, ...] = (
     None,
     True,
     -1,
@@ -55,12 +58,12 @@
 )
 
 
-class ListFuzz(unittest.TestCase):
+class EndpointListFuzz(unittest.TestCase):
     def setUp(self) -> None:
         self.reader = load("backend_list").BackendList(address="127.0.0.1:1")
 
     def read(self, body: bytes) -> int:
-        """How many entries are taken; each must stand all that is done with it."""
+        """Return the number of parsed entries; each can be hashed, encoded and decoded."""
         got = self.reader.read_page(HttpReply(status=200, body=body))
         if isinstance(got, KelpstageError):
             return -1
@@ -71,22 +74,22 @@
             self.assertEqual(instance, instance_of(message=InstanceMsg().parse(bytes(message))))
         return len(instances)
 
-    def test_odd_values_in_each_field(self) -> None:
-        for name in ROW:
-            for odd in ODD:
-                with self.subTest(name=name, odd=str(odd)[:20]):
-                    rows = [{**ROW, name: odd}, {**ROW, "InstanceId": "i-2"}]
+    def test_unusual_values_in_each_field(self) -> None:
+        for name in ENTRY:
+            for value in UNUSUAL_VALUES:
+                with self.subTest(name=name, value=str(value)[:20]):
+                    rows = [{**ENTRY, name: value}, {**ENTRY, "InstanceId": "i-2"}]
                     body = json.dumps({"InstanceList": rows, "NextToken": None}).encode()
                     self.assertIn(self.read(body), (1, 2))
 
-    def test_nested_without_end(self) -> None:
-        self.assertEqual(-1, self.read(DEEP))
-        self.assertEqual(-1, self.read(b'{"InstanceList":' + DEEP))
-        self.assertIsNone(read_list(body=DEEP))
+    def test_deep_nesting(self) -> None:
+        self.assertEqual(-1, self.read(DEEPLY_NESTED))
+        self.assertEqual(-1, self.read(b'{"InstanceList":' + DEEPLY_NESTED))
+        self.assertIsNone(parse_list(body=DEEPLY_NESTED))
 
-    def test_bytes_changed(self) -> None:
+    def test_random_edits_of_bytes(self) -> None:
         rand = random.Random(4)
-        whole = json.dumps({"InstanceList": [ROW] * 3, "NextToken": "p"}).encode()
+        whole = json.dumps({"InstanceList": [ENTRY] * 3, "NextToken": "p"}).encode()
         for _ in range(3_000):
             data = bytearray(whole)
             for _ in range(rand.randrange(1, 4)):
@@ -95,9 +98,9 @@
             self.assertLessEqual(self.read(bytes(data)), 3)
 
 
-class SettingsFuzz(unittest.TestCase):
-    """A settings file is read again while the process runs: whatever stands in it, reading
-    ends well or with the exit code for bad settings, which the watcher holds."""
+class SettingsFileFuzz(unittest.TestCase):
+    """A settings file is reloaded while the process runs. Whatever it contains, reading succeeds
+    or ends with the exit code for invalid settings, which the file watcher handles."""
 
     def read(self, *, program: str, text: str) -> str:
         with tempfile.TemporaryDirectory() as folder:
@@ -113,16 +116,16 @@
                     return f"exit {end.code}"
         return "read"
 
-    def test_odd_values_in_each_field(self) -> None:
+    def test_unusual_values_in_each_field(self) -> None:
         for program in ("edge", "core"):
             for path in paths_of(value=FIELDS):
-                for odd in (*ODD, {"a": {}}, [1, 2], ["a"]):
+                for value in (*UNUSUAL_VALUES, {"a": {}}, [1, 2], ["a"]):
                     fields = copy.deepcopy(FIELDS)
-                    put(value=fields, path=path, new=odd)
+                    set_at(value=fields, path=path, new=value)
                     got = self.read(program=program, text=json.dumps(fields))
-                    self.assertIn(got, ("read", "exit 2"), f"{path}: {str(odd)[:20]}")
+                    self.assertIn(got, ("read", "exit 2"), f"{path}: {str(value)[:20]}")
 
-    def test_bytes_changed_and_nested_without_end(self) -> None:
+    def test_random_edits_and_deep_nesting(self) -> None:
         rand = random.Random(2)
         whole = json.dumps(FIELDS)
         seen: Counter = Counter()
@@ -132,11 +135,11 @@
                 text[rand.randrange(len(text))] = chr(rand.randrange(32, 127))
             seen[self.read(program="edge", text="".join(text))] += 1
         self.assertEqual({"read", "exit 2"}, set(seen))
-        self.assertEqual("exit 2", self.read(program="edge", text=DEEP.decode()))
+        self.assertEqual("exit 2", self.read(program="edge", text=DEEPLY_NESTED.decode()))
 
 
 def paths_of(*, value: Any, path: tuple = ()) -> list[tuple]:
-    """Every place in nested tables."""
+    """Return the path of each key in nested dictionaries."""
     out = [path] if path else []
     if isinstance(value, dict):
         for name, inner in value.items():
@@ -144,8 +147,8 @@
     return out
 
 
-def put(*, value: Any, path: tuple, new: Any) -> None:
-    """Replace what stands at a place."""
+def set_at(*, value: Any, path: tuple, new: Any) -> None:
+    """Replace the value at a path."""
     for name in path[:-1]:
         value = value[name]
     value[path[-1]] = new
