--- a/kelpstage/common/__init__.py
+++ b/kelpstage/common/__init__.py
@@ -1,1 +1,1 @@
-"""What edges, cores and tools share."""
+"""Code shared by edges, cores and tools."""
--- a/kelpstage/common/edge_membership.py
+++ b/kelpstage/common/edge_membership.py
@@ -1,7 +1,8 @@
 """The membership of edges, and which subsets of it are a majority.
 
-A voting member is an edge on a machine whose loss a deployment counts; any number of the
-others, the observers, may go. Source: docs/notes/edge-membership.md.
+A voting member is an edge on a machine whose loss counts against the tolerated losses of a
+deployment; any number of the others, the observers, may be lost.
+Source: docs/notes/edge-membership.md.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EdgeMembership:
-    """Names of edges, some of which are observers.
+    """The names of the member edges, some of which are observers.
 
     >>> membership = EdgeMembership.of(names=["a", "b", "c", "d"], observers=["b", "c", "d"])
     >>> membership.voters
@@ -27,7 +28,7 @@
 
     @staticmethod
     def of(*, names: Collection[str], observers: Collection[str]) -> EdgeMembership:
-        """A membership from lists, as messages carry them."""
+        """Build a membership from the lists in a message."""
         return EdgeMembership(names=tuple(names), observers=frozenset(observers))
 
     @cached_property
@@ -41,20 +42,22 @@
         return self.observers.difference(self.voters)
 
     def has_majority(self, names: Collection[str]) -> bool:
-        """Are these more than half of all members, or more than half of the voting ones?
+        """True if these are more than half of all members, or more than half of the voting ones.
 
-        That many may confirm an epoch to an edge without a lease. An epoch is settled when
-        those that lack it are no such majority.
+        Such a majority may confirm an epoch to an edge without a lease. An epoch is settled when
+        the members that lack it are not such a majority.
         """
         present = set(names)
-        return any(len(present.intersection(of)) * 2 > len(of) for of in (self.names, self.voters))
+        return any(
+            len(present.intersection(group)) * 2 > len(group) for group in (self.names, self.voters)
+        )
 
     def has_half(self, names: Collection[str]) -> bool:
-        """Are these at least half of all members, or at least half of the voting ones?"""
+        """True if these are at least half of all members, or at least half of the voting ones."""
         present = set(names)
-        groups = [of for of in (self.names, self.voters) if of]
-        return any(len(present.intersection(of)) * 2 >= len(of) for of in groups)
+        groups = [group for group in (self.names, self.voters) if group]
+        return any(len(present.intersection(group)) * 2 >= len(group) for group in groups)
 
     def is_observer(self, name: str) -> bool:
-        """Is this member an observer, whose silence holds up nothing for long?"""
+        """True if this member is an observer, whose silence delays others only briefly."""
         return name in self._not_voting
--- a/kelpstage/common/event_journal.py
+++ b/kelpstage/common/event_journal.py
@@ -1,7 +1,7 @@
-"""The journal: what happened in this process, in memory and bounded.
+"""A bounded in-memory journal of the events of this process.
 
-Events are appended; views (counts, the last of each kind) are folded from them
-as they come, so a view never disagrees with the journal it came from.
+Views (counts, the last event of each kind) are updated with each appended event, so that a view
+is always consistent with its journal.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Event:
-    """The root of events; each kind is a class of its own.
+    """Base class of events; each kind of event is a subclass.
 
     >>> Event().kind
     'Event'
@@ -21,12 +21,12 @@
 
     @property
     def kind(self) -> str:
-        """The name of its class."""
+        """The kind of the event: the name of its class."""
         return type(self).__name__
 
 
 class Journal:
-    """A bounded list of events and the views folded from it.
+    """A bounded list of events and the views derived from it.
 
     >>> journal = Journal(now=lambda: 5, limit=2)
     >>> for _ in range(3): journal.add(Event())
@@ -41,7 +41,7 @@
         self.counts: Counter[str] = Counter()
 
     def add(self, event: Event) -> None:
-        """Append an event and fold it into every view."""
+        """Append an event and update every view."""
         at_us = self._now()
         self._events.append((at_us, event))
         self.counts[event.kind] += 1
@@ -49,10 +49,10 @@
             fold(at_us, event)
 
     def view(self, *, fold: Callable[[int, Event], None]) -> None:
-        """Fold every later event into a view of the caller's."""
+        """Register a view: `fold` is called with the time and value of every later event."""
         self._folds.append(fold)
 
     def tail(self, *, limit: int) -> list[dict[str, Any]]:
-        """The newest events, oldest of them first."""
+        """The newest `limit` events, the oldest of them first."""
         newest = list(self._events)[-limit:]
         return [{"at_us": at_us, "event": event.kind, **asdict(event)} for at_us, event in newest]
--- a/kelpstage/common/process.py
+++ b/kelpstage/common/process.py
@@ -1,4 +1,4 @@
-"""How a daemon starts, hears SIGTERM, and ends."""
+"""Start of a daemon, its signals and its shutdown."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from kelpstage.common.ports.interfaces import Ports
 from kelpstage.common.ports.live import live_ports
 
-WATCH_S = 1.0
+WATCH_INTERVAL_S = 1.0
 log = logger(name="daemon")
 
 
@@ -25,12 +25,13 @@
     watch: str | None = None,
     read_settings: Callable[[], dict] | None = None,
 ) -> None:
-    """Run a daemon until SIGTERM or SIGINT. Exit code 1 if it cannot open, 70 if a
-    task without which it is of no use broke.
+    """Run a daemon until SIGTERM or SIGINT.
 
-    With `read_settings` they are read again on SIGHUP, and when the file `watch` changes;
-    the daemon's `reread` takes over what may change while it runs. Settings that are
-    broken then change nothing."""
+    The exit code is 1 if it cannot open, and 70 if a task that it cannot run without fails.
+
+    With `read_settings`, the settings are read again on SIGHUP and when the file `watch` changes;
+    the daemon's `reread` applies those that may change at run time. Invalid settings are ignored.
+    """
     with install_ring(program=program).applicationbound():
         code = asyncio.run(
             _main(
@@ -44,36 +45,36 @@
     raise SystemExit(code)
 
 
-class SettingsWatch:
-    """Reads the settings again when it is told to, or when their file has changed."""
+class SettingsWatcher:
+    """Reads the settings again on request or when their file changes."""
 
     def __init__(self, *, daemon: Any, read_settings: Callable[[], dict], path: str | None) -> None:
         self._daemon = daemon
         self._read = read_settings
         self._path = path
-        self._stamp = self._look()
+        self._last_state = self._file_state()
 
-    def _look(self) -> tuple:
+    def _file_state(self) -> tuple:
         try:
             found = os.stat(self._path) if self._path else None
         except OSError:
             found = None
         return () if found is None else (found.st_mtime_ns, found.st_size, found.st_ino)
 
-    def reread(self) -> None:
-        """Read the settings now; broken ones change nothing."""
-        self._stamp = self._look()
+    def reload(self) -> None:
+        """Read the settings now; invalid ones are ignored."""
+        self._last_state = self._file_state()
         try:
             self._daemon.reread(settings=self._read())
         except SystemExit:
-            log.error("the settings can't be read again; those before stay")
+            log.error("cannot reload the settings; keeping the previous ones")
 
     async def run(self) -> None:
-        """Look at the file once a second, until cancelled."""
+        """Check the file once a second, until cancelled."""
         while self._path:
-            await asyncio.sleep(WATCH_S)
-            if self._look() != self._stamp:
-                self.reread()
+            await asyncio.sleep(WATCH_INTERVAL_S)
+            if self._file_state() != self._last_state:
+                self.reload()
 
 
 async def _main(
@@ -85,48 +86,52 @@
     read_settings: Callable[[], dict] | None,
 ) -> int:
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(_on_exception)
+    loop.set_exception_handler(_log_exception)
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     ports = live_ports(data_folder=data_folder)
-    broken: list[BaseException] = []
+    failures: list[BaseException] = []
 
-    def end_broken(error: BaseException) -> None:
-        broken.append(error)
+    def on_critical_failure(error: BaseException) -> None:
+        failures.append(error)
         stop.set()
 
-    ports.on_broken = end_broken
+    ports.on_broken = on_critical_failure
     daemon = build(ports)
     error = await daemon.open()
     if isinstance(error, KelpstageError):
         print(f"{program}: {error.kind}: {error.as_json()}", file=sys.stderr)
         return 1
-    log.info("{} is open", program)
+    log.info("{} is running", program)
     if read_settings is not None:
-        watcher = SettingsWatch(daemon=daemon, read_settings=read_settings, path=watch)
-        loop.add_signal_handler(signal.SIGHUP, watcher.reread)
+        watcher = SettingsWatcher(daemon=daemon, read_settings=read_settings, path=watch)
+        loop.add_signal_handler(signal.SIGHUP, watcher.reload)
         ports.keep(watcher.run())
     await stop.wait()
-    if broken:
-        error = broken[0]
+    if failures:
+        error = failures[0]
         log.exception(
-            "{} ends, a task broke: {}: {}",
+            "{} exits: a critical task failed: {}: {}",
             program,
             type(error).__name__,
             error,
             exc_info=(type(error), error, error.__traceback__),
         )
         return 70
-    log.info("{} is told to stop", program)
+    log.info("{} received a signal to stop", program)
     await daemon.stop()
     return 0
 
 
-def _on_exception(loop: asyncio.AbstractEventLoop, context: dict) -> None:
+def _log_exception(loop: asyncio.AbstractEventLoop, context: dict) -> None:
     error = context.get("exception")
     text = f"{type(error).__name__}: {error}" if error else context.get("message", "")
     if isinstance(error, Exception):
-        log.exception("a task broke: {}", text, exc_info=(type(error), error, error.__traceback__))
+        log.exception(
+            "unhandled exception in a task: {}",
+            text,
+            exc_info=(type(error), error, error.__traceback__),
+        )
         return
-    log.error("a task broke: {}", text)
+    log.error("event loop error: {}", text)
