--- a/kelpstage/common/transport/messages/__init__.py
+++ b/kelpstage/common/transport/messages/__init__.py
@@ -1,7 +1,7 @@
-"""Messages between the project's own processes, one module a subject.
+"""Messages between edges and cores, in one module for each subject.
 
-Field numbers and the numbers in `registry.TYPES` are part of the wire: none is ever
-reused. A message that is not in `TYPES` is part of another one or travels in datagrams.
+Field numbers and the numbers in `registry.TYPES` are part of the wire format and are never
+reused. A message that is not in `TYPES` is nested in another one or sent in datagrams.
 Times are whole microseconds (`_us`).
 
 >>> RegisterEdge().parse(bytes(RegisterEdge(edge="n1", incarnation=7))).incarnation
--- a/kelpstage/common/transport/messages/cluster.py
+++ b/kelpstage/common/transport/messages/cluster.py
@@ -1,4 +1,4 @@
-"""Messages about the cluster's members and its replicated state: founding, joining, leaving."""
+"""Messages about the founding, joining and leaving of cores, and the replicated state."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 class EdgeContact(Message):
     """How an edge is reached: transport address, HTTP address and zone.
 
-    `incarnation` is that of the process which answered last at this address.
+    `incarnation` is that of the process that last answered at this address.
     """
 
     name: str = bp.string_field(1)
@@ -36,10 +36,11 @@
 
 @dataclass
 class StateDoc(Message):
-    """What an edge installs: one configuration and one membership under one epoch.
+    """The state of one epoch that an edge installs: a configuration and a membership.
 
-    `version` is the configuration's, `document` its JSON text, and `membership` the names of
-    the edges that may hold a lease in this epoch; `observers` are those that do not vote.
+    `version` is the version of the configuration and `document` its JSON text. `membership` holds
+    the names of the edges that may hold a lease in this epoch, `observers` those of its
+    non-voting members.
     """
 
     cluster: str = bp.string_field(1)
@@ -52,17 +53,17 @@
 
 @dataclass
 class SeedProbe(Message):
-    """From a starting core to each of its seeds: who are you? Answered by `SeedState`."""
+    """From a starting core to each of its seeds: asks for its state. Answered by `SeedState`."""
 
     replica: str = bp.string_field(1)
 
 
 @dataclass
 class SeedState(Message):
-    """What a core says of itself to another that starts.
+    """The state of a core, for a core that starts.
 
-    `is_empty` tells that it has no data, so that it may take part in founding a cluster;
-    otherwise `cluster`, `leader_address` and `members` say what it belongs to.
+    `is_empty` is set if it has no data and may take part in founding a cluster; otherwise
+    `cluster`, `leader_address` and `members` describe the cluster that it belongs to.
     """
 
     replica: str = bp.string_field(1)
@@ -72,14 +73,14 @@
     leader_address: str = bp.string_field(6)
     members: List[CoreMember] = bp.message_field(7)
     http: str = bp.string_field(8)
-    only_joins: bool = bp.bool_field(9)  # it may not found a cluster
+    only_joins: bool = bp.bool_field(9)  # it must not found a cluster
 
 
 @dataclass
 class JoinCore(Message):
-    """From a core that wants to join to the members; one-way, repeated until it has joined.
+    """From a joining core to the members: a one-way request, repeated until it has joined.
 
-    A member that does not lead forwards it to the leader once (`is_forwarded`).
+    A member that is not the leader forwards it to the leader once (`is_forwarded`).
     """
 
     cluster: str = bp.string_field(1)
@@ -89,7 +90,7 @@
 
 @dataclass
 class Done(Message):
-    """The reply that something was done, or why not."""
+    """A generic reply: whether the request succeeded, and the reason if not."""
 
     is_ok: bool = bp.bool_field(1)
     why: str = bp.string_field(2)
@@ -97,9 +98,9 @@
 
 @dataclass
 class LeaveCore(Message):
-    """From a core that is about to stop to the leader: may it? Answered by `LeaveCoreReply`.
+    """From a stopping core to the leader: asks to leave. Answered by `LeaveCoreReply`.
 
-    `term` and `last_index` are those of its log's end.
+    `term` and `last_index` are those of the last entry of its log.
     """
 
     cluster: str = bp.string_field(1)
@@ -110,10 +111,10 @@
 
 @dataclass
 class LeaveCoreReply(Message):
-    """From the leader to a core that wants to stop.
+    """From the leader to a stopping core.
 
-    `state` is a `LeaveState`. `losses_borne` is how many further losses of cores the log
-    survives after it has stopped, `losses_wanted` how many it should survive.
+    `state` is a `LeaveState`. `losses_borne` is the number of further core losses that the log
+    survives after this core has stopped, `losses_wanted` the number that it should survive.
     """
 
     state: int = bp.uint32_field(1)
--- a/kelpstage/common/transport/messages/diagnostics.py
+++ b/kelpstage/common/transport/messages/diagnostics.py
@@ -11,8 +11,8 @@
 
 @dataclass
 class FetchTrace(Message):
-    """From the edge that an operator asked to another: the trace of a search at this node;
-    answered by `Trace`.
+    """From the edge that serves an operator's request to another edge: asks for its trace of a
+    search. Answered by `Trace`.
     """
 
     search: str = bp.string_field(1)
@@ -23,4 +23,4 @@
     """A node's trace of one search, as JSON."""
 
     is_found: bool = bp.bool_field(1)
-    body: bytes = bp.bytes_field(2)  # JSON
+    body: bytes = bp.bytes_field(2)
--- a/kelpstage/common/transport/messages/endpoints.py
+++ b/kelpstage/common/transport/messages/endpoints.py
@@ -1,4 +1,4 @@
-"""Messages that spread the platform's list of backend instances between edges."""
+"""Messages that distribute the platform's list of backend instances among edges."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass
 class InstanceMsg(Message):
-    """One instance of a backend, as the platform's endpoint list has it.
+    """One instance of a backend, as in the platform's endpoint list.
 
-    `slots` is how many requests it takes at a time, `cold_us` how long it warms up, and
-    `revision` the platform's own version of the row.
+    `slots` is its limit on concurrent requests, `cold_us` the duration of its slow start, and
+    `revision` the platform's version of the entry.
     """
 
     instance_id: str = bp.string_field(1)
@@ -30,31 +30,31 @@
 
 @dataclass
 class EndpointUpdate(Message):
-    """From the edge that reads the platform's endpoint list to others: what it read `age_us`
-    ago, as changes or complete.
+    """From the edge that reads the platform's endpoint list to other edges: the complete list
+    (`is_whole`) or the changes, as read `age_us` ago.
 
-    `digest` is that of the complete list once the changes are in; a receiver whose list then
-    differs asks for all of it by `FetchEndpoints`. `tell` are the addresses that the receiver
-    forwards it to.
+    `digest` is that of the complete list with the changes applied; a receiver whose list then
+    differs requests the complete list with `FetchEndpoints`. `tell` holds the addresses to which
+    the receiver forwards the update.
     """
 
     reader: str = bp.string_field(1)
-    sender: str = bp.string_field(2)  # its own address, to ask back at
+    sender: str = bp.string_field(2)  # its transport address, for `FetchEndpoints`
     digest: int = bp.uint64_field(3)
     age_us: int = bp.uint64_field(4)
     is_whole: bool = bp.bool_field(5)
     changed: List[InstanceMsg] = bp.message_field(6)
     gone: List[str] = bp.string_field(7)
     tell: List[str] = bp.string_field(8)
-    is_known: bool = bp.bool_field(9)  # False: the sender has no list either
-    is_last: bool = bp.bool_field(10)  # the reader leaves: another may read at once
-    reading: int = bp.uint64_field(11)  # number of the reading, above all that it had heard of
+    is_known: bool = bp.bool_field(9)  # false if the sender has no list itself
+    is_last: bool = bp.bool_field(10)  # the reader is leaving; another edge may read at once
+    reading: int = bp.uint64_field(11)  # number of this read, above all known ones
 
 
 @dataclass
 class FetchEndpoints(Message):
-    """From an edge to another: the endpoint list, unless mine has the same digest; answered by
-    `EndpointUpdate`.
+    """From an edge to another: asks for the endpoint list, unless it has the same digest.
+    Answered by `EndpointUpdate`.
     """
 
     digest: int = bp.uint64_field(1)
--- a/kelpstage/common/transport/messages/gossip.py
+++ b/kelpstage/common/transport/messages/gossip.py
@@ -1,4 +1,4 @@
-"""Messages of the gossip between edges; `GossipMsg` travels in datagrams without a frame."""
+"""Messages of the gossip protocol between edges; `GossipMsg` is sent in datagrams, unframed."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass
 class MemberMsg(Message):
-    """What gossip says of one edge; the higher `(incarnation, beat)` is the newer.
+    """The gossiped state of one edge; the higher `(incarnation, beat)` is the newer state.
 
-    `status` is one of `edge.gossip.swim` (alive, suspect, dead, leaving); `load` is the number
-    of searches that it gathers and `version` the configuration that it serves.
+    `status` is one of the statuses of `edge.gossip.swim` (alive, suspect, dead, leaving), `load`
+    the number of searches in flight, and `version` the configuration version that it serves.
     """
 
     name: str = bp.string_field(1)
@@ -32,7 +32,7 @@
 
 @dataclass
 class BackendStateMsg(Message):
-    """What an edge saw of a backend; the higher `turn` is the later."""
+    """A backend state as observed by an edge; the higher `turn` is the later one."""
 
     backend: str = bp.string_field(1)
     address: str = bp.string_field(2)
@@ -46,8 +46,8 @@
 class GossipMsg(Message):
     """A datagram between edges: ping, ack or indirect ping (`kind`, see `edge.gossip.swim`).
 
-    `number` correlates an ack with its ping; `members` and `backend_states` are piggy-backed
-    updates.
+    `number` correlates an ack with its ping; `members` and `backend_states` are
+    piggybacked updates.
     """
 
     kind: int = bp.uint32_field(1)
@@ -55,14 +55,14 @@
     target: str = bp.string_field(3)
     target_address: str = bp.string_field(4)
     sender: MemberMsg = bp.message_field(5)
-    members: List[bytes] = bp.bytes_field(6)  # each a MemberMsg, kept as it travels
+    members: List[bytes] = bp.bytes_field(6)  # each an encoded MemberMsg, forwarded unchanged
     backend_states: List[BackendStateMsg] = bp.message_field(7)
     cluster: str = bp.string_field(8)
 
 
 @dataclass
 class FetchMembers(Message):
-    """From an edge to another: all edges that you know, please; answered by `Members`."""
+    """From an edge to another: asks for all edges that it knows. Answered by `Members`."""
 
     cluster: str = bp.string_field(1)
 
@@ -72,4 +72,4 @@
     """All edges that the sender knows."""
 
     cluster: str = bp.string_field(1)
-    members: List[bytes] = bp.bytes_field(2)  # each a MemberMsg
+    members: List[bytes] = bp.bytes_field(2)  # each an encoded MemberMsg
--- a/kelpstage/common/transport/messages/leases.py
+++ b/kelpstage/common/transport/messages/leases.py
@@ -13,7 +13,7 @@
 
 @dataclass
 class RegisterEdge(Message):
-    """From a starting edge to a core: let the cluster know me; answered by `RegisterEdgeReply`."""
+    """From a starting edge to a core: registers the edge. Answered by `RegisterEdgeReply`."""
 
     edge: str = bp.string_field(1)
     incarnation: int = bp.uint64_field(2)
@@ -22,8 +22,8 @@
 
 @dataclass
 class RegisterEdgeReply(Message):
-    """What an edge needs in order to start: the cluster's name, other edges, and the cores'
-    addresses.
+    """What an edge needs to start: the name of the cluster, other edges, and the addresses of the
+    cores.
     """
 
     cluster: str = bp.string_field(1)
@@ -33,10 +33,11 @@
 
 @dataclass
 class Renew(Message):
-    """From an edge to the leader, over any core: renew my lease at `epoch`; answered by
+    """From an edge to the leader, through any core: renews its lease at `epoch`. Answered by
     `LeaseReply`.
 
-    A core that does not lead forwards it and counts `hops`. `is_leaving` gives the lease up.
+    A core that is not the leader forwards it and increments `hops`. `is_leaving` releases the
+    lease.
     """
 
     edge: str = bp.string_field(1)
@@ -46,19 +47,18 @@
     contact: EdgeContact = bp.message_field(5)
     hops: int = bp.uint32_field(6)
     is_leaving: bool = bp.bool_field(7)
-    known: int = bp.uint64_field(8)  # mark of the contacts and cores that it knows
-    relayed_by: str = bp.string_field(9)  # address of the edge that carried this for it
-    is_observer: bool = bp.bool_field(10)  # its machine is one of which any number may go
+    known: int = bp.uint64_field(8)  # `LeaseReply.known` of the contacts and cores that it has
+    relayed_by: str = bp.string_field(9)  # address of the edge that relays this renewal
+    is_observer: bool = bp.bool_field(10)  # non-voting: any number of such machines may be lost
 
 
 @dataclass
 class LeaseReply(Message):
-    """From the leader to an edge: the lease for `span_us` from when the edge asked, or `why`
-    there is none.
+    """From the leader to an edge: a lease for `span_us` from the time of the edge's request, or the
+    reason (`why`) for its rejection.
 
-    `epoch` and `version` are the newest that are committed; an edge that is behind fetches
-    them by `FetchState`. `known` goes back in the next `Renew`, so that `peers` holds only
-    changes.
+    `epoch` and `version` are the newest committed ones; an edge that is behind fetches the state
+    with `FetchState`. The next `Renew` returns `known`, so that `peers` holds only changes.
     """
 
     is_granted: bool = bp.bool_field(1)
@@ -72,12 +72,12 @@
     why: str = bp.string_field(9)
     peers: List[EdgeContact] = bp.message_field(10)  # what changed since `known`
     known: int = bp.uint64_field(11)
-    newest_incarnation: int = bp.uint64_field(12)  # that the asker has to be above
+    newest_incarnation: int = bp.uint64_field(12)  # the edge's next incarnation has to exceed this
 
 
 @dataclass
 class RelayRenew(Message):
-    """From an edge that reaches no core to another edge: carry this renewal to `target`, the
+    """From an edge that cannot reach a core to another edge: a renewal to relay to `target`, the
     address of a core. Answered by `LeaseReply`.
     """
 
@@ -89,22 +89,22 @@
 class Announce(Message):
     """From the leader to edges: a new epoch was committed.
 
-    It carries the state itself where that is small enough; without it, the edge fetches the
-    state by `FetchState`.
+    It carries the state if that is small enough; otherwise the edge fetches the state with
+    `FetchState`.
     """
 
     cluster: str = bp.string_field(1)
     epoch: int = bp.uint64_field(2)
     leader_address: str = bp.string_field(3)
-    state: bytes = bp.bytes_field(4)  # a whole StateDoc, as older cores send it
-    delta: bytes = bp.bytes_field(5)  # a StateDoc, from the one of `base_epoch` if that is set
+    state: bytes = bp.bytes_field(4)  # a complete StateDoc; sent by older cores
+    delta: bytes = bp.bytes_field(5)  # a StateDoc, against that of `base_epoch` if set
     base_epoch: int = bp.uint64_field(6)
-    hand_on: List[str] = bp.string_field(7)  # addresses to hand this on to
+    hand_on: List[str] = bp.string_field(7)  # addresses to forward this to
 
 
 @dataclass
 class ConfirmEpoch(Message):
-    """From an edge without a core to its peers: may I go on at `epoch`? Answered by
+    """From an edge that cannot reach a core to its peers: asks to continue at `epoch`. Answered by
     `ConfirmEpochReply`.
     """
 
@@ -115,10 +115,10 @@
 
 @dataclass
 class ConfirmEpochReply(Message):
-    """What a peer knows of the epoch that it was asked about.
+    """A peer's reply about its installed `epoch`.
 
-    `vouches` tells that it has had a lease since it started, so that it cannot have forgotten
-    an epoch, and that it may still confirm; `epoch` is the one that it has installed.
+    `vouches` is set if the peer may confirm: it has held a lease since it started, so that it
+    cannot have lost an epoch in a restart, and its right to confirm has not expired.
     """
 
     edge: str = bp.string_field(1)
@@ -126,4 +126,4 @@
     vouches: bool = bp.bool_field(3)
     epoch: int = bp.uint64_field(4)
     cluster: str = bp.string_field(5)
-    asker_version: int = bp.uint64_field(6)  # what the applicant was last heard to serve
+    asker_version: int = bp.uint64_field(6)  # newest version that the asker reported to this peer
--- a/kelpstage/common/transport/messages/raft.py
+++ b/kelpstage/common/transport/messages/raft.py
@@ -1,4 +1,4 @@
-"""Messages of the Raft protocol between cores; names as in the paper and the thesis."""
+"""Messages of the Raft protocol between cores, named as in the Raft paper and thesis."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 class RequestVote(Message):
     """From a candidate to every voter; answered by `RequestVoteReply` (Raft, section 5.2).
 
-    With `is_pre_vote` nothing is voted on yet: the receiver says whether it would grant the
-    vote (thesis, section 9.6). `is_transfer` marks an election that the leader asked for by
-    `TimeoutNow`, which voters grant although they still hear a leader. `address` is the
+    With `is_pre_vote`, the receiver only replies whether it would grant its vote (thesis,
+    section 9.6). `is_transfer` marks an election that the leader requested with `TimeoutNow`;
+    voters grant it although they are still in contact with a leader. `address` is the
     candidate's, for the reply.
     """
 
@@ -57,8 +57,8 @@
 class AppendEntries(Message):
     """From the leader to a follower; without entries it is a heartbeat (Raft, section 5.3).
 
-    `heartbeat` numbers the leader's rounds of heartbeats: a reply that carries the number
-    confirms the leadership for the reads that began before it (section 8). Answered by
+    `heartbeat` numbers the leader's heartbeat rounds: a reply with the number confirms the
+    leadership for the reads that began before the round (section 8). Answered by
     `AppendEntriesReply`.
     """
 
@@ -78,8 +78,8 @@
 class AppendEntriesReply(Message):
     """From a follower to the leader.
 
-    If `is_ok`, the follower's log equals the leader's up to `match_index`; otherwise the
-    leader goes on from `conflict_index`. `heartbeat` is copied from the request.
+    If `is_ok`, the follower's log matches the leader's up to `match_index`; otherwise the
+    leader continues from `conflict_index`. `heartbeat` is copied from the request.
     """
 
     cluster: str = bp.string_field(1)
@@ -94,9 +94,9 @@
 
 @dataclass
 class InstallSnapshot(Message):
-    """From the leader to a follower that lacks entries which the leader's log no longer holds.
+    """From the leader to a follower that lacks entries that the leader's log no longer holds.
 
-    It carries no data: the follower fetches the snapshot by `FetchSnapshot` and then answers
+    It carries no data: the follower fetches the snapshot with `FetchSnapshot` and then answers
     with `AppendEntriesReply` (Raft, section 7).
     """
 
@@ -112,9 +112,7 @@
 
 @dataclass
 class TimeoutNow(Message):
-    """From the leader to the follower that is to follow it: start an election at once
-    (thesis, section 3.10).
-    """
+    """From the leader to its successor: start an election at once (thesis, section 3.10)."""
 
     cluster: str = bp.string_field(1)
     sender: str = bp.string_field(2)
--- a/kelpstage/common/transport/messages/registry.py
+++ b/kelpstage/common/transport/messages/registry.py
@@ -1,4 +1,4 @@
-"""The number of each message that travels in a frame; a number is never given twice."""
+"""The number of each message that is sent in a frame; numbers are never reused."""
 
 from __future__ import annotations
 
--- a/kelpstage/common/transport/messages/transfers.py
+++ b/kelpstage/common/transport/messages/transfers.py
@@ -1,4 +1,4 @@
-"""Requests for large values, and the chunks that these come in."""
+"""Requests for large values, and the chunks in which these are sent."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 @dataclass
 class FetchSnapshot(Message):
-    """From a follower to the leader: the next chunk of a snapshot; answered by `Chunk`."""
+    """From a follower to the leader: requests the next chunk of a snapshot. Answered by `Chunk`."""
 
     cluster: str = bp.string_field(1)
     index: int = bp.uint64_field(2)  # a snapshot of this index or a later one
     offset: int = bp.uint64_field(3)
-    pinned: int = bp.uint64_field(4)  # index of the one whose transfer has begun; 0: none
+    pinned: int = bp.uint64_field(4)  # index of the snapshot in transfer; 0 if none
 
 
 @dataclass
 class FetchState(Message):
-    """From an edge to a core, or to another edge: the next chunk of the packed `StateDoc`;
-    answered by `Chunk`.
+    """From an edge to a core or another edge: requests the next chunk of the compressed `StateDoc`.
+    Answered by `Chunk`.
     """
 
     epoch: int = bp.uint64_field(1)  # a state of this epoch or a later one
     offset: int = bp.uint64_field(2)
-    pinned: int = bp.uint64_field(3)  # epoch of the one whose transfer has begun; 0: none
+    pinned: int = bp.uint64_field(3)  # epoch of the state in transfer; 0 if none
 
 
 @dataclass
 class Chunk(Message):
     """A part of a compressed snapshot or state, from byte `offset` of `total`.
 
-    `mark` is the snapshot's index or the state's epoch, `mark_term` the index's term, and
+    `mark` is the snapshot's index or the state's epoch, `mark_term` the term of that index, and
     `digest` the SHA-256 of the complete value. See `transport.chunks`.
     """
 
