--- a/kelpstage/common/errors/__init__.py
+++ b/kelpstage/common/errors/__init__.py
@@ -1,1 +1,1 @@
-"""Typed errors, in modules by who raises them."""
+"""Typed errors, grouped in modules by their source."""
--- a/kelpstage/common/errors/backends.py
+++ b/kelpstage/common/errors/backends.py
@@ -1,4 +1,4 @@
-"""Errors in what a backend answered, or in reaching it."""
+"""Errors in the replies of a backend, or in the connection to it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InvalidReplyError(KelpstageError):
-    """A backend's reply that must not enter an answer."""
+    """A backend's reply is invalid and is not merged into a result."""
 
     kind: ClassVar[str] = "bad_reply"
     backend: str
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RequestNotRunError(KelpstageError):
-    """The backend states that it did not run the request and never will."""
+    """The backend reports that it has not run the request and never will."""
 
     kind: ClassVar[str] = "not_run"
     backend: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BackendFailedError(KelpstageError):
-    """The backend ran the request and answered with a failure."""
+    """The backend ran the request and replied with a failure."""
 
     kind: ClassVar[str] = "backend_failed"
     backend: str
--- a/kelpstage/common/errors/base.py
+++ b/kelpstage/common/errors/base.py
@@ -1,8 +1,8 @@
-"""The root of all typed errors.
+"""The base class of all typed errors.
 
-Errors are values: a function that may fail returns its result or one of these. `kind` is
-the tag that callers see; it belongs to the public interface and does not change when a
-class is renamed.
+Errors are values: a function that may fail returns either its result or an error. `kind` is the
+tag that clients see; it is part of the public interface and does not change when a class is
+renamed.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class KelpstageError:
-    """The root of all errors.
+    """The base class of all typed errors.
 
     >>> KelpstageError().as_json()
     {'kind': 'error'}
@@ -22,5 +22,5 @@
     kind: ClassVar[str] = "error"
 
     def as_json(self) -> dict[str, Any]:
-        """The error as callers get it: its tag and its fields."""
+        """Return the error as clients receive it: its tag and its fields."""
         return {"kind": self.kind, **asdict(self)}
--- a/kelpstage/common/errors/control.py
+++ b/kelpstage/common/errors/control.py
@@ -1,4 +1,4 @@
-"""Errors of the control plane: configuration writes, membership of edges, recovery."""
+"""Errors of the control plane: configuration writes, edge membership, cluster recovery."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MissingIfMatchError(KelpstageError):
-    """A configuration write does not name the version that it replaces."""
+    """A configuration write does not state the version that it replaces."""
 
     kind: ClassVar[str] = "missing_if_match"
     why: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class VersionMismatchError(KelpstageError):
-    """A configuration write replaces another version than the one in force."""
+    """A configuration write expects a version other than the current one."""
 
     kind: ClassVar[str] = "version_mismatch"
     expected: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class VersionNotAboveError(KelpstageError):
-    """The version given to a configuration write is not above the one in force."""
+    """The version given in a configuration write is not above the current one."""
 
     kind: ClassVar[str] = "version_not_above"
     version: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PutIdReusedError(KelpstageError):
-    """The id of a configuration write was used for another document before."""
+    """The id of a configuration write was already used for a different document."""
 
     kind: ClassVar[str] = "put_id_reused"
     put_id: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WriteUnresolvedError(KelpstageError):
-    """The write may be in the log or not; repeat it with the same id to learn which."""
+    """The write may or may not be committed; a retry with the same id gets its outcome."""
 
     kind: ClassVar[str] = "unresolved"
     put_id: str
@@ -62,9 +62,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NoEdgeMajorityError(KelpstageError):
-    """Too few voting edges are alive for a new configuration to settle.
+    """Too few voting edges are alive for a new configuration to take effect.
 
-    `heard` is how many of the voting members have reported, `membership` how many there are.
+    `heard` is the number of voting members in contact, `membership` the number of all of them.
     """
 
     kind: ClassVar[str] = "no_edge_majority"
@@ -72,13 +72,13 @@
     membership: int
 
     def as_json(self) -> dict[str, Any]:
-        """The fields under their public names: the membership is called `roster` there."""
+        """Return the fields under their public names; the membership is called `roster`."""
         return {"kind": self.kind, "heard": self.heard, "roster": self.membership}
 
 
 @dataclass(frozen=True, kw_only=True)
 class TooFewVotersError(KelpstageError):
-    """Fewer voters than a write needs to survive the losses to be tolerated."""
+    """There are fewer voters than a write needs to survive the losses to be tolerated."""
 
     kind: ClassVar[str] = "too_few_cores"
     voters: int
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NoLeaderError(KelpstageError):
-    """No leader is known or reached; another replica may be tried."""
+    """No leader is known or reachable; the request may be retried at another replica."""
 
     kind: ClassVar[str] = "no_leader"
     why: str
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EdgeAliveError(KelpstageError):
-    """An edge that was heard from lately may not be removed from the membership."""
+    """An edge with recent contact may not be removed from the membership."""
 
     kind: ClassVar[str] = "edge_still_here"
     edge: str
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RecoveryRefusedError(KelpstageError):
-    """A cluster recovery was asked for under conditions that do not allow it."""
+    """The conditions do not allow the requested cluster recovery."""
 
     kind: ClassVar[str] = "salvage_refused"
     why: str
--- a/kelpstage/common/errors/requests.py
+++ b/kelpstage/common/errors/requests.py
@@ -1,4 +1,4 @@
-"""Errors in what a caller sent: the request itself, or the resource it names."""
+"""Errors in a client's request, or in the resource that it names."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BadRequestError(KelpstageError):
-    """A request that cannot be parsed or has an invalid part."""
+    """The request cannot be parsed or has an invalid part."""
 
     kind: ClassVar[str] = "bad_request"
     part: str
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MissingDeadlineError(KelpstageError):
-    """The request does not say how long its caller waits."""
+    """The request lacks the header with the time left until its deadline."""
 
     kind: ClassVar[str] = "missing_time_left"
     header: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InvalidDeadlineError(KelpstageError):
-    """The time that the caller waits is no whole number of microseconds in range."""
+    """The time left until the deadline is not an integer of microseconds in range."""
 
     kind: ClassVar[str] = "bad_time_left"
     header: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InvalidLimitError(KelpstageError):
-    """The number of records asked for is no whole number in range."""
+    """The requested number of records is not an integer in range."""
 
     kind: ClassVar[str] = "bad_limit"
     given: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeadersTooLargeError(KelpstageError):
-    """The request's line and headers are longer than `limit_bytes`."""
+    """The request line and headers are longer than `limit_bytes`."""
 
     kind: ClassVar[str] = "oversized_head"
     limit_bytes: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RequestReadTimeoutError(KelpstageError):
-    """A request whose `part` was not complete `after_us` microseconds; it has not run."""
+    """The `part` of a request was incomplete after `after_us` microseconds; it has not run."""
 
     kind: ClassVar[str] = "slow_request"
     part: str
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InternalError(KelpstageError):
-    """An unexpected exception in a handler; it says nothing of what the call has done."""
+    """An unexpected exception in a handler; the effect of the request is unknown."""
 
     kind: ClassVar[str] = "broken_handler"
     why: str
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MethodNotAllowedError(KelpstageError):
-    """The resource exists, but not for this method."""
+    """The resource does not support this method."""
 
     kind: ClassVar[str] = "wrong_method"
     method: str
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UnknownCollectionError(KelpstageError):
-    """The configuration in force has no such collection."""
+    """The current configuration has no such collection."""
 
     kind: ClassVar[str] = "unknown_collection"
     collection: str
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RecordNotFoundError(KelpstageError):
-    """The shard answered that it has no such record."""
+    """The shard replied that it has no such record."""
 
     kind: ClassVar[str] = "no_such_record"
     collection: str
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class UnknownSearchError(KelpstageError):
-    """The search was never begun at this node, or was evicted: only the newest are kept."""
+    """The search never started at this node, or its timeline was evicted by newer ones."""
 
     kind: ClassVar[str] = "unknown_search"
     search: str
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MissingRequestIdError(KelpstageError):
-    """A forwarded request lacks the header with its id."""
+    """A request to a forward route lacks the header with its id."""
 
     kind: ClassVar[str] = "missing_request_id"
     header: str
--- a/kelpstage/common/errors/serving.py
+++ b/kelpstage/common/errors/serving.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NotReadyError(KelpstageError):
-    """This node may not serve yet, or any more (no lease, no configuration)."""
+    """This node may not serve requests at present: it has no lease or no configuration."""
 
     kind: ClassVar[str] = "not_ready"
     why: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OverloadedError(KelpstageError):
-    """This node has too many requests in flight to accept another one."""
+    """This node has too many requests in flight to admit another one."""
 
     kind: ClassVar[str] = "overloaded"
     in_flight: int
@@ -26,15 +26,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CallerGoneError(KelpstageError):
-    """Nobody waits for the answer any more: the caller closed its connection, or the node
-    above dropped its query. It is noted in timelines and never sent."""
+    """The client closed its connection, or the parent node cancelled its query. This error is
+    recorded in timelines and never sent."""
 
     kind: ClassVar[str] = "caller_gone"
 
 
 @dataclass(frozen=True, kw_only=True)
 class QuorumNotMetError(KelpstageError):
-    """Fewer shards answered than the route demands."""
+    """Fewer shards replied than the route requires."""
 
     kind: ClassVar[str] = "quorum_not_met"
     collection: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DeadlineExceededError(KelpstageError):
-    """The caller's time was over before an answer was complete."""
+    """The deadline passed before a reply was complete."""
 
     kind: ClassVar[str] = "time_left_spent"
     where: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NoBackendError(KelpstageError):
-    """No backend of the shard may be asked at present."""
+    """No backend of the shard is eligible at present."""
 
     kind: ClassVar[str] = "no_backend"
     shard: str
--- a/kelpstage/common/errors/storage.py
+++ b/kelpstage/common/errors/storage.py
@@ -1,4 +1,4 @@
-"""Errors of the disk: logs, snapshots and recordings."""
+"""Errors of stored data: logs, snapshots and recordings."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DiskError(KelpstageError):
-    """An operation of the disk failed."""
+    """A disk operation failed."""
 
     kind: ClassVar[str] = "disk_defect"
     path: str
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LogDamagedError(KelpstageError):
-    """A record that is not the torn end of the log fails its checksum."""
+    """A record fails its checksum and is not the torn end of the log."""
 
     kind: ClassVar[str] = "log_damaged"
     path: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FormatMismatchError(KelpstageError):
-    """Intact files of another format version: not damage, so nothing is discarded."""
+    """An intact file has another format version; since it is not damaged, nothing is discarded."""
 
     kind: ClassVar[str] = "format_mismatch"
     path: str
@@ -39,7 +39,7 @@
 
     @property
     def why(self) -> str:
-        """What to show: both format versions."""
+        """The text to display, with both format versions."""
         return f"format {self.theirs}, this version reads {self.ours}"
 
 
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InvalidRecordingError(KelpstageError):
-    """Not a recording, or one of another format version."""
+    """The file is not a valid recording, or has another format version."""
 
     kind: ClassVar[str] = "day_foreign"
     path: str
--- a/kelpstage/common/errors/transport.py
+++ b/kelpstage/common/errors/transport.py
@@ -1,4 +1,4 @@
-"""Errors of connections, over HTTP and between the project's own processes."""
+"""Errors of connections, both over HTTP and between edges and cores."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ConnectError(KelpstageError):
-    """The connection was refused: nothing reached the other side."""
+    """The connection could not be opened: nothing reached the other side."""
 
     kind: ClassVar[str] = "connect_refused"
     address: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ConnectionLostError(KelpstageError):
-    """The connection ended; the other side may have received the message.
+    """The connection was lost; the other side may have received the message.
 
     With `was_sent` false, no byte of it can have reached the other side.
     """
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InvalidFrameError(KelpstageError):
-    """Bytes between own processes that are no frame, or no known message."""
+    """Bytes on a transport connection are not a valid frame, or not a known message."""
 
     kind: ClassVar[str] = "bad_frame"
     address: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProtocolVersionError(KelpstageError):
-    """The other process speaks another version of the protocol between processes."""
+    """The other process uses another version of the transport protocol."""
 
     kind: ClassVar[str] = "wire_mismatch"
     address: str
--- a/kelpstage/common/errors/validation.py
+++ b/kelpstage/common/errors/validation.py
@@ -1,4 +1,4 @@
-"""Errors in configurations and settings, each with the path of every invalid field."""
+"""Validation errors of configurations and settings, with the path of each invalid field."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class InvalidConfigurationError(KelpstageError):
-    """A configuration that is refused as a whole, with every fault found."""
+    """A configuration is rejected as a whole, with a list of all its invalid fields."""
 
     kind: ClassVar[str] = "configuration_refused"
     faults: list[InvalidField]
 
     def as_json(self) -> dict[str, Any]:
-        """The fields under their public names; a fault is its path and its reason."""
+        """Return the error as clients receive it; each fault has a path and a reason."""
         return {"kind": self.kind, "faults": [{"path": f.path, "why": f.why} for f in self.faults]}
 
 
 @dataclass(frozen=True, kw_only=True)
 class InvalidSettingsError(KelpstageError):
-    """Settings that are refused as a whole, with every fault found."""
+    """Settings are rejected as a whole, with a list of all their invalid fields."""
 
     kind: ClassVar[str] = "env_refused"
     faults: list[InvalidField]
 
     def as_json(self) -> dict[str, Any]:
-        """The fields under their public names; a fault is its path and its reason."""
+        """Return the error as clients receive it; each fault has a path and a reason."""
         return {"kind": self.kind, "faults": [{"path": f.path, "why": f.why} for f in self.faults]}
