--- a/kelpstage/common/log/__init__.py
+++ b/kelpstage/common/log/__init__.py
@@ -1,1 +1,1 @@
-"""Logs of a process, and checksummed records."""
+"""Logging, and checksummed records."""
--- a/kelpstage/common/log/checksummed.py
+++ b/kelpstage/common/log/checksummed.py
@@ -1,4 +1,4 @@
-"""Sealed records: a mark, a length, a checksum, a body; in logs and in days."""
+"""Checksummed records of log files and recordings: a marker, a length, a CRC-32 and a body."""
 
 from __future__ import annotations
 
@@ -6,28 +6,29 @@
 import zlib
 
 MARK = b"\xc5KR\x1e"
-RECORD = struct.Struct("!4sII")
+RECORD_HEADER = struct.Struct("!4sII")
 
 
 def seal(*, body: bytes) -> bytes:
-    """Put a body between mark and checksum.
+    """Encode a body as a record with a marker, its length and its checksum.
 
     >>> unseal(data=seal(body=b"x"), offset=0)
     (b'x', 13)
     """
-    return RECORD.pack(MARK, len(body), zlib.crc32(body)) + body
+    return RECORD_HEADER.pack(MARK, len(body), zlib.crc32(body)) + body
 
 
 def unseal(*, data: bytes, offset: int) -> tuple[bytes, int] | None:
-    """The body at `offset` and the offset behind it, or `None` if it is bad.
+    """Decode the record at `offset`; returns its body and the offset after it, or `None` if the
+    record is truncated or fails its checksum.
 
     >>> unseal(data=b"short", offset=0) is None
     True
     """
-    if len(data) - offset < RECORD.size:
+    if len(data) - offset < RECORD_HEADER.size:
         return None
-    mark, size, check = RECORD.unpack_from(data, offset)
-    start = offset + RECORD.size
+    mark, size, check = RECORD_HEADER.unpack_from(data, offset)
+    start = offset + RECORD_HEADER.size
     if mark != MARK or len(data) - start < size:
         return None
     body = data[start : start + size]
@@ -37,15 +38,15 @@
 
 
 def has_sealed(*, data: bytes, start: int) -> bool:
-    """Does a good record begin at `start` or anywhere behind it? Then a bad one
-    before it is damage and not the torn end of a write.
+    """True if a valid record begins at `start` or after it. An invalid record before it is then
+    damage and not the torn end of a write.
 
     >>> has_sealed(data=b"bad" + seal(body=b"x"), start=1), has_sealed(data=b"bad", start=0)
     (True, False)
     """
-    place = data.find(MARK, start)
-    while place >= 0:
-        if unseal(data=data, offset=place) is not None:
+    position = data.find(MARK, start)
+    while position >= 0:
+        if unseal(data=data, offset=position) is not None:
             return True
-        place = data.find(MARK, place + 1)
+        position = data.find(MARK, position + 1)
     return False
--- a/kelpstage/common/log/ring.py
+++ b/kelpstage/common/log/ring.py
@@ -1,4 +1,4 @@
-"""Logs: a ring in memory, written out when something goes wrong."""
+"""Logging to a ring buffer in memory, which is written out on an error."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def install_ring(*, program: str, stream: object = None) -> logbook.FingersCrossedHandler:
-    """Keep the newest records; an ERROR writes them all out, then starts anew.
+    """Return a handler that buffers the newest records; an ERROR writes out and clears the buffer.
 
     >>> import io; out = io.StringIO()
     >>> handler = install_ring(program="t", stream=out)
@@ -33,7 +33,7 @@
 
 
 def logger(*, name: str) -> logbook.Logger:
-    """A logger for one part of a program.
+    """Return a logger for one component of a program.
 
     >>> logger(name="raft").name
     'raft'
--- a/kelpstage/common/recording/__init__.py
+++ b/kelpstage/common/recording/__init__.py
@@ -1,1 +1,1 @@
-"""Recordings of what a node did: the file format and its writer."""
+"""Recordings of the events at a node: the file format and its writer."""
--- a/kelpstage/common/recording/format.py
+++ b/kelpstage/common/recording/format.py
@@ -1,7 +1,8 @@
-"""A day: what happened, in the order it happened, in one checksummed file.
+"""The file format of recordings: events in the order in which they happened.
 
-`KDAY`, a format number, then sealed records, each one JSON object with `what`
-and `at_us` (microseconds since the day's beginning). See docs/notes/replay.md.
+A file has the magic bytes `KDAY`, a format number, and checksummed records. Each record is a JSON
+object with `what` (its kind) and `at_us` (microseconds since the start of the recording). See
+docs/notes/replay.md.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 def pack_row(*, row: Row) -> bytes:
-    """A row as it stands in the file.
+    """Encode a row as a checksummed record.
 
     >>> read_day(path="p", data=HEAD + pack_row(row={"what": "call", "at_us": 1}))
     [{'what': 'call', 'at_us': 1}]
@@ -33,7 +34,8 @@
 def read_day(
     *, path: str, data: bytes, is_torn_tail_fine: bool = False
 ) -> list[Row] | TruncatedRecordingError | InvalidRecordingError:
-    """All rows of a day; a torn tail is a error unless it was said to be fine.
+    """Decode all rows of a recording. A record that is cut off at the end of the file is an error,
+    unless `is_torn_tail_fine`.
 
     >>> whole = HEAD + pack_row(row={"what": "call", "at_us": 1})
     >>> read_day(path="p", data=whole + b"torn").offset == len(whole)
@@ -41,12 +43,12 @@
     >>> len(read_day(path="p", data=whole + b"torn", is_torn_tail_fine=True))
     1
     >>> read_day(path="p", data=b"something else").why
-    'not a day'
+    'not a recording'
     """
     if not data.startswith(MAGIC):
-        return InvalidRecordingError(path=path, offset=0, why="not a day")
+        return InvalidRecordingError(path=path, offset=0, why="not a recording")
     if not data.startswith(HEAD):
-        return InvalidRecordingError(path=path, offset=len(MAGIC), why="another format of days")
+        return InvalidRecordingError(path=path, offset=len(MAGIC), why="unsupported format version")
     rows: list[Row] = []
     offset = len(HEAD)
     while offset < len(data):
@@ -54,12 +56,12 @@
         if found is None:
             if has_sealed(data=data, start=offset + 1):
                 return InvalidRecordingError(
-                    path=path, offset=offset, why="a record fails its check"
+                    path=path, offset=offset, why="record fails its checksum"
                 )
             return rows if is_torn_tail_fine else TruncatedRecordingError(path=path, offset=offset)
         row = _read_row(body=found[0])
         if row is None:
-            return InvalidRecordingError(path=path, offset=offset, why="a row that can't be read")
+            return InvalidRecordingError(path=path, offset=offset, why="invalid JSON, kind or time")
         rows.append(row)
         offset = found[1]
     return rows
