--- a/kelpstage/common/transport/__init__.py
+++ b/kelpstage/common/transport/__init__.py
@@ -1,1 +1,1 @@
-"""The transport between own processes: messages, frames, connections, large values."""
+"""The transport between edges and cores: messages, frames, connections, chunked transfers."""
--- a/kelpstage/common/transport/address.py
+++ b/kelpstage/common/transport/address.py
@@ -1,4 +1,4 @@
-"""Addresses are `IP:port` and nothing else; names are not looked up."""
+"""Addresses have the form `IP:port`; host names are neither accepted nor resolved."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def split_address(*, address: str) -> tuple[str, int]:
-    """Split `IP:port`.
+    """Split `IP:port` into host and port, without the brackets of an IPv6 address.
 
     >>> split_address(address="127.0.0.1:80")
     ('127.0.0.1', 80)
@@ -16,7 +16,7 @@
 
 
 def is_address(*, address: object) -> bool:
-    """Is this an `IP:port`?
+    """True if the value is an `IP:port` string with a port from 1 to 65535.
 
     >>> is_address(address="10.0.0.1:9"), is_address(address="host:9"), is_address(address=7)
     (True, False, False)
--- a/kelpstage/common/transport/codec.py
+++ b/kelpstage/common/transport/codec.py
@@ -1,8 +1,8 @@
-"""Messages of betterproto, with bytes made and read from a table for each class.
+"""A faster protobuf codec for betterproto messages, with a cached field table for each class.
 
-betterproto 1.x looks every field up anew for every message, which took over half
-of an edge's processor time. The bytes are the same (`tests/test_wire.py` compares
-them); only the kinds of field that this project uses are known here.
+betterproto 1.x inspects the fields of a class anew for every message, which took over half
+of an edge's processor time. The encoding is identical (`tests/test_wire.py` compares the
+bytes). Only the field types that this project uses are supported.
 """
 
 from __future__ import annotations
@@ -13,35 +13,35 @@
 import betterproto as bp
 
 # Wire types of protocol buffers (encoding.html, "Message Structure").
-VARINT, FIXED_64, SIZED, FIXED_32 = 0, 1, 2, 5
-FIXED_BYTES = {FIXED_64: 8, FIXED_32: 4}  # no field here has these; they are skipped
+VARINT, FIXED_64, LENGTH_DELIMITED, FIXED_32 = 0, 1, 2, 5
+FIXED_SIZES = {FIXED_64: 8, FIXED_32: 4}  # no known field has these wire types; they are skipped
 VARINT_BITS = 64
 
 
-class Field(NamedTuple):
-    """How one field travels.
+class FieldEncoding(NamedTuple):
+    """How one field is encoded.
 
-    `key` is the varint of its number and wire type, `kind` its type as betterproto names it,
-    and `message` the class of a nested message.
+    `tag` is the varint of its number and wire type, `proto_type` its type as betterproto names
+    it, and `message` the class of a nested message.
     """
 
     name: str
-    key: bytes
+    tag: bytes
     is_list: bool
-    kind: str
+    proto_type: str
     default: Callable[[], Any]
     message: type["Message"] | None
 
 
-class Table(NamedTuple):
-    """All fields of a message class in order, and the same by number."""
+class FieldTable(NamedTuple):
+    """The fields of a message class, in the order of their declaration and by number."""
 
-    fields: tuple[Field, ...]
-    by_number: dict[int, Field]
+    fields: tuple[FieldEncoding, ...]
+    by_number: dict[int, FieldEncoding]
 
 
 class Message(bp.Message):
-    """The base of all messages: fields are set, written and read by the class's table.
+    """The base class of all messages; its fields are encoded and decoded by a field table.
 
     >>> @dataclasses.dataclass
     ... class Pair(Message):
@@ -53,12 +53,12 @@
     300
     """
 
-    __setattr__ = object.__setattr__  # type: ignore[assignment]  # nothing to keep track of
+    __setattr__ = object.__setattr__  # type: ignore[assignment]  # no oneof groups to track
 
     def __post_init__(self) -> None:
         state = self.__dict__
         is_set = False
-        for field in table_of(kind=type(self)).fields:
+        for field in field_table(message_class=type(self)).fields:
             if state[field.name] is bp.PLACEHOLDER:
                 state[field.name] = field.default()
             else:
@@ -69,43 +69,53 @@
 
     def __bytes__(self) -> bytes:
         out = bytearray()
-        write(message=self, out=out)
+        encode_into(message=self, out=out)
         return bytes(out)
 
     def parse(self, data: bytes) -> Self:
-        """Set the fields from a message's bytes; any exception on bytes that are none."""
-        read(message=self, data=data)
+        """Decode a message into the fields; malformed bytes raise an exception of any type."""
+        decode_into(message=self, data=data)
         return self
 
 
-_TABLES: dict[type[Message], Table] = {}
+_FIELD_TABLES: dict[type[Message], FieldTable] = {}
 
 
-def table_of(*, kind: type[Message]) -> Table:
-    """The table of a message class, made once."""
-    table = _TABLES.get(kind)
+def field_table(*, message_class: type[Message]) -> FieldTable:
+    """Return the field table of a message class; it is built on first use."""
+    table = _FIELD_TABLES.get(message_class)
     if table is None:
         fields = {
-            bp.FieldMetadata.get(declared).number: _field(kind=kind, declared=declared)
-            for declared in dataclasses.fields(kind)
+            bp.FieldMetadata.get(declared).number: _field_encoding(
+                message_class=message_class, declared=declared
+            )
+            for declared in dataclasses.fields(message_class)
         }
-        table = _TABLES[kind] = Table(fields=tuple(fields.values()), by_number=fields)
+        table = _FIELD_TABLES[message_class] = FieldTable(
+            fields=tuple(fields.values()), by_number=fields
+        )
     return table
 
 
-def _field(*, kind: type[Message], declared: dataclasses.Field[Any]) -> Field:
+def _field_encoding(
+    *, message_class: type[Message], declared: dataclasses.Field[Any]
+) -> FieldEncoding:
     meta = bp.FieldMetadata.get(declared)
-    default = kind._get_field_default_gen(declared, meta)
-    wire = SIZED if meta.proto_type in (bp.TYPE_STRING, bp.TYPE_BYTES, bp.TYPE_MESSAGE) else VARINT
-    key = bytearray()
-    _write_varint(value=meta.number << 3 | wire, out=key)
-    return Field(
+    default = message_class._get_field_default_gen(declared, meta)
+    wire = (
+        LENGTH_DELIMITED
+        if meta.proto_type in (bp.TYPE_STRING, bp.TYPE_BYTES, bp.TYPE_MESSAGE)
+        else VARINT
+    )
+    tag = bytearray()
+    _write_varint(value=meta.number << 3 | wire, out=tag)
+    return FieldEncoding(
         name=declared.name,
-        key=bytes(key),
+        tag=bytes(tag),
         is_list=default is list,
-        kind=meta.proto_type,
+        proto_type=meta.proto_type,
         default=default,
-        message=kind._cls_for(declared) if meta.proto_type == bp.TYPE_MESSAGE else None,
+        message=message_class._cls_for(declared) if meta.proto_type == bp.TYPE_MESSAGE else None,
     )
 
 
@@ -116,30 +126,30 @@
     out.append(value)
 
 
-def write(*, message: Message, out: bytearray) -> None:
-    """Append a message's bytes; what has its default is left out, as proto3 says."""
+def encode_into(*, message: Message, out: bytearray) -> None:
+    """Append the encoded message; fields with their default value are omitted, as in proto3."""
     state = message.__dict__
-    for field in table_of(kind=type(message)).fields:
+    for field in field_table(message_class=type(message)).fields:
         value = state[field.name]
         if field.is_list:
             for item in value:
-                _write_one(field=field, value=item, out=out)
+                _encode_value(field=field, value=item, out=out)
         elif field.message is not None:
             if value._serialized_on_wire or value != field.default():
-                _write_one(field=field, value=value, out=out)
+                _encode_value(field=field, value=value, out=out)
         elif value:
-            _write_one(field=field, value=value, out=out)
+            _encode_value(field=field, value=value, out=out)
 
 
-def _write_one(*, field: Field, value: Any, out: bytearray) -> None:
-    out += field.key
-    if field.kind == bp.TYPE_STRING:
+def _encode_value(*, field: FieldEncoding, value: Any, out: bytearray) -> None:
+    out += field.tag
+    if field.proto_type == bp.TYPE_STRING:
         value = value.encode("utf-8")
     elif field.message is not None:
         inner = bytearray()
-        write(message=value, out=inner)
+        encode_into(message=value, out=inner)
         value = inner
-    elif field.kind != bp.TYPE_BYTES:
+    elif field.proto_type != bp.TYPE_BYTES:
         _write_varint(value=int(value), out=out)
         return
     _write_varint(value=len(value), out=out)
@@ -156,57 +166,57 @@
             return value, position
         shift += 7
         if shift >= VARINT_BITS + 7:
-            raise ValueError("a number of too many bytes")
+            raise ValueError("varint has too many bytes")
 
 
-def read(*, message: Message, data: bytes) -> None:
-    """Take a message's bytes; fields that are not known are skipped.
+def decode_into(*, message: Message, data: bytes) -> None:
+    """Decode bytes into a message; unknown fields are skipped.
 
     >>> from kelpstage.common.transport.messages import RegisterEdge
-    >>> read(message=RegisterEdge(), data=b"\\x0a\\x7f")
+    >>> decode_into(message=RegisterEdge(), data=b"\\x0a\\x7f")
     Traceback (most recent call last):
-    ValueError: cut short
+    ValueError: message is truncated
     """
     state = message.__dict__
-    by_number = table_of(kind=type(message)).by_number
+    fields_by_number = field_table(message_class=type(message)).by_number
     value: Any
     position, end = 0, len(data)
     while position < end:
-        key, position = _read_varint(data=data, position=position)
-        wire = key & 7
+        tag, position = _read_varint(data=data, position=position)
+        wire = tag & 7
         if wire == VARINT:
             value, position = _read_varint(data=data, position=position)
-        elif wire == SIZED:
-            size = data[position]  # most are short: the number is this one byte
+        elif wire == LENGTH_DELIMITED:
+            size = data[position]  # fast path: most lengths fit in one byte
             if size < 0x80:
                 position += 1
             else:
                 size, position = _read_varint(data=data, position=position)
             value = data[position : position + size]
             position += size
-        elif wire in FIXED_BYTES:
+        elif wire in FIXED_SIZES:
             value = None
-            position += FIXED_BYTES[wire]
+            position += FIXED_SIZES[wire]
         else:
-            raise ValueError(f"wire type {wire}")
+            raise ValueError(f"unsupported wire type {wire}")
         if position > end:
-            raise ValueError("cut short")
-        field = by_number.get(key >> 3)
+            raise ValueError("message is truncated")
+        field = fields_by_number.get(tag >> 3)
         if field is not None:
-            _set_field(field=field, wire=wire, value=value, state=state)
+            _decode_value(field=field, wire=wire, value=value, state=state)
 
 
-def _set_field(*, field: Field, wire: int, value: Any, state: dict[str, Any]) -> None:
-    if wire != field.key[0] & 7:
-        raise ValueError(f"{field.name} has wire type {wire}")
-    if field.kind == bp.TYPE_STRING:
+def _decode_value(*, field: FieldEncoding, wire: int, value: Any, state: dict[str, Any]) -> None:
+    if wire != field.tag[0] & 7:
+        raise ValueError(f"{field.name} has unexpected wire type {wire}")
+    if field.proto_type == bp.TYPE_STRING:
         value = value.decode("utf-8")
     elif field.message is not None:
         inner = field.message()
-        read(message=inner, data=value)
+        decode_into(message=inner, data=value)
         inner.__dict__["_serialized_on_wire"] = True
         value = inner
-    elif field.kind == bp.TYPE_BOOL:
+    elif field.proto_type == bp.TYPE_BOOL:
         value = value > 0
     if field.is_list:
         state[field.name].append(value)
--- a/kelpstage/common/transport/delta.py
+++ b/kelpstage/common/transport/delta.py
@@ -1,11 +1,12 @@
-"""Bytes as their difference from other bytes that the receiver has.
+"""Delta encoding of bytes against a base that the receiver has.
 
-A difference is a list of steps, each "copy this part of the base, then add these bytes",
-compressed by zlib with the base's end as its dictionary. A digest of the result tells
-whether it was put together from the right base; a wrong base or damaged bytes give nothing.
+A delta is a list of steps, each "copy this part of the base, then add these bytes", compressed
+with zlib; the end of the base is the compression dictionary. A digest of the result shows
+whether the delta was applied to the right base; a wrong base or damaged bytes give `None`.
 
-Format: 8 bytes of the result's SHA-256, then a raw deflate stream of steps. A step is three
-numbers (offset in the base, length of the copy, length of what is added) and what is added.
+Format: the first 8 bytes of the result's SHA-256, then a raw deflate stream of steps. A step is
+three varints (offset in the base, length of the copy, length of the added bytes) and the added
+bytes.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 from typing import Iterator, NamedTuple
 
 DIGEST_BYTES = 8
-WINDOW = 32 * 1024  # bytes at the base's end that serve as zlib's dictionary
-RESULT_LIMIT = 64 * 1024 * 1024  # bytes of a result, and of its steps
-BLOCK = 32  # bytes of the shortest run that is looked for in the base
-SEARCH_LIMIT = 64 * 1024  # bytes not found in the base after which no more is looked for
+DICTIONARY_BYTES = 32 * 1024  # bytes at the end of the base that are the zlib dictionary
+MAX_RESULT_BYTES = 64 * 1024 * 1024  # of a result, and of its decompressed steps
+BLOCK_BYTES = 32  # length of the shortest run that is searched for in the base
+SEARCH_LIMIT_BYTES = 64 * 1024  # unmatched bytes after which the search stops
 COMPRESSION_LEVEL = 6
-VARINT_BYTES = 10  # the longest number: 64 bits in groups of 7
+MAX_VARINT_BYTES = 10  # 64 bits in groups of 7
 
 
 class Step(NamedTuple):
@@ -33,43 +34,43 @@
 
 
 def _common_length(*, base: bytes, start: int, target: bytes, position: int) -> int:
-    """How long `base` from `start` and `target` from `position` are the same."""
-    most = min(len(base) - start, len(target) - position)
-    known, size = 0, BLOCK
-    while known < most:
-        size = min(size, most - known)
-        here, there = start + known, position + known
-        if base[here : here + size] == target[there : there + size]:
-            known += size
+    """Return the length of the common run of `base` from `start` and `target` from `position`."""
+    limit = min(len(base) - start, len(target) - position)
+    matched, size = 0, BLOCK_BYTES
+    while matched < limit:
+        size = min(size, limit - matched)
+        base_offset, target_offset = start + matched, position + matched
+        if base[base_offset : base_offset + size] == target[target_offset : target_offset + size]:
+            matched += size
             size *= 2
             continue
         if size == 1:
-            return known
-        size = (size + 1) // 2 if size <= BLOCK else BLOCK
-    return known
+            return matched
+        size = (size + 1) // 2 if size <= BLOCK_BYTES else BLOCK_BYTES
+    return matched
 
 
-def _blocks(*, base: bytes) -> dict[bytes, list[int]]:
-    """Where each aligned block of the base stands."""
+def _index_blocks(*, base: bytes) -> dict[bytes, list[int]]:
+    """Return the offsets of each distinct aligned block of the base."""
     blocks: dict[bytes, list[int]] = {}
-    for offset in range(0, len(base) - BLOCK + 1, BLOCK):
-        blocks.setdefault(base[offset : offset + BLOCK], []).append(offset)
+    for offset in range(0, len(base) - BLOCK_BYTES + 1, BLOCK_BYTES):
+        blocks.setdefault(base[offset : offset + BLOCK_BYTES], []).append(offset)
     return blocks
 
 
-def _steps(*, base: bytes, target: bytes) -> Iterator[Step]:
-    """Steps that turn `base` into `target`."""
+def _find_steps(*, base: bytes, target: bytes) -> Iterator[Step]:
+    """Yield the steps that build `target` from `base`."""
     offset = position = searched = 0
     blocks: dict[bytes, list[int]] | None = None
     while position < len(target) or not target:
         length = _common_length(base=base, start=offset, target=target, position=position)
-        begins = position + length  # of what is added
-        position, next_offset = begins, offset + length
+        added_start = position + length
+        position, next_offset = added_start, offset + length
         found = -1
-        while base and searched < SEARCH_LIMIT and position + BLOCK <= len(target):
+        while base and searched < SEARCH_LIMIT_BYTES and position + BLOCK_BYTES <= len(target):
             if blocks is None:
-                blocks = _blocks(base=base)
-            offsets = blocks.get(target[position : position + BLOCK])
+                blocks = _index_blocks(base=base)
+            offsets = blocks.get(target[position : position + BLOCK_BYTES])
             if offsets is not None:
                 nearest = min(bisect_left(offsets, next_offset), len(offsets) - 1)
                 found = offsets[nearest]
@@ -77,31 +78,31 @@
             position += 1
             searched += 1
         if found < 0:
-            yield Step(offset=offset, length=length, added=target[begins:])
+            yield Step(offset=offset, length=length, added=target[added_start:])
             return
-        while found and position > begins and base[found - 1] == target[position - 1]:
+        while found and position > added_start and base[found - 1] == target[position - 1]:
             found -= 1
             position -= 1
-        yield Step(offset=offset, length=length, added=target[begins:position])
+        yield Step(offset=offset, length=length, added=target[added_start:position])
         offset = found
 
 
-def _write_number(*, value: int, out: bytearray) -> None:
+def _write_varint(*, value: int, out: bytearray) -> None:
     while value > 0x7F:
         out.append(value & 0x7F | 0x80)
         value >>= 7
     out.append(value)
 
 
-def _read_number(*, data: bytes, position: int) -> tuple[int, int]:
+def _read_varint(*, data: bytes, position: int) -> tuple[int, int]:
     value = 0
-    for shift in range(0, 7 * VARINT_BYTES, 7):
-        byte = data[position]  # IndexError: cut short
+    for shift in range(0, 7 * MAX_VARINT_BYTES, 7):
+        byte = data[position]  # raises IndexError if the data is truncated
         position += 1
         value |= (byte & 0x7F) << shift
         if byte < 0x80:
             return value, position
-    raise IndexError("a number of too many bytes")
+    raise IndexError("varint has too many bytes")
 
 
 def _digest(*, target: bytes) -> bytes:
@@ -109,7 +110,7 @@
 
 
 def pack_delta(*, base: bytes, target: bytes) -> bytes:
-    """The delta from `base` to `target`; with an empty base, `target` compressed.
+    """Return the delta from `base` to `target`; with an empty base, `target` compressed.
 
     >>> base = bytes(range(256)) * 40
     >>> target = base[: len(base) // 2] + b"new" + base[len(base) // 2 :]
@@ -119,19 +120,19 @@
     True
     """
     compressor = zlib.compressobj(
-        COMPRESSION_LEVEL, zlib.DEFLATED, -15, 9, zlib.Z_DEFAULT_STRATEGY, base[-WINDOW:]
+        COMPRESSION_LEVEL, zlib.DEFLATED, -15, 9, zlib.Z_DEFAULT_STRATEGY, base[-DICTIONARY_BYTES:]
     )
     out = bytearray(_digest(target=target))
-    for step in _steps(base=base, target=target):
-        head = bytearray()
+    for step in _find_steps(base=base, target=target):
+        header = bytearray()
         for value in (step.offset, step.length, len(step.added)):
-            _write_number(value=value, out=head)
-        out += compressor.compress(bytes(head) + step.added)
+            _write_varint(value=value, out=header)
+        out += compressor.compress(bytes(header) + step.added)
     return bytes(out + compressor.flush())
 
 
 def apply_delta(*, base: bytes, delta: bytes) -> bytes | None:
-    """The result, or nothing if this isn't the base or the bytes are damaged.
+    """Return the result, or `None` if the base is a different one or the bytes are damaged.
 
     >>> apply_delta(base=b"other", delta=pack_delta(base=b"base", target=b"bass")) is None
     True
@@ -141,8 +142,8 @@
     if len(delta) < DIGEST_BYTES:
         return None
     try:
-        decompressor = zlib.decompressobj(-15, base[-WINDOW:])
-        steps = decompressor.decompress(delta[DIGEST_BYTES:], RESULT_LIMIT)
+        decompressor = zlib.decompressobj(-15, base[-DICTIONARY_BYTES:])
+        steps = decompressor.decompress(delta[DIGEST_BYTES:], MAX_RESULT_BYTES)
         if decompressor.unconsumed_tail or not decompressor.eof:
             return None
         target = _apply_steps(base=base, steps=steps)
@@ -157,11 +158,11 @@
     parts: list[bytes] = []
     position = size = 0
     while position < len(steps):
-        offset, position = _read_number(data=steps, position=position)
-        length, position = _read_number(data=steps, position=position)
-        added, position = _read_number(data=steps, position=position)
+        offset, position = _read_varint(data=steps, position=position)
+        length, position = _read_varint(data=steps, position=position)
+        added, position = _read_varint(data=steps, position=position)
         size += length + added
-        if size > RESULT_LIMIT or offset + length > len(base) or position + added > len(steps):
+        if size > MAX_RESULT_BYTES or offset + length > len(base) or position + added > len(steps):
             return None
         parts.append(base[offset : offset + length])
         parts.append(steps[position : position + added])
--- a/kelpstage/common/transport/frames.py
+++ b/kelpstage/common/transport/frames.py
@@ -1,9 +1,9 @@
-"""Frames of the transport between own processes: a header before one message.
+"""The frame format of the transport between edges and cores.
 
-A connection begins with a preface from either side: magic bytes, the wire version and the
-channel. After it come frames, each a header (body length, message type, flag, correlation
-id) and the bytes of one message. A channel says what a connection is used for, so that a
-large transfer never delays a heartbeat: each has connections and a frame limit of its own.
+Either side begins a connection with a preface: magic bytes, the wire version and the channel.
+Frames follow, each a header (body length, message type, flag, correlation id) and the bytes of
+one message. Each channel has connections and a frame size limit of its own, so that a large
+transfer does not delay a heartbeat.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 WIRE_VERSION = 2
 MAGIC = b"KELP"
 PREFACE = struct.Struct("!4sHH")  # magic, wire version, channel
-HEAD = struct.Struct("!IHHQ")  # body length, message type, flag, correlation id
+HEADER = struct.Struct("!IHHQ")  # body length, message type, flag, correlation id
 
-# Flags. A reply has the correlation id of its request; a one-way message wants no reply.
-ASK, REPLY, ONEWAY = 0, 1, 2
+# Flags. A reply has the correlation id of its request; a one-way message has no reply.
+REQUEST, REPLY, ONEWAY = 0, 1, 2
 
 # Channels.
 CONTROL, GATHER, BULK = 0, 1, 2
@@ -29,9 +29,12 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Head:
-    """A frame's header: bytes of the body, the message's number in `TYPES`, a flag, and the
-    number that correlates a reply with its request on one connection."""
+class FrameHeader:
+    """The header of a frame.
+
+    `size` is the length of the body in bytes, `number` the message's number in `TYPES`, and
+    `correlation_id` matches a reply to its request on one connection.
+    """
 
     size: int
     number: int
@@ -40,7 +43,7 @@
 
 
 def preface(*, channel: int) -> bytes:
-    """What a connection begins with, on both sides.
+    """Return the preface that each side of a connection sends first.
 
     >>> preface(channel=CONTROL)[:4]
     b'KELP'
@@ -49,46 +52,47 @@
 
 
 def pack(*, message: Message, flag: int, correlation_id: int) -> bytes:
-    """Put a message into a frame.
+    """Encode a message as a frame.
 
     >>> from kelpstage.common.transport.messages import Done
-    >>> frame = pack(message=Done(is_ok=True), flag=ASK, correlation_id=3)
-    >>> read_head(data=frame[:HEAD.size], channel=CONTROL, address="a").correlation_id
+    >>> frame = pack(message=Done(is_ok=True), flag=REQUEST, correlation_id=3)
+    >>> read_header(data=frame[:HEADER.size], channel=CONTROL, address="a").correlation_id
     3
     """
     body = bytes(message)
-    return HEAD.pack(len(body), NUMBERS[type(message)], flag, correlation_id) + body
+    return HEADER.pack(len(body), NUMBERS[type(message)], flag, correlation_id) + body
 
 
-def read_head(*, data: bytes, channel: int, address: str) -> Head | InvalidFrameError:
-    """Read and check a frame's header.
+def read_header(*, data: bytes, channel: int, address: str) -> FrameHeader | InvalidFrameError:
+    """Decode and validate the header of a frame.
 
-    >>> read_head(data=HEAD.pack(1, 9999, 0, 0), channel=CONTROL, address="a").why
-    'unknown type 9999'
+    >>> read_header(data=HEADER.pack(1, 9999, 0, 0), channel=CONTROL, address="a").why
+    'unknown message type 9999'
     """
-    size, number, flag, correlation_id = HEAD.unpack(data)
+    size, number, flag, correlation_id = HEADER.unpack(data)
     if number not in TYPES:
-        return InvalidFrameError(address=address, why=f"unknown type {number}")
-    if flag not in (ASK, REPLY, ONEWAY):
+        return InvalidFrameError(address=address, why=f"unknown message type {number}")
+    if flag not in (REQUEST, REPLY, ONEWAY):
         return InvalidFrameError(address=address, why=f"unknown flag {flag}")
     if size > FRAME_LIMITS[channel]:
         return InvalidFrameError(
-            address=address, why=f"{size} bytes on a lane of {FRAME_LIMITS[channel]}"
+            address=address,
+            why=f"{size} bytes exceed the channel limit of {FRAME_LIMITS[channel]}",
         )
-    return Head(size=size, number=number, flag=flag, correlation_id=correlation_id)
+    return FrameHeader(size=size, number=number, flag=flag, correlation_id=correlation_id)
 
 
-def read_body(*, head: Head, data: bytes, address: str) -> Message | InvalidFrameError:
-    """Read a frame's message.
+def read_body(*, header: FrameHeader, data: bytes, address: str) -> Message | InvalidFrameError:
+    """Decode the message of a frame.
 
     >>> from kelpstage.common.transport.messages import Done
-    >>> head = Head(size=2, number=14, flag=ASK, correlation_id=0)
-    >>> read_body(head=head, data=bytes(Done(is_ok=True)), address="a").is_ok
+    >>> header = FrameHeader(size=2, number=14, flag=REQUEST, correlation_id=0)
+    >>> read_body(header=header, data=bytes(Done(is_ok=True)), address="a").is_ok
     True
-    >>> read_body(head=head, data=b"\\xff", address="a").kind
+    >>> read_body(header=header, data=b"\\xff", address="a").kind
     'bad_frame'
     """
     try:
-        return TYPES[head.number]().parse(data)
-    except Exception as error:  # betterproto raises many kinds on garbage
-        return InvalidFrameError(address=address, why=f"unreadable message: {type(error).__name__}")
+        return TYPES[header.number]().parse(data)
+    except Exception as error:  # malformed bytes raise exceptions of many types
+        return InvalidFrameError(address=address, why=f"malformed message: {type(error).__name__}")
--- a/kelpstage/common/transport/server.py
+++ b/kelpstage/common/transport/server.py
@@ -1,4 +1,4 @@
-"""The server side of the transport: messages of other processes, and replies to them."""
+"""The server side of the transport: receives messages of other processes and sends replies."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 from kelpstage.common.transport import frames
 from kelpstage.common.transport.connections import LOST_AFTER_US
 from kelpstage.common.transport.frame_reader import read_frame, read_preface
-from kelpstage.common.transport.frames import ASK, HEAD, REPLY
+from kelpstage.common.transport.frames import HEADER, REPLY, REQUEST
 
-PREFACE_WAIT_US = 5_000_000  # for a new connection to say what it is
-IN_WORK_LIMIT = 1024  # messages of one connection; more are not read meanwhile
+PREFACE_TIMEOUT_US = 5_000_000  # for the preface of a new connection
+IN_FLIGHT_LIMIT = 1024  # messages of a connection handled at a time; the rest is not read
 
-# Takes a message and the sender's address; its result is the reply, `None` for no reply.
+# Handles a message from an address and returns the reply, or `None` for no reply.
 Handler = Callable[[Any, str], Awaitable[Any]]
 
 
 class _PrefaceTimeout:
-    """Closes a new connection that does not say in time what it is."""
+    """Closes a new connection that does not send its preface in time."""
 
     def __init__(self, *, ports: Ports, stream: Stream) -> None:
-        self.is_done = self.is_over = False
+        self.is_done = self.is_expired = False
         self._stream = stream
-        ports.clock.later(us=PREFACE_WAIT_US, callback=self._check)
+        ports.clock.later(us=PREFACE_TIMEOUT_US, callback=self._on_timeout)
 
-    def _check(self) -> None:
+    def _on_timeout(self) -> None:
         if not self.is_done:
-            self.is_over = True
+            self.is_expired = True
             self._stream.close()
 
 
 class TransportServer:
-    """Listens at one address and gives each message to one handler.
+    """Listens on one address and passes each message to a handler.
 
-    The messages of a connection are handled at the same time, at most `IN_WORK_LIMIT` of
-    them; replies go out as they are ready. `counts` counts how connections ended, as
-    `line_` and the error's kind.
+    The messages of a connection are handled concurrently, at most `IN_FLIGHT_LIMIT` at a time;
+    replies are sent in the order in which they are ready. `counts` counts closed connections by
+    cause, under `line_` and the error's kind.
     """
 
     def __init__(
@@ -55,11 +55,11 @@
         self._on_message = on_message
         self._counts = counts
         self._streams: dict[int, Stream] = {}
-        self._serial = 0
+        self._last_stream_id = 0
         self._listener: Listener | None = None
 
     async def open(self) -> KelpstageError | None:
-        """Start to listen; `AddressInUseError` if the address cannot be bound."""
+        """Start listening; returns `AddressInUseError` if the address cannot be bound."""
         outcome = await self._ports.net.listen(
             address=self._address, on_stream=self._serve, lost_after_us=LOST_AFTER_US
         )
@@ -69,27 +69,27 @@
         return None
 
     def close(self) -> None:
-        """Stop to listen and close every connection."""
+        """Stop listening and close every connection."""
         if self._listener is not None:
             self._listener.close()
         for stream in list(self._streams.values()):
             stream.close()
 
     async def _serve(self, stream: Stream, source: str) -> None:
-        self._serial += 1
-        serial = self._serial
-        self._streams[serial] = stream
+        self._last_stream_id += 1
+        stream_id = self._last_stream_id
+        self._streams[stream_id] = stream
         outcome = await self._serve_frames(stream=stream, source=source)
-        self._streams.pop(serial, None)
+        self._streams.pop(stream_id, None)
         self._counts[f"line_{outcome.kind}"] += 1
         stream.close()
 
     async def _serve_frames(self, *, stream: Stream, source: str) -> KelpstageError:
-        """Serve a connection until it ends; the result says why it ended."""
+        """Serve a connection until it closes; returns the cause."""
         timeout = _PrefaceTimeout(ports=self._ports, stream=stream)
         channel = await read_preface(stream=stream, address=source)
-        if timeout.is_over:
-            return ReplyTimeoutError(address=source, after_us=PREFACE_WAIT_US)
+        if timeout.is_expired:
+            return ReplyTimeoutError(address=source, after_us=PREFACE_TIMEOUT_US)
         timeout.is_done = True
         if isinstance(channel, ProtocolVersionError):
             stream.write(data=frames.preface(channel=frames.CONTROL))
@@ -97,38 +97,38 @@
         if isinstance(channel, KelpstageError):
             return channel
         stream.write(data=frames.preface(channel=channel))
-        in_work = asyncio.Semaphore(IN_WORK_LIMIT)
+        in_flight = asyncio.Semaphore(IN_FLIGHT_LIMIT)
         while True:
-            await in_work.acquire()
+            await in_flight.acquire()
             outcome = await read_frame(stream=stream, channel=channel, address=source)
             if isinstance(outcome, KelpstageError):
                 return outcome
-            head, message = outcome
-            if head.flag == REPLY:
-                return InvalidFrameError(address=source, why="a reply nobody asked for")
+            header, message = outcome
+            if header.flag == REPLY:
+                return InvalidFrameError(address=source, why="a reply without a request")
             self._ports.spawn(
-                self._answer(
+                self._handle(
                     stream=stream,
                     source=source,
-                    head=head,
+                    header=header,
                     message=message,
                     channel=channel,
-                    in_work=in_work,
+                    in_flight=in_flight,
                 )
             )
 
-    async def _answer(
+    async def _handle(
         self,
         *,
         stream: Stream,
         source: str,
-        head: frames.Head,
+        header: frames.FrameHeader,
         message: Any,
         channel: int,
-        in_work: asyncio.Semaphore,
+        in_flight: asyncio.Semaphore,
     ) -> None:
-        """Give a message to the handler, and its reply to the one who asked. A message
-        that breaks the handler ends its connection: the caller hears at once."""
+        """Pass a message to the handler and send the reply. An exception in the handler closes the
+        connection, so that the caller fails at once instead of at its timeout."""
         try:
             reply = await self._on_message(message, source)
         except Exception:
@@ -136,11 +136,11 @@
             stream.close()
             raise
         finally:
-            in_work.release()
-        if head.flag != ASK or reply is None:
+            in_flight.release()
+        if header.flag != REQUEST or reply is None:
             return
-        data = frames.pack(message=reply, flag=REPLY, correlation_id=head.correlation_id)
-        if len(data) - HEAD.size > frames.FRAME_LIMITS[channel]:
+        data = frames.pack(message=reply, flag=REPLY, correlation_id=header.correlation_id)
+        if len(data) - HEADER.size > frames.FRAME_LIMITS[channel]:
             self._counts["line_reply_too_large"] += 1
             stream.close()
             return
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -1,7 +1,7 @@
-"""What version 0.1.0 wrote, sent and accepted is still read, understood and accepted.
+"""Compatibility with version 0.1.0: its stored data, messages, replies and settings.
 
-The fixtures are described in `tests/fixtures/v0.1.0/README.md`. They know messages and
-their fields by number, errors by their public tag, and no name of a class or a module.
+The fixtures are described in `tests/fixtures/v0.1.0/README.md`. They identify messages and
+their fields by number and errors by their public tag; they hold no names of classes or modules.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from kelpstage.cli.main import app as operator_cli
 from kelpstage.common.configuration.types import Configuration
 
-# All names of the product that this file uses, apart from those in the section below.
+# These imports and the next section hold all names of the product that this file uses.
 from kelpstage.common.configuration.validation import read_configuration
 from kelpstage.common.errors.base import KelpstageError as RootError
 from kelpstage.common.errors.validation import InvalidField
@@ -65,10 +65,10 @@
 
 FIXTURES = pathlib.Path(__file__).parent / "fixtures" / "v0.1.0"
 PROJECT_FILE = pathlib.Path(__file__).parent.parent / "pyproject.toml"
-CORE_FOLDERS = ("core-run", "core-steps")
-NOOP, MEMBERSHIP, COMMAND = 0, 1, 2  # kinds of log entries, as they stand in the files
+DATA_FOLDERS = ("core-run", "core-steps")
+NOOP, MEMBERSHIP, COMMAND = 0, 1, 2  # kinds of log entries, as stored in the files
 CHANNELS = (0, 1, 2)
-FREE_LISTS = ("events", "records")  # of replies: their rows differ from one to the next
+MIXED_LISTS = ("events", "records")  # lists in replies whose rows have different fields
 
 COMMAND_LINES = {
     "kelpd": edge_cli,
@@ -91,7 +91,7 @@
 Json = dict[str, Any]
 
 
-# --- attributes and calls of the product ---------------------------------------------------
+# --- access to the product -----------------------------------------------------------------
 
 
 def load_json(*, name: str) -> Any:
@@ -99,15 +99,15 @@
 
 
 async def open_store(*, folder: pathlib.Path) -> tuple[Store, Any]:
-    """The store over a data folder, and what it recovers."""
+    """Return the store of a data folder, and the data that it recovers."""
     store = Store(ports=live_ports(data_folder=str(folder)))
     identity = await store.read_identity()
     recovered = await store.recover(identity=identity)
     return store, recovered
 
 
-def machine_of(*, recovered: Any) -> Machine:
-    """The state machine as the snapshot has it, without the log's entries."""
+def state_machine_of(*, recovered: Any) -> Machine:
+    """Return the state machine as of the snapshot, before the entries of the log."""
     state = None
     if recovered.snapshot is not None:
         state = CoreState().parse(recovered.snapshot.state)
@@ -115,59 +115,59 @@
 
 
 def contents_of(*, recovered: Any) -> Json:
-    """All that a data folder holds, with every entry applied."""
-    machine = machine_of(recovered=recovered)
+    """Return all contents of a data folder, with every log entry applied."""
+    machine = state_machine_of(recovered=recovered)
     entries = [entry_row(entry=entry, machine=machine) for entry in recovered.log.entries]
     return {
-        "identity": by_number(message=recovered.identity),
+        "identity": fields_by_number(message=recovered.identity),
         "term": recovered.term,
         "vote": recovered.vote,
         "base_index": recovered.log.base_index,
         "base_term": recovered.log.base_term,
         "last_index": recovered.log.last_index,
         "last_term": recovered.log.last_term,
-        "snapshot": by_number(message=recovered.snapshot),
+        "snapshot": fields_by_number(message=recovered.snapshot),
         "entries": entries,
-        "state": by_number(message=machine.state),
+        "state": fields_by_number(message=machine.state),
         "document_sha256": hashlib.sha256(machine.state.document).hexdigest(),
-        "installed_by_edges": by_number(message=machine.doc()),
+        "installed_by_edges": fields_by_number(message=machine.doc()),
     }
 
 
 def entry_row(*, entry: Any, machine: Machine) -> Json:
-    """A log entry and what it does: the new members, or the outcome of its command."""
-    row: Json = {"entry": by_number(message=entry)}
+    """Return a log entry and its effect: the new members, or the outcome of its command."""
+    row: Json = {"entry": fields_by_number(message=entry)}
     if entry.kind == MEMBERSHIP:
-        row["members"] = [by_number(message=one) for one in read_members(data=entry.data)]
+        row["members"] = [fields_by_number(message=one) for one in read_members(data=entry.data)]
     if entry.kind == COMMAND:
         row["outcome"] = outcome_row(outcome=machine.apply(data=entry.data))
     return row
 
 
 def outcome_row(*, outcome: Any) -> list[Any]:
-    """What an outcome is, and its numbers in order; the wording of a reason may change."""
+    """Return the name of an outcome and its numbers in order; the text of a reason may change."""
     values = dataclasses.astuple(outcome)
     return [OUTCOMES[type(outcome)], *(one for one in values if not isinstance(one, str))]
 
 
 def read_frame(*, data: bytes, channel: int) -> tuple[Any, Any]:
-    """A frame's head and its message."""
-    head = frames.read_head(data=data[: frames.HEAD.size], channel=channel, address="a")
-    return head, frames.read_body(head=head, data=data[frames.HEAD.size :], address="a")
+    """Return the header and the message of a frame."""
+    header = frames.read_header(data=data[: frames.HEADER.size], channel=channel, address="a")
+    return header, frames.read_body(header=header, data=data[frames.HEADER.size :], address="a")
 
 
 def error_kinds() -> dict[str, type[RootError]]:
-    """The errors of the product by the tag that callers see."""
+    """Return the error classes of the product by their public tag."""
     return {kind.__new__(kind).kind: kind for kind in leaf_classes(root=RootError)}
 
 
 def settings_row(*, settings: Any) -> Any:
-    """Settings as JSON has them."""
+    """Return settings as JSON values."""
     return dataclasses.asdict(settings) if dataclasses.is_dataclass(settings) else settings
 
 
 async def fetch(*, fleet: SimFleet, request: Json) -> HttpReply:
-    """Send a request of the fixture to an edge or a core of the fleet."""
+    """Send a request from the fixture to an edge or a core of the fleet."""
     name = sorted(fleet.core_address)[0]
     hosts = {
         "edge": fleet.edge_http[name],
@@ -188,39 +188,39 @@
     )
 
 
-# --- comparing without names -----------------------------------------------------------------
+# --- comparison without names ----------------------------------------------------------------
 
 
 def field_number(field: dataclasses.Field) -> int:
     return bp.FieldMetadata.get(field).number
 
 
-def by_number(*, message: Any) -> Json:
-    """The fields that differ from their defaults, keyed by number."""
+def fields_by_number(*, message: Any) -> Json:
+    """Return the fields that differ from their defaults, by number."""
     fields = sorted(dataclasses.fields(message), key=field_number)
     values = {str(field_number(field)): getattr(message, field.name) for field in fields}
-    return {number: plain(value=value) for number, value in values.items() if is_set(value=value)}
+    return {number: to_json(value=value) for number, value in values.items() if is_set(value=value)}
 
 
 def is_set(*, value: Any) -> bool:
     if isinstance(value, bp.Message):
-        return bool(by_number(message=value))
+        return bool(fields_by_number(message=value))
     return bool(value)
 
 
-def plain(*, value: Any) -> Any:
-    """A field's value as JSON has it; bytes are told from text."""
+def to_json(*, value: Any) -> Any:
+    """Return the value of a field as JSON; bytes are distinguished from text."""
     if isinstance(value, bp.Message):
-        return by_number(message=value)
+        return fields_by_number(message=value)
     if isinstance(value, bytes):
         return {"hex": value.hex()}
     if isinstance(value, list):
-        return [plain(value=one) for one in value]
+        return [to_json(value=one) for one in value]
     return value
 
 
 def leaf_classes(*, root: type) -> Iterator[type]:
-    """The product's classes under a root that have no subclasses themselves."""
+    """Yield the product's subclasses of a class that have no subclasses themselves."""
     subclasses = [kind for kind in root.__subclasses__() if kind.__module__.startswith("kelpstage")]
     for kind in subclasses:
         yield from leaf_classes(root=kind)
@@ -229,7 +229,7 @@
 
 
 def options_of(*, app: typer.Typer) -> dict[str, Json]:
-    """What each command of a command line takes; "" is a program's only command."""
+    """Return the parameters of each command; a program without subcommands has the command ""."""
     root = typer.main.get_command(app)
     commands = getattr(root, "commands", {"": root})
     return {name: parameters_of(command=command) for name, command in commands.items()}
@@ -242,7 +242,7 @@
 
 
 def reply_row(*, reply: HttpReply) -> Json:
-    """What callers may rely on in a reply: status, names of headers and of the JSON's fields."""
+    """Return the stable part of a reply: its status and the names of headers and JSON fields."""
     row: Json = {"status": reply.status, "headers": sorted(name.lower() for name in reply.headers)}
     body = json.loads(reply.body)
     row["fields"] = sorted(body)
@@ -250,7 +250,7 @@
         error = body[row["fields"][0]]
         row["error"] = {"kind": error["kind"], "fields": sorted(error)}
         return row
-    lists = {name: rows for name, rows in body.items() if name not in FREE_LISTS}
+    lists = {name: rows for name, rows in body.items() if name not in MIXED_LISTS}
     row["rows"] = {name: row_fields(rows=rows) for name, rows in lists.items() if is_rows(rows)}
     return row
 
@@ -264,7 +264,7 @@
 
 
 def backend_call(*, call: HttpCall) -> Json:
-    """What backends may rely on in a call, with the names of shards and records left out."""
+    """Return the stable part of a backend request, without the names of shards and records."""
     path = re.sub(r"(shards|records)/[^/]+", r"\1/*", call.url)
     names = {name.lower() for name in call.headers} - {SENDER_HEADER.lower()}
     return {"method": call.method, "path": path, "headers": sorted(names)}
@@ -273,21 +273,21 @@
 # --- tests -----------------------------------------------------------------------------------
 
 
-class DataFolder(unittest.TestCase):
+class DataFolderCompatibility(unittest.TestCase):
     def copy_of(self, *, name: str) -> pathlib.Path:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         return pathlib.Path(shutil.copytree(FIXTURES / name, pathlib.Path(folder.name) / "data"))
 
-    def test_everything_in_the_folder_is_read(self) -> None:
-        for name in CORE_FOLDERS:
+    def test_all_data_in_the_folder_is_read(self) -> None:
+        for name in DATA_FOLDERS:
             with self.subTest(folder=name):
                 _, recovered = asyncio.run(open_store(folder=self.copy_of(name=name)))
                 expected = load_json(name=f"{name}.expected.json")
                 self.assertEqual(expected, contents_of(recovered=recovered))
 
-    def test_the_state_is_written_as_before(self) -> None:
-        for name in CORE_FOLDERS:
+    def test_the_state_is_encoded_unchanged(self) -> None:
+        for name in DATA_FOLDERS:
             with self.subTest(folder=name):
                 _, recovered = asyncio.run(open_store(folder=self.copy_of(name=name)))
                 state = recovered.snapshot.state
@@ -295,10 +295,10 @@
                 path = next((FIXTURES / name / "snapshots").iterdir())
                 self.assertTrue(path.read_bytes().endswith(bytes(recovered.snapshot)))
 
-    def test_a_repeated_order_gets_the_outcome_that_it_had(self) -> None:
-        for name in CORE_FOLDERS:
+    def test_a_repeated_write_gets_its_first_outcome(self) -> None:
+        for name in DATA_FOLDERS:
             _, recovered = asyncio.run(open_store(folder=self.copy_of(name=name)))
-            machine = machine_of(recovered=recovered)
+            machine = state_machine_of(recovered=recovered)
             for entry in recovered.log.entries:
                 if entry.kind == COMMAND:
                     machine.apply(data=entry.data)
@@ -311,14 +311,14 @@
                     self.assertEqual(row["outcome"], outcome_row(outcome=outcome))
             self.assertEqual(before, bytes(machine.state))
 
-    def test_the_configuration_in_force_is_still_a_good_one(self) -> None:
+    def test_the_current_configuration_is_still_valid(self) -> None:
         state = load_json(name="core-run.expected.json")["state"]
         document = bytes.fromhex(state["4"]["hex"])
-        judged = read_configuration(data=document, version=state["3"])
-        self.assertIsInstance(judged, Configuration)
+        configuration = read_configuration(data=document, version=state["3"])
+        self.assertIsInstance(configuration, Configuration)
 
-    def test_the_folder_is_carried_on_with(self) -> None:
-        for name in CORE_FOLDERS:
+    def test_the_folder_accepts_new_entries(self) -> None:
+        for name in DATA_FOLDERS:
             with self.subTest(folder=name):
                 folder = self.copy_of(name=name)
                 expected = load_json(name=f"{name}.expected.json")
@@ -342,23 +342,23 @@
         return before, after
 
 
-class RecordedDay(unittest.TestCase):
+class RecordingCompatibility(unittest.TestCase):
     def setUp(self) -> None:
         self.data = (FIXTURES / "day.kday").read_bytes()
 
-    def test_every_kind_of_row_is_read_and_written_as_before(self) -> None:
+    def test_rows_of_every_kind_are_decoded_and_encoded_unchanged(self) -> None:
         rows = load_json(name="day.expected.json")["rows"]
         kinds = {"begin", "call", "put", "fault", "listed", "result"}
         self.assertEqual(kinds, {row["what"] for row in rows})
         self.assertEqual(rows, read_day(path="day", data=self.data))
         self.assertEqual(self.data, DAY_HEAD + b"".join(pack_row(row=row) for row in rows))
 
-    def test_a_torn_day_is_read_up_to_its_last_whole_row(self) -> None:
+    def test_a_truncated_recording_is_read_up_to_its_last_complete_row(self) -> None:
         rows = load_json(name="day.expected.json")["rows"]
-        torn = self.data[:-1]
-        self.assertEqual(rows[:-1], read_day(path="day", data=torn, is_torn_tail_fine=True))
+        truncated = self.data[:-1]
+        self.assertEqual(rows[:-1], read_day(path="day", data=truncated, is_torn_tail_fine=True))
 
-    def test_the_program_shows_the_day_as_before(self) -> None:
+    def test_the_output_of_show_is_unchanged(self) -> None:
         for name in ("day.kday", "results.kday"):
             with self.subTest(file=name):
                 shown = CliRunner().invoke(replay_cli, ["show", str(FIXTURES / name)])
@@ -367,45 +367,45 @@
                 self.assertEqual(expected, json.loads(shown.stdout))
 
 
-class Wire(unittest.TestCase):
-    def test_messages_have_the_numbers_that_they_had(self) -> None:
+class WireCompatibility(unittest.TestCase):
+    def test_message_numbers_are_unchanged(self) -> None:
         expected = {int(number) for number in load_json(name="frames.json")["frames"]}
         self.assertEqual(expected, set(TYPES))
 
-    def test_every_frame_is_read_and_written_as_before(self) -> None:
+    def test_frames_are_decoded_and_encoded_unchanged(self) -> None:
         for number, row in load_json(name="frames.json")["frames"].items():
             with self.subTest(number=number):
                 data = bytes.fromhex(row["hex"])
-                head, message = read_frame(data=data, channel=row["lane"])
+                header, message = read_frame(data=data, channel=row["lane"])
                 self.assertIs(TYPES[int(number)], type(message))
                 self.assertEqual(
                     (int(number), row["flag"], row["mark"]),
-                    (head.number, head.flag, head.correlation_id),
+                    (header.number, header.flag, header.correlation_id),
                 )
-                self.assertEqual(row["fields"], by_number(message=message))
+                self.assertEqual(row["fields"], fields_by_number(message=message))
                 self.assertEqual(
                     data, frames.pack(message=message, flag=row["flag"], correlation_id=row["mark"])
                 )
 
-    def test_connections_begin_as_before(self) -> None:
+    def test_prefaces_are_unchanged(self) -> None:
         expected = load_json(name="frames.json")["prefaces"]
         self.assertEqual(expected, [frames.preface(channel=channel).hex() for channel in CHANNELS])
 
-    def test_gossip_datagrams_are_read_and_written_as_before(self) -> None:
+    def test_gossip_datagrams_are_decoded_and_encoded_unchanged(self) -> None:
         row = load_json(name="gossip.json")
         data = bytes.fromhex(row["hex"])
         self.assertTrue(data.startswith(GOSSIP_MAGIC))
         message = GossipMsg().parse(data[len(GOSSIP_MAGIC) :])
-        self.assertEqual(row["fields"], by_number(message=message))
+        self.assertEqual(row["fields"], fields_by_number(message=message))
         self.assertEqual(data, GOSSIP_MAGIC + bytes(message))
         for member in row["members"]:
             packed = bytes.fromhex(member["hex"])
             parsed = MemberMsg().parse(packed)
-            self.assertEqual(member["fields"], by_number(message=parsed))
+            self.assertEqual(member["fields"], fields_by_number(message=parsed))
             self.assertEqual(packed, bytes(parsed))
 
-    def test_differences_are_applied_as_before(self) -> None:
-        """What packs them may come to other bytes, so those are not compared."""
+    def test_deltas_of_the_old_version_are_applied(self) -> None:
+        """The encoder may produce other bytes for a delta, so these are not compared."""
         for row in load_json(name="deltas.json"):
             with self.subTest(case=row["case"]):
                 base, target = bytes.fromhex(row["base"]), bytes.fromhex(row["whole"])
@@ -414,7 +414,7 @@
                 again = pack_delta(base=base, target=target)
                 self.assertEqual(target, apply_delta(base=base, delta=again))
 
-    def test_values_in_chunks_are_put_together_as_before(self) -> None:
+    def test_chunked_values_are_decoded_and_encoded_unchanged(self) -> None:
         for name, row in load_json(name="chunks.json").items():
             with self.subTest(value=name):
                 chunks = [
@@ -426,19 +426,19 @@
                 self.assertEqual({len(packed)}, {chunk.total for chunk in chunks})
                 target = apply_delta(base=b"", delta=packed)
                 message = ENCODED_MESSAGES[name]().parse(target)
-                self.assertEqual(row["fields"], by_number(message=message))
+                self.assertEqual(row["fields"], fields_by_number(message=message))
                 self.assertEqual(target, bytes(message))
 
 
-KINDS_SINCE = ("caller_gone",)  # added after 0.1.0; none is ever taken away
+KINDS_ADDED_SINCE = ("caller_gone",)  # added after 0.1.0; kinds are never removed
 
 
-class PublicErrors(unittest.TestCase):
-    def test_the_kinds_are_those_of_before(self) -> None:
+class ErrorCompatibility(unittest.TestCase):
+    def test_error_kinds_are_unchanged(self) -> None:
         expected = [row["kind"] for row in load_json(name="errors.json")]
-        self.assertEqual(sorted([*expected, *KINDS_SINCE]), sorted(error_kinds()))
+        self.assertEqual(sorted([*expected, *KINDS_ADDED_SINCE]), sorted(error_kinds()))
 
-    def test_each_is_reported_to_callers_as_before(self) -> None:
+    def test_error_replies_are_unchanged(self) -> None:
         kinds = error_kinds()
         for row in load_json(name="errors.json"):
             with self.subTest(kind=row["kind"]):
@@ -449,7 +449,7 @@
                 self.assertEqual(row["body"].encode(), reply.body)
 
     def error_from(self, *, kind: type[RootError], body: str) -> RootError:
-        """An error from the values in its reply, which stand in the order of its fields."""
+        """Build an error from the values in its reply, which are in the order of its fields."""
         [values] = json.loads(body).values()
         del values["kind"]
         if "faults" in values:
@@ -463,36 +463,36 @@
         return kind(**dict(zip(names, values.values(), strict=True)))
 
 
-# Fields added after 0.1.0 to what cores say of the membership; none is ever taken away.
-MEMBERSHIP_FIELDS_SINCE = ("is_settled",)
-EDGE_FIELDS_SINCE = ("has_left", "is_voting")
-EDGES_IN = {"/v1/roster": "edges", "/v1/status": "roster"}
+# Membership fields added to replies of cores after 0.1.0; fields are never removed.
+MEMBERSHIP_FIELDS_ADDED_SINCE = ("is_settled",)
+EDGE_FIELDS_ADDED_SINCE = ("has_left", "is_voting")
+EDGE_LISTS = {"/v1/roster": "edges", "/v1/status": "roster"}
 
 
-def with_fields_since(*, row: Json) -> Json:
-    """The reply that is expected now: the one of 0.1.0 with the fields added since."""
+def with_added_fields(*, row: Json) -> Json:
+    """Return the expected reply: that of 0.1.0 with the fields added since."""
     reply = row["reply"]
-    rows_name = EDGES_IN.get(row["request"]["path"])
+    rows_name = EDGE_LISTS.get(row["request"]["path"])
     if rows_name is None or rows_name not in reply.get("rows", {}):
         return reply
-    edge_fields = sorted([*reply["rows"][rows_name], *EDGE_FIELDS_SINCE])
+    edge_fields = sorted([*reply["rows"][rows_name], *EDGE_FIELDS_ADDED_SINCE])
     return reply | {
-        "fields": sorted([*reply["fields"], *MEMBERSHIP_FIELDS_SINCE]),
+        "fields": sorted([*reply["fields"], *MEMBERSHIP_FIELDS_ADDED_SINCE]),
         "rows": reply["rows"] | {rows_name: edge_fields},
     }
 
 
-class PublicHttp(unittest.TestCase):
-    def test_paths_headers_and_fields_are_those_of_before(self) -> None:
+class HttpCompatibility(unittest.TestCase):
+    def test_paths_headers_and_fields_are_unchanged(self) -> None:
         expected = load_json(name="http.json")
         replies: list[Json] = []
         backend_calls: list[Json] = []
         answer = StandIn.answer
 
-        async def note_and_answer(backend: StandIn, call: HttpCall) -> Any:
-            noted = backend_call(call=call)
-            if noted not in backend_calls and "/shards/" in noted["path"]:
-                backend_calls.append(noted)
+        async def record_and_answer(backend: StandIn, call: HttpCall) -> Any:
+            stable_part = backend_call(call=call)
+            if stable_part not in backend_calls and "/shards/" in stable_part["path"]:
+                backend_calls.append(stable_part)
             return await answer(backend, call)
 
         async def scenario(fleet: SimFleet) -> None:
@@ -500,17 +500,17 @@
             for row in expected["requests"]:
                 replies.append(reply_row(reply=await fetch(fleet=fleet, request=row["request"])))
 
-        with mock.patch.object(StandIn, "answer", note_and_answer):
+        with mock.patch.object(StandIn, "answer", record_and_answer):
             run_sim(seed=11, deployment=load_deployment(name="tiny"), scenario=scenario)
         for row, reply in zip(expected["requests"], replies, strict=True):
             request = row["request"]
             with self.subTest(to=request["to"], method=request["method"], path=request["path"]):
-                self.assertEqual(with_fields_since(row=row), reply)
+                self.assertEqual(with_added_fields(row=row), reply)
         self.assertCountEqual(expected["backend_calls"], backend_calls)
 
 
-class UsersSettings(unittest.TestCase):
-    def test_settings_files_are_accepted_as_before(self) -> None:
+class SettingsCompatibility(unittest.TestCase):
+    def test_settings_files_are_still_accepted(self) -> None:
         for program, form in SETTINGS_FORMS.items():
             for extent in ("full", "minimal"):
                 with self.subTest(program=program, extent=extent):
@@ -518,18 +518,18 @@
                     settings = read_settings_file(file=str(FIXTURES / name), flags={}, form=form)
                     self.assertEqual(load_json(name=name), settings_row(settings=settings))
 
-    def test_a_key_that_was_never_known_is_refused_with_its_path(self) -> None:
+    def test_an_unknown_key_is_rejected_with_its_path(self) -> None:
         for program, form in SETTINGS_FORMS.items():
             with self.subTest(program=program):
                 name = FIXTURES / f"settings-{program}-minimal.json"
-                refused = read_settings_file(file=str(name), flags={"no_such_key": 1}, form=form)
-                self.assertEqual(["no_such_key"], [fault.path for fault in refused.faults])
+                rejected = read_settings_file(file=str(name), flags={"no_such_key": 1}, form=form)
+                self.assertEqual(["no_such_key"], [fault.path for fault in rejected.faults])
 
-    def test_header_names_have_the_keys_and_defaults_of_before(self) -> None:
+    def test_keys_and_defaults_of_header_names_are_unchanged(self) -> None:
         expected = load_json(name="header-names.json")
         self.assertEqual(expected, dataclasses.asdict(HeaderNames()))
 
-    def test_command_lines_take_the_options_that_they_took(self) -> None:
+    def test_command_line_options_are_still_accepted(self) -> None:
         for program, commands in load_json(name="options.json").items():
             present = options_of(app=COMMAND_LINES[program])
             for command, expected in commands.items():
@@ -538,6 +538,6 @@
                     self.assertEqual(set(), missing)
                     self.assertEqual(expected["arguments"], present[command]["arguments"])
 
-    def test_the_programs_have_the_names_that_they_had(self) -> None:
+    def test_program_names_are_unchanged(self) -> None:
         scripts = tomllib.loads(PROJECT_FILE.read_text())["project"]["scripts"]
         self.assertEqual(set(), set(COMMAND_LINES) - set(scripts))
