--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -1,4 +1,4 @@
-"""An edge process: the composition root of its tasks, and how they tell each other."""
+"""An edge process: builds and starts its tasks and connects their callbacks."""
 
 from __future__ import annotations
 
@@ -36,21 +36,21 @@
 from kelpstage.edge.lease.task import LeaseTask
 from kelpstage.edge.metrics import edge_families
 from kelpstage.edge.timelines import Timelines
-from kelpstage.edge.views import Searches
+from kelpstage.edge.views import SearchStatistics
 from kelpstage.edge.web.callers import serve_callers
 from kelpstage.edge.web.forward import serve_forwarded
 from kelpstage.edge.web.interfaces import ServeCall
 
-BODY_LIMIT = 1024 * 1024  # bytes
-LINGER_US = 2_500_000  # a leaving edge still takes requests for so long
-GRACE_US = 5_500_000  # a leaving edge ends what is in flight within so long
-LOOK_US = 50_000
+MAX_BODY_BYTES = 1024 * 1024
+SHUTDOWN_ACCEPT_US = 2_500_000  # a leaving edge still accepts requests for this long
+SHUTDOWN_GRACE_US = 5_500_000  # limit for requests in flight, from the start of the shutdown
+SHUTDOWN_POLL_US = 50_000
 
 
 class Edge:
-    """One `kelpstage-edge`: the composition root of its tasks, and how they tell each other.
+    """One `kelpstage-edge` process: owns its tasks and connects their callbacks.
 
-    `open` starts it; `stop` ends it as planned.
+    `open` starts it; `stop` shuts it down gracefully.
     """
 
     def __init__(
@@ -61,8 +61,8 @@
         lists: Any = None,
         serve: ServeCall = serve_callers,
     ) -> None:
-        """`lists` reads pages of the list of backends, `serve` answers at the own
-        interface (a deployment may put words of its own before it)."""
+        """`lists` reads pages of the endpoint list; `serve` handles calls at the HTTP
+        interface, so that a deployment can add paths of its own to it."""
         self.ports = ports
         self.settings = settings
         self.lists = lists
@@ -77,22 +77,22 @@
         self.is_leaving = False
         self._last_refusal: str | None = "starting"
         self._listeners: list[Listener] = []
-        self.platform: AddressPollTask | None = None
+        self.address_poll: AddressPollTask | None = None
         self.discovery: DiscoveryTask | None = None
         self.day: DayWriter | None = None
         self._build_journals()
         self._build_transport()
         self._build_state()
 
-    # --- building -------------------------------------------------------------------
+    # --- construction -------------------------------------------------------------------
 
     def _build_journals(self) -> None:
         now = self.ports.clock.now_us
         self.journal = Journal(now=now)
-        self.searches = Searches()
+        self.searches = SearchStatistics()
         self.journal.view(fold=self.searches.fold)
         self.timelines = Timelines()
-        self.trace = Journal(now=now, limit=1)  # its view is what is kept
+        self.trace = Journal(now=now, limit=1)  # only its view, the timelines, is read
         self.trace.view(fold=self.timelines.fold)
 
     def _build_transport(self) -> None:
@@ -108,7 +108,7 @@
         self.registry = BackendRegistry(me=self.name, zone_distances=zone_distances)
         self.swim = build_swim(settings=settings, ports=ports, incarnation=self.incarnation)
         self.swim.is_near = lambda zone: zone_distances.is_same_region(zone=zone)
-        self.swim.on_silent = self._on_silent
+        self.swim.on_silent = self._on_missed_ack
         self.swim.on_ack = self._on_ack
         self.gather_context = build_gather_context(
             settings=settings,
@@ -120,10 +120,10 @@
             trace=self.trace,
         )
 
-    # --- opening --------------------------------------------------------------------
+    # --- start --------------------------------------------------------------------
 
     async def open(self) -> KelpstageError | None:
-        """Open every listener, then look for peers and a lease."""
+        """Open all listeners, then start the tasks that find peers and acquire a lease."""
         self._start_gossip()
         self._start_gather()
         for error in (await self.server.open(), await self.gossip.open()):
@@ -136,7 +136,7 @@
         await self._start_metrics()
         self._start_leases()
         self._start_health_checks()
-        self._start_platform()
+        self._start_address_poll()
         self._start_discovery()
         return None
 
@@ -148,7 +148,7 @@
             registry=self.registry,
             address=self.own,
             counts=self.counts,
-            refresh=self._refresh,
+            refresh=self._refresh_status,
             has_backends=lambda: bool(self.lease_holder.configuration.backends),
         )
 
@@ -163,11 +163,11 @@
         )
 
     async def _open_http(self) -> KelpstageError | None:
-        """Listen for callers, and for clients whose requests are forwarded."""
+        """Open the HTTP interfaces for callers and, where one is set, for forwarded requests."""
         outcome = await self.ports.net.serve_http(
             address=self.http,
             on_call=lambda call: self._serve(edge=self, call=call),
-            body_limit=BODY_LIMIT,
+            body_limit=MAX_BODY_BYTES,
             is_cancelling=True,
         )
         if isinstance(outcome, KelpstageError):
@@ -178,13 +178,13 @@
         outcome = await self.ports.net.serve_http(
             address=self.settings["front"],
             on_call=lambda call: serve_forwarded(edge=self, call=call),
-            body_limit=BODY_LIMIT,
+            body_limit=MAX_BODY_BYTES,
             limits=self._caller_limits,
             is_cancelling=True,
         )
         if isinstance(outcome, KelpstageError):
             return outcome
-        self._listeners.insert(0, outcome)  # the first to be closed
+        self._listeners.insert(0, outcome)  # closed first
         return None
 
     def _start_recording(self) -> None:
@@ -193,7 +193,7 @@
             self.day = DayWriter(ports=self.ports, path=name, counts=self.counts)
 
     async def _start_metrics(self) -> None:
-        """Tell the own figures at an address of their own, where one is set."""
+        """Serve metrics at a separate address, where one is set."""
         if self.settings.get("metrics"):
             listener = await open_metrics_listener(
                 ports=self.ports,
@@ -216,7 +216,7 @@
         )
 
     def _start_health_checks(self) -> None:
-        self.probes = HealthCheckTask(
+        self.health_checks = HealthCheckTask(
             ports=self.ports,
             registry=self.registry,
             lease_holder=self.lease_holder,
@@ -226,21 +226,21 @@
             counts=self.counts,
         )
 
-    def _start_platform(self) -> None:
-        """Poll the platform for the backends' addresses, where there is one."""
+    def _start_address_poll(self) -> None:
+        """Poll the platform for the backends' addresses, where its address is set."""
         if not self.settings.get("platform"):
             return
-        self.platform = AddressPollTask(
+        self.address_poll = AddressPollTask(
             ports=self.ports,
             url=self.settings["platform"],
             registry=self.registry,
             on_changed=self._on_backend_changed,
-            on_addresses=self._declare,
-            check_soon=lambda name, is_new: self.probes.check_soon(name=name, is_new=is_new),
+            on_addresses=self._apply_configuration,
+            check_soon=lambda name, is_new: self.health_checks.check_soon(name=name, is_new=is_new),
         )
 
     def _start_discovery(self) -> None:
-        """Read the list of backends, where there is one."""
+        """Read the endpoint list and check ejected instances, where a list is set."""
         if not self.settings.get("list"):
             return
         self.discovery = DiscoveryTask(
@@ -255,7 +255,7 @@
             on_changed=self._on_instances_changed,
             calls_per_s=self.settings["list"].get("calls_per_s", 0.0),
         )
-        self.suspects = EjectedCheckTask(
+        self.ejected_checks = EjectedCheckTask(
             ports=self.ports,
             registry=self.registry,
             me=self.name,
@@ -269,7 +269,7 @@
         return await handle(message, self, source)
 
     def _caller_limits(self) -> HttpLimits:
-        """What a client may send just now, and how long it may take over it."""
+        """The size and time limits for clients' requests under the current configuration."""
         limits = self.lease_holder.configuration.limits
         if limits is None:
             return HttpLimits()
@@ -281,15 +281,15 @@
         )
 
     def reread(self, *, settings: dict[str, Any]) -> None:
-        """Take over what may change in the settings of a running edge: its seeds."""
+        """Apply the settings that may change while an edge runs: its seeds."""
         if list(settings["seeds"]) != list(self.settings["seeds"]):
             self.leases.use_seeds(seeds=settings["seeds"])
         self.settings = settings
 
-    # --- how the tasks tell each other ---------------------------------------------
+    # --- callbacks between the tasks -----------------------------------------------
 
     def refusal(self) -> str:
-        """Why this edge is not ready; empty if it is."""
+        """The reason why this edge is not ready; empty if it is."""
         if self.is_leaving:
             return "leaving"
         refusal = self.lease_holder.refusal(now_us=self.ports.clock.now_us())
@@ -297,7 +297,7 @@
             return "the list of backends is not known yet"
         return refusal
 
-    def _refresh(self) -> None:
+    def _refresh_status(self) -> None:
         refusal = self.refusal()
         me = self.swim.me
         me.load = len(self.gather.table)
@@ -309,27 +309,27 @@
             self._last_refusal = refusal
             self.journal.add(ServingChanged(is_serving=not refusal, why=refusal))
 
-    def _declare(self) -> None:
-        listed = self.platform.addresses() if self.platform else {}
+    def _apply_configuration(self) -> None:
+        listed = self.address_poll.addresses() if self.address_poll else {}
         self.registry.declare(configuration=self.lease_holder.configuration, listed=listed)
 
     def _on_installed(self) -> None:
-        self._declare()
+        self._apply_configuration()
         self.gather.inbox.put_nowait(ConfigurationMoved())
-        self._refresh()
+        self._refresh_status()
 
     def _on_want_state(self, want: WantState) -> None:
-        """A request needs a newer configuration: fetch it from the node that has it."""
+        """Fetch the newer configuration that a request needs from the node that has it."""
         member = self.swim.members.get(want.source)
         self.leases.fetch_soon(first=member.info.address if member else want.source)
 
-    def _on_silent(self, name: str) -> None:
-        """A peer gave gossip no direct ack: it is not to be a helper for a while."""
+    def _on_missed_ack(self, name: str) -> None:
+        """Record a missed gossip ack: the peer is not chosen as a helper for a while."""
         self.gather_context.now_us = self.ports.clock.now_us()
         self.gather_context.note_silent(name=name)
 
     def _on_ack(self, name: str, took_us: int) -> None:
-        """A peer gave gossip an ack, after this round trip."""
+        """Record a gossip ack of a peer and its round-trip time."""
         self.gather_context.note_reply(name=name)
         self.gather_context.note_distance(name=name, took_us=took_us)
         member = self.swim.members.get(name)
@@ -348,8 +348,10 @@
         return declared.health_path if declared else ""
 
     def _on_instances_changed(self, names: list[str]) -> None:
-        """The list gave instances that came, went or began to drain; all edges learn it
-        from the list's own updates, so that gossip need not tell it."""
+        """Record instances that the endpoint list added, removed or marked as draining.
+
+        All edges receive updates of the list itself, so gossip does not spread the change.
+        """
         for name in names:
             entry = self.registry.entries[name]
             state = "gone" if entry.gone_us else STATE_NAMES[entry.state]
@@ -370,16 +372,16 @@
             )
         self.gossip.spread()
 
-    # --- end -----------------------------------------------------------------------------
+    # --- shutdown ------------------------------------------------------------------------
 
-    async def _finish(self, *, until_us: int) -> None:
-        """What is in flight ends before the process does."""
+    async def _wait_for_in_flight(self, *, until_us: int) -> None:
+        """Wait until no request is in flight, at most until the given time."""
         while len(self.gather.table) and self.ports.clock.now_us() < until_us:
-            await self.ports.clock.sleep(us=LOOK_US)
-        await self.ports.clock.sleep(us=LOOK_US)  # the last replies' bytes
+            await self.ports.clock.sleep(us=SHUTDOWN_POLL_US)
+        await self.ports.clock.sleep(us=SHUTDOWN_POLL_US)  # to send the last replies
 
     async def stop(self) -> None:
-        """Planned stop: not ready at once, still serving until callers are gone."""
+        """Shut down gracefully: report not ready at once, but serve until callers have moved."""
         clock = self.ports.clock
         self.is_leaving = True
         if self.discovery is not None:
@@ -388,12 +390,12 @@
         self.journal.add(Leaving())
         self.gossip.spread()
         started_us = clock.now_us()
-        await clock.sleep(us=LINGER_US)
+        await clock.sleep(us=SHUTDOWN_ACCEPT_US)
         for listener in self._listeners:
             listener.close()
-        await self._finish(until_us=started_us + GRACE_US)
+        await self._wait_for_in_flight(until_us=started_us + SHUTDOWN_GRACE_US)
         await self.leases.leave()
-        await self._finish(until_us=started_us + GRACE_US)
+        await self._wait_for_in_flight(until_us=started_us + SHUTDOWN_GRACE_US)
         if self.day is not None:
             await self.day.flush()
         self.server.close()
--- a/kelpstage/edge/composition.py
+++ b/kelpstage/edge/composition.py
@@ -1,4 +1,4 @@
-"""Building an edge's plain parts from its settings: no task, no connection."""
+"""Builds the passive parts of an edge from its settings; starts no task or connection."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.retries.budget import SERVICE_SLACK, SPAN_US, Budget
 
-ATTEMPT_NUMBER_BITS = 40  # attempts are counted from a number by lot
+ATTEMPT_NUMBER_BITS = 40  # attempt numbers start at a random number of this size
 
 
 def build_zone_distances(*, settings: dict[str, Any]) -> ZoneDistances:
-    """How far this edge's zone is from the others."""
+    """The distances from this edge's zone to the others."""
     bounds = settings.get("bounds", {})
     return ZoneDistances(
         zone=settings["domain"], region=bounds.get("region", ""), zones=bounds.get("zones", {})
@@ -27,7 +27,7 @@
 
 
 def build_swim(*, settings: dict[str, Any], ports: Ports, incarnation: int) -> Swim:
-    """The gossip state of this edge, which knows nobody yet."""
+    """The gossip state of this edge, with no peers yet."""
     return Swim(
         me=MemberMsg(
             name=settings["name"],
@@ -44,7 +44,7 @@
 
 
 def build_contact(*, settings: dict[str, Any], incarnation: int) -> EdgeContact:
-    """Where this edge is reached, as cores tell it to other edges."""
+    """The contact of this edge that cores send to other edges."""
     return EdgeContact(
         name=settings["name"],
         address=settings["own"],
@@ -55,7 +55,7 @@
 
 
 def build_budget(*, settings: dict[str, Any], ports: Ports) -> Budget:
-    """The budget out of which requests are sent a second time."""
+    """The retry budget of this edge."""
     bounds = settings.get("bounds", {})
     return Budget(
         ratio=bounds.get("retry_ratio"),
@@ -76,7 +76,7 @@
     journal: Journal,
     trace: Journal,
 ) -> GatherContext:
-    """What the stages of a request see of this edge."""
+    """The state of this edge that the stages of a request use."""
     return GatherContext(
         me=settings["name"],
         zone=settings["domain"],
--- a/kelpstage/edge/events.py
+++ b/kelpstage/edge/events.py
@@ -1,4 +1,4 @@
-"""What an edge writes into its journal; the class names stand in public JSON."""
+"""Events in an edge's journal; the class names are part of the public JSON."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServingChanged(Event):
-    """This edge became ready, or ceased to be."""
+    """This edge became ready or stopped being ready."""
 
     is_serving: bool
     why: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BadPart(Event):
-    """A backend's reply was refused as invalid."""
+    """A backend's reply was rejected as invalid."""
 
     backend: str
     shard: str
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SearchEnded(Event):
-    """A search came to its end at its root."""
+    """A search ended at its root."""
 
     collection: str
     version: int
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Restarted(Event):
-    """A search began again under a newer configuration."""
+    """A search was restarted under a newer configuration."""
 
     collection: str
     was: int
@@ -85,22 +85,22 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Leaving(Event):
-    """This edge was told to stop."""
+    """This edge began a graceful shutdown."""
 
 
-# --- what became of one search; these go to a journal of their own ----------------------
+# --- the course of one search; these events go to a separate journal --------------------
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SearchEvent(Event):
-    """Something that a search, or this node's part of it, came to."""
+    """The base class of events of one search, or of this node's part of it."""
 
     search: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Began(SearchEvent):
-    """A request arrived, or a part of one."""
+    """A request, or a part of one, arrived at this node."""
 
     part: str  # root, child or single
     collection: str
@@ -113,12 +113,12 @@
     """The tree of a search was chosen."""
 
     version: int
-    subtree: Any  # the tree from this node down; none for a single record
+    subtree: Any  # the tree from this node down; None for a single record
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OmissionSet(SearchEvent):
-    """The time was set after which late shards are left out."""
+    """The time was set after which late shards are omitted."""
 
     after_us: int
 
@@ -132,12 +132,12 @@
     backend: str
     window_us: int
     why: str
-    ranked: tuple[Any, ...]  # all backends of the shard as the choice saw them, best first
+    ranked: tuple[Any, ...]  # all backends of the shard as ranked for this attempt, best first
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AttemptRefused(SearchEvent):
-    """No backend was asked for a shard."""
+    """No attempt was sent for a shard."""
 
     shard: str
     why: str
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AttemptEnded(SearchEvent):
-    """An attempt came to its end."""
+    """An attempt ended."""
 
     shard: str
     number: int
@@ -156,7 +156,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ChildQueried(SearchEvent):
-    """A child was asked for its subtree."""
+    """A query for its subtree was sent to a child."""
 
     node: str
     shards: tuple[str, ...]
@@ -166,14 +166,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ChildLate(SearchEvent):
-    """A child let its window pass."""
+    """A child did not reply within its window."""
 
     node: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ChildEnded(SearchEvent):
-    """A child's query came to its end."""
+    """A query to a child ended."""
 
     node: str
     outcome: str
@@ -183,7 +183,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SearchRestarted(SearchEvent):
-    """A search began again under a newer configuration."""
+    """A search was restarted under a newer configuration."""
 
     was: int
     why: str
@@ -191,7 +191,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ended(SearchEvent):
-    """A request, or this node's part of one, came to its end."""
+    """A request, or this node's part of one, ended."""
 
     outcome: str
     shards_in: int
--- a/kelpstage/edge/handlers.py
+++ b/kelpstage/edge/handlers.py
@@ -1,4 +1,4 @@
-"""What an edge does with each message that other processes of the cluster send it."""
+"""Handlers for the messages that other processes of the cluster send to an edge."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 from kelpstage.edge.lease.task import LeaseTask
 from kelpstage.edge.timelines import Timelines, as_json
 
-RELAY_WAIT_US = 380_000
-LONGEST_GATHER_US = 120_000_000
+RELAY_TIMEOUT_US = 380_000
+MAX_GATHER_US = 120_000_000
 
 
-class HandlingEdge(Protocol):
-    """What the handlers need of the edge."""
+class MessageContext(Protocol):
+    """The attributes of an edge that the handlers use."""
 
     own: str
     incarnation: int
@@ -57,32 +57,32 @@
 
 
 @singledispatch
-async def handle(message: Any, edge: HandlingEdge, source: str) -> Any:
-    """Handle a message from the address `source`; gives the reply, if there is one."""
+async def handle(message: Any, edge: MessageContext, source: str) -> Any:
+    """Return the reply to a message from the address `source`; None if it has none."""
     edge.counts["line_unexpected_message"] += 1
     return None
 
 
 @handle.register
-async def handle_gather(message: Gather, edge: HandlingEdge, source: str) -> Gathered:
-    """Gather a subtree for the node above, hand up what was left out before, or drop it."""
+async def handle_gather(message: Gather, edge: MessageContext, source: str) -> Gathered:
+    """Gather a subtree for the parent, resume an earlier query of it, or cancel one."""
     if message.is_resumed and message.is_cancelled:
         edge.gather.cancel(root=message.root, ask_id=message.query_id)
-        return _nothing_more(message=message)
+        return _all_missing_reply(message=message)
     lease_holder = edge.lease_holder
     if lease_holder.cluster and message.cluster != lease_holder.cluster:
         return Gathered(is_stale=True, version=0)
-    message.wait_us = min(message.wait_us, LONGEST_GATHER_US)
-    message.due_us = min(message.due_us, LONGEST_GATHER_US)
+    message.wait_us = min(message.wait_us, MAX_GATHER_US)
+    message.due_us = min(message.due_us, MAX_GATHER_US)
     if message.is_resumed:
         outcome = await edge.gather.resume(root=message.root, ask_id=message.query_id)
-        return reply_of(outcome=outcome) if outcome else _nothing_more(message=message)
+        return reply_of(outcome=outcome) if outcome else _all_missing_reply(message=message)
     record = child_record(key=edge.gather.next_key(), ask=message, now_us=edge.ports.clock.now_us())
     outcome = await edge.gather.settle(record=record)
     return reply_of(outcome=outcome)
 
 
-def _nothing_more(*, message: Gather) -> Gathered:
+def _all_missing_reply(*, message: Gather) -> Gathered:
     return Gathered(
         version=message.version,
         missing=[MissingMsg(shard=s, cause="partner_lost") for s in message.subtree.shards],
@@ -90,8 +90,8 @@
 
 
 @handle.register
-async def handle_fetch_trace(message: FetchTrace, edge: HandlingEdge, source: str) -> Trace:
-    """Show what became of a search at this node."""
+async def handle_fetch_trace(message: FetchTrace, edge: MessageContext, source: str) -> Trace:
+    """Return the timeline of a search at this node."""
     timeline = edge.timelines.find(search=message.search)
     if timeline is None:
         return Trace(is_found=False)
@@ -100,9 +100,9 @@
 
 @handle.register
 async def handle_confirm_epoch(
-    message: ConfirmEpoch, edge: HandlingEdge, source: str
+    message: ConfirmEpoch, edge: MessageContext, source: str
 ) -> ConfirmEpochReply:
-    """Say which epoch is installed here, and learn of a newer one."""
+    """Report the epoch installed here, and start a fetch if the sender has a newer one."""
     lease_holder = edge.lease_holder
     if message.cluster == lease_holder.cluster:
         member = edge.swim.members.get(message.edge)
@@ -120,8 +120,8 @@
 
 
 @handle.register
-async def handle_fetch_members(message: FetchMembers, edge: HandlingEdge, source: str) -> Members:
-    """Give the member table to an edge of this cluster."""
+async def handle_fetch_members(message: FetchMembers, edge: MessageContext, source: str) -> Members:
+    """Return the member table to an edge of this cluster."""
     cluster = edge.lease_holder.cluster
     if message.cluster and cluster and message.cluster != cluster:
         return Members(cluster=cluster)
@@ -129,41 +129,45 @@
 
 
 @handle.register
-async def handle_announce(message: Announce, edge: HandlingEdge, source: str) -> None:
-    """Install a state that a core announces."""
+async def handle_announce(message: Announce, edge: MessageContext, source: str) -> None:
+    """Pass a state announced by a core on for installation."""
     edge.leases.on_announced(announce=message)
 
 
 @handle.register
-async def handle_fetch_state(message: FetchState, edge: HandlingEdge, source: str) -> Chunk:
-    """Give a piece of the installed state."""
+async def handle_fetch_state(message: FetchState, edge: MessageContext, source: str) -> Chunk:
+    """Return a chunk of the installed state."""
     return edge.leases.state_chunk(ask=message)
 
 
 @handle.register
-async def handle_endpoint_update(message: EndpointUpdate, edge: HandlingEdge, source: str) -> None:
-    """Take what another edge read of the list of backends."""
+async def handle_endpoint_update(
+    message: EndpointUpdate, edge: MessageContext, source: str
+) -> None:
+    """Apply an endpoint list update read by another edge."""
     if edge.discovery is not None:
         edge.discovery.take(update=message)
 
 
 @handle.register
 async def handle_fetch_endpoints(
-    message: FetchEndpoints, edge: HandlingEdge, source: str
+    message: FetchEndpoints, edge: MessageContext, source: str
 ) -> EndpointUpdate:
-    """Give what is known of the list of backends."""
+    """Return this edge's endpoint list; an empty update if it has none."""
     if edge.discovery is None:
         return EndpointUpdate()
     return edge.discovery.answer(ask=message)
 
 
 @handle.register
-async def handle_relay_renew(message: RelayRenew, edge: HandlingEdge, source: str) -> LeaseReply:
-    """Pass a renewal on to the leader, for an edge that can't reach it."""
-    # This node may know a newer leader than the one that the asker could not reach.
+async def handle_relay_renew(message: RelayRenew, edge: MessageContext, source: str) -> LeaseReply:
+    """Forward a renewal to the leader for an edge that cannot reach it."""
+    # This node may know a newer leader than the one that the sender could not reach.
     message.renew.relayed_by = edge.own
     reply = await edge.transport.call(
-        address=edge.leases.leader or message.target, message=message.renew, wait_us=RELAY_WAIT_US
+        address=edge.leases.leader or message.target,
+        message=message.renew,
+        wait_us=RELAY_TIMEOUT_US,
     )
     if isinstance(reply, KelpstageError):
         return LeaseReply(why=f"relay: {reply.kind}")
--- a/kelpstage/edge/main.py
+++ b/kelpstage/edge/main.py
@@ -16,14 +16,14 @@
 @app.command()
 def main(
     settings: Optional[str] = typer.Option(
-        None, "--settings", "--env", help="Settings file (JSON); flags go over it."
+        None, "--settings", "--env", help="Settings file (JSON); flags override it."
     ),
     name: Optional[str] = typer.Option(None, help="This node's name, the same after a restart."),
     zone: Optional[str] = typer.Option(
         None, "--zone", "--domain", help="The zone of this machine."
     ),
     own: Optional[str] = typer.Option(
-        None, help="IP:port for lines between processes (TCP) and gossip (UDP)."
+        None, help="IP:port for messages between processes (TCP) and gossip (UDP)."
     ),
     http: Optional[str] = typer.Option(None, help="IP:port for callers' HTTP."),
     seed: Optional[List[str]] = typer.Option(None, help="IP:port of a core; give it three times."),
@@ -35,10 +35,10 @@
     ),
     observer: Optional[bool] = typer.Option(
         None,
-        help="Does not vote: any number of machines like this one may go at one time.",
+        help="Does not vote: any number of such machines may fail or leave at the same time.",
     ),
     record: Optional[str] = typer.Option(
-        None, help="Folder for a record of the day (calls as they come), for kelpstage-replay."
+        None, help="Folder for a recording of incoming calls, for kelpstage-replay."
     ),
 ) -> None:
     """Run an edge node: it answers searches by gathering every shard in a tree."""
--- a/kelpstage/edge/metrics.py
+++ b/kelpstage/edge/metrics.py
@@ -1,7 +1,7 @@
-"""An edge's own figures, read from the owners of its state when they are asked for.
+"""Metrics of an edge, read from its live state when they are requested.
 
-Every name is explained in docs/metrics.md; `tests/test_metrics.py` holds page and code
-together.
+Every metric is described in docs/metrics.md; `tests/test_metrics.py` checks that the page
+and the code name the same ones.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from kelpstage.edge.gossip.members import STATUS_NAMES
 from kelpstage.edge.web.interfaces import ReportingEdge
 
-MICROS = 1_000_000
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 def edge_families(*, edge: ReportingEdge) -> Iterator[MetricFamily]:
-    """All figures of an edge."""
+    """All metric families of an edge."""
     yield from _request_families(edge=edge)
     yield from _stage_families(edge=edge)
     yield from _retry_families(edge=edge)
@@ -159,7 +159,9 @@
     yield MetricFamily.gauge(
         "kelpstage_configuration_age_seconds",
         "How long ago it was installed.",
-        (now_us - holder.installed_us) / MICROS if holder.configuration.version else 0,
+        (now_us - holder.installed_us) / MICROSECONDS_PER_SECOND
+        if holder.configuration.version
+        else 0,
     )
     yield MetricFamily.gauge("kelpstage_epoch", "Epoch that is installed.", holder.epoch)
     yield MetricFamily.gauge(
@@ -168,7 +170,7 @@
     yield MetricFamily.gauge(
         "kelpstage_lease_left_seconds",
         "What is left of this node's lease; 0 without one.",
-        max(0, holder.lease_until_us() - now_us) / MICROS,
+        max(0, holder.lease_until_us() - now_us) / MICROSECONDS_PER_SECOND,
     )
 
 
--- a/kelpstage/edge/timelines.py
+++ b/kelpstage/edge/timelines.py
@@ -1,7 +1,7 @@
-"""What was chosen for the newest searches, and why: folded from their events.
+"""Timelines of the newest searches: decisions, reasons and outcomes, folded from events.
 
-Bounded twice: the newest searches of any end, and beside them the newest that
-failed, were partial or were slow, which the ordinary ones would push out.
+Two bounded tables: the newest searches of any outcome, and the newest failed, partial or
+slow ones, which the complete and fast ones would otherwise evict.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from kelpstage.common.event_journal import Event
 from kelpstage.edge.events import Began, Ended, SearchEvent
 
-KEPT = 400
-MARKED_KEPT = 200
-EVENTS_AT_MOST = 300
+MAX_TIMELINES = 400
+MAX_NOTABLE_TIMELINES = 200
+MAX_EVENTS_PER_SEARCH = 300
 SLOW_US = 250_000
 
 
@@ -32,15 +32,15 @@
     left_out: int = 0
 
     @property
-    def is_marked(self) -> bool:
-        """Is it one that is looked for later?"""
+    def is_notable(self) -> bool:
+        """True for a search that ended failed, partial or slow; it is kept longer."""
         return self.ended is not None and (
             self.ended.outcome != "complete" or self.took_us >= SLOW_US
         )
 
 
 class Timelines:
-    """The newest searches by id.
+    """Timelines of the newest searches, by search id.
 
     >>> view = Timelines()
     >>> began = Began(search="n-1", part="root", collection="c", limit=None, time_left_us=9)
@@ -54,38 +54,38 @@
 
     def __init__(self) -> None:
         self._newest: OrderedDict[str, Timeline] = OrderedDict()
-        self._marked: OrderedDict[str, Timeline] = OrderedDict()
+        self._notable: OrderedDict[str, Timeline] = OrderedDict()
 
     def fold(self, at_us: int, event: Event) -> None:
-        """Take an event of the trace."""
+        """Add an event of the trace to its search's timeline."""
         if not isinstance(event, SearchEvent):
             return
         known = self._newest.get(event.search)
         if isinstance(event, Began) and known is None:
             begun = Timeline(search=event.search, began=event, began_us=at_us)
-            _keep(kept=self._newest, timeline=begun, limit=KEPT)
+            _insert_bounded(kept=self._newest, timeline=begun, limit=MAX_TIMELINES)
             return
         timeline = self.find(search=event.search)
         if timeline is None:
             return
-        if len(timeline.events) < EVENTS_AT_MOST:
+        if len(timeline.events) < MAX_EVENTS_PER_SEARCH:
             timeline.events.append((at_us, event))
         else:
             timeline.left_out += 1
         if isinstance(event, Ended):
             timeline.ended, timeline.took_us = event, at_us - timeline.began_us
-            if timeline.is_marked:
-                _keep(kept=self._marked, timeline=timeline, limit=MARKED_KEPT)
+            if timeline.is_notable:
+                _insert_bounded(kept=self._notable, timeline=timeline, limit=MAX_NOTABLE_TIMELINES)
 
     def find(self, *, search: str) -> Timeline | None:
-        """The timeline of a search, if it is still known."""
-        return self._newest.get(search) or self._marked.get(search)
+        """The timeline of a search; None if it is unknown or evicted."""
+        return self._newest.get(search) or self._notable.get(search)
 
     def rows(
         self, *, only: str = "", collection: str = "", slower_than_us: int = 0, limit: int = 50
     ) -> list[dict[str, Any]]:
-        """Searches of which this node was the root, the newest first."""
-        timelines = {**self._marked, **self._newest}
+        """Summaries of the matching requests that callers sent to this node, newest first."""
+        timelines = {**self._notable, **self._newest}
         out = []
         for timeline in sorted(timelines.values(), key=lambda timeline: -timeline.began_us):
             row = _row(timeline=timeline)
@@ -101,7 +101,7 @@
         return out
 
 
-def _keep(*, kept: OrderedDict[str, Timeline], timeline: Timeline, limit: int) -> None:
+def _insert_bounded(*, kept: OrderedDict[str, Timeline], timeline: Timeline, limit: int) -> None:
     kept[timeline.search] = timeline
     kept.move_to_end(timeline.search)
     if len(kept) > limit:
@@ -123,7 +123,7 @@
 
 
 def as_json(*, timeline: Timeline) -> dict[str, Any]:
-    """A whole timeline; times count from its beginning."""
+    """A complete timeline as JSON; event times are relative to its beginning."""
     return {
         **_row(timeline=timeline),
         "limit": timeline.began.limit,
@@ -146,7 +146,7 @@
 
 
 def _plain(*, value: Any) -> Any:
-    """Trees and ranked backends as JSON has them."""
+    """Convert subtrees, ranked backends and sequences to plain JSON values."""
     if hasattr(value, "children"):
         return {
             "node": value.node,
--- a/kelpstage/edge/views.py
+++ b/kelpstage/edge/views.py
@@ -1,4 +1,4 @@
-"""Views folded from an edge's journal, for its status page."""
+"""Search statistics folded from an edge's journal, for its status page."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from kelpstage.common.event_journal import Event
 from kelpstage.edge.events import SearchEnded
 
-TIMES_KEPT = 500  # of the newest searches of a collection
+MAX_DURATIONS = 500  # newest searches per collection
 
 
-class Searches:
-    """How searches ended, by collection, and how long the newest took.
+class SearchStatistics:
+    """Counts of search outcomes and the durations of the newest searches, by collection.
 
-    >>> view = Searches()
+    >>> view = SearchStatistics()
     >>> view.fold(0, SearchEnded(collection="c", version=1, outcome="partial", shards_in=7,
     ...     shards=8, took_us=30))
     >>> view.as_json()["c"]["ends"], view.as_json()["c"]["p50_us"]
@@ -22,25 +22,25 @@
     """
 
     def __init__(self) -> None:
-        self._ends: dict[str, Counter[str]] = {}
-        self._times: dict[str, deque[int]] = {}
+        self._outcomes: dict[str, Counter[str]] = {}
+        self._durations_us: dict[str, deque[int]] = {}
 
     def fold(self, at_us: int, event: Event) -> None:
-        """Take an event of the journal."""
+        """Count an event of the journal if it is the end of a search."""
         if not isinstance(event, SearchEnded):
             return
-        self._ends.setdefault(event.collection, Counter())[event.outcome] += 1
-        times = self._times.setdefault(event.collection, deque(maxlen=TIMES_KEPT))
-        times.append(event.took_us)
+        self._outcomes.setdefault(event.collection, Counter())[event.outcome] += 1
+        durations_us = self._durations_us.setdefault(event.collection, deque(maxlen=MAX_DURATIONS))
+        durations_us.append(event.took_us)
 
     def as_json(self) -> dict[str, Any]:
-        """By collection: counts of ends, and percentiles (microseconds)."""
+        """Counts of outcomes and duration percentiles (microseconds), by collection."""
         out: dict[str, Any] = {}
-        for collection, ends in sorted(self._ends.items()):
-            times = sorted(self._times[collection])
+        for collection, outcomes in sorted(self._outcomes.items()):
+            durations_us = sorted(self._durations_us[collection])
             out[collection] = {
-                "ends": dict(sorted(ends.items())),
-                "p50_us": times[len(times) // 2],
-                "p99_us": times[min(len(times) - 1, len(times) * 99 // 100)],
+                "ends": dict(sorted(outcomes.items())),
+                "p50_us": durations_us[len(durations_us) // 2],
+                "p99_us": durations_us[min(len(durations_us) - 1, len(durations_us) * 99 // 100)],
             }
         return out
--- a/kelpstage/edge/web/interfaces.py
+++ b/kelpstage/edge/web/interfaces.py
@@ -1,4 +1,4 @@
-"""What the HTTP interfaces of an edge need of it."""
+"""Protocols for the attributes of an edge that its HTTP interfaces use."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.lease.task import LeaseTask
 from kelpstage.edge.timelines import Timelines
-from kelpstage.edge.views import Searches
+from kelpstage.edge.views import SearchStatistics
 
 
 class ReplyingEdge(Protocol):
-    """What a reply to a forwarded request is made with."""
+    """The attributes for replies to forwarded requests."""
 
     names: HeaderNames
     counts: Counter[str]
@@ -29,7 +29,7 @@
 
 
 class GatheringEdge(ReplyingEdge, Protocol):
-    """What it takes to have a request gathered or forwarded."""
+    """The attributes for gathering and forwarding requests."""
 
     name: str
     incarnation: int
@@ -39,7 +39,7 @@
 
 
 class ReportingEdge(GatheringEdge, Protocol):
-    """What the plan and the status are read from."""
+    """The attributes that the plan, the status and the metrics are read from."""
 
     zone: str
     transport: Transport
@@ -48,21 +48,21 @@
     gather_context: GatherContext
     leases: LeaseTask
     journal: Journal
-    searches: Searches
+    searches: SearchStatistics
     timelines: Timelines
 
     def refusal(self) -> str:
-        """Why this edge is not ready; empty if it is."""
+        """The reason why this edge is not ready; empty if it is."""
 
 
 class CallerEdge(ReportingEdge, Protocol):
-    """What callers' requests are answered with."""
+    """The attributes for answering callers' requests."""
 
     day: DayWriter | None
 
 
 class ServeCall(Protocol):
-    """Answers the calls at an edge's own HTTP interface."""
+    """Answers the calls at an edge's HTTP interface for callers."""
 
     async def __call__(self, *, edge: Any, call: HttpCall) -> HttpReply:
         """Answer one call."""
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,5 +1,4 @@
-"""What was chosen for a search can be read back: its tree, each choice and its
-reason, what spent or was refused budget, what was late, with the times."""
+"""Timelines of searches: the tree, attempts with their reasons and times, the retry budget."""
 
 from __future__ import annotations
 
@@ -8,55 +7,65 @@
 import unittest
 
 from kelpstage.edge.events import AttemptEnded, Began, Ended
-from kelpstage.edge.timelines import EVENTS_AT_MOST, KEPT, MARKED_KEPT, Timelines
+from kelpstage.edge.timelines import (
+    MAX_EVENTS_PER_SEARCH,
+    MAX_NOTABLE_TIMELINES,
+    MAX_TIMELINES,
+    Timelines,
+)
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.faults import FAULTS
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from tests.test_fleet_sim import fetch, kind_of
 
-SEARCH = "/v1/collections/tiny/search"
+SEARCH_PATH = "/v1/collections/tiny/search"
 QUERY = b'{"q":"name-01","call":"x"}'
 
 
 async def search(fleet: SimFleet, address: str, *, time_left_us: int = 1_000_000):
     return await fetch(
-        fleet, address, SEARCH, "POST", headers={"Kelp-Time-Left-Us": str(time_left_us)}, body=QUERY
+        fleet,
+        address,
+        SEARCH_PATH,
+        "POST",
+        headers={"Kelp-Time-Left-Us": str(time_left_us)},
+        body=QUERY,
     )
 
 
-async def told(fleet: SimFleet, address: str, reply) -> dict:
+async def fetch_timeline(fleet: SimFleet, address: str, reply) -> dict:
     view = await fetch(fleet, address, f"/v1/searches/{reply.headers['kelp-search']}")
     return json.loads(view.body)
 
 
-class Explained(unittest.TestCase):
-    def run_story(self, scenario) -> None:
+class SearchTimelines(unittest.TestCase):
+    def run_scenario(self, scenario) -> None:
         run_sim(seed=2, deployment=load(name="tiny"), scenario=scenario)
 
-    def test_a_good_search_with_its_peers_parts(self) -> None:
+    def test_a_complete_search_includes_the_timelines_of_its_peers(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             address = fleet.edge_http["node-04"]
             reply = await search(fleet, address)
             body = json.loads(reply.body)
             self.assertEqual(reply.headers["kelp-search"], body["search"])
-            view = await told(fleet, address, reply)
+            view = await fetch_timeline(fleet, address, reply)
             self.assertEqual(("complete", 6), (view["outcome"], view["shards_in"]))
-            rounds = [r for r in view["timeline"] if r["event"] == "AttemptSent"]
+            attempts = [r for r in view["timeline"] if r["event"] == "AttemptSent"]
             for part in view["partners"].values():
-                rounds += [r for r in part["timeline"] if r["event"] == "AttemptSent"]
-            chosen = {row["shard"]: row["backend"] for row in rounds}
+                attempts += [r for r in part["timeline"] if r["event"] == "AttemptSent"]
+            chosen = {row["shard"]: row["backend"] for row in attempts}
             self.assertEqual({p["shard"]: p["backend"] for p in body["parts"]}, chosen)
-            for row in rounds:
+            for row in attempts:
                 self.assertEqual(row["backend"], row["ranked"][0]["backend"])
                 self.assertGreater(row["window_us"], 0)
             times = [row["at_us"] for row in view["timeline"]]
             self.assertEqual(sorted(times), times)
             self.assertEqual("Ended", view["timeline"][-1]["event"])
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_failed_one_tells_what_spent_and_what_was_refused_budget(self) -> None:
+    def test_a_failed_search_lists_retries_that_were_sent_and_rejected(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             address = fleet.edge_http["node-04"]
@@ -66,11 +75,11 @@
             reply = replies[-1]
             self.assertEqual((503, "quorum_not_met"), (reply.status, kind_of(reply)))
             self.assertEqual(reply.headers["kelp-search"], json.loads(reply.body)["search"])
-            seen = [await told(fleet, address, one) for one in replies]
-            events = [row for view in seen for row in view["timeline"]]
+            views = [await fetch_timeline(fleet, address, one) for one in replies]
+            events = [row for view in views for row in view["timeline"]]
             events += [
                 row
-                for view in seen
+                for view in views
                 for part in view["partners"].values()
                 for row in part.get("timeline", [])
             ]
@@ -88,9 +97,9 @@
                 [row["search"] for row in rows],
             )
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
-    def test_begun_again_and_a_dead_peer(self) -> None:
+    def test_a_restarted_search_and_a_search_with_a_dead_peer(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             address = fleet.edge_http["node-04"]
@@ -99,16 +108,16 @@
             call = fleet.outside.spawn(search(fleet, address))
             await fleet.sleep(us=50_000)
             await FAULTS["recut"](fleet, random.Random(1))
-            view = await told(fleet, address, await call)
+            view = await fetch_timeline(fleet, address, await call)
             self.assertEqual(1, sum(r["event"] == "SearchRestarted" for r in view["timeline"]))
             self.assertEqual(2, sum(r["event"] == "Planned" for r in view["timeline"]))
             fleet.kill_edge(name="node-02")
-            view = await told(fleet, address, await search(fleet, address))
+            view = await fetch_timeline(fleet, address, await search(fleet, address))
             self.assertEqual("complete", view["outcome"])
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
-    def test_bad_input_and_unknown_ids(self) -> None:
+    def test_invalid_parameters_and_unknown_ids(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             address = fleet.edge_http["node-04"]
@@ -124,18 +133,18 @@
                     reply = await fetch(fleet, address, path)
                     self.assertEqual((status, kind), (reply.status, kind_of(reply)))
 
-        self.run_story(scenario)
+        self.run_scenario(scenario)
 
 
-class Bounds(unittest.TestCase):
-    def test_what_is_kept_is_bounded_and_failed_ones_outlast_ordinary_ones(self) -> None:
+class TimelineBounds(unittest.TestCase):
+    def test_timelines_are_bounded_and_failed_searches_are_kept_longer(self) -> None:
         view = Timelines()
-        for number in range(3 * KEPT):
+        for number in range(3 * MAX_TIMELINES):
             name = f"n-{number}"
             view.fold(
                 number, Began(search=name, part="root", collection="c", limit=None, time_left_us=9)
             )
-            for turn in range(EVENTS_AT_MOST + 5 if number == 0 else 1):
+            for turn in range(MAX_EVENTS_PER_SEARCH + 5 if number == 0 else 1):
                 view.fold(
                     number,
                     AttemptEnded(search=name, shard="s", number=turn, backend="b", outcome="in"),
@@ -146,8 +155,8 @@
             )
         self.assertIsNone(view.find(search="n-50"))
         kept = view.find(search="n-0")
-        self.assertEqual(EVENTS_AT_MOST, len(kept.events))
+        self.assertEqual(MAX_EVENTS_PER_SEARCH, len(kept.events))
         self.assertEqual(6, kept.left_out)
         self.assertEqual(10, len(view.rows(only="failed")))
-        self.assertEqual(KEPT + 10, len(view.rows(limit=10_000)))
-        self.assertLessEqual(10, MARKED_KEPT)
+        self.assertEqual(MAX_TIMELINES + 10, len(view.rows(limit=10_000)))
+        self.assertLessEqual(10, MAX_NOTABLE_TIMELINES)
