--- a/kelpstage/edge/forward/__init__.py
+++ b/kelpstage/edge/forward/__init__.py
@@ -1,1 +1,1 @@
-"""Requests of clients as they are forwarded, and the answers to them."""
+"""Forwarded client requests: headers, requests to backends and their replies."""
--- a/kelpstage/edge/forward/headers.py
+++ b/kelpstage/edge/forward/headers.py
@@ -1,7 +1,7 @@
 """Names of the headers between clients, this edge and backends.
 
-The product's own names are the defaults; settings may give others, so that a
-deployment's wire can be spoken without a word of it in the product.
+Settings may override the default names, so that a deployment's own header names need not
+appear in this code.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HeaderNames:
-    """One name for each thing that is said in a header.
+    """The name of each header that requests and replies use.
 
     >>> HeaderNames().seal
     'Kelp-Seal'
@@ -29,12 +29,12 @@
     not_run: str = "Kelp-Not-Run"
 
 
-def read_names(*, raw: dict[str, str]) -> HeaderNames | InvalidSettingsError:
-    """Names from settings; one that is not known is an error.
+def read_header_names(*, raw: dict[str, str]) -> HeaderNames | InvalidSettingsError:
+    """Read header names from settings; an unknown key is an error.
 
-    >>> read_names(raw={"seal": "Stamp"}).seal
+    >>> read_header_names(raw={"seal": "Stamp"}).seal
     'Stamp'
-    >>> read_names(raw={"sael": "Stamp"}).faults[0].path
+    >>> read_header_names(raw={"sael": "Stamp"}).faults[0].path
     'header_names.sael'
     """
     known = {one.name for one in fields(HeaderNames)}
--- a/kelpstage/edge/forward/request.py
+++ b/kelpstage/edge/forward/request.py
@@ -1,4 +1,4 @@
-"""A client's request as it goes on to backends: method, target and body unchanged."""
+"""Client requests as forwarded to backends: method, target and body are unchanged."""
 
 from __future__ import annotations
 
@@ -7,9 +7,8 @@
 from kelpstage.common.ports.interfaces import HttpCall
 from kelpstage.edge.forward.headers import HeaderNames
 
-# Headers that concern one connection only (RFC 9110, 7.6.1), and those that the
-# sending side sets itself.
-HOP_BY_HOP = frozenset(
+# Hop-by-hop headers (RFC 9110, 7.6.1), and headers that the HTTP client sets itself.
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -28,10 +27,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClientRequest:
-    """What a backend is to see of a client's request.
+    """The part of a client's request that is forwarded to backends.
 
-    `headers` are the end-to-end ones, in order, as the client wrote them; the
-    deadline is not among them: each sending sets what is left of it.
+    `headers` are the end-to-end headers, in order and as the client wrote them, without
+    the deadline: each attempt sets the time that is left.
     """
 
     method: str
@@ -42,42 +41,42 @@
 
     @property
     def host(self) -> str:
-        """The host that the request names; empty if it names none."""
+        """The value of the Host header; empty if there is none."""
         return next((value for name, value in self.headers if name.lower() == "host"), "")
 
 
-def end_to_end(
+def end_to_end_headers(
     *, headers: tuple[tuple[str, str], ...], names: HeaderNames
 ) -> tuple[tuple[str, str], ...]:
-    """The headers that go along to a backend.
+    """The headers that are forwarded to a backend.
 
-    >>> end_to_end(
+    >>> end_to_end_headers(
     ...     headers=(("Host", "h"), ("Connection", "x-a"), ("X-A", "1"), ("Kelp-Deadline-Ms", "9")),
     ...     names=HeaderNames(),
     ... )
     (('Host', 'h'),)
     """
-    left_out = HOP_BY_HOP | {names.deadline_ms.lower(), names.expect_instance.lower()}
+    dropped = HOP_BY_HOP_HEADERS | {names.deadline_ms.lower(), names.expect_instance.lower()}
     for name, value in headers:
         if name.lower() == "connection":
-            left_out |= {word.strip().lower() for word in value.split(",")}
-    return tuple((name, value) for name, value in headers if name.lower() not in left_out)
+            dropped |= {word.strip().lower() for word in value.split(",")}
+    return tuple((name, value) for name, value in headers if name.lower() not in dropped)
 
 
 def read_request(*, call: HttpCall, names: HeaderNames) -> ClientRequest:
-    """The request that a client's call stands for."""
+    """Build the request to forward from a client's HTTP call."""
     raw = call.raw_headers or tuple(call.headers.items())
     return ClientRequest(
         method=call.method,
         target=call.url,
         request_id=call.headers.get(names.request_id.lower(), ""),
-        headers=end_to_end(headers=raw, names=names),
+        headers=end_to_end_headers(headers=raw, names=names),
         body=call.body,
     )
 
 
 def pack_headers(*, headers: tuple[tuple[str, str], ...]) -> list[str]:
-    """Headers as they travel between edges: names and values alternate.
+    """Encode headers for messages between edges, as alternating names and values.
 
     >>> unpack_headers(texts=pack_headers(headers=(("A", "1"),)))
     (('A', '1'),)
@@ -86,7 +85,7 @@
 
 
 def unpack_headers(*, texts: list[str]) -> tuple[tuple[str, str], ...]:
-    """The reverse of `pack_headers`.
+    """Decode headers that `pack_headers` encoded.
 
     >>> unpack_headers(texts=["A", "1", "B", "2"])
     (('A', '1'), ('B', '2'))
--- a/kelpstage/edge/forward/sealed_answer.py
+++ b/kelpstage/edge/forward/sealed_answer.py
@@ -1,8 +1,8 @@
-"""Sealed answers of raw bytes: the codec of forwarded requests.
+"""The codec of forwarded requests, whose replies are raw bytes with a seal.
 
-A backend's answer is its status, a seal (an opaque token in a header) and a body.
-For a search the body is records of 16 bytes in no order, and the answer is one
-part; for a request to one backend it goes back as it came.
+A backend's reply has a status, a seal (an opaque token in a header) and a body. The reply
+to a search is one part, with unordered records of 16 bytes as its body; the reply to a
+request to one backend is returned to the client unchanged.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 RECORD_SIZE = 16  # bytes
 NOT_RUN_STATUS = 421
-# Statuses by which a caller may take it that the request has not run and never will
-# (PROTOCOL, "Answers"): of a backend's they mean that only with its `not run` header.
+# Statuses that promise a client that the request has not run and never will (PROTOCOL,
+# "Answers"). From a backend they promise that only together with its `not run` header.
 PROMISES = frozenset((408, NOT_RUN_STATUS, 429, 503))
-LEFT_OUT = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WholeReply:
-    """A backend's answer that goes to the client as it is."""
+    """A backend's reply that is returned to the client unchanged."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -49,12 +49,12 @@
 
     @property
     def is_success(self) -> bool:
-        """Is the status one of success (2xx)?"""
+        """True for a 2xx status."""
         return 200 <= self.status < 300
 
 
 class SealedCodec:
-    """Makes the calls to backends, and checks their answers.
+    """Builds the calls to backends and validates their replies.
 
     >>> codec = SealedCodec(names=HeaderNames())
     >>> headers = {"kelp-seal": "a.1", "kelp-request-id": "r"}
@@ -73,10 +73,10 @@
         self._instance = names.instance.lower()
 
     def call(self, *, ask: Any) -> HttpCall:
-        """The call to one instance, named in it so that no other one runs it."""
+        """Build the call to one instance; a header names it so that no other one runs it."""
         request = ask.record.request
         headers = dict(request.headers)
-        if len(headers) < len(request.headers):  # some stand more than once
+        if len(headers) < len(request.headers):  # some occur more than once
             headers = joined(pairs=request.headers)
         headers[self.names.deadline_ms] = str(max(1, ask.wait_us // 1000))
         headers[self.names.expect_instance] = ask.backend
@@ -91,29 +91,34 @@
         )
 
     def _owner_of(self, *, reply: HttpReply, request_id: str) -> Owner:
-        """Whose answer is it? A late, second one to another request may stand where this
-        one's is due; what names no request may be such an answer as well."""
+        """Which request a reply belongs to, by its request id.
+
+        A late second reply to another request may arrive in place of the expected one; a
+        reply without a request id may be such a reply too.
+        """
         named = reply.headers.get(self._request_id)
         if named is None:
             return Owner.UNNAMED
         return Owner.OURS if named == request_id else Owner.OTHERS
 
-    def _refused(
+    def _validate_reply(
         self, *, reply: HttpReply, backend: str, request_id: str
     ) -> RequestNotRunError | InvalidReplyError | None:
-        """Why the answer is none to this request, or says that it did not run."""
+        """Return an error if the reply is not to this request or says that it has not run."""
         if self._owner_of(reply=reply, request_id=request_id) != Owner.OURS:
             return InvalidReplyError(
-                backend=backend, part="request", why="it does not name this request"
+                backend=backend, part="request", why="the reply does not name this request"
             )
         if reply.status == NOT_RUN_STATUS:
             return RequestNotRunError(backend=backend, answer=reply.status, why="another instance")
         if self._not_run in reply.headers:
-            if 200 <= reply.status < 300:  # it says both that it ran and that it did not
+            if 200 <= reply.status < 300:  # contradicts itself: run and not run
                 return InvalidReplyError(
-                    backend=backend, part="status", why="a success that has not run"
+                    backend=backend, part="status", why="a 2xx status with the not-run header"
                 )
-            return RequestNotRunError(backend=backend, answer=reply.status, why="turned away")
+            return RequestNotRunError(
+                backend=backend, answer=reply.status, why="rejected by the backend"
+            )
         if reply.headers.get("content-encoding", "identity") != "identity":
             return InvalidReplyError(
                 backend=backend, part="encoding", why=reply.headers["content-encoding"]
@@ -123,16 +128,16 @@
     def read_part(
         self, *, reply: HttpReply, backend: str, shard: str, request_id: str
     ) -> SealedPart | RequestNotRunError | InvalidReplyError | BackendFailedError:
-        """One part of a search, or why there is none."""
-        refused = self._refused(reply=reply, backend=backend, request_id=request_id)
-        if refused is not None:
-            return refused
+        """Read one part of a search from a reply, or return an error."""
+        error = self._validate_reply(reply=reply, backend=backend, request_id=request_id)
+        if error is not None:
+            return error
         if not 200 <= reply.status < 300:
             return BackendFailedError(backend=backend, answer=reply.status)
         seal = reply.headers.get(self._seal, "")
         if not is_seal(text=seal):
             return InvalidReplyError(
-                backend=backend, part="seal", why="none" if not seal else "not one token"
+                backend=backend, part="seal", why="none" if not seal else "not a single token"
             )
         body = reply.body
         size = len(body) - len(body) % RECORD_SIZE
@@ -142,24 +147,24 @@
     def read_whole(
         self, *, reply: HttpReply, backend: str, request_id: str
     ) -> WholeReply | RequestNotRunError | InvalidReplyError | BackendFailedError:
-        """The answer to a request to one backend, or why it may not go back as it came.
+        """Read the reply to a request to one backend, or return an error.
 
-        A status that promises "not run" does not go back without the backend's word for
-        it: our caller would take it as a promise and send the request again.
+        A status that promises "not run" is not returned to the client without the backend's
+        `not run` header: the client would rely on the promise and send the request again.
         """
-        refused = self._refused(reply=reply, backend=backend, request_id=request_id)
-        if refused is not None:
-            return refused
+        error = self._validate_reply(reply=reply, backend=backend, request_id=request_id)
+        if error is not None:
+            return error
         if 200 <= reply.status < 300 and not is_seal(text=reply.headers.get(self._seal, "")):
             return InvalidReplyError(backend=backend, part="seal", why="none")
         if reply.status in PROMISES:
             return BackendFailedError(backend=backend, answer=reply.status)
-        headers = tuple(pair for pair in reply.headers.items() if pair[0] not in LEFT_OUT)
+        headers = tuple(pair for pair in reply.headers.items() if pair[0] not in HOP_BY_HOP_HEADERS)
         return WholeReply(status=reply.status, headers=headers, body=reply.body)
 
 
 def is_seal(*, text: str) -> bool:
-    """Can this stand in a list of seals joined by commas?
+    """True if the text can be an item of a comma-separated list of seals.
 
     >>> is_seal(text="3e.07"), is_seal(text="a,b"), is_seal(text="")
     (True, False, False)
--- a/tests/rules_upheld.py
+++ b/tests/rules_upheld.py
@@ -426,7 +426,7 @@
         source="NEWS-18, NEWS-22",
         says="under load the least urgent is turned away first",
         code=f"{EDGE}/retries/load_shedding.py:may_enter",
-        test="tests.test_forward.ShedTest.test_the_lowest_rank_goes_first",
+        test="tests.test_forward.LoadSheddingTest.test_the_lowest_rank_is_shed_first",
         taken_out=TakenOut(target="tests.test_forward:may_enter", by=_as_rank_zero),
         days="`burst`",
     ),
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -1,4 +1,4 @@
-"""Forwarded requests: what goes on, what an answer is worth, trees inside zones, statuses."""
+"""Forwarded requests: headers, reply validation, zone trees, record order, status codes."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     return HttpReply(status=status, headers=headers, **fields)
 
 
-class RequestTest(unittest.TestCase):
-    def test_end_to_end_headers_go_along_in_order_and_case(self):
+class ForwardedRequestTest(unittest.TestCase):
+    def test_end_to_end_headers_keep_their_order_and_case(self):
         call = HttpCall(
             method="GET",
             url="/a/b%2f?x=1&x=2",
@@ -61,14 +61,14 @@
         )
 
 
-class SealedTest(unittest.TestCase):
+class ReplyValidationTest(unittest.TestCase):
     def setUp(self):
         self.codec = SealedCodec(names=NAMES)
 
     def part(self, given: HttpReply):
         return self.codec.read_part(reply=given, backend="i-1", shard="s", request_id="r-1")
 
-    def test_what_is_no_part(self):
+    def test_invalid_replies_are_rejected(self):
         for given, kind in (
             (reply(request="r-2"), InvalidReplyError),
             (reply(request="r-2", status=421), InvalidReplyError),
@@ -87,15 +87,15 @@
             with self.subTest(status=given.status, headers=given.headers):
                 self.assertIsInstance(self.part(given), kind)
 
-    def test_a_rest_of_fewer_than_16_bytes_is_no_record(self):
+    def test_a_remainder_of_fewer_than_16_bytes_is_not_a_record(self):
         self.assertEqual(self.part(reply(body=b"x" * 47)).records, [b"x" * 16] * 2)
 
-    def test_a_503_that_does_not_say_so_has_run(self):
+    def test_a_503_without_the_not_run_header_may_have_run(self):
         whole = self.codec.read_whole(reply=reply(status=503), backend="i-1", request_id="r-1")
         self.assertIsInstance(whole, BackendFailedError)
         self.assertFalse(surely_not_run(outcome=whole))
 
-    def test_a_late_answer_to_another_request_is_passed_over(self):
+    def test_a_reply_is_matched_by_its_request_id(self):
         request = SimpleNamespace(method="GET", target="/", request_id="r-1", headers=(), body=b"")
         ask = SimpleNamespace(
             record=SimpleNamespace(request=request),
@@ -111,7 +111,7 @@
         self.assertEqual(call.headers["Kelp-Expect-Instance"], "i-1")
         self.assertEqual(call.headers["Kelp-Deadline-Ms"], "9")
 
-    def test_a_header_that_stands_twice_goes_along_whole(self):
+    def test_repeated_headers_are_joined(self):
         request = SimpleNamespace(
             method="GET",
             target="/",
@@ -129,7 +129,7 @@
         headers = {name.lower(): value for name, value in self.codec.call(ask=ask).headers.items()}
         self.assertEqual(("1, 2", "a=1; b=2"), (headers["x-a"], headers["cookie"]))
 
-    def test_only_what_surely_did_not_run_may_be_sent_again_where_once_is_the_most(self):
+    def test_only_outcomes_without_a_run_allow_a_second_send(self):
         for outcome, is_sure in (
             (ConnectError(address="a"), True),
             (RequestNotRunError(backend="i", answer=503, why="full"), True),
@@ -144,7 +144,7 @@
 
 
 class ZoneTreeTest(unittest.TestCase):
-    def test_every_shard_stands_once_and_the_tree_is_bounded(self):
+    def test_every_shard_occurs_once_and_children_are_bounded(self):
         rand = random.Random(3)
         for _ in range(300):
             zones = [f"z{n}" for n in range(rand.choice((1, 3, 6)))]
@@ -163,7 +163,7 @@
             self.assertEqual(sorted(shards), sorted(tree.all_shards()))
             self.assertLessEqual(max(len(b.children) for b in walk(tree)), 8)
 
-    def test_what_is_asked_far_away_is_gathered_there(self):
+    def test_shards_of_another_zone_are_gathered_in_that_zone(self):
         tree = grow_by_zone(
             root="r",
             zone="z0",
@@ -184,7 +184,7 @@
 
 
 class ByteOrderTest(unittest.TestCase):
-    def test_cuts_on_the_way_up_never_change_the_body(self):
+    def test_truncation_in_the_tree_never_changes_the_result(self):
         rand = random.Random(11)
         for _ in range(200):
             limit = rand.choice((1, 5, 10, 50))
@@ -204,13 +204,13 @@
             self.assertEqual(got, sorted((r for p in parts for r in p), reverse=True)[:limit])
 
 
-class StatusTest(unittest.TestCase):
+class FailureStatusTest(unittest.TestCase):
     def status(self, failure, has_run=False):
         edge = SimpleNamespace(is_leaving=False, counts={f"refused_{failure.kind}": 0})
         given = failure_reply(failure=failure, has_run=has_run, edge=edge)
         return given.status, given.headers.get("Retry-After")
 
-    def test_503_only_for_what_has_not_run(self):
+    def test_only_requests_that_have_not_run_get_503(self):
         failure = NoBackendError(shard="s", why="none")
         self.assertEqual(self.status(failure)[0], 503)
         self.assertIsNotNone(self.status(failure)[1])
@@ -219,9 +219,9 @@
         self.assertEqual(self.status(short, has_run=True), (502, None))
         self.assertEqual(self.status(UnknownRouteError(host="h", path="/"))[0], 404)
 
-    def test_what_has_not_run_is_told_so_whatever_failed(self):
+    def test_a_request_that_has_not_run_gets_503_for_any_failure(self):
         for failure in (
-            BackendConnectionError(backend="b", cause="turned away"),
+            BackendConnectionError(backend="b", cause="connection rejected"),
             DeadlineExceededError(where="at the backend"),
         ):
             status, retry_after = self.status(failure)
@@ -230,11 +230,11 @@
             self.assertIn(self.status(failure, has_run=True), ((502, None), (504, None)))
 
 
-class ShedTest(unittest.TestCase):
-    def test_the_lowest_rank_goes_first(self):
-        taken = [
+class LoadSheddingTest(unittest.TestCase):
+    def test_the_lowest_rank_is_shed_first(self):
+        limits = [
             next(n for n in range(IN_FLIGHT_AT_MOST + 1) if not may_enter(in_flight=n, rank=rank))
             for rank in (0, 1, 2, 3, 9)
         ]
-        self.assertEqual(taken, sorted(taken, reverse=True))
-        self.assertEqual(taken[0], IN_FLIGHT_AT_MOST)
+        self.assertEqual(limits, sorted(limits, reverse=True))
+        self.assertEqual(limits[0], IN_FLIGHT_AT_MOST)
--- a/tests/test_platform_sim.py
+++ b/tests/test_platform_sim.py
@@ -166,7 +166,7 @@
         self.assertIn("GONE", found)
 
     def test_answers_that_are_not_told_apart(self):
-        with mock.patch.object(SealedCodec, "_refused", lambda self, **_: None):
+        with mock.patch.object(SealedCodec, "_validate_reply", lambda self, **_: None):
             found = self.lines(faults=("garble",) * 4, rate=0.3)
         self.assertIn("MIXED", found)
 
