--- a/kelpstage/edge/web/__init__.py
+++ b/kelpstage/edge/web/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP interfaces of an edge: callers, forwarded requests, explanations."""
+"""The HTTP interfaces of an edge: searches, forwarded requests, plan and status."""
--- a/kelpstage/edge/web/callers.py
+++ b/kelpstage/edge/web/callers.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: searches, single records, readiness, plan, status."""
+"""The HTTP interface for callers: searches, single records, readiness, plan, status."""
 
 from __future__ import annotations
 
@@ -28,45 +28,45 @@
 from kelpstage.edge.web.explain import plan_view, search_view, status_view
 from kelpstage.edge.web.interfaces import CallerEdge
 
-TIME_LEFT = "Kelp-Time-Left-Us"
-LONGEST_TIME_LEFT_US = 120_000_000
-LIMIT_AT_MOST = 100_000
-IN_FLIGHT_AT_MOST = 512
+TIME_LEFT_HEADER = "Kelp-Time-Left-Us"
+MAX_TIME_LEFT_US = 120_000_000
+MAX_LIMIT = 100_000
+MAX_IN_FLIGHT = 512
 NAME = r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}"
-SEARCH = re.compile(rf"/v1/collections/({NAME})/search")
-RECORD = re.compile(
+SEARCH_PATH = re.compile(rf"/v1/collections/({NAME})/search")
+RECORD_PATH = re.compile(
     rf"/v1/collections/({NAME})/shards/({NAME})/records/([A-Za-z0-9._~%-]{{1,256}})"
 )
-PLAN = re.compile(rf"/v1/plan/({NAME})")
-SEARCHES = re.compile(r"/v1/searches")
-ONE_SEARCH = re.compile(r"/v1/searches/([A-Za-z0-9._-]{1,160})")
-SEARCH_ID = "Kelp-Search"
+PLAN_PATH = re.compile(rf"/v1/plan/({NAME})")
+SEARCHES_PATH = re.compile(r"/v1/searches")
+ONE_SEARCH_PATH = re.compile(r"/v1/searches/([A-Za-z0-9._-]{1,160})")
+SEARCH_ID_HEADER = "Kelp-Search"
 
 
 def read_deadline(*, headers: dict[str, str]) -> int | KelpstageError:
-    """The time that the caller gives, in whole microseconds.
+    """Read the time that is left for the request, in whole microseconds.
 
     >>> read_deadline(headers={"kelp-time-left-us": "250000"})
     250000
     >>> read_deadline(headers={}).kind, read_deadline(headers={"kelp-time-left-us": "0"}).kind
     ('missing_time_left', 'bad_time_left')
     """
-    given = headers.get(TIME_LEFT.lower())
+    given = headers.get(TIME_LEFT_HEADER.lower())
     if given is None:
-        return MissingDeadlineError(header=TIME_LEFT)
+        return MissingDeadlineError(header=TIME_LEFT_HEADER)
     if not given.isascii() or not given.isdigit() or len(given) > 18:
         return InvalidDeadlineError(
-            header=TIME_LEFT, given=given[:40], why="not whole microseconds"
+            header=TIME_LEFT_HEADER, given=given[:40], why="not a whole number of microseconds"
         )
-    if not 0 < int(given) <= LONGEST_TIME_LEFT_US:
+    if not 0 < int(given) <= MAX_TIME_LEFT_US:
         return InvalidDeadlineError(
-            header=TIME_LEFT, given=given, why=f"not from 1 to {LONGEST_TIME_LEFT_US}"
+            header=TIME_LEFT_HEADER, given=given, why=f"not from 1 to {MAX_TIME_LEFT_US}"
         )
     return int(given)
 
 
 def read_limit(*, query: str) -> int | None | KelpstageError:
-    """The limit of a search; none means all records.
+    """Read the limit of a search from its query string; None means all records.
 
     >>> read_limit(query="limit=5"), read_limit(query="")
     (5, None)
@@ -81,16 +81,16 @@
         return None
     given = pairs[0][1]
     if len(pairs) > 1:
-        return InvalidLimitError(given=given[:40], why="stands twice")
+        return InvalidLimitError(given=given[:40], why="given more than once")
     if not given.isascii() or not given.isdigit() or len(given) > 9:
         return InvalidLimitError(given=given[:40], why="not a whole number")
-    if not 0 < int(given) <= LIMIT_AT_MOST:
-        return InvalidLimitError(given=given, why=f"not from 1 to {LIMIT_AT_MOST}")
+    if not 0 < int(given) <= MAX_LIMIT:
+        return InvalidLimitError(given=given, why=f"not from 1 to {MAX_LIMIT}")
     return int(given)
 
 
 def reserve_us(*, time_left_us: int) -> int:
-    """What is kept of the caller's time for the reply's own way (microseconds).
+    """The share of the caller's time reserved for sending the reply (microseconds).
 
     >>> reserve_us(time_left_us=1_000_000), reserve_us(time_left_us=10_000)
     (50000, 1000)
@@ -101,29 +101,29 @@
 async def serve_callers(*, edge: CallerEdge, call: HttpCall) -> HttpReply:
     """Answer one caller's request."""
     url = urlsplit(call.url)
-    simple = {"/ready": _ready, "/health": _health, "/v1/status": _status}.get(url.path)
-    if simple is not None:
+    fixed_path_handler = {"/ready": _ready, "/health": _health, "/v1/status": _status}.get(url.path)
+    if fixed_path_handler is not None:
         if call.method != "GET":
             return error_reply(error=MethodNotAllowedError(method=call.method, allowed="GET"))
-        return simple(edge)
+        return fixed_path_handler(edge)
     if url.path == METRICS_PATH and call.method == "GET":
         return await metrics_reply(clock=edge.ports.clock, collect=lambda: edge_families(edge=edge))
-    for pattern, method, work in (
-        (SEARCH, "POST", _search),
-        (RECORD, "GET", _record),
-        (PLAN, "GET", _plan),
-        (SEARCHES, "GET", _searches),
-        (ONE_SEARCH, "GET", _one_search),
+    for pattern, method, handler in (
+        (SEARCH_PATH, "POST", _search),
+        (RECORD_PATH, "GET", _record),
+        (PLAN_PATH, "GET", _plan),
+        (SEARCHES_PATH, "GET", _searches),
+        (ONE_SEARCH_PATH, "GET", _one_search),
     ):
-        found = pattern.fullmatch(url.path)
-        if found is None:
+        match = pattern.fullmatch(url.path)
+        if match is None:
             continue
         if call.method != method:
             return error_reply(
                 error=MethodNotAllowedError(method=call.method, allowed=method),
                 headers={"Allow": method},
             )
-        return await work(edge, call, url.query, *found.groups())
+        return await handler(edge, call, url.query, *match.groups())
     return error_reply(error=UnknownResourceError(path=url.path[:200]))
 
 
@@ -160,10 +160,10 @@
     if isinstance(time_left_us, KelpstageError):
         return error_reply(error=time_left_us)
     in_flight = len(edge.gather.table)
-    if in_flight >= IN_FLIGHT_AT_MOST:
+    if in_flight >= MAX_IN_FLIGHT:
         return error_reply(error=OverloadedError(in_flight=in_flight))
     if edge.day is not None:
-        edge.day.note(row=call_row(call=call, time_left_us=time_left_us))
+        edge.day.note(row=recording_row(call=call, time_left_us=time_left_us))
     now_us = edge.ports.clock.now_us()
     key = edge.gather.next_key()
     search = f"{edge.name}-{edge.incarnation:x}-{key}"
@@ -176,14 +176,14 @@
     )
     outcome = await edge.gather.settle(record=record)
     edge.ports.failpoint("edge.before_verdict")
-    # A caller that keeps its connection is told to take another when we leave.
-    last = {SEARCH_ID: search} | ({"Connection": "close"} if edge.is_leaving else {})
+    # While this edge leaves, callers must close their persistent connections.
+    headers = {SEARCH_ID_HEADER: search} | ({"Connection": "close"} if edge.is_leaving else {})
     if not isinstance(outcome, GatherResult):
-        return error_reply(error=outcome, headers=last, search=search)
+        return error_reply(error=outcome, headers=headers, search=search)
     return HttpReply(
         status=200,
         headers={
-            **last,
+            **headers,
             "Content-Type": JSON_TYPE,
             "Kelp-Configuration": str(outcome.version),
             "Kelp-Coverage": f"{outcome.coverage:.4f}",
@@ -192,10 +192,10 @@
     )
 
 
-def call_row(*, call: HttpCall, time_left_us: int) -> dict[str, Any]:
-    """A call as a day records it.
+def recording_row(*, call: HttpCall, time_left_us: int) -> dict[str, Any]:
+    """The row of a call in a recording.
 
-    >>> call_row(call=HttpCall(method="GET", url="/p"), time_left_us=4)["path"]
+    >>> recording_row(call=HttpCall(method="GET", url="/p"), time_left_us=4)["path"]
     '/p'
     """
     return {
@@ -216,14 +216,14 @@
 
 
 async def _searches(edge: CallerEdge, call: HttpCall, query: str) -> HttpReply:
-    asked = read_filters(query=query)
-    if isinstance(asked, KelpstageError):
-        return error_reply(error=asked)
-    return json_reply(body={"node": edge.name, "searches": edge.timelines.rows(**asked)})
+    filters = read_filters(query=query)
+    if isinstance(filters, KelpstageError):
+        return error_reply(error=filters)
+    return json_reply(body={"node": edge.name, "searches": edge.timelines.rows(**filters)})
 
 
 def read_filters(*, query: str) -> dict[str, Any] | KelpstageError:
-    """Which of the newest searches are wanted.
+    """Read the filters of the list of searches from a query string.
 
     >>> read_filters(query="only=failed&limit=5")
     {'only': 'failed', 'limit': 5}
--- a/kelpstage/edge/web/explain.py
+++ b/kelpstage/edge/web/explain.py
@@ -1,4 +1,4 @@
-"""Why this node chooses what it chooses: the plan and the status, read back."""
+"""Views that explain this node's decisions: plan, timeline of a search, status."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from kelpstage.edge.timelines import as_json
 from kelpstage.edge.web.interfaces import ReportingEdge
 
-TRACE_WAIT_US = 400_000
+TRACE_TIMEOUT_US = 400_000
 
 
 def plan_view(*, edge: ReportingEdge, collection: str) -> dict[str, Any] | None:
-    """The gathering plan as it would be chosen now, lots aside."""
+    """The gathering plan that would be chosen now, without its random choices."""
     context = edge.gather_context
     context.now_us = edge.ports.clock.now_us()
     configuration = edge.lease_holder.configuration
@@ -45,28 +45,34 @@
 
 
 async def search_view(*, edge: ReportingEdge, search: str) -> dict[str, Any] | None:
-    """What was chosen for a search and what became of it: this node's part, and the
-    parts of the peers that it asked, as far as they still know them."""
+    """The timeline of a search at this node, with those of the peers that it queried.
+
+    None if this node has no timeline of it; a peer's may be missing with a reason.
+    """
     timeline = edge.timelines.find(search=search)
     if timeline is None:
         return None
     view = {"node": edge.name, **as_json(timeline=timeline)}
-    asked = dict.fromkeys(row["node"] for row in view["timeline"] if row["event"] == "ChildQueried")
-    parts = await asyncio.gather(*(_part_of(edge=edge, node=n, search=search) for n in asked))
-    view["partners"] = dict(zip(asked, parts, strict=True))
+    queried = dict.fromkeys(
+        row["node"] for row in view["timeline"] if row["event"] == "ChildQueried"
+    )
+    parts = await asyncio.gather(
+        *(_fetch_peer_timeline(edge=edge, node=n, search=search) for n in queried)
+    )
+    view["partners"] = dict(zip(queried, parts, strict=True))
     return view
 
 
-async def _part_of(*, edge: ReportingEdge, node: str, search: str) -> dict[str, Any]:
+async def _fetch_peer_timeline(*, edge: ReportingEdge, node: str, search: str) -> dict[str, Any]:
     member = edge.swim.members.get(node)
     if member is None:
         return {"why_not": "no longer a peer"}
     reply = await edge.transport.call(
-        address=member.info.address, message=FetchTrace(search=search), wait_us=TRACE_WAIT_US
+        address=member.info.address, message=FetchTrace(search=search), wait_us=TRACE_TIMEOUT_US
     )
     if isinstance(reply, Trace):
-        return json.loads(reply.body) if reply.is_found else {"why_not": "forgotten there"}
-    return {"why_not": reply.kind if isinstance(reply, KelpstageError) else "an odd reply"}
+        return json.loads(reply.body) if reply.is_found else {"why_not": "no longer stored there"}
+    return {"why_not": reply.kind if isinstance(reply, KelpstageError) else "unexpected reply"}
 
 
 def _subtree_view(*, edge: ReportingEdge, subtree: Subtree, collection: str) -> dict[str, Any]:
@@ -131,7 +137,7 @@
         why_not = None
         if name not in helpers:
             why_not = (
-                "the gatherers' selector leaves it out"
+                "excluded by the gatherers' selector"
                 if not is_gatherer
                 else "not ready"
                 if STATUS_NAMES.get(info.status) == "alive"
@@ -151,7 +157,7 @@
 
 
 def status_view(*, edge: ReportingEdge) -> dict[str, Any]:
-    """All that this edge knows: itself, peers, backends, budget, events."""
+    """The state of this edge: lease, peers, backends, retry budget, recent events."""
     now_us = edge.ports.clock.now_us()
     lease_holder = edge.lease_holder
     refusal = edge.refusal()
--- a/kelpstage/edge/web/forward.py
+++ b/kelpstage/edge/web/forward.py
@@ -1,4 +1,4 @@
-"""Clients' requests by host and path: forwarded to one backend, or gathered from shards."""
+"""Routes client requests by host and path: to one backend, or gathered from shards."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from kelpstage.edge.web.interfaces import GatheringEdge, ReplyingEdge
 
 BODY_TYPE = "application/octet-stream"
-GATEWAY_FAILED, NOT_SERVED, GATEWAY_TIMEOUT = 502, 503, 504
-ELSEWHERE_S = "0.01"  # this node can't, another one may: come back at once
-LATER_S = "0.08"  # the work is too much just now
+BAD_GATEWAY, SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
+RETRY_AFTER_S = "0.01"  # another edge may serve the request: retry at once
+OVERLOAD_RETRY_AFTER_S = "0.08"  # this edge is overloaded: retry later
 
 
 def deadline_us(*, headers: dict[str, str], names: HeaderNames, route: ForwardRoute) -> int:
-    """How long the request may take here: what the client gives, at most the route's.
+    """The time limit of a request: the client's deadline, at most the route's.
 
     >>> route = ForwardRoute(name="r", host="h", prefix="/", is_repeatable=True, attempts=1,
     ...     deadline_us=500_000, aim_us=1, rank=0)
@@ -41,7 +41,7 @@
 
 
 def reserve_us(*, left_us: int) -> int:
-    """What is kept of the deadline for the answer's own way.
+    """The part of the deadline reserved for sending the reply.
 
     >>> reserve_us(left_us=1_000_000), reserve_us(left_us=100_000)
     (15000, 5000)
@@ -50,7 +50,7 @@
 
 
 async def serve_forwarded(*, edge: GatheringEdge, call: HttpCall) -> HttpReply:
-    """Answer one client's request by the routes in force."""
+    """Answer a client's request under the current routes."""
     now_us = edge.ports.clock.now_us()
     arrived_us = now_us - call.waited_us
     refusal = edge.lease_holder.refusal(now_us=now_us)
@@ -90,17 +90,17 @@
 
 
 def success_reply(*, result: GatherResult, edge: ReplyingEdge) -> HttpReply:
-    """A backend's answer as it came, or the records of the parts that the headers name."""
-    leaving = {"Connection": "close"} if edge.is_leaving else {}
+    """A backend's reply unchanged, or the records of the parts whose seals a header lists."""
+    close_header = {"Connection": "close"} if edge.is_leaving else {}
     if result.backend_reply is not None:
         reply = result.backend_reply
         return HttpReply(
-            status=reply.status, headers={**dict(reply.headers), **leaving}, body=reply.body
+            status=reply.status, headers={**dict(reply.headers), **close_header}, body=reply.body
         )
     headers = {
         "Content-Type": BODY_TYPE,
         edge.names.part_seals: ", ".join(result.seals),
-        **leaving,
+        **close_header,
     }
     if result.missing:
         headers[edge.names.missing_parts] = str(result.missing)
@@ -108,16 +108,20 @@
 
 
 def failure_reply(*, failure: KelpstageError, has_run: bool, edge: ReplyingEdge) -> HttpReply:
-    """The final answer to a request that is given up. 503 promises that it has not run
-    and never will, and says when to come back; what may have run is 502 or 504. It never
-    bears a backend's seal."""
+    """The final reply to a request that failed.
+
+    503 promises that the request has not run and never will, and gives a Retry-After; a
+    request that may have run gets 502 or 504. The reply never has a backend's seal.
+    """
     status = status_of(error=failure).code
     headers: dict[str, str] = {"Connection": "close"} if edge.is_leaving else {}
-    if status == NOT_SERVED and has_run:
-        status = GATEWAY_FAILED
-    if status in (GATEWAY_FAILED, GATEWAY_TIMEOUT) and not has_run:
-        status = NOT_SERVED
-    if status == NOT_SERVED:
-        headers["Retry-After"] = LATER_S if isinstance(failure, OverloadedError) else ELSEWHERE_S
+    if status == SERVICE_UNAVAILABLE and has_run:
+        status = BAD_GATEWAY
+    if status in (BAD_GATEWAY, GATEWAY_TIMEOUT) and not has_run:
+        status = SERVICE_UNAVAILABLE
+    if status == SERVICE_UNAVAILABLE:
+        headers["Retry-After"] = (
+            OVERLOAD_RETRY_AFTER_S if isinstance(failure, OverloadedError) else RETRY_AFTER_S
+        )
     edge.counts[f"refused_{failure.kind}"] += 1
     return json_reply(status=status, body={"defect": failure.as_json()}, headers=headers)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""A process's own figures: the text, what counts up when something happens, and the page."""
+"""Metrics: the exposition format, the counters, and the page that describes them."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 from tests.async_case import AsyncCase, LoopClock
 
 ROOT_FOLDER = pathlib.Path(__file__).resolve().parent.parent
-PAGE = ROOT_FOLDER / "docs" / "metrics.md"
+METRICS_PAGE = ROOT_FOLDER / "docs" / "metrics.md"
 
 
 def parse(text: bytes) -> dict[str, dict[tuple, float]]:
-    """Samples by name and sorted labels, read by the library's own parser."""
+    """Samples by name and sorted labels, as the Prometheus library's parser reads them."""
     out: dict[str, dict[tuple, float]] = {}
     for family in text_string_to_metric_families(text.decode()):
         for sample in family.samples:
@@ -46,8 +46,8 @@
     )
 
 
-class Text(unittest.TestCase):
-    def test_every_kind_is_read_back_as_it_was(self) -> None:
+class ExpositionFormat(unittest.TestCase):
+    def test_a_parser_reads_every_kind_of_metric(self) -> None:
         histogram = DurationHistogram()
         for us in (400, 600, 60_000_000):
             histogram.observe(us=us)
@@ -69,7 +69,7 @@
         self.assertEqual({(("stage", "s"),): 3.0}, samples["c_seconds_count"])
         self.assertAlmostEqual(60.001, samples["c_seconds_sum"][(("stage", "s"),)])
 
-    def test_the_library_is_imported_only_when_figures_are_asked_for(self) -> None:
+    def test_the_library_is_imported_only_when_metrics_are_requested(self) -> None:
         program = (
             "import sys, kelpstage.edge.app, kelpstage.core.app;"
             "sys.exit('prometheus_client' in sys.modules)"
@@ -84,8 +84,8 @@
         self.assertEqual(0, asyncio.run(run()))
 
 
-class Counting(unittest.TestCase):
-    def test_a_request_by_part_route_and_outcome(self) -> None:
+class GatherCounters(unittest.TestCase):
+    def test_requests_are_counted_by_part_route_and_outcome(self) -> None:
         statistics = GatherStatistics()
         whole = GatherResult(version=1, coverage=1.0, shards=2, body=b"")
         part = GatherResult(version=1, coverage=0.5, shards=1, body=b"", missing=1)
@@ -105,7 +105,7 @@
         self.assertEqual({"window": 1, "budget": 1}, dict(statistics.missing))
         self.assertEqual(120_000, statistics.durations["root"].sum_us)
 
-    def test_routes_without_end_are_counted_together(self) -> None:
+    def test_routes_above_the_limit_are_counted_together(self) -> None:
         statistics = GatherStatistics()
         with mock.patch.object(statistics_module, "MOST_KEYS", 3):
             for number in range(9):
@@ -116,8 +116,8 @@
         self.assertEqual({"r0": 1, "r1": 1, "r2": 1, OTHER_ROUTES: 6}, routes)
 
 
-class Fleet(unittest.TestCase):
-    """Figures of a simulated fleet that serves, by both programs' own interface."""
+class FleetMetrics(unittest.TestCase):
+    """Metrics of a serving simulated fleet, read from the HTTP interfaces of edges and cores."""
 
     texts: dict[str, dict[str, dict[tuple, float]]]
 
@@ -149,7 +149,7 @@
             if wanted <= set(key)
         )
 
-    def test_requests_attempts_and_stages_have_been_counted(self) -> None:
+    def test_requests_attempts_and_stages_are_counted(self) -> None:
         roots = self.total("kelpstage_requests_total", kind="root", outcome="complete")
         self.assertGreater(roots, 10)
         firsts = self.total("kelpstage_attempts_total", reason="first")
@@ -158,7 +158,7 @@
             count = self.total("kelpstage_stage_duration_seconds_count", stage=stage)
             self.assertGreater(count, 0, stage)
 
-    def test_one_core_leads_and_all_have_applied(self) -> None:
+    def test_one_core_is_leader_and_all_have_applied(self) -> None:
         self.assertEqual(1, self.total("kelpstage_raft_role", role="leader"))
         self.assertEqual(2, self.total("kelpstage_raft_role", role="follower"))
         self.assertEqual(9, self.total("kelpstage_raft_members", kind="voter"))
@@ -169,13 +169,13 @@
         versions = {s["kelpstage_configuration_version"][()] for s in self.texts.values()}
         self.assertEqual(1, len(versions))
 
-    def test_the_page_and_the_code_name_the_same_metrics(self) -> None:
+    def test_the_page_and_the_code_list_the_same_metrics(self) -> None:
         in_text = {
             re.sub("_(bucket|sum|count)$", "", name) if "_seconds_" in name else name
             for samples in self.texts.values()
             for name in samples
         }
-        on_page = set(re.findall(r"^\| `(kelpstage_\w+)`", PAGE.read_text("utf-8"), re.M))
+        on_page = set(re.findall(r"^\| `(kelpstage_\w+)`", METRICS_PAGE.read_text("utf-8"), re.M))
         source = "".join(
             (ROOT_FOLDER / path).read_text("utf-8")
             for path in (
@@ -188,22 +188,22 @@
         self.assertEqual(in_code, on_page)
         self.assertEqual(set(), in_text - on_page)
 
-    def test_families_are_plain_and_well_named(self) -> None:
+    def test_metric_names_follow_the_naming_scheme(self) -> None:
         for families in (edge_families, core_families):
             self.assertTrue(families.__doc__)
         for samples in self.texts.values():
             for name in samples:
                 self.assertRegex(name, r"^kelpstage_[a-z_]+$")
 
-    def test_a_counter_ends_in_total(self) -> None:
+    def test_names_of_counters_end_in_total(self) -> None:
         for reply in self.replies.values():
             for family in text_string_to_metric_families(reply.body.decode()):
                 if family.type == MetricKind.COUNTER:
                     self.assertTrue(all(s.name.endswith("_total") for s in family.samples))
 
 
-class Listener(AsyncCase):
-    async def test_an_address_that_is_taken_does_not_stop_the_process(self) -> None:
+class MetricsListener(AsyncCase):
+    async def test_an_address_in_use_does_not_stop_the_process(self) -> None:
         from kelpstage.common.ports.live import live_ports
         from tests.test_http import free_address
 
@@ -223,7 +223,7 @@
         self.assertEqual(404, missing.status)
         first.close()
 
-    async def test_a_late_timer_shows_as_lag(self) -> None:
+    async def test_a_late_timer_is_reported_as_event_loop_lag(self) -> None:
         clock = LoopClock()
         clock.sleep = self._late_sleep  # type: ignore[attr-defined]
         family = await web._event_loop_lag(clock=clock)
@@ -233,8 +233,8 @@
         await asyncio.sleep(us / 1_000_000 + 0.03)
 
 
-class Deployment(unittest.TestCase):
-    def test_the_deploy_file_names_the_ports_of_the_settings(self) -> None:
+class DeployFile(unittest.TestCase):
+    def test_the_deploy_file_has_the_ports_of_the_settings(self) -> None:
         text = (ROOT_FOLDER / "platform" / "settings.py").read_text("utf-8")
         found = re.search(r"EDGE_METRICS_PORT, CORE_METRICS_PORT = (\d+), (\d+)", text)
         deploy = (ROOT_FOLDER / "deploy" / "system.toml").read_text("utf-8")
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -1,4 +1,4 @@
-"""Failures that were found once, each caused again in the smallest way."""
+"""Regression tests: each reproduces a past failure with a minimal setup."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 from tests.test_fleet_sim import fetch
 
 
-class BackendChoice(unittest.TestCase):
-    """A lying or slow backend near by used to be asked first each time."""
+class BackendSelection(unittest.TestCase):
+    """A near backend with invalid or slow replies must not be ranked first each time."""
 
     def setUp(self) -> None:
         addresses = {
@@ -62,13 +62,13 @@
         )
         return [option.backend for option in ranked if not option.refusal]
 
-    def test_one_that_lied_is_asked_last_for_a_while(self) -> None:
+    def test_a_backend_with_an_invalid_reply_is_ranked_last_for_a_while(self) -> None:
         self.assertEqual(["b-01", "b-02"], self.order(0))
         self.registry.note_invalid_reply(name="b-01", now_us=0)
         self.assertEqual(["b-02", "b-01"], self.order(1))
         self.assertEqual(["b-01", "b-02"], self.order(60_000_000))
 
-    def test_others_hear_of_the_lie(self) -> None:
+    def test_other_edges_receive_the_invalid_reply_state(self) -> None:
         self.registry.note_invalid_reply(name="b-01", now_us=0)
         [backend_state] = [
             r
@@ -80,17 +80,19 @@
         self.assertTrue(other.on_backend_state_received(backend_state=backend_state, now_us=5))
         self.assertTrue(other.is_suspected(name="b-01", now_us=6))
 
-    def test_one_that_was_slow_gives_way_and_is_tried_again(self) -> None:
+    def test_a_slow_backend_is_ranked_last_and_tried_again_later(self) -> None:
         for _ in range(20):
             self.latencies.saw(name="b-01", took_us=900_000, now_us=0)
         self.assertEqual(["b-02", "b-01"], self.order(1_000))
         self.assertEqual(["b-01", "b-02"], self.order(60_000_000))
 
 
-class BelowTheQuorum(unittest.TestCase):
-    def test_slow_shards_are_waited_for_while_there_is_time(self) -> None:
-        """Cold windows of 10 ms and backends that take 150: the root used to spend
-        its budget and fail with most of the caller's time left."""
+class SlowShards(unittest.TestCase):
+    def test_slow_shards_are_awaited_until_the_deadline(self) -> None:
+        """The root must not use up its retry budget and fail with most of the time left.
+
+        The initial windows are 10 ms long and the backends take 150 ms.
+        """
 
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
@@ -113,15 +115,18 @@
         run_sim(seed=1, deployment=load(name="tiny"), scenario=scenario)
 
 
-class LateChild(unittest.TestCase):
-    """The root gathered one of a late child's two shards again; then the child's reply
-    came with both. It used to be thrown away, and the other shard with it."""
+class LateChildReply(unittest.TestCase):
+    """A late child's reply must not be dropped because the root has one of its shards.
+
+    The root gathers one of the child's two shards itself; then the reply arrives with both.
+    Dropping it would lose the other shard.
+    """
 
-    def test_a_late_children_reply_is_taken_whole(self) -> None:
+    def test_a_late_child_reply_is_accepted_completely(self) -> None:
         configuration = read_configuration(
             data=configuration_of(deployment=load(name="tiny"), addresses={}), version=1
         )
-        world = GatherContext(
+        context = GatherContext(
             me="r",
             zone="east",
             own="",
@@ -158,7 +163,7 @@
                 key=1, generation=0, shard="s1", number=1, backend="b", sent_us=0, outcome=own
             ),
             record,
-            world,
+            context,
         )
         self.assertEqual(["s1"], list(record.parts))
         parts = [PartMsg(shard=s, backend="b", stamp="x", count=1, cut="c1") for s in ("s1", "s2")]
@@ -168,16 +173,16 @@
         take(
             ChildReplied(key=1, generation=0, slot=0, node="k", sent_us=0, outcome=reply),
             record,
-            world,
+            context,
         )
         self.assertEqual(["s1", "s2"], sorted(record.parts))
         self.assertEqual([[(-7, b"two"), (-5, b"own")]], list(record.runs.values()))
         self.assertEqual(set(), record.waiting_shards())
 
 
-class FreshLeader(unittest.TestCase):
-    def test_a_put_to_a_leader_just_elected_is_not_refused(self) -> None:
-        """It had not heard its edges yet and said that most were missing."""
+class NewLeader(unittest.TestCase):
+    def test_a_put_to_a_newly_elected_leader_is_accepted(self) -> None:
+        """A leader without contact to its edges yet must not report that most are missing."""
 
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
@@ -195,7 +200,7 @@
 
 
 class DamagedDisk(unittest.TestCase):
-    def test_a_core_with_damaged_files_comes_back_as_a_new_voter(self) -> None:
+    def test_a_core_with_damaged_files_rejoins_as_a_new_voter(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             name = next(n for n in fleet.core_address if n != fleet.leader())
@@ -217,10 +222,13 @@
 
 
 class RestartWithoutCores(unittest.TestCase):
-    """An edge that restarts while no core is there takes state and membership from its
-    peers and serves, but vouches for nobody; where most have forgotten, none does."""
+    """Edges that restart while no core is running fetch state and membership from peers.
 
-    def run_story(self, restarted: list[str]) -> tuple[SimFleet, list[str]]:
+    They serve, but do not confirm epochs to others; if too few edges still hold the state to
+    confirm it, no edge serves.
+    """
+
+    def run_scenario(self, restarted: list[str]) -> tuple[SimFleet, list[str]]:
         seen: list[str] = []
 
         async def scenario(fleet: SimFleet) -> None:
@@ -237,18 +245,18 @@
 
         return run_sim(seed=3, deployment=load(name="tiny"), scenario=scenario), seen
 
-    def test_two_of_six_serve_again(self) -> None:
-        fleet, ready = self.run_story(["node-02", "node-05"])
+    def test_two_of_six_restarted_edges_serve_again(self) -> None:
+        fleet, ready = self.run_scenario(["node-02", "node-05"])
         self.assertEqual([n.name for n in fleet.deployment.nodes], ready)
         lease_holder = fleet.daemons["edge/node-02"].lease_holder
         self.assertFalse(lease_holder.may_confirm(now_us=fleet.world.now_us()))
         self.assertEqual(1, lease_holder.configuration.version)
 
-    def test_half_of_six_forgot_and_nobody_serves(self) -> None:
-        _, ready = self.run_story(["node-02", "node-04", "node-05"])
+    def test_no_edge_serves_after_half_of_six_restart(self) -> None:
+        _, ready = self.run_scenario(["node-02", "node-04", "node-05"])
         self.assertEqual([], ready)
 
-    def test_it_does_not_serve_what_is_older_than_it_served_before(self) -> None:
+    def test_an_edge_does_not_serve_an_older_version_than_before(self) -> None:
         lease_holder = LeaseHolder(me="a")
         lease_holder.install(
             doc=StateDoc(cluster="k", epoch=4, version=3, membership=["a", "b", "c"]),
@@ -267,11 +275,11 @@
         self.assertTrue(lease_holder.refusal(now_us=20))
 
 
-class CutHelper(unittest.TestCase):
-    """A peer that gossip reaches but queries do not is asked last, longer each time."""
+class LateHelper(unittest.TestCase):
+    """A peer that answers gossip but not queries is ranked last, each time for longer."""
 
-    def test_shyness_grows_until_a_reply(self) -> None:
-        world = GatherContext(
+    def test_the_penalty_doubles_until_a_reply(self) -> None:
+        context = GatherContext(
             me="n",
             zone="d",
             own="",
@@ -285,23 +293,26 @@
         )
         spans = []
         for _ in range(4):
-            world.note_late(name="k")
-            start_us = world.now_us
-            while world.is_late(name="k"):
-                world.now_us += 100_000
-            spans.append(world.now_us - start_us)
+            context.note_late(name="k")
+            start_us = context.now_us
+            while context.is_late(name="k"):
+                context.now_us += 100_000
+            spans.append(context.now_us - start_us)
         self.assertEqual([1_000_000, 2_000_000, 4_000_000, 8_000_000], spans)
-        world.note_reply(name="k")
-        world.note_late(name="k")
-        world.now_us += 1_000_000
-        self.assertFalse(world.is_late(name="k"))
+        context.note_reply(name="k")
+        context.note_late(name="k")
+        context.now_us += 1_000_000
+        self.assertFalse(context.is_late(name="k"))
+
 
+class HealedPartition(unittest.TestCase):
+    """After a network partition heals, backend states from peers must not exclude backends.
 
-class TwoSidesOfACut(unittest.TestCase):
-    """When a cut healed, each side's word that the other's backends were silent left
-    no backend for anybody for seconds."""
+    Each side reports the other side's backends as unreachable, which left no backend to
+    choose for seconds.
+    """
 
-    def test_hearsay_of_silence_is_a_doubt_and_no_refusal(self) -> None:
+    def test_unreachable_states_from_peers_lower_the_rank_only(self) -> None:
         configuration = read_configuration(
             data=configuration_of(
                 deployment=load(name="tiny"),
