--- a/kelpstage/cli/offline/plan.py
+++ b/kelpstage/cli/offline/plan.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from kelpstage.common.configuration.types import Configuration
-from kelpstage.common.configuration.validation import RECORDS
+from kelpstage.common.configuration.validation import RECORDS_CODEC
 from kelpstage.edge.backend.backend_state import BackendState
 from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.backend.selection import options
@@ -30,7 +30,7 @@
     placed = _placed(
         configuration=configuration, registry=registry, collection=collection, subtree=tree
     )
-    if configuration.collections[collection].codec == RECORDS:
+    if configuration.collections[collection].codec == RECORDS_CODEC:
         for shard, row in placed.items():
             is_up = shard not in gone
             row |= {"backend": f"a backend of {shard}" if is_up else None, "is_near": is_up}
--- a/kelpstage/common/configuration/__init__.py
+++ b/kelpstage/common/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configurations: their types, reading and validation."""
+"""Configurations: types, parsing and validation."""
--- a/kelpstage/common/configuration/types.py
+++ b/kelpstage/common/configuration/types.py
@@ -1,4 +1,4 @@
-"""Configurations as the daemons use them: labels, collections, routes."""
+"""Types of a validated configuration: backends, collections, routes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def is_match(*, selector: Selector, labels: dict[str, str]) -> bool:
-    """Does every label that the selector names have one of its values?
+    """True if each label named by the selector has one of the values that it allows.
 
     >>> is_match(selector={"shard": ("s1", "s2")}, labels={"shard": "s2", "x": "y"})
     True
@@ -21,7 +21,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Backend:
-    """A backend named by the configuration; `address` is `None` where it is learned elsewhere."""
+    """A backend that the configuration declares.
+
+    `address` is `None` if it comes from discovery.
+    """
 
     name: str
     address: str | None
@@ -29,13 +32,13 @@
 
     @property
     def is_draining(self) -> bool:
-        """Is it to get no new requests?"""
+        """True if the backend must receive no new requests."""
         return self.labels.get("drain") == "true"
 
 
 @dataclass(frozen=True, kw_only=True)
 class Shard:
-    """One shard of a collection, and the backends that serve it by their labels."""
+    """One shard of a collection; its selector matches the labels of the backends that serve it."""
 
     name: str
     cut: str
@@ -44,47 +47,47 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Collection:
-    """What can be searched: its shards, and the nodes that may gather it."""
+    """A searchable collection: its shards, and a selector of the nodes that may gather them."""
 
     name: str
     order_by: str
     gatherers: Selector
     shards: dict[str, Shard]
-    codec: str = "json"  # of the backends' bodies: "json" or "records16"
+    codec: str = "json"  # format of the backends' response bodies: "json" or "records16"
 
 
 @dataclass(frozen=True, kw_only=True)
 class Route:
-    """How a collection is searched: its shards in order, the least number of them in a success."""
+    """How a collection is searched: its shards in order and the quorum of shards for success."""
 
     collection: str
     fan_out: tuple[str, ...]
     quorum: int
     tree_fan_out: int
     window_us: int
-    aim_us: int = 0  # an answer within it has its full worth; 0: none given
+    aim_us: int = 0  # target latency, within which a response has its full value; 0: not set
 
     @property
     def is_strict(self) -> bool:
-        """Does the route want every shard?"""
+        """True if a search succeeds only with every shard."""
         return self.quorum >= len(self.fan_out)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Service:
-    """Backends that do the same work; which there are is learned elsewhere."""
+    """A group of interchangeable backends; discovery provides its instances."""
 
     name: str
     health_path: str
-    max_connections: int  # that each backend takes from all callers together; 0: no bound
+    max_connections: int  # per backend, over all clients; 0: no limit
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ForwardRoute:
-    """Requests of one host below one prefix, and the services that they go to.
+    """A route for requests that match a host and a path prefix.
 
-    Either `weights` (one service is drawn by its share) or `fan_out` (every service is a
-    shard, the answer is gathered); the other is empty.
+    It has either `weights` (each request goes to one service, chosen at random by weight) or
+    `fan_out` (each service is a shard and the results are gathered); the other is empty.
     """
 
     name: str
@@ -98,17 +101,17 @@
     weights: tuple[tuple[str, float], ...] = ()
     fan_out: tuple[str, ...] = ()
     limit: int = 0
-    quorum: int = 1  # the least number of shards in a success
+    quorum: int = 1  # number of shards that a successful response needs
 
     @property
     def services(self) -> tuple[str, ...]:
-        """The services that it goes to."""
+        """The services that the route refers to."""
         return self.fan_out or tuple(service for service, _ in self.weights)
 
 
 @dataclass(frozen=True, kw_only=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take over it."""
+    """Limits on the size of a client's request and on the time to send it."""
 
     header_bytes: int
     body_bytes: int
@@ -117,7 +120,7 @@
 
 
 def host_key(*, host: str) -> str:
-    """A host as it is compared: lower case, without a port.
+    """Returns the host in lower case and without a port, for comparison.
 
     >>> host_key(host="H.Example:8080"), host_key(host="[::1]:80"), host_key(host="[::1]")
     ('h.example', '[::1]', '[::1]')
@@ -129,7 +132,7 @@
 
 
 class ForwardTable:
-    """Forward routes by host, for the longest prefix of a path.
+    """Forward routes by host, with lookup of the longest matching path prefix.
 
     >>> def route(prefix): return ForwardRoute(name=prefix, host="h", prefix=prefix,
     ...     is_repeatable=True, attempts=1, deadline_us=1, aim_us=1, rank=0)
@@ -147,7 +150,7 @@
         self._longest = {host: max(map(len, prefixes)) for host, prefixes in self._hosts.items()}
 
     def find(self, *, host: str, path: str) -> ForwardRoute | None:
-        """The route with the longest prefix that begins the path, if there is any."""
+        """Returns the route with the longest prefix of the path, or `None`."""
         prefixes = self._hosts.get(host)
         if prefixes is None:
             host = host_key(host=host)
@@ -165,7 +168,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Configuration:
-    """A whole configuration under its version.
+    """A complete configuration with its version.
 
     >>> EMPTY.version, EMPTY.route(collection="x")
     (0, None)
@@ -181,28 +184,28 @@
     services: dict[str, Service] = field(default_factory=dict)
     forward: dict[str, ForwardRoute] = field(default_factory=dict)
     limits: CallerLimits | None = None
-    source: bytes = b""  # the operator's own text, opaque
-    stated_version: int = 0  # the version that the document itself names; 0: none
+    source: bytes = b""  # text of the operator, not interpreted
+    stated_version: int = 0  # version that the document contains; 0: none
     forward_table: ForwardTable = field(default_factory=ForwardTable, compare=False, repr=False)
 
     def forward_for(self, *, host: str, path: str) -> ForwardRoute | None:
-        """The forward route of a request, by its host and the path of its target."""
+        """Returns the forward route for the host and path of a request, or `None`."""
         return self.forward_table.find(host=host, path=path)
 
     def route(self, *, collection: str) -> Route | None:
-        """The route of a collection, if there is one."""
+        """Returns the route of a collection, or `None`."""
         return self.routes.get(collection)
 
     def backends_of(self, *, collection: str, shard: str) -> tuple[str, ...]:
-        """Names of the backends that the shard's selector picks, sorted."""
+        """Returns the sorted names of the backends that match the shard's selector."""
         return self.shard_backends.get((collection, shard), ())
 
     def node_labels(self, *, name: str, zone: str) -> dict[str, str]:
-        """A node's labels, with its zone and name among them."""
+        """Returns a node's labels together with its zone and name."""
         return {"domain": zone, **self.nodes.get(name, {}), "name": name}
 
     def is_gatherer(self, *, collection: str, name: str, zone: str) -> bool:
-        """May this node merge for this collection?"""
+        """True if this node may gather results for the collection."""
         labels = self.node_labels(name=name, zone=zone)
         if labels.get("drain") == "true":
             return False
--- a/kelpstage/common/configuration/validation.py
+++ b/kelpstage/common/configuration/validation.py
@@ -1,7 +1,7 @@
-"""Reading and judging of configurations: whole, with every fault's path.
+"""Parses and validates configurations and reports every error with its path.
 
-The core refuses a put by this module, `kelpctl check` judges offline by it, and
-the edges read by it what the core accepted.
+The core validates configuration writes with this module, `kelpctl check` validates files
+offline, and the edges parse the configurations that the core has accepted.
 """
 
 from __future__ import annotations
@@ -32,27 +32,27 @@
 VERSION_LIMIT = 2**62
 DEFAULT_TREE_FAN_OUT = 5
 DEFAULT_WINDOW_US = 10_000
-RECORDS = "records16"
+RECORDS_CODEC = "records16"
 
 NAME = t.Regexp(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")
 
 
-def _whole(*, low: int, high: int) -> t.Trafaret:
+def _integer(*, low: int, high: int) -> t.Trafaret:
     def check(value: Any) -> Any:
         if type(value) is not int:
-            return t.DataError("value is not a whole number", value=value)
+            return t.DataError("value is not an integer", value=value)
         if not low <= value <= high:
-            return t.DataError(f"value is not from {low} to {high}", value=value)
+            return t.DataError(f"value is not between {low} and {high}", value=value)
         return value
 
     return t.Call(check)
 
 
-def _address(value: Any) -> Any:
+def _check_address(value: Any) -> Any:
     return value if is_address(address=value) else t.DataError("value is not IP:port", value=value)
 
 
-ADDRESS = t.Call(_address)
+ADDRESS = t.Call(_check_address)
 LABELS = t.Mapping(NAME, t.String(allow_blank=False, max_length=128))
 SELECTOR = t.Mapping(
     NAME,
@@ -81,23 +81,23 @@
     t.Dict(
         {
             t.Key("FanOut"): t.List(NAME, min_length=1, max_length=3125),
-            t.Key("Quorum"): _whole(low=1, high=3125),
-            t.Key("fan_out", optional=True): _whole(low=2, high=64),
-            t.Key("window_us", optional=True): _whole(low=1_000, high=60_000_000),
+            t.Key("Quorum"): _integer(low=1, high=3125),
+            t.Key("fan_out", optional=True): _integer(low=2, high=64),
+            t.Key("window_us", optional=True): _integer(low=1_000, high=60_000_000),
         }
     ),
 )
 LIMITS = t.Dict(
     {
-        t.Key("header_bytes"): _whole(low=1, high=2**40),
-        t.Key("body_bytes"): _whole(low=0, high=2**40),
-        t.Key("header_us"): _whole(low=1, high=2**50),
-        t.Key("idle_us"): _whole(low=1, high=2**50),
+        t.Key("header_bytes"): _integer(low=1, high=2**40),
+        t.Key("body_bytes"): _integer(low=0, high=2**40),
+        t.Key("header_us"): _integer(low=1, high=2**50),
+        t.Key("idle_us"): _integer(low=1, high=2**50),
     }
 )
 
 
-def _encodable(value: str) -> Any:
+def _check_encodable(value: str) -> Any:
     try:
         value.encode()
     except UnicodeEncodeError:
@@ -105,11 +105,14 @@
     return value
 
 
-SOURCE = t.String(allow_blank=True) & t.Call(_encodable)
+SOURCE = t.String(allow_blank=True) & t.Call(_check_encodable)
 
 
-def _form(*, has_forward: bool) -> t.Dict:
-    """The document's shape; `services` and `forward` are judged by `forward.py`."""
+def _schema(*, has_forward: bool) -> t.Dict:
+    """Returns the schema of a document.
+
+    The module `forward_routes` validates `services` and `forward`.
+    """
     return t.Dict(
         {
             t.Key("backends", optional=has_forward): BACKENDS,
@@ -120,19 +123,19 @@
             t.Key("forward", optional=True): t.Any,
             t.Key("limits", optional=True): LIMITS,
             t.Key("source", optional=True): SOURCE,
-            t.Key("version", optional=True): _whole(low=1, high=VERSION_LIMIT),
+            t.Key("version", optional=True): _integer(low=1, high=VERSION_LIMIT),
         }
     )
 
 
-FORM = _form(has_forward=False)
-FORWARD_FORM = _form(has_forward=True)
+SCHEMA = _schema(has_forward=False)
+FORWARD_SCHEMA = _schema(has_forward=True)
 
 
-def flatten(*, error: Any, path: str = "") -> list[InvalidField]:
-    """Turn trafaret's nested errors into faults with paths.
+def flatten_errors(*, error: Any, path: str = "") -> list[InvalidField]:
+    """Converts trafaret's nested errors to a flat list of errors with paths.
 
-    >>> flatten(error={"a": {"b": "bad"}})
+    >>> flatten_errors(error={"a": {"b": "bad"}})
     [InvalidField(path='a.b', why='bad')]
     """
     if isinstance(error, t.DataError):
@@ -142,51 +145,53 @@
     faults: list[InvalidField] = []
     for name, inner in error.items():
         if name in ("key", "value") and isinstance(inner, (dict, str)) and path:
-            faults += flatten(error=inner, path=path)
+            faults += flatten_errors(error=inner, path=path)
             continue
-        faults += flatten(error=inner, path=f"{path}.{name}" if path else str(name))
+        faults += flatten_errors(error=inner, path=f"{path}.{name}" if path else str(name))
     return faults
 
 
-def _no_doubles(pairs: list[tuple[str, Any]]) -> dict:
-    out: dict = {}
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict:
+    result: dict = {}
     for name, value in pairs:
-        if name in out:
-            raise ValueError(f"key {name!r} stands twice")
-        out[name] = value
-    return out
+        if name in result:
+            raise ValueError(f"duplicate key {name!r}")
+        result[name] = value
+    return result
 
 
-def _no_constants(name: str) -> Any:
+def _reject_constant(name: str) -> Any:
     raise ValueError(f"{name} is not JSON")
 
 
 def load_json(*, data: bytes, limit: int = DOCUMENT_LIMIT) -> Any | InvalidConfigurationError:
-    """Read strict JSON: UTF-8, no double keys, no NaN.
+    """Parses strict JSON: UTF-8, without duplicate keys or NaN.
 
     >>> load_json(data=b'{"a":1,"a":2}').faults[0].why
-    "not JSON: key 'a' stands twice"
+    "not JSON: duplicate key 'a'"
     """
     if len(data) > limit:
-        return _refused(path="(whole)", why=f"{len(data)} bytes, above {limit}")
+        return _invalid(path="(whole)", why=f"{len(data)} bytes exceed the limit of {limit}")
     try:
         return json.loads(
-            data.decode("utf-8"), object_pairs_hook=_no_doubles, parse_constant=_no_constants
+            data.decode("utf-8"),
+            object_pairs_hook=_reject_duplicate_keys,
+            parse_constant=_reject_constant,
         )
     except (ValueError, RecursionError) as error:
-        return _refused(path="(whole)", why=f"not JSON: {error}")
+        return _invalid(path="(whole)", why=f"not JSON: {error}")
 
 
-def _refused(*, path: str, why: str) -> InvalidConfigurationError:
+def _invalid(*, path: str, why: str) -> InvalidConfigurationError:
     return InvalidConfigurationError(faults=[InvalidField(path=path, why=why)])
 
 
-def _selector(raw: dict) -> Selector:
+def _read_selector(raw: dict) -> Selector:
     return {n: (v,) if isinstance(v, str) else tuple(v) for n, v in raw.items()}
 
 
 def read_configuration(*, data: bytes, version: int) -> Configuration | InvalidConfigurationError:
-    """Read and judge a whole configuration.
+    """Parses and validates a complete configuration.
 
     >>> read_configuration(data=b"{}", version=1).faults[0]
     InvalidField(path='backends', why='is required')
@@ -196,33 +201,33 @@
         return raw
     has_forward = isinstance(raw, dict) and "forward" in raw
     faults: list[InvalidField] = []
-    form: dict = {}
+    sections: dict = {}
     try:
-        form = (FORWARD_FORM if has_forward else FORM).check(raw)
+        sections = (FORWARD_SCHEMA if has_forward else SCHEMA).check(raw)
     except t.DataError as error:
-        faults += flatten(error=error)
+        faults += flatten_errors(error=error)
     except RecursionError:
-        return _refused(path="(whole)", why="nested too deep")
+        return _invalid(path="(whole)", why="nested too deeply")
     forward: dict[str, ForwardRoute] = {}
     services, found = read_services(raw=raw.get("services", {}) if isinstance(raw, dict) else {})
     faults += found
     if has_forward:
-        named = raw.get("services")
-        named = named if isinstance(named, dict) else {}
-        forward, found = read_forward(raw=raw["forward"], services=named)
+        declared = raw.get("services")
+        declared = declared if isinstance(declared, dict) else {}
+        forward, found = read_forward(raw=raw["forward"], services=declared)
         faults += found
     if faults:
         return InvalidConfigurationError(faults=faults)
     configuration = _build(
-        form=form, data=data, version=version, services=services, forward=forward
+        sections=sections, data=data, version=version, services=services, forward=forward
     )
-    faults = _judge(configuration=configuration, form=form)
+    faults = _check_references(configuration=configuration, sections=sections)
     return InvalidConfigurationError(faults=faults) if faults else configuration
 
 
 def _build(
     *,
-    form: dict,
+    sections: dict,
     data: bytes,
     version: int,
     services: dict[str, Service],
@@ -230,19 +235,21 @@
 ) -> Configuration:
     backends = {
         name: Backend(name=name, address=raw.get("address"), labels=raw["labels"])
-        for name, raw in sorted(form.get("backends", {}).items())
+        for name, raw in sorted(sections.get("backends", {}).items())
     }
     collections = {
         name: Collection(
             name=name,
             order_by=raw.get("order_by", "score"),
-            gatherers=_selector(raw.get("gatherers", {})),
+            gatherers=_read_selector(raw.get("gatherers", {})),
             shards={
-                shard: Shard(name=shard, cut=inner["cut"], selector=_selector(inner["selector"]))
+                shard: Shard(
+                    name=shard, cut=inner["cut"], selector=_read_selector(inner["selector"])
+                )
                 for shard, inner in sorted(raw["shards"].items())
             },
         )
-        for name, raw in sorted(form.get("collections", {}).items())
+        for name, raw in sorted(sections.get("collections", {}).items())
     }
     routes = {
         name: Route(
@@ -252,7 +259,7 @@
             tree_fan_out=raw.get("fan_out", DEFAULT_TREE_FAN_OUT),
             window_us=raw.get("window_us", DEFAULT_WINDOW_US),
         )
-        for name, raw in sorted(form.get("routes", {}).items())
+        for name, raw in sorted(sections.get("routes", {}).items())
     }
     shard_backends = {
         (collection.name, shard.name): tuple(
@@ -265,41 +272,42 @@
         for shard in collection.shards.values()
     }
     shards = {name: Shard(name=name, cut="", selector={}) for name in services}
-    shards_of: dict[tuple[str, ...], dict[str, Shard]] = {}  # few differ, many routes share
+    # Routes with the same list of services share one dictionary of shards.
+    shards_of: dict[tuple[str, ...], dict[str, Shard]] = {}
     for route in forward.values():
         if route.name in collections:
-            continue  # a fault, told below
+            continue  # an error that _check_references reports
         names = route.services
         if names not in shards_of:
             shards_of[names] = {service: shards[service] for service in names}
         collections[route.name] = _collection_of(route=route, shards=shards_of[names])
         routes[route.name] = _route_of(route=route)
-    limits = form.get("limits")
+    limits = sections.get("limits")
     return Configuration(
         version=version,
         document=data,
         backends=backends,
-        nodes={name: raw["labels"] for name, raw in form.get("nodes", {}).items()},
+        nodes={name: raw["labels"] for name, raw in sections.get("nodes", {}).items()},
         collections=collections,
         routes=routes,
         shard_backends=shard_backends,
         services=services,
         forward=forward,
         limits=None if limits is None else CallerLimits(**limits),
-        source=form.get("source", "").encode(),
-        stated_version=form.get("version", 0),
+        source=sections.get("source", "").encode(),
+        stated_version=sections.get("version", 0),
         forward_table=ForwardTable(routes=forward.values()),
     )
 
 
 def _collection_of(*, route: ForwardRoute, shards: dict[str, Shard]) -> Collection:
-    """What the gathering engine sees of a forward route: each service is a shard."""
+    """Returns a forward route as a collection for gathering: each service is a shard."""
     return Collection(
         name=route.name,
         order_by="",
         gatherers={},
         shards=shards,
-        codec=RECORDS,
+        codec=RECORDS_CODEC,
     )
 
 
@@ -314,46 +322,48 @@
     )
 
 
-def _judge(*, configuration: Configuration, form: dict) -> list[InvalidField]:
+def _check_references(*, configuration: Configuration, sections: dict) -> list[InvalidField]:
     faults = [
-        InvalidField(path=f"forward.{name}", why="the name of a collection")
+        InvalidField(path=f"forward.{name}", why="is also the name of a collection")
         for name in configuration.forward
-        if name in form.get("collections", {}) or name in form.get("routes", {})
+        if name in sections.get("collections", {}) or name in sections.get("routes", {})
     ]
     for collection in configuration.collections.values():
-        if collection.codec == RECORDS:
-            continue  # made from a forward route, judged there
-        faults += _judge_collection(configuration=configuration, collection=collection, form=form)
-    for name in form.get("routes", {}):
-        faults += _judge_route(configuration=configuration, route=configuration.routes[name])
+        if collection.codec == RECORDS_CODEC:
+            continue  # derived from a forward route, which is validated already
+        faults += _check_collection(
+            configuration=configuration, collection=collection, sections=sections
+        )
+    for name in sections.get("routes", {}):
+        faults += _check_route(configuration=configuration, route=configuration.routes[name])
     return faults
 
 
-def _judge_collection(
-    *, configuration: Configuration, collection: Collection, form: dict
+def _check_collection(
+    *, configuration: Configuration, collection: Collection, sections: dict
 ) -> list[InvalidField]:
     path = f"collections.{collection.name}"
     faults: list[InvalidField] = []
     if not collection.shards:
-        faults.append(InvalidField(path=f"{path}.shards", why="names no shard"))
-    if "gatherers" in form["collections"][collection.name]:
-        faults += _judge_gatherers(configuration=configuration, collection=collection, path=path)
+        faults.append(InvalidField(path=f"{path}.shards", why="has no shards"))
+    if "gatherers" in sections["collections"][collection.name]:
+        faults += _check_gatherers(configuration=configuration, collection=collection, path=path)
     cuts = sorted({shard.cut for shard in collection.shards.values()})
     if len(cuts) > 1:
         faults.append(
-            InvalidField(path=f"{path}.shards", why=f"two cuts in one collection: {cuts}")
+            InvalidField(path=f"{path}.shards", why=f"shards have different cuts: {cuts}")
         )
     for shard in collection.shards.values():
-        at = f"{path}.shards.{shard.name}.selector"
+        selector_path = f"{path}.shards.{shard.name}.selector"
         if not shard.selector:
-            faults.append(InvalidField(path=at, why="empty selector"))
+            faults.append(InvalidField(path=selector_path, why="empty selector"))
             continue
         if not configuration.backends_of(collection=collection.name, shard=shard.name):
-            faults.append(InvalidField(path=at, why="picks no backend"))
+            faults.append(InvalidField(path=selector_path, why="matches no backend"))
     return faults
 
 
-def _judge_gatherers(
+def _check_gatherers(
     *, configuration: Configuration, collection: Collection, path: str
 ) -> list[InvalidField]:
     if not collection.gatherers:
@@ -365,31 +375,32 @@
         for name, labels in configuration.nodes.items()
     ):
         return []
-    return [InvalidField(path=f"{path}.gatherers", why="picks no node")]
+    return [InvalidField(path=f"{path}.gatherers", why="matches no node")]
 
 
-def _judge_route(*, configuration: Configuration, route: Route) -> list[InvalidField]:
+def _check_route(*, configuration: Configuration, route: Route) -> list[InvalidField]:
     path = f"routes.{route.collection}"
     collection = configuration.collections.get(route.collection)
     if collection is None:
         return [InvalidField(path=path, why="unknown collection")]
     faults: list[InvalidField] = []
     seen: set[str] = set()
-    for place, shard in enumerate(route.fan_out):
+    for index, shard in enumerate(route.fan_out):
         if shard not in collection.shards:
-            faults.append(InvalidField(path=f"{path}.FanOut.{place}", why=f"unknown shard {shard}"))
+            faults.append(InvalidField(path=f"{path}.FanOut.{index}", why=f"unknown shard {shard}"))
         if shard in seen:
             faults.append(
-                InvalidField(path=f"{path}.FanOut.{place}", why=f"shard {shard} stands twice")
+                InvalidField(path=f"{path}.FanOut.{index}", why=f"shard {shard} is listed twice")
             )
         seen.add(shard)
     for shard in collection.shards:
         if shard not in seen:
-            faults.append(InvalidField(path=f"{path}.FanOut", why=f"leaves out shard {shard}"))
+            faults.append(InvalidField(path=f"{path}.FanOut", why=f"shard {shard} is missing"))
     if route.quorum > len(route.fan_out):
         faults.append(
             InvalidField(
-                path=f"{path}.Quorum", why=f"{route.quorum} above {len(route.fan_out)} shards"
+                path=f"{path}.Quorum",
+                why=f"quorum {route.quorum} exceeds the {len(route.fan_out)} shards",
             )
         )
     return faults
--- a/kelpstage/common/settings/loading.py
+++ b/kelpstage/common/settings/loading.py
@@ -7,7 +7,7 @@
 
 import trafaret as t
 
-from kelpstage.common.configuration.validation import ADDRESS, NAME, flatten, load_json
+from kelpstage.common.configuration.validation import ADDRESS, NAME, flatten_errors, load_json
 from kelpstage.common.errors.validation import (
     InvalidConfigurationError,
     InvalidField,
@@ -99,7 +99,7 @@
     try:
         settings = form.check(raw)
     except t.DataError as error:
-        return InvalidSettingsError(faults=flatten(error=error))
+        return InvalidSettingsError(faults=flatten_errors(error=error))
     faults = validate_bounds(settings=settings)
     return InvalidSettingsError(faults=faults) if faults else settings
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -207,7 +207,7 @@
             body["forward"]["r-gather"], host="mide43.EXAMPLE", rank=9
         )
         self.assertEqual(
-            {"forward.r-again.prefix": "host and prefix of r-gather"}, judge(body=body)
+            {"forward.r-again.prefix": "same host and prefix as r-gather"}, judge(body=body)
         )
         body["forward"]["r-gather"]["deadline_us"] = 0  # told also beside another fault
         self.assertEqual(
@@ -222,7 +222,7 @@
             },
             "routes": {"r-plain": {"FanOut": ["s1"], "Quorum": 1}},
         }
-        self.assertEqual({"forward.r-plain": "the name of a collection"}, judge(body=body))
+        self.assertEqual({"forward.r-plain": "is also the name of a collection"}, judge(body=body))
         body["forward"]["other"] = body["forward"].pop("r-plain")
         both = judge(body=body)
         self.assertIsInstance(both, Configuration)
