--- a/kelpstage/common/configuration/validation.py
+++ b/kelpstage/common/configuration/validation.py
@@ -395,12 +395,12 @@
         seen.add(shard)
     for shard in collection.shards:
         if shard not in seen:
-            faults.append(InvalidField(path=f"{path}.FanOut", why=f"shard {shard} is missing"))
+            faults.append(InvalidField(path=f"{path}.FanOut", why=f"missing shard {shard}"))
     if route.quorum > len(route.fan_out):
         faults.append(
             InvalidField(
                 path=f"{path}.Quorum",
-                why=f"quorum {route.quorum} exceeds the {len(route.fan_out)} shards",
+                why=f"{route.quorum} exceeds the {len(route.fan_out)} shards",
             )
         )
     return faults
--- a/kelpstage/common/metrics/__init__.py
+++ b/kelpstage/common/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""A process's own figures: counted in plain numbers, made into text only when asked for."""
+"""Metrics of a process: kept as plain numbers and formatted only on request."""
--- a/kelpstage/common/metrics/exposition.py
+++ b/kelpstage/common/metrics/exposition.py
@@ -1,7 +1,7 @@
-"""Metric families in the Prometheus text format, through `prometheus_client`.
+"""Formats metric families in the Prometheus text format with `prometheus_client`.
 
-The library is imported here alone, and this module only when figures are asked for: it costs
-2.8 MB and some 55 ms of processor time (docs/metrics.md).
+Only this module imports the library, and it is itself imported at the first request for metrics,
+because the library costs 2.8 MB of memory and about 55 ms of CPU time (docs/metrics.md).
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 CONTENT_TYPE = CONTENT_TYPE_LATEST
 
 
-class _Families(Collector):
-    """Hands families to the library's registry."""
+class _FamilyCollector(Collector):
+    """A collector that passes families to the registry of `prometheus_client`."""
 
     def __init__(self, families: Iterable[MetricFamily]) -> None:
         self._families = families
 
     def collect(self) -> Iterator[Metric]:
-        """Each family as the library's own type."""
+        """Yields each family as a metric of `prometheus_client`."""
         for family in self._families:
             yield _metric_of(family)
 
@@ -41,7 +41,7 @@
     make = CounterMetricFamily if family.kind is MetricKind.COUNTER else GaugeMetricFamily
     metric: Metric = make(family.name, family.help, labels=family.labels)
     for labels, value in family.values.items():
-        metric.add_metric(labels, value)  # type: ignore[attr-defined]  # both kinds have it
+        metric.add_metric(labels, value)  # type: ignore[attr-defined]  # both types have it
     return metric
 
 
@@ -57,11 +57,11 @@
 
 
 def text_of(*, families: Iterable[MetricFamily]) -> bytes:
-    """The families as text.
+    """Returns the families in the Prometheus text format.
 
     >>> text_of(families=[MetricFamily.gauge("up", "Is it up?", 1)])
     b'# HELP up Is it up?\\n# TYPE up gauge\\nup 1.0\\n'
     """
     registry = CollectorRegistry(auto_describe=False)
-    registry.register(_Families(families))
+    registry.register(_FamilyCollector(families))
     return bytes(generate_latest(registry))
--- a/kelpstage/common/metrics/families.py
+++ b/kelpstage/common/metrics/families.py
@@ -1,4 +1,4 @@
-"""Metric families as plain values: what a process tells, before it is made into text."""
+"""Metric families as plain values, before they are formatted as text."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class MetricKind(enum.StrEnum):
-    """The kinds of the Prometheus text format that are used here."""
+    """The metric types of the Prometheus text format that are used here."""
 
-    COUNTER = "counter"  # grows from the process's start on; its name ends in `_total`
+    COUNTER = "counter"  # only increases while the process runs; its name ends in `_total`
     GAUGE = "gauge"
     HISTOGRAM = "histogram"  # of durations; its name ends in `_seconds`
 
 
 @dataclass(kw_only=True)
 class MetricFamily:
-    """One name with its help text, labels, and a value for each set of labels.
+    """A metric name with its help text, label names and one value for each set of label values.
 
     >>> MetricFamily.gauge("up", "Is it up?", 1).values
     {(): 1}
@@ -34,12 +34,12 @@
 
     @classmethod
     def gauge(cls, name: str, help: str, value: float) -> Self:
-        """A value without labels that may rise and fall."""
+        """Returns a gauge without labels."""
         return cls(name=name, help=help, kind=MetricKind.GAUGE, values={(): value})
 
     @classmethod
     def gauges(cls, name: str, help: str, label: str, values: Mapping[str, float]) -> Self:
-        """Values that may rise and fall, by one label."""
+        """Returns a gauge with one label."""
         return cls(
             name=name,
             help=help,
@@ -50,7 +50,7 @@
 
     @classmethod
     def counters(cls, name: str, help: str, label: str, values: Mapping[str, int]) -> Self:
-        """Counts that only grow, by one label."""
+        """Returns a counter with one label."""
         return cls(
             name=name,
             help=help,
@@ -63,7 +63,7 @@
     def durations(
         cls, name: str, help: str, label: str, histograms: Mapping[str, DurationHistogram]
     ) -> Self:
-        """Histograms of durations, by one label."""
+        """Returns a histogram of durations with one label."""
         return cls(
             name=name,
             help=help,
--- a/kelpstage/common/metrics/histogram.py
+++ b/kelpstage/common/metrics/histogram.py
@@ -1,10 +1,10 @@
-"""A histogram with fixed bounds: one search and two additions for each observation."""
+"""A histogram with fixed bounds: an observation costs a binary search and two additions."""
 
 from __future__ import annotations
 
 from bisect import bisect_left
 
-# Upper bounds in microseconds: from a send within one machine to a caller's longest wait.
+# Upper bounds in microseconds, from a send within one machine to a client's longest timeout.
 DURATION_BOUNDS_US = (
     500,
     1_000,
@@ -26,7 +26,7 @@
 
 
 class DurationHistogram:
-    """Durations in microseconds, counted by bucket; a bucket holds its upper bound.
+    """Counts durations in microseconds by bucket; a bucket includes its upper bound.
 
     >>> histogram = DurationHistogram()
     >>> histogram.observe(us=500); histogram.observe(us=501); histogram.observe(us=99_000_000)
@@ -41,15 +41,15 @@
         self.sum_us = 0
 
     def observe(self, *, us: int) -> None:
-        """Count one duration."""
+        """Adds one duration."""
         self._counts[bisect_left(DURATION_BOUNDS_US, us)] += 1
         self.sum_us += us
 
     def cumulative(self) -> list[tuple[float, int]]:
-        """For each upper bound, in seconds, how many observations are not above it."""
-        out, total = [], 0
+        """Returns each upper bound in seconds with the number of observations up to it."""
+        buckets, total = [], 0
         bounds_s = [*(bound / 1_000_000 for bound in DURATION_BOUNDS_US), float("inf")]
         for bound_s, count in zip(bounds_s, self._counts, strict=True):
             total += count
-            out.append((bound_s, total))
-        return out
+            buckets.append((bound_s, total))
+        return buckets
--- a/kelpstage/common/metrics/web.py
+++ b/kelpstage/common/metrics/web.py
@@ -1,4 +1,4 @@
-"""Answering a call for a process's own figures."""
+"""Serves the metrics of a process over HTTP."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 METRICS_PATH = "/metrics"
 EXPOSITION = "kelpstage.common.metrics.exposition"
-BODY_LIMIT = 1024  # bytes; a call for figures has no body
+BODY_LIMIT = 1024  # bytes; a request for metrics has no body
 LAG_SLEEP_US = 10_000
 log = logger(name="metrics")
 
@@ -26,10 +26,13 @@
 
 
 async def metrics_reply(*, clock: Clock, collect: Collect) -> HttpReply:
-    """The figures as text. All of it is work of this call: nothing runs between two calls."""
-    lag = await _event_loop_lag(clock=clock)
+    """Returns the metrics as text.
+
+    All work happens within the request: nothing runs between two requests.
+    """
+    lag_family = await _event_loop_lag(clock=clock)
     exposition = await _exposition()
-    families = [*collect(), lag, *process_families()]
+    families = [*collect(), lag_family, *process_families()]
     return HttpReply(
         status=200,
         headers={"Content-Type": exposition.CONTENT_TYPE},
@@ -38,7 +41,7 @@
 
 
 async def _exposition() -> Any:
-    """The module that needs the library; imported off the loop at the first call."""
+    """Returns the module `exposition`; a thread imports it at the first request."""
     module = sys.modules.get(EXPOSITION)
     if module is not None:
         return module
@@ -47,9 +50,9 @@
 
 
 async def _event_loop_lag(*, clock: Clock) -> MetricFamily:
-    began_us = clock.now_us()
+    start_us = clock.now_us()
     await clock.sleep(us=LAG_SLEEP_US)
-    lag_us = max(0, clock.now_us() - began_us - LAG_SLEEP_US)
+    lag_us = max(0, clock.now_us() - start_us - LAG_SLEEP_US)
     return MetricFamily.gauge(
         "kelpstage_event_loop_lag_seconds",
         "How late a timer of 10 ms fired during this call.",
@@ -58,7 +61,7 @@
 
 
 def process_families() -> Iterator[MetricFamily]:
-    """Figures of the operating system's process."""
+    """Yields the CPU time and the peak memory of the process."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     yield MetricFamily(
         name="kelpstage_process_cpu_seconds_total",
@@ -74,9 +77,9 @@
 
 
 async def open_metrics_listener(*, ports: Ports, address: str, collect: Collect) -> Listener | None:
-    """Listen at an address of its own for calls for figures.
+    """Opens a separate listener for metrics.
 
-    None, and a line in the log, if the address can't be had: a process serves on without it.
+    Returns `None` and logs an error if it can't listen at the address: the process runs without it.
     """
 
     async def serve(call: HttpCall) -> HttpReply:
@@ -88,6 +91,6 @@
 
     outcome = await ports.net.serve_http(address=address, on_call=serve, body_limit=BODY_LIMIT)
     if isinstance(outcome, KelpstageError):
-        log.error("no figures at {}: {}", address, outcome.kind)
+        log.error("can't serve metrics at {}: {}", address, outcome.kind)
         return None
     return outcome
--- a/kelpstage/common/settings/loading.py
+++ b/kelpstage/common/settings/loading.py
@@ -1,4 +1,7 @@
-"""Settings of a process: a JSON file, flags over it, judged whole by trafaret."""
+"""Loads the settings of a process from a JSON file and flags, and validates them with trafaret.
+
+Flags override the file.
+"""
 
 from __future__ import annotations
 
@@ -16,23 +19,23 @@
 from kelpstage.common.settings.bounds import validate_bounds
 
 
-def _url(value: Any) -> Any:
-    is_good = isinstance(value, str) and value.startswith("http://")
-    return value if is_good else t.DataError("value is not an http:// address", value=value)
+def _check_url(value: Any) -> Any:
+    is_valid = isinstance(value, str) and value.startswith("http://")
+    return value if is_valid else t.DataError("value is not an http:// address", value=value)
 
 
-def _seeds(value: Any) -> Any:
+def _check_unique_seeds(value: Any) -> Any:
     if len(set(value)) != len(value):
-        return t.DataError("a seed stands twice", value=value)
+        return t.DataError("duplicate seed", value=value)
     return value
 
 
-URL = t.Call(_url)
-SEEDS = t.List(ADDRESS, min_length=1, max_length=9) & t.Call(_seeds)
-MICROS = t.Int(gte=0)
+URL = t.Call(_check_url)
+SEEDS = t.List(ADDRESS, min_length=1, max_length=9) & t.Call(_check_unique_seeds)
+MICROSECONDS = t.Int(gte=0)
 BOUNDS = t.Dict(
     {
-        t.Key(name, optional=True): MICROS
+        t.Key(name, optional=True): MICROSECONDS
         for name in (
             "drain_us",
             "apply_us",
@@ -52,11 +55,11 @@
         t.Key("region", optional=True): t.String(allow_blank=True),
     }
 )
-LIST = t.Dict(
+ENDPOINT_LIST = t.Dict(
     {
         t.Key("address"): ADDRESS,
         t.Key("calls_per_s", optional=True): t.Float(gt=0),
-        t.Key("lag_us", optional=True): MICROS,
+        t.Key("lag_us", optional=True): MICROSECONDS,
     }
 )
 EDGE_FORM = t.Dict(
@@ -70,7 +73,7 @@
         t.Key("record", optional=True): t.String(allow_blank=False),
         t.Key("front", optional=True): ADDRESS,
         t.Key("header_names", optional=True): t.Mapping(t.String(), t.String(allow_blank=False)),
-        t.Key("list", optional=True): LIST,
+        t.Key("list", optional=True): ENDPOINT_LIST,
         t.Key("metrics", optional=True): ADDRESS,
         t.Key("observer", optional=True): t.Bool(),
         t.Key("bounds", optional=True): BOUNDS,
@@ -91,7 +94,7 @@
 
 
 def validate_settings(*, raw: Any, form: t.Trafaret) -> dict | InvalidSettingsError:
-    """Validate settings; every fault is named with its path.
+    """Validates settings and reports every error with its path.
 
     >>> validate_settings(raw={"name": "n"}, form=EDGE_FORM).faults[0].path
     'domain'
@@ -107,7 +110,7 @@
 def read_settings_file(
     *, file: str | None, flags: dict, form: t.Trafaret
 ) -> dict | InvalidSettingsError:
-    """Settings from a file, with the flags that were given laid over it.
+    """Reads settings from a file; flags that are given override it.
 
     >>> read_settings_file(file="/nowhere", flags={}, form=CORE_FORM).faults[0].path
     '/nowhere'
@@ -130,7 +133,7 @@
 
 
 def settings_or_exit(*, outcome: dict | InvalidSettingsError) -> dict:
-    """The settings, or every fault on stderr and exit code 2.
+    """Returns valid settings; otherwise prints every error to stderr and exits with code 2.
 
     >>> settings_or_exit(outcome={"a": 1})
     {'a': 1}
