--- a/kelpstage/cli/__init__.py
+++ b/kelpstage/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""`kelpctl`, the command line of the operators."""
--- a/kelpstage/cli/client.py
+++ b/kelpstage/cli/client.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from kelpstage.cli.output import BAD_INPUT, REFUSED, UNREACHED, UNRESOLVED, fail
+from kelpstage.cli.output import BAD_INPUT, REJECTED, UNREACHABLE, UNRESOLVED, fail
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.errors.transport import ConnectionLostError, ReplyTimeoutError
 from kelpstage.common.errors.validation import InvalidField, InvalidSettingsError
@@ -14,14 +14,14 @@
 from kelpstage.common.ports.live import LiveNet
 from kelpstage.common.transport.address import is_address
 
-DEFAULT_WAIT_US = 10_000_000
-EXTRA_WAIT_US = 1_000_000  # the caller waits longer than the time that it leaves
+DEFAULT_TIMEOUT_US = 10_000_000
+REPLY_MARGIN_US = 1_000_000  # added to the deadline that the server gets, so that its reply arrives
 
 
-def need_addresses(*, given: list[str], what: str) -> list[str]:
-    """Addresses that were given, or a typed end.
+def require_addresses(*, given: list[str], what: str) -> list[str]:
+    """Returns the given addresses; exits with an error if one is invalid or there is none.
 
-    >>> need_addresses(given=["127.0.0.1:1"], what="core")
+    >>> require_addresses(given=["127.0.0.1:1"], what="core")
     ['127.0.0.1:1']
     """
     faults = [
@@ -36,26 +36,29 @@
     return given
 
 
-async def _fetch(*, call: HttpCall) -> HttpReply | KelpstageError:
+async def _send(*, call: HttpCall) -> HttpReply | KelpstageError:
     return await LiveNet().fetch(call=call)
 
 
-def ask_once(*, call: HttpCall) -> HttpReply | KelpstageError:
-    """One call, no second try."""
-    return asyncio.run(_fetch(call=call))
+def send_once(*, call: HttpCall) -> HttpReply | KelpstageError:
+    """Sends one request, without a retry."""
+    return asyncio.run(_send(call=call))
 
 
-def ask(
+def send_request(
     *,
     addresses: list[str],
     method: str,
     path: str,
     headers: dict[str, str] | None = None,
     body: bytes = b"",
-    wait_us: int = DEFAULT_WAIT_US,
+    wait_us: int = DEFAULT_TIMEOUT_US,
 ) -> HttpReply:
-    """Ask the first address that answers; a put that may have arrived is not
-    sent elsewhere by itself."""
+    """Sends a request to the addresses in turn and returns the first reply.
+
+    A write that may have arrived is not retried at another address: the command ends with the
+    code for an unresolved result.
+    """
     last: HttpReply | KelpstageError | None = None
     for address in addresses:
         call = HttpCall(
@@ -63,31 +66,34 @@
             url=f"http://{address}{path}",
             headers={"Kelp-Time-Left-Us": str(wait_us), **(headers or {})},
             body=body,
-            wait_us=wait_us + EXTRA_WAIT_US,
+            wait_us=wait_us + REPLY_MARGIN_US,
         )
-        last = ask_once(call=call)
+        last = send_once(call=call)
         if isinstance(last, HttpReply):
-            if _knows_no_leader(reply=last):
+            if _is_no_leader(reply=last):
                 continue
             return last
         if method != "GET" and isinstance(last, (ReplyTimeoutError, ConnectionLostError)):
             fail(
-                error={"kind": "unresolved", "why": f"{address}: {last.kind}; ask again"},
+                error={
+                    "kind": "unresolved",
+                    "why": f"{address}: {last.kind}; the result is unknown, repeat the request",
+                },
                 code=UNRESOLVED,
             )
     if isinstance(last, HttpReply):
         return last
     assert last is not None, "no address was given"
-    fail(error=last, code=UNREACHED)
+    fail(error=last, code=UNREACHABLE)
 
 
-def _knows_no_leader(*, reply: HttpReply) -> bool:
-    """Is this a core that can't say who leads, so that another one is worth asking?"""
+def _is_no_leader(*, reply: HttpReply) -> bool:
+    """True if a core replies that it knows no leader; another core may know one."""
     return reply.status == 503 and error_of(reply=reply).get("kind") == "no_leader"
 
 
 def error_of(*, reply: HttpReply) -> dict[str, Any]:
-    """The typed error in a reply, or what stands for it.
+    """Returns the error in the body of a reply, or `untyped` with the status if there is none.
 
     >>> error_of(reply=HttpReply(status=500, body=b"x"))
     {'kind': 'untyped', 'status': 500}
@@ -98,12 +104,12 @@
         return {"kind": "untyped", "status": reply.status}
 
 
-def good_or_fail(*, reply: HttpReply, is_json: bool) -> Any:
-    """The reply's JSON, or an end that says why not."""
+def json_or_fail(*, reply: HttpReply, is_json: bool) -> Any:
+    """Returns the JSON of a successful reply; otherwise prints the error and exits."""
     if reply.status == 200:
         return json.loads(reply.body)
-    row = error_of(reply=reply)
-    code = UNRESOLVED if row["kind"] == "unresolved" else REFUSED
-    if row["kind"] == "no_leader":
-        code = UNREACHED
-    fail(error=row, code=code, is_json=is_json)
+    error = error_of(reply=reply)
+    code = UNRESOLVED if error["kind"] == "unresolved" else REJECTED
+    if error["kind"] == "no_leader":
+        code = UNREACHABLE
+    fail(error=error, code=code, is_json=is_json)
--- a/kelpstage/cli/commands/__init__.py
+++ b/kelpstage/cli/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands, by subject."""
+"""The commands of `kelpctl`, by subject."""
--- a/kelpstage/cli/commands/configurations.py
+++ b/kelpstage/cli/commands/configurations.py
@@ -1,4 +1,4 @@
-"""Commands on whole configurations: validate, compare, read, put."""
+"""Commands on complete configurations: validate, compare, read, write."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import typer
 
-from kelpstage.cli.client import ask, good_or_fail, need_addresses
+from kelpstage.cli.client import json_or_fail, require_addresses, send_request
 from kelpstage.cli.files import read_configuration_file, read_file, write_whole
 from kelpstage.cli.offline.diff import diff_of
 from kelpstage.cli.offline.warnings import warnings_of
@@ -16,16 +16,16 @@
 from kelpstage.cli.output import BAD_INPUT, show
 from kelpstage.common.configuration.types import Configuration
 
-DEFAULT_WAIT_US = 10_000_000
-LONGEST_WAIT_US = 120_000_000
+DEFAULT_TIMEOUT_US = 10_000_000
+MAX_TIMEOUT_US = 120_000_000
 
 
 def check(
-    file: str = typer.Argument(help="The configuration's file."), is_json: bool = AS_JSON
+    file: str = typer.Argument(help="File with the configuration."), is_json: bool = AS_JSON
 ) -> None:
-    """Validate a configuration offline, by the core's own code, with warnings.
+    """Validate a configuration offline with the code of the core, and print warnings.
 
-    A fault means exit code 1; warnings alone do not.
+    The exit code is 1 if there are errors; warnings do not change it.
     """
     configuration = read_configuration_file(path=file, is_json=is_json)
     warnings = [{"path": w.path, "why": w.why} for w in warnings_of(configuration=configuration)]
@@ -42,11 +42,11 @@
 
 
 def diff(
-    old: str = typer.Argument(help="The configuration's file as it is."),
-    new: str = typer.Argument(help="The configuration's file as it would be."),
+    old: str = typer.Argument(help="File with the current configuration."),
+    new: str = typer.Argument(help="File with the new configuration."),
     is_json: bool = AS_JSON,
 ) -> None:
-    """Show what a new configuration would alter."""
+    """Show what a new configuration would change."""
     rows = diff_of(
         old=read_configuration_file(path=old, is_json=is_json, code=BAD_INPUT),
         new=read_configuration_file(path=new, is_json=is_json),
@@ -59,19 +59,21 @@
 
 def get(
     core: Optional[List[str]] = CORES,
-    out: Optional[str] = typer.Option(None, help="Write the configuration here instead."),
+    out: Optional[str] = typer.Option(
+        None, help="Write the configuration to this file instead of stdout."
+    ),
     is_source: bool = typer.Option(
-        False, "--source", help="Only the text that its `source` section keeps."
+        False, "--source", help="Print only the text of the `source` section."
     ),
 ) -> None:
-    """Read the configuration back, as the leader has it; its version goes to stderr."""
-    reply = ask(
-        addresses=need_addresses(given=core or [], what="core"),
+    """Print the configuration that the leader has; its version goes to stderr."""
+    reply = send_request(
+        addresses=require_addresses(given=core or [], what="core"),
         method="GET",
         path="/v1/configuration",
     )
     if reply.status != 200:
-        good_or_fail(reply=reply, is_json=False)
+        json_or_fail(reply=reply, is_json=False)
     version = reply.headers.get("etag", "").strip('"')
     data = reply.body
     if is_source:
@@ -84,50 +86,58 @@
 
 
 def put(
-    file: str = typer.Argument(help="The configuration's file."),
-    replaces: int = typer.Option(..., min=0, help="The version that this put replaces; 0: none."),
+    file: str = typer.Argument(help="File with the configuration."),
+    replaces: int = typer.Option(..., min=0, help="The version that this write replaces; 0: none."),
     core: Optional[List[str]] = CORES,
     put_id: Optional[str] = typer.Option(
-        None, help="Give the id of an earlier put to ask about it again."
+        None, help="The id of an earlier write, to repeat that write."
     ),
     version: Optional[int] = typer.Option(
-        None, min=1, help="The version that it gets, above the one in force; else the next."
+        None, min=1, help="The new version, above the current one; the default is the next version."
+    ),
+    wait_us: int = typer.Option(
+        DEFAULT_TIMEOUT_US,
+        min=1,
+        max=MAX_TIMEOUT_US,
+        help="Time to wait for the result, in microseconds.",
     ),
-    wait_us: int = typer.Option(DEFAULT_WAIT_US, min=1, max=LONGEST_WAIT_US, help="Time left."),
     is_json: bool = AS_JSON,
 ) -> None:
-    """Put a whole configuration. It is acknowledged when no edge can serve an older one."""
+    """Write a complete configuration.
+
+    It is acknowledged once no edge can serve an older version.
+    """
     document = read_file(path=file)
-    addresses = need_addresses(given=core or [], what="core")
-    name = put_id or secrets.token_hex(8)
-    typer.echo(f"put id {name}", err=True)
-    reply = ask(
+    addresses = require_addresses(given=core or [], what="core")
+    write_id = put_id or secrets.token_hex(8)
+    typer.echo(f"put id {write_id}", err=True)
+    reply = send_request(
         addresses=addresses,
         method="PUT",
         path="/v1/configuration",
         headers={
             "If-Match": f'"{replaces}"',
-            "Kelp-Put-Id": name,
+            "Kelp-Put-Id": write_id,
             **({"Kelp-Version": str(version)} if version else {}),
         },
         body=document,
         wait_us=wait_us,
     )
-    body = good_or_fail(reply=reply, is_json=is_json)
-    show(body=body, is_json=is_json, text=f"version {body['version']} is in force")
+    body = json_or_fail(reply=reply, is_json=is_json)
+    show(body=body, is_json=is_json, text=f"version {body['version']} is current")
 
 
 def put_state(
-    put_id: str = typer.Argument(help="The put's id."),
+    put_id: str = typer.Argument(help="The id of the write."),
     core: Optional[List[str]] = CORES,
     is_json: bool = AS_JSON,
 ) -> None:
-    """Ask what became of a put."""
-    reply = ask(
-        addresses=need_addresses(given=core or [], what="core"),
+    """Show the result of a configuration write."""
+    reply = send_request(
+        addresses=require_addresses(given=core or [], what="core"),
         method="GET",
         path=f"/v1/puts/{put_id}",
     )
-    body = good_or_fail(reply=reply, is_json=is_json)
+    body = json_or_fail(reply=reply, is_json=is_json)
     text = f"{body['state']}" + (f", version {body['version']}" if "version" in body else "")
     show(body=body, is_json=is_json, text=text)
--- a/kelpstage/cli/commands/plans.py
+++ b/kelpstage/cli/commands/plans.py
@@ -1,4 +1,4 @@
-"""The plan command: how a search would be gathered, as an edge or a file has it."""
+"""The plan command: how a search is gathered, according to an edge or a configuration file."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 import typer
 
-from kelpstage.cli.client import ask, good_or_fail, need_addresses
+from kelpstage.cli.client import json_or_fail, require_addresses, send_request
 from kelpstage.cli.files import read_configuration_file
-from kelpstage.cli.offline.plan import any_root, changes, offline_plan
+from kelpstage.cli.offline.plan import changes, default_root, offline_plan
 from kelpstage.cli.options import AS_JSON, EDGES
 from kelpstage.cli.output import BAD_INPUT, fail, show
 from kelpstage.cli.views.plans import plan_text
@@ -18,26 +18,34 @@
 
 
 def plan(
-    collection: str = typer.Argument(help="The collection."),
+    collection: str = typer.Argument(help="Name of the collection."),
     edge: Optional[List[str]] = EDGES,
-    offline: Optional[str] = typer.Option(None, help="Plan from this configuration file instead."),
-    root: Optional[str] = typer.Option(None, help="Offline: the node that plans."),
-    gone: Optional[List[str]] = typer.Option(None, help="Offline: a node or backend that is gone."),
+    offline: Optional[str] = typer.Option(
+        None, help="Plan from this configuration file, without an edge."
+    ),
+    root: Optional[str] = typer.Option(
+        None, help="Offline: the node that is the root of the plan."
+    ),
+    gone: Optional[List[str]] = typer.Option(
+        None, help="Offline: a node or backend to leave out; may be repeated."
+    ),
     is_json: bool = AS_JSON,
 ) -> None:
-    """Show the gathering plan: which node merges what, which backend serves each
-    shard, and why. Offline also shows what changes if something is gone."""
+    """Show the gathering plan: the nodes that merge, and the backend of each shard with the reason.
+
+    With --offline, also show what changes if nodes or backends are left out.
+    """
     if offline:
         _show_offline(
             file=offline, collection=collection, root=root, gone=gone or [], is_json=is_json
         )
         return
-    reply = ask(
-        addresses=need_addresses(given=edge or [], what="edge"),
+    reply = send_request(
+        addresses=require_addresses(given=edge or [], what="edge"),
         method="GET",
         path=f"/v1/plan/{collection}",
     )
-    body = good_or_fail(reply=reply, is_json=is_json)
+    body = json_or_fail(reply=reply, is_json=is_json)
     show(body=body, is_json=is_json, text=plan_text(view=body))
 
 
@@ -45,23 +53,23 @@
     *, file: str, collection: str, root: str | None, gone: list[str], is_json: bool
 ) -> None:
     configuration = read_configuration_file(path=file, is_json=is_json, code=BAD_INPUT)
-    _fail_if_unknown(configuration=configuration, collection=collection, gone=gone, is_json=is_json)
-    start = root or any_root(configuration=configuration)
+    _exit_if_unknown(configuration=configuration, collection=collection, gone=gone, is_json=is_json)
+    start = root or default_root(configuration=configuration)
     before = offline_plan(
         configuration=configuration, collection=collection, root=start, gone=frozenset()
     )
     after = offline_plan(
         configuration=configuration, collection=collection, root=start, gone=frozenset(gone)
     )
-    moved = changes(before=before, after=after)
+    differences = changes(before=before, after=after)
     lines = _plan_lines(plan=after)
     if gone:
         lines.append(f"without {', '.join(gone)}:")
-        lines += [f"  {line}" for line in moved] or ["  nothing changes"]
-    show(body={"plan": after, "changes": moved}, is_json=is_json, text="\n".join(lines))
+        lines += [f"  {line}" for line in differences] or ["  nothing changes"]
+    show(body={"plan": after, "changes": differences}, is_json=is_json, text="\n".join(lines))
 
 
-def _fail_if_unknown(
+def _exit_if_unknown(
     *, configuration: Configuration, collection: str, gone: list[str], is_json: bool
 ) -> None:
     if collection not in configuration.routes:
@@ -82,8 +90,8 @@
         f"{plan['last_fan_out']}, coverage {plan['coverage']}"
     ]
     for shard, row in plan["shards"].items():
-        zone = "" if row["is_near"] else " (another domain)"
-        lines.append(f"  {shard}: {row['node']} asks {row['backend'] or 'nobody'}{zone}")
+        zone = "" if row["is_near"] else " (another zone)"
+        lines.append(f"  {shard}: {row['node']} queries {row['backend'] or 'no backend'}{zone}")
     for service, share in plan.get("shares", {}).items():
         lines.append(f"  {service} gets {share:.1%}")
     return lines
--- a/kelpstage/cli/main.py
+++ b/kelpstage/cli/main.py
@@ -1,7 +1,7 @@
-"""`kelpctl`: the operators' command line.
+"""`kelpctl`: the command line of the operators.
 
-Exit codes: 0 done; 1 refused (a fault, a lost race, not there); 2 bad input;
-3 unresolved, ask again; 4 nobody reached.
+Exit codes: 0 success; 1 rejected (an error, a concurrent change, not found);
+2 invalid input; 3 unresolved, repeat the command; 4 no server was reachable.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     add_completion=False, help=__doc__, pretty_exceptions_enable=False, no_args_is_help=True
 )
 
-# In the order in which the help lists them.
+# The help lists the commands in this order.
 app.command("check")(configurations.check)
 app.command("diff")(configurations.diff)
 app.command("get")(configurations.get)
@@ -34,12 +34,12 @@
 app.command("status")(fleet.status)
 app.command("top")(top.top)
 app.command("membership")(fleet.membership)
-app.command("roster", hidden=True)(fleet.membership)  # its name until 0.1.0
+app.command("roster", hidden=True)(fleet.membership)  # its name up to version 0.1.0
 app.command("remove-edge")(fleet.remove_edge)
 app.command("drain")(drains.drain)
 app.command("undrain")(drains.undrain)
 app.command("recover")(recovery.recover_cluster)
-app.command("salvage", hidden=True)(recovery.recover_cluster)  # its name until 0.1.0
+app.command("salvage", hidden=True)(recovery.recover_cluster)  # its name up to version 0.1.0
 app.command("import")(imports.import_routes)
 
 
--- a/kelpstage/cli/offline/__init__.py
+++ b/kelpstage/cli/offline/__init__.py
@@ -1,1 +1,1 @@
-"""What can be told from files alone, without a fleet."""
+"""Analyses of configuration files that need no running fleet."""
--- a/kelpstage/cli/offline/plan.py
+++ b/kelpstage/cli/offline/plan.py
@@ -1,4 +1,4 @@
-"""The gathering plan of a configuration without a fleet, by the edges' own code."""
+"""Computes the gathering plan of a configuration offline, with the code of the edges."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 def offline_plan(
     *, configuration: Configuration, collection: str, root: str, gone: frozenset[str]
 ) -> dict[str, Any]:
-    """The plan that `root` would make if every node and backend but `gone` is up.
+    """Returns the plan that `root` makes while every node and backend except `gone` is up.
 
-    The backends of a service come from a list that no file holds, so a forward route's
-    plan names services; where no nodes are declared, it is drawn over nameless ones.
+    The backends of a service come from discovery and are in no file, so the plan of a forward
+    route names services. If the configuration declares no nodes, the plan has placeholder nodes.
     """
     route = configuration.routes[collection]
     helpers = _helpers(configuration=configuration, collection=collection, root=root, gone=gone)
     registry = _registry(configuration=configuration, root=root, gone=gone)
     tree = grow(root=root, shards=route.fan_out, helpers=helpers, fan_out=route.tree_fan_out)
     count = len(route.fan_out)
-    placed = _placed(
+    placed = _place_shards(
         configuration=configuration, registry=registry, collection=collection, subtree=tree
     )
     if configuration.collections[collection].codec == RECORDS_CODEC:
@@ -51,7 +51,7 @@
 def _helpers(
     *, configuration: Configuration, collection: str, root: str, gone: frozenset[str]
 ) -> list[str]:
-    """The nodes that may gather beside the root, those of its own zone first."""
+    """Returns the other nodes that may gather, those in the zone of the root first."""
     zone = configuration.nodes.get(root, {}).get("domain", "")
     names = [
         name
@@ -67,23 +67,23 @@
     ]
     if not configuration.nodes and collection in configuration.forward:
         fan_out = configuration.routes[collection].fan_out
-        names = [f"edge {place + 2}" for place in range(len(fan_out))]
+        names = [f"edge {index + 2}" for index in range(len(fan_out))]
     return names
 
 
 def _registry(*, configuration: Configuration, root: str, gone: frozenset[str]) -> BackendRegistry:
-    """The registry of an edge that knows of nothing but what is gone."""
+    """Returns a backend registry without observations, except that backends in `gone` are gone."""
     registry = BackendRegistry(me=root)
     for name in configuration.backends:
         entry = registry.entry(name=name)
         entry.address = configuration.backends[name].address or "0.0.0.0:1"
         if name in gone:
-            entry.state, entry.why = BackendState.GONE, "named as gone"
+            entry.state, entry.why = BackendState.GONE, "listed as gone"
     return registry
 
 
 def _shares(*, configuration: Configuration, name: str) -> dict[str, Any]:
-    """What part of a forward route's requests each service gets, if it is split."""
+    """Returns the share of requests that each service of a weighted forward route gets."""
     route = configuration.forward.get(name)
     if route is None or not route.weights:
         return {}
@@ -91,11 +91,11 @@
     return {"shares": {service: weight / total for service, weight in route.weights}}
 
 
-def _placed(
+def _place_shards(
     *, configuration: Configuration, registry: BackendRegistry, collection: str, subtree: Subtree
 ) -> dict[str, dict[str, Any]]:
     zone = configuration.nodes.get(subtree.node, {}).get("domain", "")
-    out: dict[str, dict[str, Any]] = {}
+    placements: dict[str, dict[str, Any]] = {}
     for shard in subtree.shards:
         ranked = options(
             configuration=configuration,
@@ -108,7 +108,7 @@
             rand=None,
         )
         best = ranked[0] if ranked and not ranked[0].refusal else None
-        out[shard] = {
+        placements[shard] = {
             "node": subtree.node,
             "domain": zone,
             "backend": best.backend if best else None,
@@ -117,35 +117,35 @@
             "left_out": {o.backend: o.refusal for o in ranked if o.refusal},
         }
     for child in subtree.children:
-        out |= _placed(
+        placements |= _place_shards(
             configuration=configuration, registry=registry, collection=collection, subtree=child
         )
-    return out
+    return placements
 
 
 def changes(*, before: dict[str, Any], after: dict[str, Any]) -> list[str]:
-    """What differs between two plans, a line each.
+    """Returns one line for each difference between two plans.
 
     >>> changes(before={"shards": {"s": {"node": "a", "backend": "b"}}, "coverage": 1},
     ...         after={"shards": {"s": {"node": "a", "backend": None}}, "coverage": 0})
     ['s: backend b -> none', 'coverage: 1 -> 0']
     """
-    out = []
+    lines = []
     for shard, row in sorted(before["shards"].items()):
-        for what in ("node", "backend"):
-            old, new = row[what], after["shards"][shard][what]
+        for key in ("node", "backend"):
+            old, new = row[key], after["shards"][shard][key]
             if old != new:
-                out.append(f"{shard}: {what} {old or 'none'} -> {new or 'none'}")
+                lines.append(f"{shard}: {key} {old or 'none'} -> {new or 'none'}")
     if before["coverage"] != after["coverage"]:
-        out.append(f"coverage: {before['coverage']} -> {after['coverage']}")
-    return out
+        lines.append(f"coverage: {before['coverage']} -> {after['coverage']}")
+    return lines
 
 
-def any_root(*, configuration: Configuration, rand: random.Random | None = None) -> str:
-    """A node to plan from when none is named: the first by name.
+def default_root(*, configuration: Configuration, rand: random.Random | None = None) -> str:
+    """Returns the default root of a plan: the first node by name.
 
     >>> from kelpstage.common.configuration.types import EMPTY
-    >>> any_root(configuration=EMPTY)
+    >>> default_root(configuration=EMPTY)
     'root'
     """
     return min(configuration.nodes, default="root")
--- a/kelpstage/cli/offline/routes.py
+++ b/kelpstage/cli/offline/routes.py
@@ -1,9 +1,8 @@
-"""Routes from an OpenAPI file, laid into a configuration for review.
+"""Converts an OpenAPI file to routes of a configuration.
 
-A `POST` on `/v1/collections/{collection}/search`, with the collection's name in
-its place, becomes that collection's route. `x-kelp-quorum`, `x-kelp-fan-out` and
-`x-kelp-window-us` on the operation give its numbers; `FanOut` is every shard of
-the collection. What has no place in a route is named, never dropped in silence.
+A `POST` on `/v1/collections/NAME/search` becomes the route of the collection `NAME`.
+`x-kelp-quorum`, `x-kelp-fan-out` and `x-kelp-window-us` on the operation set its numbers;
+`FanOut` is every shard of the collection. Everything that a route can't express is reported.
 """
 
 from __future__ import annotations
@@ -26,19 +25,27 @@
     "x-kelp-window-us": "window_us",
 }
 METHODS = ("get", "put", "post", "delete", "options", "head", "patch", "trace")
-PLAIN = {"operationId", "summary", "description", "tags", "responses", "requestBody", "parameters"}
+IGNORED_FIELDS = {
+    "operationId",
+    "summary",
+    "description",
+    "tags",
+    "responses",
+    "requestBody",
+    "parameters",
+}
 
 
 @dataclass(kw_only=True)
 class ImportedRoutes:
-    """Routes found, and what was found beside them."""
+    """The imported routes, and the parts of the file that routes can't express."""
 
     routes: dict[str, dict[str, Any]] = field(default_factory=dict)
     unsupported: list[InvalidField] = field(default_factory=list)
 
 
 def read_openapi(*, data: bytes) -> OpenAPI | list[InvalidField]:
-    """Read an OpenAPI 3 file, JSON or YAML.
+    """Parses an OpenAPI 3 file in JSON or YAML.
 
     >>> read_openapi(data=b"openapi: 3.1.0")[0].path
     'info'
@@ -50,21 +57,21 @@
         place = f"line {mark.line + 1}, column {mark.column + 1}" if mark else "(whole)"
         return [InvalidField(path=place, why="neither JSON nor YAML")]
     if not isinstance(raw, dict):
-        return [InvalidField(path="(whole)", why="not an object")]
+        return [InvalidField(path="(whole)", why="is not an object")]
     try:
-        return cast(OpenAPI, parse_obj(raw))  # 3.0 has the same fields, as far as they are read
+        return cast(OpenAPI, parse_obj(raw))  # the fields that are read are the same in 3.0
     except ValidationError as error:
         return [
-            # the library puts the file's version before each place
+            # the library puts the OpenAPI version before each location
             InvalidField(path=".".join(str(s) for s in one["loc"][1:]) or "(whole)", why=one["msg"])
             for one in error.errors()
         ]
-    except ValueError as error:  # the library's word for a version it does not know
+    except ValueError as error:  # raised by the library for an unknown OpenAPI version
         return [InvalidField(path="openapi", why=str(error)[:200])]
 
 
 def routes_of(*, openapi: OpenAPI, shards: dict[str, list[str]]) -> ImportedRoutes:
-    """The routes in a file, for the collections whose shards are known.
+    """Converts the operations of a file to routes, for collections whose shards are known.
 
     >>> text = (b'{"openapi":"3.1.0","info":{"title":"t","version":"1"},"paths":'
     ...         b'{"/v1/collections/c/search":{"post":{"x-kelp-quorum":1}},"/other":{"get":{}}}}')
@@ -72,46 +79,54 @@
     >>> got.routes, [fault.path for fault in got.unsupported]
     ({'c': {'FanOut': ['s1'], 'Quorum': 1}}, ['paths./other.get'])
     """
-    out = ImportedRoutes()
+    imported = ImportedRoutes()
     for name in ("servers", "security", "webhooks", "externalDocs"):
         if name in openapi.model_fields_set:
-            out.unsupported.append(InvalidField(path=name, why="has no place in a configuration"))
+            imported.unsupported.append(
+                InvalidField(path=name, why="can't be expressed in a configuration")
+            )
     for path, item in (openapi.paths or {}).items():
         for method in METHODS:
             operation = getattr(item, method)
             if operation is not None:
-                _take(path=path, method=method, operation=operation, shards=shards, out=out)
-        _note_rest(path=path, item=item, out=out)
-    return out
+                _import_operation(
+                    path=path, method=method, operation=operation, shards=shards, imported=imported
+                )
+        _report_other_fields(path=path, item=item, imported=imported)
+    return imported
 
 
-def _note_rest(*, path: str, item: PathItem, out: ImportedRoutes) -> None:
+def _report_other_fields(*, path: str, item: PathItem, imported: ImportedRoutes) -> None:
     for name in sorted(item.model_fields_set - set(METHODS) - {"summary", "description"}):
-        out.unsupported.append(InvalidField(path=f"paths.{path}.{name}", why="not taken over"))
+        imported.unsupported.append(
+            InvalidField(path=f"paths.{path}.{name}", why="is not imported")
+        )
 
 
-def _take(
+def _import_operation(
     *,
     path: str,
     method: str,
     operation: Operation,
     shards: dict[str, list[str]],
-    out: ImportedRoutes,
+    imported: ImportedRoutes,
 ) -> None:
-    at = f"paths.{path}.{method}"
-    found = SEARCH.fullmatch(path)
-    if found is None or method != "post":
+    operation_path = f"paths.{path}.{method}"
+    match = SEARCH.fullmatch(path)
+    if match is None or method != "post":
         why = (
             "single records need no route"
             if RECORD.fullmatch(path) and method == "get"
-            else "not POST /v1/collections/NAME/search"
+            else "is not POST /v1/collections/NAME/search"
         )
-        out.unsupported.append(InvalidField(path=at, why=why))
+        imported.unsupported.append(InvalidField(path=operation_path, why=why))
         return
-    collection = found.group(1)
+    collection = match.group(1)
     if collection not in shards:
-        out.unsupported.append(
-            InvalidField(path=at, why=f"the configuration has no collection {collection}")
+        imported.unsupported.append(
+            InvalidField(
+                path=operation_path, why=f"the configuration has no collection {collection}"
+            )
         )
         return
     route: dict[str, Any] = {"FanOut": shards[collection], "Quorum": len(shards[collection])}
@@ -119,13 +134,22 @@
         if name in EXTENSIONS:
             route[EXTENSIONS[name]] = value
         else:
-            out.unsupported.append(InvalidField(path=f"{at}.{name}", why="unknown extension"))
-    for name in sorted(operation.model_fields_set - PLAIN - set(operation.model_extra or {})):
-        out.unsupported.append(InvalidField(path=f"{at}.{name}", why="has no place in a route"))
+            imported.unsupported.append(
+                InvalidField(path=f"{operation_path}.{name}", why="unknown extension")
+            )
+    for name in sorted(
+        operation.model_fields_set - IGNORED_FIELDS - set(operation.model_extra or {})
+    ):
+        imported.unsupported.append(
+            InvalidField(path=f"{operation_path}.{name}", why="can't be expressed in a route")
+        )
     for parameter in operation.parameters or []:
         name = getattr(parameter, "name", "(a reference)")
         if name != "limit" and str(name).lower() != "kelp-time-left-us":
-            out.unsupported.append(
-                InvalidField(path=f"{at}.parameters.{name}", why="callers have no such parameter")
+            imported.unsupported.append(
+                InvalidField(
+                    path=f"{operation_path}.parameters.{name}",
+                    why="searches have no such parameter",
+                )
             )
-    out.routes[collection] = route
+    imported.routes[collection] = route
--- a/kelpstage/cli/offline/warnings.py
+++ b/kelpstage/cli/offline/warnings.py
@@ -1,4 +1,4 @@
-"""What is no fault in a configuration, yet will hurt one day."""
+"""Warnings about valid configurations that are likely to cause trouble."""
 
 from __future__ import annotations
 
@@ -10,41 +10,43 @@
 
 
 def warnings_of(*, configuration: Configuration) -> list[InvalidField]:
-    """Every warning with its path."""
-    out: list[InvalidField] = _forward_warnings(configuration=configuration)
+    """Returns every warning with its path."""
+    warnings: list[InvalidField] = _forward_warnings(configuration=configuration)
     for name, collection in configuration.collections.items():
         if name in configuration.forward:
             continue
-        out += _shard_warnings(configuration=configuration, collection=collection)
+        warnings += _shard_warnings(configuration=configuration, collection=collection)
         route = configuration.route(collection=name)
         if route is None:
-            out.append(InvalidField(path=f"collections.{name}", why="no route leads to it"))
+            warnings.append(InvalidField(path=f"collections.{name}", why="no route refers to it"))
             continue
-        out += _route_warnings(configuration=configuration, collection=collection, route=route)
-    return out
+        warnings += _route_warnings(configuration=configuration, collection=collection, route=route)
+    return warnings
 
 
 def _forward_warnings(*, configuration: Configuration) -> list[InvalidField]:
-    out = []
-    named: set[str] = set()
+    warnings = []
+    used_services: set[str] = set()
     for name, route in configuration.forward.items():
         path = f"forward.{name}"
-        named |= set(route.services)
+        used_services |= set(route.services)
         if route.aim_us > route.deadline_us:
-            out.append(InvalidField(path=f"{path}.aim_us", why="later than the deadline"))
+            warnings.append(InvalidField(path=f"{path}.aim_us", why="is longer than the deadline"))
         if route.fan_out and not route.is_repeatable:
-            why = "a gathered answer can't be asked for again from another backend"
-            out.append(InvalidField(path=f"{path}.is_repeatable", why=why))
+            why = "a shard's request can't be retried at another backend"
+            warnings.append(InvalidField(path=f"{path}.is_repeatable", why=why))
         for service, weight in route.weights:
             if not weight:
-                out.append(InvalidField(path=f"{path}.weights.{service}", why="gets no request"))
-    for name in sorted(set(configuration.services) - named):
-        out.append(InvalidField(path=f"services.{name}", why="no route leads to it"))
-    return out
+                warnings.append(
+                    InvalidField(path=f"{path}.weights.{service}", why="gets no requests")
+                )
+    for name in sorted(set(configuration.services) - used_services):
+        warnings.append(InvalidField(path=f"services.{name}", why="no route refers to it"))
+    return warnings
 
 
-def usable(*, configuration: Configuration, collection: str, shard: str) -> list[str]:
-    """Backends of a shard that no label drains."""
+def undrained_backends(*, configuration: Configuration, collection: str, shard: str) -> list[str]:
+    """Returns the backends of a shard without the label `drain`."""
     return [
         name
         for name in configuration.backends_of(collection=collection, shard=shard)
@@ -53,20 +55,22 @@
 
 
 def _shard_warnings(*, configuration: Configuration, collection: Collection) -> list[InvalidField]:
-    out = []
+    warnings = []
     for shard in collection.shards:
         path = f"collections.{collection.name}.shards.{shard}"
-        names = usable(configuration=configuration, collection=collection.name, shard=shard)
+        names = undrained_backends(
+            configuration=configuration, collection=collection.name, shard=shard
+        )
         if not names:
-            out.append(InvalidField(path=path, why="every backend is labelled drain"))
+            warnings.append(InvalidField(path=path, why="every backend has the label drain"))
             continue
         if len(names) == 1:
-            out.append(InvalidField(path=path, why=f"one backend only: {names[0]}"))
+            warnings.append(InvalidField(path=path, why=f"one backend only: {names[0]}"))
             continue
         zones = {configuration.backends[name].labels.get("domain") for name in names}
         if len(zones) == 1:
-            out.append(InvalidField(path=path, why=f"all backends in one zone: {zones.pop()}"))
-    return out
+            warnings.append(InvalidField(path=path, why=f"all backends in one zone: {zones.pop()}"))
+    return warnings
 
 
 def _route_warnings(
@@ -78,26 +82,28 @@
 
 
 def _single_loss_warnings(*, configuration: Configuration, route: Route) -> list[InvalidField]:
-    """Backends and zones whose loss alone takes more shards than the quorum lets miss."""
+    """Warns of each backend or zone whose loss alone makes the quorum impossible."""
     by_backend: Counter[str] = Counter()
     by_zone: Counter[str | None] = Counter()
     for shard in route.fan_out:
-        names = usable(configuration=configuration, collection=route.collection, shard=shard)
+        names = undrained_backends(
+            configuration=configuration, collection=route.collection, shard=shard
+        )
         if len(names) == 1:
             by_backend[names[0]] += 1
         zones = {configuration.backends[name].labels.get("domain") for name in names}
         if len(zones) == 1:
             by_zone[zones.pop()] += 1
-    spare = len(route.fan_out) - route.quorum
+    allowed = len(route.fan_out) - route.quorum
     losses: tuple[tuple[str, Counter[Any]], ...] = (("backend", by_backend), ("domain", by_zone))
     return [
         InvalidField(
             path=f"routes.{route.collection}.Quorum",
-            why=f"the loss of {what} {name} alone takes {count} shards; {spare} may be missing",
+            why=f"the loss of {kind} {name} alone takes {count} shards; {allowed} may be missing",
         )
-        for what, counts in losses
+        for kind, counts in losses
         for name, count in sorted(counts.items(), key=str)
-        if count > spare
+        if count > allowed
     ]
 
 
--- a/kelpstage/cli/output.py
+++ b/kelpstage/cli/output.py
@@ -1,4 +1,4 @@
-"""How the tool ends and speaks: stable exit codes, text or JSON."""
+"""Output of the commands as text or JSON, and their exit codes, which stay stable."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from kelpstage.common.errors.base import KelpstageError
 
-OK, REFUSED, BAD_INPUT, UNRESOLVED, UNREACHED = 0, 1, 2, 3, 4
+OK, REJECTED, BAD_INPUT, UNRESOLVED, UNREACHABLE = 0, 1, 2, 3, 4
 
 
 def show(*, body: Any, is_json: bool, text: str | None = None) -> None:
-    """Print a result.
+    """Prints a result.
 
     >>> show(body={"a": 1}, is_json=False, text="one")
     one
@@ -21,7 +21,7 @@
 
 
 def fail(*, error: KelpstageError | dict[str, Any], code: int, is_json: bool = False) -> NoReturn:
-    """Say what went wrong on stderr and leave with the code.
+    """Prints the error and exits with the code; text goes to stderr, JSON to stdout.
 
     >>> from contextlib import redirect_stderr
     >>> from kelpstage.common.errors.control import NoLeaderError
@@ -45,7 +45,7 @@
 
 
 def table(*, rows: list[list[Any]], heads: list[str]) -> str:
-    """Rows under heads, in columns.
+    """Formats rows in aligned columns under a header.
 
     >>> print(table(rows=[["a", 1]], heads=["name", "n"]))
     name  n
--- a/kelpstage/cli/views/__init__.py
+++ b/kelpstage/cli/views/__init__.py
@@ -1,1 +1,1 @@
-"""What cores and edges answer, as text."""
+"""Replies of cores and edges, formatted as text."""
--- a/kelpstage/cli/views/status.py
+++ b/kelpstage/cli/views/status.py
@@ -1,4 +1,4 @@
-"""Status and membership of cores and edges as text."""
+"""Formats the status and the membership of cores and edges."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from kelpstage.cli.output import table
 
-CONTROL_PROGRAMS = ("kelpstage-control", "kelpc")  # the second: its name until version 0.1.0
+CONTROL_PROGRAMS = ("kelpstage-control", "kelpc")  # the second is its name up to version 0.1.0
 
 
 def membership_text(*, view: dict[str, Any]) -> str:
-    """The membership as a table.
+    """Formats the membership as a table.
 
     >>> membership_text(view={"epoch": 1, "version": 2, "is_settled": False, "edges": []})
     'version 2, epoch 1, not settled\\nedge  zone  votes  epoch  behind  heard ago (us)'
     """
     rows = [_membership_row(row=row) for row in view["edges"]]
     head = f"version {view['version']}, epoch {view['epoch']}"
-    if not view.get("is_settled", True):  # a core of an older version does not say
+    if not view.get("is_settled", True):  # older versions do not send this key
         head += ", not settled"
     heads = ["edge", "zone", "votes", "epoch", "behind", "heard ago (us)"]
     return f"{head}\n" + table(rows=rows, heads=heads)
@@ -36,7 +36,7 @@
 
 
 def status_text(*, view: dict[str, Any]) -> str:
-    """A core's or an edge's status."""
+    """Formats the status of a core or an edge."""
     is_core = view["program"] in CONTROL_PROGRAMS
     return _core_text(view=view) if is_core else _edge_text(view=view)
 
@@ -52,8 +52,8 @@
     margin = view.get("margin")
     if margin is not None and margin["losses_borne"] < margin["losses_wanted"]:
         lines.append(
-            f"  bears the loss of {max(0, margin['losses_borne'])} voters more,"
-            f" {margin['losses_wanted']} are wanted, for {margin['since_us_ago']} us now"
+            f"  tolerates the loss of {max(0, margin['losses_borne'])} more voters,"
+            f" {margin['losses_wanted']} are required, for the last {margin['since_us_ago']} us"
         )
     if "roster" in view:
         body = view | {"edges": view["roster"]}
@@ -77,7 +77,7 @@
     kind = "voter" if member["is_voter"] else "learner"
     line = f"  {kind} {member['address']}"
     if "match" in member:
-        line += f", has {member['match']}, heard {member['heard_us_ago']} us ago"
+        line += f", has {member['match']}, last contact {member['heard_us_ago']} us ago"
     return line
 
 
@@ -90,7 +90,7 @@
         f"{view['newest_epoch']}); lease "
         + (f"held for {lease['left_us']} us" if lease["is_held"] else "not held")
         + f", leader {lease['leader'] or 'unknown'}, {len(lease['vouchers'])} of "
-        f"{len(lease['roster'])} vouch",
+        f"{len(lease['roster'])} edges confirm it",
     ]
     lines += [
         f"  peer {row['name']}: {row['status']}"
@@ -103,7 +103,7 @@
 
 
 def _backend_lines(*, view: dict[str, Any]) -> list[str]:
-    """The backends that are not simply up."""
+    """Formats the backends that are not up."""
     lines = []
     for row in view["backends"]:
         if row["state"] != "up" or row["is_dark"]:
@@ -113,15 +113,15 @@
 
 
 def _search_lines(*, view: dict[str, Any]) -> list[str]:
-    """How searches ended, and what was sent beside the first sends."""
+    """Formats the outcomes of searches, and the extra attempts of each service."""
     lines = []
     for collection, row in view["searches"].items():
-        ends = ", ".join(f"{count} {end}" for end, count in row["ends"].items())
-        times = f"half within {row['p50_us']} us, 99 % within {row['p99_us']} us"
-        lines.append(f"  {collection}: {ends}; {times}")
+        outcomes = ", ".join(f"{count} {end}" for end, count in row["ends"].items())
+        times = f"50 % within {row['p50_us']} us, 99 % within {row['p99_us']} us"
+        lines.append(f"  {collection}: {outcomes}; {times}")
     for service, row in view["budget"].items():
         lines.append(
-            f"  {service}, last 10 s: {row['first']} first sends, {row['extra']} extra; "
-            f"{row['refused']} extra refused so far"
+            f"  {service}, last 10 s: {row['first']} first attempts, {row['extra']} extra; "
+            f"{row['refused']} extra rejected in total"
         )
     return lines
--- a/kelpstage/cli/views/top.py
+++ b/kelpstage/cli/views/top.py
@@ -1,4 +1,4 @@
-"""The figures of a fleet between two looks, as a table: rates, quantiles, roles, lags."""
+"""Formats the metrics between two scrapes as tables: rates, quantiles, roles, lags."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     "queue",
     "lag ms",
 ]
-SERVED_KINDS = ("root", "single")  # requests of clients and callers, not parts of them
+SERVED_KINDS = ("root", "single")  # whole requests of clients, not their child requests
 
 
 def _milliseconds(seconds: float | None) -> str:
@@ -46,53 +46,53 @@
 
 
 def edge_row(*, address: str, between: Between) -> list[Any]:
-    """One line of the table of edges."""
-    now = between.after
+    """Returns a row of the table of edges."""
+    latest = between.after
     attempts = between.rate("kelpstage_attempts_total")
-    again = attempts - between.rate("kelpstage_attempts_total", reason="first")
+    retries = attempts - between.rate("kelpstage_attempts_total", reason="first")
     served = sum(between.rate("kelpstage_requests_total", kind=kind) for kind in SERVED_KINDS)
     duration = "kelpstage_stage_duration_seconds"
     stage = "root" if between.rate("kelpstage_requests_total", kind="root") else "single"
     return [
         address,
-        "yes" if now.total("kelpstage_ready") else "no",
-        int(now.total("kelpstage_configuration_version")),
-        int(now.total("kelpstage_epoch")),
+        "yes" if latest.total("kelpstage_ready") else "no",
+        int(latest.total("kelpstage_configuration_version")),
+        int(latest.total("kelpstage_epoch")),
         f"{served:.1f}",
         _milliseconds(between.quantile_s(duration, share=0.5, stage=stage)),
         _milliseconds(between.quantile_s(duration, share=0.99, stage=stage)),
         f"{between.rate('kelpstage_errors_total'):.1f}",
-        f"{again / attempts:.1%}" if attempts else "-",
+        f"{retries / attempts:.1%}" if attempts else "-",
         f"{between.rate('kelpstage_shards_missing_total'):.1f}",
-        int(now.total("kelpstage_requests_in_flight")),
-        int(now.total("kelpstage_backends_ejected")),
-        f"{now.total('kelpstage_event_loop_lag_seconds') * 1000:.1f}",
+        int(latest.total("kelpstage_requests_in_flight")),
+        int(latest.total("kelpstage_backends_ejected")),
+        f"{latest.total('kelpstage_event_loop_lag_seconds') * 1000:.1f}",
     ]
 
 
 def core_row(*, address: str, between: Between) -> list[Any]:
-    """One line of the table of cores."""
-    now = between.after
-    roles = now.samples.get("kelpstage_raft_role", {})
+    """Returns a row of the table of cores."""
+    latest = between.after
+    roles = latest.samples.get("kelpstage_raft_role", {})
     role = next((dict(key)["role"] for key, value in roles.items() if value), "not running")
     disk = "kelpstage_disk_write_duration_seconds"
     return [
         address,
         role,
-        int(now.total("kelpstage_raft_term")),
-        int(now.total("kelpstage_configuration_version")),
-        int(now.total("kelpstage_epoch")),
-        int(now.total("kelpstage_raft_commit_index")),
-        int(now.total("kelpstage_raft_lag_entries")),
-        int(now.total("kelpstage_edges_behind")),
+        int(latest.total("kelpstage_raft_term")),
+        int(latest.total("kelpstage_configuration_version")),
+        int(latest.total("kelpstage_epoch")),
+        int(latest.total("kelpstage_raft_commit_index")),
+        int(latest.total("kelpstage_raft_lag_entries")),
+        int(latest.total("kelpstage_edges_behind")),
         _milliseconds(between.quantile_s(disk, share=0.99)),
-        int(now.total("kelpstage_queue_length")),
-        f"{now.total('kelpstage_event_loop_lag_seconds') * 1000:.1f}",
+        int(latest.total("kelpstage_queue_length")),
+        f"{latest.total('kelpstage_event_loop_lag_seconds') * 1000:.1f}",
     ]
 
 
 def top_text(*, edges: Iterable[list[Any]], cores: Iterable[list[Any]], silent: list[str]) -> str:
-    """The whole page.
+    """Formats the whole page.
 
     >>> print(top_text(edges=[], cores=[], silent=["127.0.0.1:1"]))
     no answer from 127.0.0.1:1
