--- a/kelpstage/cli/commands/plans.py
+++ b/kelpstage/cli/commands/plans.py
@@ -91,7 +91,7 @@
     ]
     for shard, row in plan["shards"].items():
         zone = "" if row["is_near"] else " (another zone)"
-        lines.append(f"  {shard}: {row['node']} queries {row['backend'] or 'no backend'}{zone}")
+        lines.append(f"  {shard}: {row['node']} queries {row['backend'] or 'nobody'}{zone}")
     for service, share in plan.get("shares", {}).items():
         lines.append(f"  {service} gets {share:.1%}")
     return lines
--- a/kelpstage/cli/offline/warnings.py
+++ b/kelpstage/cli/offline/warnings.py
@@ -94,16 +94,16 @@
         zones = {configuration.backends[name].labels.get("domain") for name in names}
         if len(zones) == 1:
             by_zone[zones.pop()] += 1
-    allowed = len(route.fan_out) - route.quorum
+    spare = len(route.fan_out) - route.quorum
     losses: tuple[tuple[str, Counter[Any]], ...] = (("backend", by_backend), ("domain", by_zone))
     return [
         InvalidField(
             path=f"routes.{route.collection}.Quorum",
-            why=f"the loss of {kind} {name} alone takes {count} shards; {allowed} may be missing",
+            why=f"the loss of {kind} {name} alone takes {count} shards; {spare} may be missing",
         )
         for kind, counts in losses
         for name, count in sorted(counts.items(), key=str)
-        if count > allowed
+        if count > spare
     ]
 
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations with forward routes: every fault with its path, and what they yield."""
+"""Tests of configurations with forward routes, of writes with a stated version, and of settings."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 
 
-def document() -> dict:
+def forward_document() -> dict:
     return {
         "version": 7,
         "services": {
@@ -72,29 +72,29 @@
     }
 
 
-def judge(*, body: object) -> Configuration | dict[str, str]:
+def validate(*, body: object) -> Configuration | dict[str, str]:
     outcome = read_configuration(data=json.dumps(body).encode(), version=3)
     if isinstance(outcome, Configuration):
         return outcome
     return {fault.path: fault.why for fault in outcome.faults}
 
 
-def bent(path: str, value: object) -> dict:
-    body = copy.deepcopy(document())
-    *way, last = path.split("/")
-    place = body
-    for step in way:
-        place = place[step]
+def with_value(path: str, value: object) -> dict:
+    body = copy.deepcopy(forward_document())
+    *parents, key = path.split("/")
+    section = body
+    for parent in parents:
+        section = section[parent]
     if value is None:
-        del place[last]
+        del section[key]
     else:
-        place[last] = value
+        section[key] = value
     return body
 
 
-class ForwardTest(unittest.TestCase):
-    def test_a_whole_document_is_read(self) -> None:
-        configuration = judge(body=document())
+class ForwardRouteValidationTest(unittest.TestCase):
+    def test_complete_document_is_parsed(self) -> None:
+        configuration = validate(body=forward_document())
         self.assertIsInstance(configuration, Configuration)
         self.assertEqual((3, 7), (configuration.version, configuration.stated_version))
         self.assertEqual(
@@ -114,8 +114,8 @@
         self.assertEqual((("kafi81c", 0.25), ("huvo11a", 0.75)), plain.weights)
         self.assertEqual(("kafi81c", "huvo11a"), plain.services)
 
-    def test_forward_routes_yield_collections_and_routes(self) -> None:
-        configuration = judge(body=document())
+    def test_forward_routes_become_collections_and_routes(self) -> None:
+        configuration = validate(body=forward_document())
         collection = configuration.collections["r-gather"]
         self.assertEqual(("records16", ""), (collection.codec, collection.order_by))
         self.assertEqual(["huvo11a", "lohu93e"], list(collection.shards))
@@ -130,12 +130,12 @@
         self.assertEqual(("kafi81c", "huvo11a"), configuration.route(collection="r-plain").fan_out)
         self.assertTrue(configuration.is_gatherer(collection="r-gather", name="n", zone="d"))
 
-    def test_the_longest_prefix_of_the_host_wins(self) -> None:
-        body = document()
+    def test_longest_prefix_of_the_host_is_selected(self) -> None:
+        body = forward_document()
         wide = dict(body["forward"]["r-plain"], host="mide43.example", prefix="/")
         deep = dict(wide, prefix="/leno121/")
         body["forward"] |= {"r-wide": wide, "r-deep": deep}
-        configuration = judge(body=body)
+        configuration = validate(body=body)
 
         def name_of(host: str, path: str) -> str | None:
             route = configuration.forward_for(host=host, path=path)
@@ -150,103 +150,111 @@
         self.assertIsNone(name_of("other.example", "/leno121/ny90/2f"))
         self.assertIsNone(EMPTY.forward_for(host="mide43.example", path="/"))
 
-    def test_each_fault_is_named_with_its_path(self) -> None:
+    def test_each_error_is_reported_with_its_path(self) -> None:
         gather, plain = "forward/r-gather", "forward/r-plain"
         cases = [
-            ("forward.r-gather.fan_out.1", bent(f"{gather}/fan_out", ["huvo11a", "nobody"])),
-            ("forward.r-gather.fan_out.1", bent(f"{gather}/fan_out", ["huvo11a", "huvo11a"])),
-            ("forward.r-gather.fan_out", bent(f"{gather}/fan_out", [])),
-            ("forward.r-gather.fan_out.0", bent(f"{gather}/fan_out", [["huvo11a"]])),
-            ("forward.r-gather.quorum", bent(f"{gather}/quorum", 0)),
-            ("forward.r-gather.quorum", bent(f"{gather}/quorum", 1.01)),
-            ("forward.r-gather.quorum", bent(f"{gather}/quorum", True)),
-            ("forward.r-gather.limit", bent(f"{gather}/limit", None)),
-            ("forward.r-gather", bent(f"{gather}/weights", {"huvo11a": 1.0})),
-            ("forward.r-gather", bent(f"{gather}/fan_out", None)),
-            ("forward.r-plain.weights.nobody", bent(f"{plain}/weights", {"nobody": 1})),
-            ("forward.r-plain.weights", bent(f"{plain}/weights", {"huvo11a": 0, "kafi81c": 0.0})),
-            ("forward.r-plain.weights", bent(f"{plain}/weights", {})),
+            ("forward.r-gather.fan_out.1", with_value(f"{gather}/fan_out", ["huvo11a", "nobody"])),
+            ("forward.r-gather.fan_out.1", with_value(f"{gather}/fan_out", ["huvo11a", "huvo11a"])),
+            ("forward.r-gather.fan_out", with_value(f"{gather}/fan_out", [])),
+            ("forward.r-gather.fan_out.0", with_value(f"{gather}/fan_out", [["huvo11a"]])),
+            ("forward.r-gather.quorum", with_value(f"{gather}/quorum", 0)),
+            ("forward.r-gather.quorum", with_value(f"{gather}/quorum", 1.01)),
+            ("forward.r-gather.quorum", with_value(f"{gather}/quorum", True)),
+            ("forward.r-gather.limit", with_value(f"{gather}/limit", None)),
+            ("forward.r-gather", with_value(f"{gather}/weights", {"huvo11a": 1.0})),
+            ("forward.r-gather", with_value(f"{gather}/fan_out", None)),
+            ("forward.r-plain.weights.nobody", with_value(f"{plain}/weights", {"nobody": 1})),
+            (
+                "forward.r-plain.weights",
+                with_value(f"{plain}/weights", {"huvo11a": 0, "kafi81c": 0.0}),
+            ),
+            ("forward.r-plain.weights", with_value(f"{plain}/weights", {})),
             (
                 "forward.r-plain.weights.kafi81c",
-                bent(f"{plain}/weights", {"huvo11a": 2, "kafi81c": -1}),
+                with_value(f"{plain}/weights", {"huvo11a": 2, "kafi81c": -1}),
+            ),
+            ("forward.r-plain.weights.kafi81c", with_value(f"{plain}/weights/kafi81c", "1")),
+            ("forward.r-plain.limit", with_value(f"{plain}/limit", 5)),
+            ("forward.r-plain.deadline_us", with_value(f"{plain}/deadline_us", 0)),
+            ("forward.r-plain.deadline_us", with_value(f"{plain}/deadline_us", None)),
+            ("forward.r-plain.attempts", with_value(f"{plain}/attempts", 0)),
+            ("forward.r-plain.rank", with_value(f"{plain}/rank", -1)),
+            ("forward.r-plain.is_repeatable", with_value(f"{plain}/is_repeatable", 1)),
+            ("forward.r-plain.prefix", with_value(f"{plain}/prefix", "/a")),
+            ("forward.r-plain.prefix", with_value(f"{plain}/prefix", "a/")),
+            ("forward.r-plain.prefix", with_value(f"{plain}/prefix", None)),
+            ("forward.r-plain.host", with_value(f"{plain}/host", "a b")),
+            ("forward.r-plain.host", with_value(f"{plain}/host", None)),
+            ("forward.r-plain.extra", with_value(f"{plain}/extra", 1)),
+            ("forward.r-plain", with_value(plain, [])),
+            ("forward.a b", with_value("forward/a b", forward_document()["forward"]["r-plain"])),
+            ("forward", with_value("forward", [])),
+            ("services.kafi81c.health_path", with_value("services/kafi81c/health_path", "up")),
+            (
+                "services.kafi81c.max_connections",
+                with_value("services/kafi81c/max_connections", -1),
             ),
-            ("forward.r-plain.weights.kafi81c", bent(f"{plain}/weights/kafi81c", "1")),
-            ("forward.r-plain.limit", bent(f"{plain}/limit", 5)),
-            ("forward.r-plain.deadline_us", bent(f"{plain}/deadline_us", 0)),
-            ("forward.r-plain.deadline_us", bent(f"{plain}/deadline_us", None)),
-            ("forward.r-plain.attempts", bent(f"{plain}/attempts", 0)),
-            ("forward.r-plain.rank", bent(f"{plain}/rank", -1)),
-            ("forward.r-plain.is_repeatable", bent(f"{plain}/is_repeatable", 1)),
-            ("forward.r-plain.prefix", bent(f"{plain}/prefix", "/a")),
-            ("forward.r-plain.prefix", bent(f"{plain}/prefix", "a/")),
-            ("forward.r-plain.prefix", bent(f"{plain}/prefix", None)),
-            ("forward.r-plain.host", bent(f"{plain}/host", "a b")),
-            ("forward.r-plain.host", bent(f"{plain}/host", None)),
-            ("forward.r-plain.extra", bent(f"{plain}/extra", 1)),
-            ("forward.r-plain", bent(plain, [])),
-            ("forward.a b", bent("forward/a b", document()["forward"]["r-plain"])),
-            ("forward", bent("forward", [])),
-            ("services.kafi81c.health_path", bent("services/kafi81c/health_path", "up")),
-            ("services.kafi81c.max_connections", bent("services/kafi81c/max_connections", -1)),
-            ("services", bent("services", None) | {"services": 5}),
-            ("limits.header_us", bent("limits/header_us", 0)),
-            ("limits.idle_us", bent("limits/idle_us", None)),
-            ("version", bent("version", 0)),
-            ("source", bent("source", "\ud800")),
-            ("extra", bent("extra", 1)),
+            ("services", with_value("services", None) | {"services": 5}),
+            ("limits.header_us", with_value("limits/header_us", 0)),
+            ("limits.idle_us", with_value("limits/idle_us", None)),
+            ("version", with_value("version", 0)),
+            ("source", with_value("source", "\ud800")),
+            ("extra", with_value("extra", 1)),
         ]
         for path, body in cases:
             with self.subTest(path=path, body=body):
-                found = judge(body=body)
+                found = validate(body=body)
                 self.assertIsInstance(found, dict)
                 self.assertIn(path, found)
 
-    def test_two_routes_with_one_host_and_prefix(self) -> None:
-        body = document()
+    def test_duplicate_host_and_prefix_is_rejected(self) -> None:
+        body = forward_document()
         body["forward"]["r-again"] = dict(
             body["forward"]["r-gather"], host="mide43.EXAMPLE", rank=9
         )
         self.assertEqual(
-            {"forward.r-again.prefix": "same host and prefix as r-gather"}, judge(body=body)
+            {"forward.r-again.prefix": "same host and prefix as r-gather"}, validate(body=body)
         )
-        body["forward"]["r-gather"]["deadline_us"] = 0  # told also beside another fault
+        body["forward"]["r-gather"]["deadline_us"] = 0  # reported together with other errors
         self.assertEqual(
-            {"forward.r-again.prefix", "forward.r-gather.deadline_us"}, set(judge(body=body))
+            {"forward.r-again.prefix", "forward.r-gather.deadline_us"}, set(validate(body=body))
         )
 
-    def test_a_forward_route_may_not_bear_a_collections_name(self) -> None:
-        body = document() | {
+    def test_forward_route_with_the_name_of_a_collection_is_rejected(self) -> None:
+        body = forward_document() | {
             "backends": {"b": {"address": "10.0.0.1:1", "labels": {"s": "1"}}},
             "collections": {
                 "r-plain": {"shards": {"s1": {"cut": "c", "selector": {"s": "1"}}}},
             },
             "routes": {"r-plain": {"FanOut": ["s1"], "Quorum": 1}},
         }
-        self.assertEqual({"forward.r-plain": "is also the name of a collection"}, judge(body=body))
+        self.assertEqual(
+            {"forward.r-plain": "is also the name of a collection"}, validate(body=body)
+        )
         body["forward"]["other"] = body["forward"].pop("r-plain")
-        both = judge(body=body)
+        both = validate(body=body)
         self.assertIsInstance(both, Configuration)
         self.assertEqual({"r-plain", "other", "r-gather"}, set(both.collections))
         self.assertEqual(("b",), both.backends_of(collection="r-plain", shard="s1"))
 
-    def test_names_are_free_up_to_128_printable_characters(self) -> None:
+    def test_names_have_up_to_128_printable_characters(self) -> None:
         name = "\u00e9:/" * 42
-        body = document()
+        body = forward_document()
         body["services"][name] = {}
         body["forward"][name] = dict(body["forward"]["r-plain"], prefix="/new/", weights={name: 1})
-        self.assertIsInstance(judge(body=body), Configuration)
+        self.assertIsInstance(validate(body=body), Configuration)
         for bad in ("", "a b", "x" * 129, "tab\t"):
             worse = copy.deepcopy(body)
             worse["services"][bad] = {}
-            self.assertEqual([f"services.{bad}"], list(judge(body=worse)))
+            self.assertEqual([f"services.{bad}"], list(validate(body=worse)))
 
-    def test_without_forward_the_old_sections_are_required(self) -> None:
-        body = document()
+    def test_without_forward_the_collection_sections_are_required(self) -> None:
+        body = forward_document()
         del body["forward"]
-        self.assertLessEqual({"backends", "collections", "routes"}, set(judge(body=body)))
+        self.assertLessEqual({"backends", "collections", "routes"}, set(validate(body=body)))
 
-    def test_a_large_document_is_read_quickly(self) -> None:
-        body = document()
+    def test_large_document_is_parsed_quickly(self) -> None:
+        body = forward_document()
         services = [f"svc{place}" for place in range(200)]
         body["services"] |= {name: {} for name in services}
         for place in range(1500):
@@ -263,13 +271,13 @@
         self.assertLess(min(spans), 0.3)
 
 
-class MachineTest(unittest.TestCase):
-    """The replicated state under versions that the operator states."""
+class ReplicatedStateTest(unittest.TestCase):
+    """The replicated state with versions that the operator states."""
 
     def put(self, machine: Machine, **put: object) -> object:
         return machine.apply(data=bytes(Command(put=PutConfiguration(**put))))
 
-    def test_a_put_is_known_again_by_its_content(self) -> None:
+    def test_repeated_put_is_recognized_by_its_content(self) -> None:
         machine = Machine(cluster="c")
         first = dict(expected=0, document=b"{}", version=5)
         self.assertEqual(PutApplied(version=5, epoch=1), self.put(machine, put_id="a", **first))
@@ -283,7 +291,7 @@
         again = Machine(cluster="c", state=CoreState().parse(bytes(machine.state)))
         self.assertEqual(PutApplied(version=9, epoch=2), self.put(again, put_id="e", **later))
 
-    def test_records_stay_few_and_hold_the_version_in_force(self) -> None:
+    def test_refusal_records_are_bounded_and_the_current_put_is_kept(self) -> None:
         machine = Machine(cluster="c")
         taken = dict(expected=0, document=b"x" * 400_000, version=3)
         self.put(machine, put_id="taken", **taken)
@@ -294,7 +302,7 @@
         self.assertLess(len(bytes(machine.state)), 400_000 + REFUSALS_KEPT * 120)
         self.assertEqual(PutApplied(version=3, epoch=1), self.put(machine, put_id="again", **taken))
 
-    def test_snapshots_from_before_are_read(self) -> None:
+    def test_snapshot_of_an_earlier_release_is_read(self) -> None:
         old = Machine(cluster="c")
         put = dict(expected=0, document=b"{}")
         self.put(old, put_id="a", **put)
@@ -304,7 +312,7 @@
         self.assertEqual(PutApplied(version=1, epoch=1), self.put(machine, put_id="a", **put))
         self.assertEqual(PutApplied(version=1, epoch=1), self.put(machine, put_id="b", **put))
 
-    def test_several_edges_join_at_once_and_the_membership_before_is_kept(self) -> None:
+    def test_joining_several_edges_keeps_the_previous_membership(self) -> None:
         machine = Machine(cluster="c")
 
         def add(*names: str) -> None:
@@ -314,33 +322,33 @@
         self.assertEqual((1, ["a", "b", "c"], []), self.memberships(machine))
         add("d", "e", "a")
         self.assertEqual((2, ["a", "b", "c", "d", "e"], ["a", "b", "c"]), self.memberships(machine))
-        add("f")  # one alone: majorities meet as they are
+        add("f")  # a single edge: majorities of old and new membership overlap
         self.assertEqual((3, ["a", "b", "c", "d", "e", "f"], []), self.memberships(machine))
         add("g", "h")
         self.put(machine, put_id="p", expected=0, document=b"{}")
         self.assertEqual([], machine.state.old_membership)
 
-    def test_a_settled_batch_leaves_no_majority_behind(self) -> None:
-        """Every way to install a batch on some: once it counts as settled, neither the
-        membership before nor the new one has a majority without it."""
-        late_us = 10 * LEASE_SPAN_US
+    def test_settled_membership_leaves_no_majority_without_it(self) -> None:
+        """Tests every subset of edges that have installed a joint change of membership: once the
+        change is settled, neither the old nor the new membership has a majority without it."""
+        after_leases_us = 10 * LEASE_SPAN_US
         settled = 0
-        for olds in range(6):
-            for joined in range(2, 6):
-                membership = [f"e{place}" for place in range(olds + joined)]
-                old = membership[:olds]
+        for old_count in range(6):
+            for join_count in range(2, 6):
+                membership = [f"e{place}" for place in range(old_count + join_count)]
+                old = membership[:old_count]
                 for mask in range(2 ** len(membership)):
-                    has_it = [name for place, name in enumerate(membership) if mask >> place & 1]
+                    installed = [name for place, name in enumerate(membership) if mask >> place & 1]
                     lease_table = LeaseTable(since_us=0)
-                    for name in has_it:
+                    for name in installed:
                         lease_table.record_report(
                             edge=name, incarnation=1, epoch=2, contact=None, now_us=1
                         )
-                    if not all(  # as the lease service asks
+                    if not all(  # the same condition as in the lease service
                         lease_table.is_settled(
                             epoch=2,
                             membership=EdgeMembership(names=tuple(names)),
-                            now_us=late_us,
+                            now_us=after_leases_us,
                             is_strict=True,
                         )
                         for names in ([membership, old] if old else [membership])
@@ -348,9 +356,9 @@
                         continue
                     settled += 1
                     for names in (old, membership):
-                        without = len(set(names) - set(has_it))
-                        self.assertFalse(names and without * 2 > len(names), (old, has_it))
-                        self.assertFalse(names and without * 2 == len(names), (old, has_it))
+                        without = len(set(names) - set(installed))
+                        self.assertFalse(names and without * 2 > len(names), (old, installed))
+                        self.assertFalse(names and without * 2 == len(names), (old, installed))
         self.assertGreater(settled, 100)
 
     def memberships(self, machine: Machine) -> tuple:
@@ -359,7 +367,7 @@
 
 
 class Operator:
-    """Writes and reads of a simulated fleet's operator, as HTTP has them."""
+    """An operator that reads and writes the configuration of a simulated fleet over HTTP."""
 
     def __init__(self, fleet: SimFleet) -> None:
         self.fleet = fleet
@@ -376,7 +384,7 @@
         wait_us: int = 900_000,
         body: bytes = b"",
     ) -> tuple[int, dict, int]:
-        """Status, body, how long it took."""
+        """Writes the configuration; returns the status, the body and the duration in us."""
         self.serial += 1
         headers = {
             "If-Match": str(base),
@@ -402,25 +410,25 @@
             call=HttpCall(method=method, url=f"http://{address}/v1/configuration", **more)
         )
 
-    async def until_taken(self, note: str, **more: object) -> tuple[int, dict, int]:
-        """Repeat a put, unchanged but for its id, at any core, until it is answered."""
+    async def put_until_resolved(self, note: str, **more: object) -> tuple[int, dict, int]:
+        """Repeats a put with a new id at each core in turn until it has a definite result."""
         cores = sorted(self.fleet.core_address)
         for turn in range(40):
             outcome = await self.put(note, core=cores[turn % len(cores)], **more)
             if outcome[0] not in (0, 503):
                 return outcome
             await self.fleet.sleep(us=300_000)
-        raise AssertionError(f"{note} was never answered: {outcome}")
+        raise AssertionError(f"{note} was never resolved: {outcome}")
 
 
-def run_story(scenario, *, seed: int = 3) -> SimFleet:
+def run_scenario(scenario, *, seed: int = 3) -> SimFleet:
     return run_sim(seed=seed, deployment=load(name="tiny"), scenario=scenario, rate=0.15)
 
 
-class VersionTest(unittest.TestCase):
-    """Operators state versions; what is refused leaves no trace."""
+class StatedVersionTest(unittest.TestCase):
+    """Writes with a stated version; a rejected write changes nothing."""
 
-    def test_versions_rise_in_uneven_steps(self) -> None:
+    def test_stated_versions_may_skip_numbers(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()  # version 1
             operator = Operator(fleet)
@@ -437,13 +445,17 @@
                 for core in ("node-01", "node-02", "node-03"):
                     status, row, _ = await operator.put("other", core=core, **more)
                     self.assertEqual((wanted, kind), (status, row["kind"]))
-            for core in ("node-01", "node-02", "node-03"):  # the same again, other ids
+            for core in ("node-01", "node-02", "node-03"):  # the same write again with other ids
                 status, row, _ = await operator.put("seven", base=1, version=7, core=core)
                 self.assertEqual((200, 7), (status, row["version"]))
             status, row, _ = await operator.put("next", base=7)
             self.assertEqual((200, 8), (status, row["version"]))
             status, row, _ = await operator.put("seven", base=1, version=7)
-            self.assertEqual((200, 7), (status, row["version"]), "remembered, not current")
+            self.assertEqual(
+                (200, 7),
+                (status, row["version"]),
+                "the result of an earlier write, not the current version",
+            )
             back = await operator.fetch("node-02", "GET")
             self.assertEqual(
                 (fleet.configuration(note="next"), '"8"'), (back.body, back.headers["etag"])
@@ -457,13 +469,13 @@
                 )
                 self.assertEqual(400, reply.status)
 
-        run_story(scenario)
+        run_scenario(scenario)
 
-    def test_the_document_may_state_the_version(self) -> None:
+    def test_document_may_state_the_version(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             operator = Operator(fleet)
-            body = json.dumps(document()).encode()
+            body = json.dumps(forward_document()).encode()
             status, row, _ = await operator.put("", base=1, version=9, body=body)
             self.assertEqual((422, "version"), (status, row["faults"][0]["path"]))
             status, row, _ = await operator.put("", base=1, body=body)
@@ -475,9 +487,9 @@
                 held = fleet.daemons[f"edge/{edge}"].lease_holder.configuration
                 self.assertEqual((7, {"r-gather", "r-plain"}), (held.version, set(held.forward)))
 
-        run_story(scenario)
+        run_scenario(scenario)
 
-    def test_of_two_on_one_base_one_wins(self) -> None:
+    def test_one_of_two_writes_with_the_same_base_succeeds(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             operator = Operator(fleet)
@@ -491,32 +503,32 @@
             back = await operator.fetch("node-03", "GET")
             self.assertEqual(f'"{winner["version"]}"', back.headers["etag"])
 
-        run_story(scenario)
+        run_scenario(scenario)
 
 
-class UnresolvedTest(unittest.TestCase):
-    """Short patience: an answer in time, the work goes on, the repeat finds it done."""
+class UnresolvedWriteTest(unittest.TestCase):
+    """A write with a short deadline gets a reply in time, continues, and succeeds on retry."""
 
-    def test_a_put_that_waits_for_an_edge_is_told_so_in_time(self) -> None:
+    def test_put_that_waits_for_an_edge_is_unresolved_before_its_deadline(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             operator = Operator(fleet)
             edge = fleet.daemons["edge/node-05"]
-            fleet.processes["edge/node-05"].freeze()  # it holds a lease of the version before
+            fleet.processes["edge/node-05"].freeze()  # it holds a lease of the previous version
             status, row, took_us = await operator.put("two", base=1, version=5)
             self.assertEqual((503, "unresolved"), (status, row["kind"]))
             self.assertLess(took_us, 950_000)
-            lease_asked_us = edge.lease_holder.lease_until_us()
-            status, row, took_us = await operator.until_taken("two", base=1, version=5)
+            lease_end_us = edge.lease_holder.lease_until_us()
+            status, row, took_us = await operator.put_until_resolved("two", base=1, version=5)
             self.assertEqual((200, 5), (status, row["version"]))
             self.assertGreaterEqual(
-                fleet.now_us(), lease_asked_us, "it could still serve the old one"
+                fleet.now_us(), lease_end_us, "the frozen edge could still serve the old version"
             )
             fleet.processes["edge/node-05"].thaw()
 
-        run_story(scenario)
+        run_scenario(scenario)
 
-    def test_a_repeat_at_another_leader_under_another_id(self) -> None:
+    def test_put_is_retried_at_another_leader_with_another_id(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             operator = Operator(fleet)
@@ -532,7 +544,7 @@
             status, row, took_us = await operator.put("two", base=1, version=5, core=other)
             self.assertEqual(503, status)
             self.assertLess(took_us, 950_000)
-            status, row, _ = await operator.until_taken("two", base=1, version=5)
+            status, row, _ = await operator.put_until_resolved("two", base=1, version=5)
             self.assertEqual((200, 5), (status, row["version"]))
             self.assertLess(fleet.now_us() - began_us, 6_000_000)
             fleet.processes["edge/node-06"].thaw()
@@ -540,55 +552,55 @@
             back = await operator.fetch(other, "GET")
             self.assertEqual('"5"', back.headers["etag"])
 
-        run_story(scenario)
+        run_scenario(scenario)
 
-    def test_nobody_hangs_while_a_leader_is_silent(self) -> None:
+    def test_requests_end_in_time_while_the_leader_is_frozen(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             operator = Operator(fleet)
             leader = fleet.leader()
             fleet.processes[f"core/{leader}"].freeze()
             other = next(name for name in sorted(fleet.core_address) if name != leader)
-            silent = 0
+            unresolved = 0
             for _ in range(4):
                 status, row, took_us = await operator.put("two", base=1, version=5, core=other)
                 self.assertIn(status, (200, 503))
                 self.assertLess(took_us, 950_000)
-                silent += status == 503
+                unresolved += status == 503
                 began_us = fleet.now_us()
                 read = await operator.fetch(other, "GET", headers={"Kelp-Time-Left-Us": "900000"})
                 self.assertLess(fleet.now_us() - began_us, 950_000)
                 self.assertIn(read.status, (200, 503))
-            self.assertGreater(silent, 0, "the silence was not met")
-            status, row, _ = await operator.until_taken("two", base=1, version=5)
+            self.assertGreater(unresolved, 0, "no write met the frozen leader")
+            status, row, _ = await operator.put_until_resolved("two", base=1, version=5)
             self.assertEqual((200, 5), (status, row["version"]))
             fleet.processes[f"core/{leader}"].thaw()
 
-        run_story(scenario)
+        run_scenario(scenario)
 
 
-class ToolsTest(unittest.TestCase):
+class OperatorCliTest(unittest.TestCase):
     """`kelpctl` on documents with forward routes."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.file = pathlib.Path(folder.name) / "a.json"
-        self.file.write_text(json.dumps(document()))
+        self.file.write_text(json.dumps(forward_document()))
 
     def run_tool(self, *arguments: str) -> tuple[int, str]:
         result = CliRunner().invoke(app, list(arguments))
         self.assertNotIn("Traceback", result.output)
         return result.exit_code, result.output
 
-    def test_check_counts_and_names_faults(self) -> None:
+    def test_check_prints_counts_and_errors(self) -> None:
         code, out = self.run_tool("check", str(self.file))
         self.assertEqual((0, True), (code, "2 forward), 3 services" in out))
-        self.file.write_text(json.dumps(bent("forward/r-gather/quorum", 2)))
+        self.file.write_text(json.dumps(with_value("forward/r-gather/quorum", 2)))
         code, out = self.run_tool("check", str(self.file))
         self.assertEqual((1, True), (code, "forward.r-gather.quorum" in out))
 
-    def test_plan_names_services_and_shares(self) -> None:
+    def test_plan_shows_services_and_shares(self) -> None:
         code, out = self.run_tool("plan", "r-gather", "--offline", str(self.file), "--json")
         self.assertEqual(0, code)
         plan = json.loads(out)["plan"]
@@ -603,13 +615,13 @@
         shares = json.loads(out)["plan"]["shares"]
         self.assertEqual({"kafi81c": 0.25, "huvo11a": 0.75}, shares)
 
-    def test_diff_tells_what_changes_once(self) -> None:
-        old = judge(body=document())
-        body = bent("forward/r-plain/weights", {"kafi81c": 1})
+    def test_diff_reports_each_change_once(self) -> None:
+        old = validate(body=forward_document())
+        body = with_value("forward/r-plain/weights", {"kafi81c": 1})
         body["services"]["lohu93e"]["max_connections"] = 7
         body["source"] = "another"
         del body["forward"]["r-gather"]
-        rows = {row["path"] for row in diff_of(old=old, new=judge(body=body))}
+        rows = {row["path"] for row in diff_of(old=old, new=validate(body=body))}
         self.assertEqual(
             {
                 "forward.r-plain.weights",
@@ -619,14 +631,14 @@
             },
             rows,
         )
-        self.assertEqual([], diff_of(old=old, new=judge(body=document())))
+        self.assertEqual([], diff_of(old=old, new=validate(body=forward_document())))
 
     def test_warnings(self) -> None:
-        self.assertEqual([], warnings_of(configuration=judge(body=document())))
-        body = bent("forward/r-gather/is_repeatable", False)
+        self.assertEqual([], warnings_of(configuration=validate(body=forward_document())))
+        body = with_value("forward/r-gather/is_repeatable", False)
         body["forward"]["r-plain"] |= {"aim_us": 9_000_000, "weights": {"kafi81c": 1, "huvo11a": 0}}
         body["services"]["spare"] = {}
-        paths = [warning.path for warning in warnings_of(configuration=judge(body=body))]
+        paths = [warning.path for warning in warnings_of(configuration=validate(body=body))]
         self.assertEqual(
             [
                 "forward.r-gather.is_repeatable",
@@ -638,10 +650,10 @@
         )
 
 
-class SettingsTest(unittest.TestCase):
-    """Bounds and what goes with them: judged, with every fault's path."""
+class SettingsValidationTest(unittest.TestCase):
+    """Settings are validated, and each error is reported with its path."""
 
-    CORE = {
+    CORE_SETTINGS = {
         "domain": "z1",
         "own": "10.0.0.1:1",
         "http": "10.0.0.1:2",
@@ -650,10 +662,10 @@
     }
 
     def faults(self, **more: object) -> list[str]:
-        outcome = validate_settings(raw=self.CORE | more, form=CORE_FORM)
+        outcome = validate_settings(raw=self.CORE_SETTINGS | more, form=CORE_FORM)
         return [f.path for f in outcome.faults] if isinstance(outcome, InvalidSettingsError) else []
 
-    def test_cores(self) -> None:
+    def test_core_settings(self) -> None:
         ten = [f"10.0.0.{n + 1}:1" for n in range(10)]
         cases = [
             ([], {}),
@@ -673,10 +685,10 @@
         for seeds in (ten, [], ten[:1] * 2):
             self.assertTrue(self.faults(seeds=seeds))
 
-    def test_edges(self) -> None:
-        edge = {name: value for name, value in self.CORE.items() if name != "data"}
-        clash = edge | {"name": "e", "front": "10.0.0.1:2"}
-        self.assertEqual("front", validate_settings(raw=clash, form=EDGE_FORM).faults[0].path)
+    def test_edge_settings(self) -> None:
+        edge = {name: value for name, value in self.CORE_SETTINGS.items() if name != "data"}
+        conflict = edge | {"name": "e", "front": "10.0.0.1:2"}
+        self.assertEqual("front", validate_settings(raw=conflict, form=EDGE_FORM).faults[0].path)
 
 
 if __name__ == "__main__":
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -1,4 +1,4 @@
-"""The offline commands, run in this process: output, exit codes, no leftovers."""
+"""Tests of the offline commands of `kelpctl`: their output, exit codes and files."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 """
 
 
-class Status(unittest.TestCase):
-    def test_a_core_of_before_its_rename_is_shown_as_one(self) -> None:
+class StatusTextTest(unittest.TestCase):
+    def test_core_with_its_former_program_name_is_shown(self) -> None:
         view = {
             "address": "127.0.0.1:7201",
             "domain": "a",
@@ -52,7 +52,7 @@
                 self.assertIn("replica r\n  waits for: the seeds", text)
 
 
-class Offline(unittest.TestCase):
+class OfflineCommandTest(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -118,7 +118,7 @@
         self.assertEqual(0, self.run_tool("check", out)[0])
         self.assertIn('"Quorum": 5', self.run_tool("diff", self.good, out)[1])
 
-    def test_import_of_bad_files_writes_nothing(self) -> None:
+    def test_import_of_invalid_files_writes_nothing(self) -> None:
         out = str(self.folder / "new.json")
         for data in (
             b"\xff\xff",
@@ -136,8 +136,8 @@
                 self.assertFalse(pathlib.Path(out).exists())
 
 
-class Settings(unittest.TestCase):
-    def test_every_fault_is_named_and_the_code_is_2(self) -> None:
+class DaemonSettingsTest(unittest.TestCase):
+    def test_every_error_is_printed_and_the_exit_code_is_2(self) -> None:
         for tool, flags, paths in (
             (
                 edge_app,
--- a/tests/test_top.py
+++ b/tests/test_top.py
@@ -1,4 +1,4 @@
-"""`kelpctl top`: rates and quantiles between two looks, restarts, who is silent."""
+"""Tests of `kelpctl top`: rates and quantiles, restarts, unreachable processes."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from kelpstage.common.metrics.reading import Between, read_look
 
 
-def edge_text(*, requests: int, slow: int, retries: int) -> str:
-    """An edge's figures after so many requests of 100 ms at most, and some slow ones."""
+def edge_metrics(*, requests: int, slow: int, retries: int) -> str:
+    """Returns metrics of an edge after requests of up to 100 ms and a number of slow ones."""
     total = requests + slow
     return f"""
 # TYPE kelpstage_requests counter
@@ -31,7 +31,7 @@
 """
 
 
-CORE = """
+CORE_METRICS = """
 kelpstage_raft_role{role="leader"} 1
 kelpstage_raft_role{role="follower"} 0
 kelpstage_raft_term 3
@@ -40,45 +40,46 @@
 """
 
 
-class Rows(unittest.TestCase):
+class TopPageTest(unittest.TestCase):
     def row(self, before: str, after: str) -> dict[str, object]:
         between = Between(
             before=read_look(text=before, at_s=10.0), after=read_look(text=after, at_s=12.0)
         )
         return dict(zip(EDGE_HEADS, edge_row(address="a:1", between=between), strict=True))
 
-    def test_rates_and_quantiles_are_of_what_came_in_between(self) -> None:
+    def test_rates_and_quantiles_cover_the_interval_between_scrapes(self) -> None:
         row = self.row(
-            edge_text(requests=1_000, slow=500, retries=0),
-            edge_text(requests=1_090, slow=510, retries=80),
+            edge_metrics(requests=1_000, slow=500, retries=0),
+            edge_metrics(requests=1_090, slow=510, retries=80),
         )
         self.assertEqual("50.0", row["req/s"])
         self.assertEqual(("100", "500"), (row["p50 ms"], row["p99 ms"]))
         self.assertEqual("9.1%", row["retries"])
         self.assertEqual(("yes", 7, "4.0"), (row["ready"], row["epoch"], row["lag ms"]))
 
-    def test_a_process_that_began_anew_has_no_negative_rates(self) -> None:
+    def test_restarted_process_has_no_negative_rates(self) -> None:
         row = self.row(
-            edge_text(requests=1_000, slow=0, retries=50), edge_text(requests=3, slow=0, retries=0)
+            edge_metrics(requests=1_000, slow=0, retries=50),
+            edge_metrics(requests=3, slow=0, retries=0),
         )
         self.assertEqual(("0.0", "-"), (row["req/s"], row["p50 ms"]))
 
-    def test_the_page_shows_cores_edges_and_who_is_silent(self) -> None:
-        looks = {
-            "e:1": read_look(text=edge_text(requests=1, slow=0, retries=0), at_s=1.0),
-            "c:1": read_look(text=CORE, at_s=1.0),
+    def test_page_shows_cores_edges_and_unreachable_addresses(self) -> None:
+        scrapes = {
+            "e:1": read_look(text=edge_metrics(requests=1, slow=0, retries=0), at_s=1.0),
+            "c:1": read_look(text=CORE_METRICS, at_s=1.0),
         }
-        text = _page(before=looks, after=looks, cores=["c:1"], edges=["e:1", "e:2"])
+        text = _page(before=scrapes, after=scrapes, cores=["c:1"], edges=["e:1", "e:2"])
         self.assertRegex(text, r"c:1 +leader +3 ")
         self.assertRegex(text, r"e:1 +yes ")
         self.assertTrue(text.endswith("no answer from e:2"))
 
 
-class Command(unittest.TestCase):
-    def test_an_address_is_needed(self) -> None:
+class TopCommandTest(unittest.TestCase):
+    def test_address_is_required(self) -> None:
         self.assertEqual(2, CliRunner().invoke(app, ["top"]).exit_code)
 
-    def test_nobody_there(self) -> None:
+    def test_unreachable_address(self) -> None:
         result = CliRunner().invoke(
             app, ["top", "--edge", "127.0.0.1:9", "--every", "0.2", "--count", "1"]
         )
