--- a/kelpstage/cli/commands/imports.py
+++ b/kelpstage/cli/commands/imports.py
@@ -32,7 +32,7 @@
     if isinstance(outcome, InvalidConfigurationError):
         fail(error=outcome, code=REJECTED, is_json=is_json)
     write_whole(path=out, data=data)
-    unsupported = [{"path": one.path, "why": one.why} for one in imported.unsupported]
+    unsupported = [{"path": field.path, "why": field.why} for field in imported.unsupported]
     lines = [f"not imported: {row['path']}: {row['why']}" for row in unsupported]
     lines.append(f"{len(imported.routes)} routes in {out}; kelpctl diff {into} {out} shows them")
     show(
--- a/kelpstage/cli/output.py
+++ b/kelpstage/cli/output.py
@@ -39,8 +39,8 @@
         for fault in row["faults"]:
             print(f"{kind} at {fault['path']}: {fault['why']}", file=sys.stderr)
         raise SystemExit(code)
-    rest = ", ".join(f"{k} {v}" for k, v in row.items() if k != "kind")
-    print(f"{kind}: {rest}" if rest else kind, file=sys.stderr)
+    details = ", ".join(f"{k} {v}" for k, v in row.items() if k != "kind")
+    print(f"{kind}: {details}" if details else kind, file=sys.stderr)
     raise SystemExit(code)
 
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -265,9 +265,9 @@
         data = json.dumps(body).encode()
         spans = []
         for _ in range(3):
-            began = time.process_time()
+            start = time.process_time()
             self.assertIsInstance(read_configuration(data=data, version=1), Configuration)
-            spans.append(time.process_time() - began)
+            spans.append(time.process_time() - start)
         self.assertLess(min(spans), 0.3)
 
 
@@ -687,8 +687,8 @@
 
     def test_edge_settings(self) -> None:
         edge = {name: value for name, value in self.CORE_SETTINGS.items() if name != "data"}
-        conflict = edge | {"name": "e", "front": "10.0.0.1:2"}
-        self.assertEqual("front", validate_settings(raw=conflict, form=EDGE_FORM).faults[0].path)
+        clash = edge | {"name": "e", "front": "10.0.0.1:2"}
+        self.assertEqual("front", validate_settings(raw=clash, form=EDGE_FORM).faults[0].path)
 
 
 if __name__ == "__main__":
