--- a/kelpstage/replay/__init__.py
+++ b/kelpstage/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replaying recordings of a fleet's traffic, and comparing what came of them."""
+"""Replays recordings of a fleet's traffic and compares the results."""
--- a/kelpstage/replay/files.py
+++ b/kelpstage/replay/files.py
@@ -1,4 +1,4 @@
-"""Recordings and results as files of the command line."""
+"""Reads and writes the files of the command line: recordings and results."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from kelpstage.common.recording.format import HEAD, Row, pack_row, read_day
 
 BAD_INPUT = 2
-TORN_TAIL_HINT = "the file ends within a record; --torn-tail reads what is whole"
+TORN_TAIL_HINT = "the file ends within a record; --torn-tail reads the records before it"
 
 
 def exit_bad_input(text: str) -> NoReturn:
-    """Say on stderr what is wrong with the input, and end with its code."""
+    """Prints the error on stderr and exits with the code for bad input."""
     print(text, file=sys.stderr)
     raise SystemExit(BAD_INPUT)
 
 
 def load(*, path: str, is_torn_tail_fine: bool) -> list[Row]:
-    """A recording's rows, or an end with the error and its place."""
+    """Returns the rows of a file; if it is invalid, exits with the error and its offset."""
     try:
         data = pathlib.Path(path).read_bytes()
     except OSError as error:
@@ -35,5 +35,5 @@
 
 
 def save(*, path: str, rows: list[Row]) -> None:
-    """Write rows whole or not at all: beside, then renamed."""
+    """Writes the rows atomically: to a temporary file that is then renamed."""
     write_whole(path=path, data=HEAD + b"".join(pack_row(row=row) for row in rows))
--- a/kelpstage/replay/requests.py
+++ b/kelpstage/replay/requests.py
@@ -1,4 +1,4 @@
-"""The HTTP requests that a recording's rows stand for."""
+"""Builds the HTTP requests for the rows of a recording."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from kelpstage.common.ports.interfaces import HttpCall
 from kelpstage.common.recording.format import Row
 
-EXTRA_WAIT_US = 1_000_000  # the sender waits longer than the time that it leaves
-PUT_TIME_LEFT_US = 10_000_000  # of a put whose row names none
+EXTRA_WAIT_US = 1_000_000  # the client waits longer than the time it grants the server
+DEFAULT_PUT_TIME_LEFT_US = 10_000_000  # for a put whose row has no time
 
 
 def request_of_call(*, row: Row, address: str) -> HttpCall:
-    """The call that a row records, to be sent to an address.
+    """Returns the recorded request, addressed to `address`.
 
     >>> row = {"method": "GET", "path": "/p", "time_left_us": 5}
     >>> request_of_call(row=row, address="a").url
@@ -31,8 +31,8 @@
 
 
 def request_of_put(*, row: Row, address: str, replaces: int) -> HttpCall:
-    """The put that a row records, on the version that is in force now."""
-    wait_us = row.get("time_left_us", PUT_TIME_LEFT_US)
+    """Returns the recorded put, with `replaces` as its base version."""
+    wait_us = row.get("time_left_us", DEFAULT_PUT_TIME_LEFT_US)
     return HttpCall(
         method="PUT",
         url=f"http://{address}/v1/configuration",
--- a/kelpstage/replay/results.py
+++ b/kelpstage/replay/results.py
@@ -1,4 +1,4 @@
-"""What came of each replayed call or put, and the figures of a whole replay."""
+"""The outcome of each replayed request or put, and the summary of a replay."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 CONFIGURATION_PATH = "/v1/configuration"
 GOOD_END = "ok"
-UNTYPED_END = "untyped"  # a reply that is not good and names no kind of error
+UNTYPED_END = "untyped"  # an error reply whose body names no kind of error
 HTTP_OK = 200
 
 
 @dataclass(frozen=True, kw_only=True)
 class Result:
-    """One call's or put's outcome.
+    """The outcome of one request or put.
 
-    `number` is its row's place in the recording; `end` is `ok` or the kind of the error;
-    `status` is 0 where no reply came; `coverage` and `version` are there for a search's
-    good reply.
+    `number` is the index of its row in the recording; `end` is `ok` or the kind of the error;
+    `status` is 0 if no reply was received; `coverage` and `version` are set for a successful
+    reply to a search.
     """
 
     at_us: int
@@ -36,7 +36,7 @@
     version: int | None = None
 
     def as_row(self) -> Row:
-        """The result as it stands in a file."""
+        """Returns the result as a row of a file."""
         row: Row = {
             "what": "result",
             "at_us": self.at_us,
@@ -53,7 +53,7 @@
 
     @classmethod
     def from_row(cls, *, row: Row) -> Result:
-        """Read a result back.
+        """Returns the result that a row holds.
 
         >>> result = Result(at_us=3, number=0, path="/p", took_us=9, status=200, end="ok")
         >>> Result.from_row(row=result.as_row()) == result
@@ -72,7 +72,7 @@
 
 
 def result_of(*, row: Row, number: int, reply: HttpReply | KelpstageError, took_us: int) -> Result:
-    """What came of a recorded call or put.
+    """Returns the outcome of a recorded request or put.
 
     >>> from kelpstage.common.errors.transport import ConnectError
     >>> result_of(row={"at_us": 3, "path": "/p"}, number=0,
@@ -109,7 +109,7 @@
 
 
 def read_results(*, rows: list[Row]) -> list[Result]:
-    """The results among a file's rows.
+    """Returns the results among the rows of a file.
 
     >>> read_results(rows=[{"what": "begin", "at_us": 0}])
     []
@@ -118,31 +118,31 @@
 
 
 def summary_of_results(*, results: list[Result]) -> dict[str, Any]:
-    """Ends, coverage and times of a replay, as JSON; times in microseconds.
+    """Returns outcomes, coverage and durations of a replay as JSON; durations in microseconds.
 
     >>> result = Result(at_us=0, number=0, path="/p", took_us=5, status=200, end="ok", coverage=1.0)
     >>> summary_of_results(results=[result])["ends"]
     {'ok': 1}
     """
     ends = Counter(result.end for result in results)
-    covered = [result.coverage for result in results if result.coverage is not None]
-    times = sorted(result.took_us for result in results if result.end == GOOD_END)
+    coverages = [result.coverage for result in results if result.coverage is not None]
+    durations_us = sorted(result.took_us for result in results if result.end == GOOD_END)
     return {
         "calls": len(results),
         "ends": dict(sorted(ends.items())),
-        "partial": sum(coverage < 1 for coverage in covered),
-        "coverage": round(sum(covered) / len(covered), 5) if covered else None,
+        "partial": sum(coverage < 1 for coverage in coverages),
+        "coverage": round(sum(coverages) / len(coverages), 5) if coverages else None,
         "took_us": {
-            "p50": _quantile(ordered=times, share=0.5),
-            "p90": _quantile(ordered=times, share=0.9),
-            "p99": _quantile(ordered=times, share=0.99),
-            "max": _quantile(ordered=times, share=1.0),
+            "p50": _quantile(ordered=durations_us, fraction=0.5),
+            "p90": _quantile(ordered=durations_us, fraction=0.9),
+            "p99": _quantile(ordered=durations_us, fraction=0.99),
+            "max": _quantile(ordered=durations_us, fraction=1.0),
         },
     }
 
 
-def _quantile(*, ordered: list[int], share: float) -> int:
-    """The value at this share of an ordered list; 0 for an empty one."""
+def _quantile(*, ordered: list[int], fraction: float) -> int:
+    """Returns the quantile at `fraction` of a sorted list; 0 for an empty list."""
     if not ordered:
         return 0
-    return ordered[min(len(ordered) - 1, int(len(ordered) * share))]
+    return ordered[min(len(ordered) - 1, int(len(ordered) * fraction))]
--- a/kelpstage/replay/runner.py
+++ b/kelpstage/replay/runner.py
@@ -1,4 +1,4 @@
-"""Replaying a recording against a fleet, at true or scaled speed."""
+"""Replays a recording against a fleet, at its original or a scaled speed."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from kelpstage.replay.requests import request_of_call, request_of_put
 from kelpstage.replay.results import Result, result_of
 
-IN_FLIGHT_AT_MOST = 512
-IN_FLIGHT_POLL_US = 1_000
-VERSION_WAIT_US = 5_000_000
+MAX_IN_FLIGHT = 512
+IN_FLIGHT_POLL_INTERVAL_US = 1_000
+VERSION_TIMEOUT_US = 5_000_000
 
-AddressOf = Callable[[int], str]  # by the row's place in the recording
+AddressOf = Callable[[int], str]  # by the row's index in the recording
 
 
 @dataclass(kw_only=True)
 class Replay:
     """One replay of a recording.
 
-    `edge_of` and `core_of` say where a row is sent; without `core_of`, puts are left out,
-    without `on_fault`, faults are. `speed` 2 is twice as fast; `skipped` counts the rows
-    that were left out.
+    `edge_of` and `core_of` return the address that a row is sent to. Without `core_of`, puts
+    are skipped; without `on_fault`, faults are. `speed` 2 is twice as fast; `skipped` counts
+    the skipped rows.
     """
 
     ports: Ports
@@ -40,26 +40,26 @@
     _in_flight: int = 0
 
     async def run(self) -> None:
-        """Send everything at its time; an open-loop replay never waits for replies,
-        but for more than a bound of them in flight."""
+        """Sends each row at its time. The replay is open-loop: it waits for replies only while
+        `MAX_IN_FLIGHT` requests are in flight."""
         clock = self.ports.clock
         started_us = clock.now_us()
         tasks = []
         for number, row in enumerate(self.rows):
-            work = self._work_of(row=row, number=number)
-            if work is None:
+            action = self._action_of(row=row, number=number)
+            if action is None:
                 continue
             due_us = started_us + int(row["at_us"] / self.speed)
             await clock.sleep(us=due_us - clock.now_us())
-            while self._in_flight >= IN_FLIGHT_AT_MOST:
-                await clock.sleep(us=IN_FLIGHT_POLL_US)
-            tasks.append(self.ports.spawn(work()))
+            while self._in_flight >= MAX_IN_FLIGHT:
+                await clock.sleep(us=IN_FLIGHT_POLL_INTERVAL_US)
+            tasks.append(self.ports.spawn(action()))
         if tasks:
             await asyncio.wait(tasks)
         self.results.sort(key=lambda result: result.number)
 
-    def _work_of(self, *, row: Row, number: int) -> Callable[[], Awaitable[None]] | None:
-        """What is to be done for a row; nothing if the row is left out."""
+    def _action_of(self, *, row: Row, number: int) -> Callable[[], Awaitable[None]] | None:
+        """Returns the action for a row; `None` if the row is skipped."""
         core_of, on_fault = self.core_of, self.on_fault
         if row["what"] == "call":
             return lambda: self._send_call(row=row, number=number)
@@ -84,7 +84,7 @@
         await self._send(row=row, number=number, call=call)
 
     async def _send_put(self, *, row: Row, number: int, core_of: AddressOf) -> None:
-        """Writes replace the version in force here, which is not the recording's."""
+        """Sends a put on this fleet's current version, which differs from the recorded one."""
         address = core_of(number)
         current = await self._read_configuration(address=address)
         if isinstance(current, HttpReply) and current.status == 200:
@@ -95,5 +95,5 @@
     async def _read_configuration(self, *, address: str) -> HttpReply | KelpstageError:
         url = f"http://{address}/v1/configuration"
         return await self.ports.net.fetch(
-            call=HttpCall(method="GET", url=url, wait_us=VERSION_WAIT_US)
+            call=HttpCall(method="GET", url=url, wait_us=VERSION_TIMEOUT_US)
         )
--- a/kelpstage/replay/simulation.py
+++ b/kelpstage/replay/simulation.py
@@ -1,4 +1,4 @@
-"""Where the replay finds the simulator, which only an installed testbed brings along."""
+"""Loads the simulator, which is part of the testbed and not always installed."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     """Replays recordings in a simulated deployment, on virtual time."""
 
     def deployment_names(self) -> list[str]:
-        """The deployments that can be simulated."""
+        """Returns the names of the deployments that can be simulated."""
 
     def replay_in_simulation(
         self, *, rows: list[Row], deployment: str, seed: int, speed: float
     ) -> tuple[list[Result], int]:
-        """The results of a replay, and how many rows were left out."""
+        """Returns the results of a replay and the number of skipped rows."""
 
 
 def load_simulator() -> Simulator | None:
-    """The simulator, or nothing if the testbed is not installed."""
+    """Returns the simulator, or `None` if the testbed is not installed."""
     try:
         module: Simulator = importlib.import_module(SIMULATOR)
     except ImportError:
--- a/kelpstage/replay/summary.py
+++ b/kelpstage/replay/summary.py
@@ -1,4 +1,4 @@
-"""What a recording holds."""
+"""The summary of a recording."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def summary_of(*, rows: list[Row]) -> dict[str, Any]:
-    """Counts, span and rates of a recording, as JSON.
+    """Returns row counts, time span and request rate of a recording as JSON.
 
     >>> rows = [{"what": "call", "at_us": 0, "path": "/a?x"}, {"what": "call", "at_us": 2_000_000,
     ...         "path": "/a"}]
@@ -18,7 +18,7 @@
     """
     span_us = max((row["at_us"] for row in rows), default=0)
     calls = [row for row in rows if row["what"] == "call"]
-    paths = Counter(_plain_path(path=row["path"]) for row in calls)
+    paths = Counter(_path_pattern(path=row["path"]) for row in calls)
     return {
         "rows": dict(Counter(row["what"] for row in rows)),
         "span_us": span_us,
@@ -35,8 +35,8 @@
     }
 
 
-def _plain_path(*, path: str) -> str:
-    """A path without its query and without the record's own name."""
-    plain = path.split("?")[0]
-    head, mark, _ = plain.partition("/records/")
-    return f"{head}{mark}*" if mark else plain
+def _path_pattern(*, path: str) -> str:
+    """Returns the path without its query, with `*` in place of a record's name."""
+    without_query = path.split("?")[0]
+    head, mark, _ = without_query.partition("/records/")
+    return f"{head}{mark}*" if mark else without_query
