--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Puts the libraries that pyproject.toml names under target/deps. Some of them are compiled:
-# what was built on another kind of machine, or for another Python, is built anew.
+# Installs the dependencies of pyproject.toml into target/deps. Some of them are compiled, so
+# they are reinstalled if they were built on another architecture or for another Python.
 set -eu
 kind="$(uname -m) $(python3 -c 'import sys; print(sys.implementation.cache_tag)')"
 built=target/deps/.built
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -237,7 +237,7 @@
             with self.subTest(name):
                 try:
                     document, version = self.configuration.to_document(body=body)
-                except self.configuration.Untranslatable:
+                except self.configuration.ConfigurationFormatError:
                     continue
                 self.assertIsInstance(
                     read_configuration(data=document, version=version), KelpstageError
