--- a/tests/async_case.py
+++ b/tests/async_case.py
@@ -1,4 +1,4 @@
-"""What tests on a real event loop share: their base class, and a server of raw connections."""
+"""Helpers for tests on a real event loop: a base class, clocks and a raw TCP server."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 
 
 class AsyncCase(unittest.IsolatedAsyncioTestCase):
-    """A test on a loop in debug mode, without its reports of slow callbacks.
+    """A test on an event loop in debug mode, without reports of slow callbacks.
 
-    Those measure how busy the machine is; all else that debug mode finds is still reported.
+    Slow callbacks depend on the load of the machine. Other reports of debug mode stay enabled.
     """
 
     async def asyncSetUp(self) -> None:
-        """Prepare the loop; a subclass calls this first."""
+        """Configures the loop; an override calls this first."""
         asyncio.get_running_loop().slow_callback_duration = math.inf
 
 
 class LoopClock:
-    """The clock port on the running loop's time, so that a test can hold both still."""
+    """A clock port that uses the running loop's time, so that `HeldTime` freezes both."""
 
     def now_us(self) -> int:
-        """The loop's time in whole microseconds."""
+        """Returns the loop's time in whole microseconds."""
         return round(asyncio.get_running_loop().time() * 1_000_000)
 
     def later(self, *, us: int, callback: Callable[[], None]) -> None:
-        """Call `callback` after so long."""
+        """Calls `callback` after `us` microseconds."""
         asyncio.get_running_loop().call_later(max(0, us) / 1_000_000, callback)
 
 
 class HeldTime:
-    """Holds a loop's time still from its making on; it passes only in `advance`.
+    """Freezes the running loop's time on creation; only `advance` moves it.
 
-    Sockets go on as they are, so a test waits for what they bring and then lets a deadline
-    pass, however busy the machine is.
+    Sockets work as usual, so a test can wait for data and then let a deadline expire,
+    independent of the load of the machine.
     """
 
     def __init__(self) -> None:
@@ -49,22 +49,22 @@
         loop.time = lambda: self._now_s  # type: ignore[method-assign]
 
     def advance(self, *, ms: int) -> None:
-        """Let so many milliseconds pass at once; timers that are due then fire."""
+        """Advances the time by `ms` milliseconds; timers that are due then fire."""
         self._now_s += ms / 1_000
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection by a reset."""
+    """Closes a connection with a TCP reset."""
     linger = struct.pack("ii", 1, 0)
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     writer.transport.abort()
 
 
 class RawServer:
-    """A server of raw connections that owns the tasks of its handlers.
+    """A TCP server that keeps the tasks of its handlers.
 
-    The server of `asyncio.start_server` forgets them: a handler that still runs when the
-    loop is closed is cancelled unseen, which Python 3.11 reports as a fault of its own.
+    `asyncio.start_server` does not keep them: a handler that still runs when the loop closes
+    is cancelled without being awaited, which Python 3.11 reports as an error.
     """
 
     def __init__(self, *, handler: Handler) -> None:
@@ -74,7 +74,7 @@
         self.address = ""
 
     async def start(self, *, address: str = "127.0.0.1:0") -> None:
-        """Listen; port 0 takes any free one, which `address` then names."""
+        """Starts to listen and sets `address`; port 0 selects a free port."""
         host, _, port = address.partition(":")
         self._server = await asyncio.start_server(self._accept, host, int(port))
         host, port = self._server.sockets[0].getsockname()
@@ -89,12 +89,12 @@
             await self._handler(reader, writer)
 
     def close_listener(self) -> None:
-        """Accept no more connections; those that are open stay."""
+        """Stops accepting connections; open connections stay open."""
         if self._server is not None:
             self._server.close()
 
     async def stop(self) -> None:
-        """End every connection and wait for every handler; raise what one of them raised."""
+        """Closes all connections and waits for all handlers; raises an error that one raised."""
         self.close_listener()
         for task, writer in self._writers.items():
             writer.transport.abort()
--- a/tests/leftovers.py
+++ b/tests/leftovers.py
@@ -1,8 +1,7 @@
-"""Faults that a test leaves behind and that no assertion sees.
+"""Collects errors that no assertion reports, so that the runner can fail the test.
 
-A task whose exception nobody retrieved, a task destroyed while pending, a coroutine that
-was never awaited: the interpreter and asyncio only print these. Here they are collected,
-so that the runner can fail the test that caused them.
+A task exception that was never retrieved, a task destroyed while pending and a coroutine that
+was never awaited are otherwise only printed by asyncio and the interpreter.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 
 class Leftovers(logging.Handler):
-    """Collects, while it is entered, what asyncio logs and what is raised in finalizers."""
+    """Context manager that collects asyncio's log records and exceptions in finalizers."""
 
     def __init__(self) -> None:
         super().__init__(level=logging.WARNING)
@@ -42,13 +41,13 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        gc.collect()  # finalizers of what the test left in reference cycles run now
+        gc.collect()  # run the finalizers of objects in reference cycles now
         sys.unraisablehook = self._unraisable_hook
         self._warnings.__exit__(kind, error, traceback)
         self._logger.handlers = self._handlers
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take in one record of asyncio's log."""
+        """Collects one record of asyncio's log."""
         self.reports.append(self.format(record))
 
     def _on_unraisable(self, unraisable: Any) -> None:
--- a/tests/outcome.py
+++ b/tests/outcome.py
@@ -1,4 +1,4 @@
-"""Runs one test or suite and tells what came of it."""
+"""Runs a test or a suite and returns its outcome."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """What came of a suite: counts, the ids of the tests that failed, the runner's text."""
+    """The outcome of a suite: counts, the ids of the failed tests, the output of unittest."""
 
     name: str
     run: int
@@ -21,7 +21,7 @@
 
 
 def run_suite(*, name: str, suite: unittest.TestSuite) -> Outcome:
-    """Run a suite. What it leaves behind is a failure named after the suite."""
+    """Runs a suite; errors that no assertion reports are a failure with the suite's name."""
     out = io.StringIO()
     with Leftovers() as leftovers:
         result = unittest.TextTestRunner(stream=out, verbosity=0).run(suite)
@@ -41,5 +41,5 @@
 
 
 def _test_id(test: unittest.TestCase) -> str:
-    """The id of a test; of a subtest, that of the test it belongs to."""
+    """Returns the id of a test; for a subtest, the id of the test that contains it."""
     return getattr(test, "test_case", test).id()
--- a/tests/summary.py
+++ b/tests/summary.py
@@ -1,4 +1,4 @@
-"""Counts the outcomes of a run and holds them against the list of known failures."""
+"""Counts the outcomes of a run and compares them with the list of known failures."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 class Summary:
     """The counts of a run.
 
-    A listed test that fails is counted as known red, neither as passed nor as failed. One
-    that does not fail though it ran fails the run, so that the list is kept true, unless it
-    is listed as failing now and then.
+    A listed test that fails is counted as known red, neither as passed nor as failed. A listed
+    test that was selected and does not fail makes the run fail, so that the list stays correct,
+    unless it is listed as intermittent.
     """
 
     known: list[KnownRed]
@@ -25,7 +25,7 @@
     known_failed: set[str] = field(default_factory=set)
 
     def add(self, outcome: Outcome) -> None:
-        """Count one outcome."""
+        """Adds one outcome to the counts."""
         listed = {entry.test for entry in self.known}
         self.run += outcome.run
         self.skipped += outcome.skipped
@@ -33,7 +33,7 @@
         self.known_failed |= outcome.failed & listed
 
     def stale(self, *, selected: set[str]) -> list[str]:
-        """Why entries of the list no longer hold; `selected` are the tests of this run."""
+        """Returns why entries of the list are outdated; `selected` are the tests of this run."""
         faults = []
         for entry in self.known:
             if not exists(entry.test):
@@ -45,15 +45,15 @@
         return faults
 
     def passed(self) -> int:
-        """How many tests passed."""
+        """Returns the number of tests that passed."""
         return self.run - self.skipped - len(self.failed) - len(self.known_failed)
 
     def closing_line(self) -> str:
-        """The last line of a run; known failures are in none of its counts."""
+        """Returns the last line of a run; its counts do not include known failures."""
         return f"{self.passed()} passed, {len(self.failed)} failed, {self.skipped} skipped"
 
 
 def exists(test: str) -> bool:
-    """Is there exactly this test?"""
+    """True if `test` is the id of a single existing test."""
     loaded = list(unittest.TestLoader().loadTestsFromName(test))
     return len(loaded) == 1 and isinstance(loaded[0], unittest.TestCase) and loaded[0].id() == test
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,7 +1,7 @@
-"""The picture on docs/architecture.md agrees with the imports that the code has.
+"""The diagrams in docs/architecture.md agree with the imports of the code.
 
-`python -m tests.test_architecture` prints both blocks of the picture as the code has them,
-to be pasted into the page after a change of the imports.
+`python -m tests.test_architecture` prints both diagrams generated from the code. Paste them
+into the page after a change of the imports.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
     "replay": {"common", "cli"},
     "testbed": set(PRODUCT),
 }
-DETAILED = ("common", "core", "edge")  # packages whose subpackages have a picture as well
+DETAILED = ("common", "core", "edge")  # packages with a diagram of their subpackages
 ARROW = re.compile(r"^\s*([\w.]+) --> ([\w.]+(?: & [\w.]+)*)\s*$", re.MULTILINE)
 Graph = dict[str, set[str]]
 
 
 @functools.cache
 def module_paths() -> dict[str, pathlib.Path]:
-    """Every module of the project by its dotted name."""
+    """Returns the path of every module of the project by its dotted name."""
     paths = {}
     for path in sorted((ROOT / "kelpstage").rglob("*.py")):
         name = ".".join(path.relative_to(ROOT).with_suffix("").parts)
@@ -47,12 +47,12 @@
 def import_nodes(
     *, node: ast.AST, in_functions: bool, for_types: bool
 ) -> Iterator[ast.Import | ast.ImportFrom]:
-    """Import statements below a node, those of functions and of type checking on demand."""
+    """Yields the import statements below a node; those in functions and for types are optional."""
     for child in ast.iter_child_nodes(node):
         if isinstance(child, (ast.Import, ast.ImportFrom)):
             yield child
         if isinstance(child, (ast.Import, ast.ImportFrom, ast.expr)):
-            continue  # nothing to import below these
+            continue  # these contain no import statements
         is_function = isinstance(child, (ast.FunctionDef, ast.AsyncFunctionDef))
         is_for_types = is_for_type_checking(node=child)
         if (in_functions or not is_function) and (for_types or not is_for_types):
@@ -60,7 +60,7 @@
 
 
 def imported_names(*, node: ast.Import | ast.ImportFrom, modules: set[str]) -> Iterator[str]:
-    """The project's modules that one import statement names."""
+    """Returns the modules of the project that an import statement names."""
     if isinstance(node, ast.Import):
         names = [alias.name for alias in node.names]
     elif node.level:
@@ -72,7 +72,7 @@
 
 
 def import_graph(*, in_functions: bool, for_types: bool) -> Graph:
-    """From each module to the modules of the project that it imports."""
+    """Returns the modules of the project that each module imports."""
     paths = module_paths()
     graph: Graph = {}
     for module, path in paths.items():
@@ -85,12 +85,12 @@
 
 
 def package_of(*, module: str) -> str:
-    """`kelpstage.edge.gather.table` is in package `edge`."""
+    """Returns the package of a module: `edge` for `kelpstage.edge.gather.table`."""
     return ".".join(module.split(".")[1:2])
 
 
 def subpackage_of(*, module: str) -> str:
-    """`kelpstage.edge.gather.table` is in `edge.gather`, `kelpstage.edge.app` in `edge`."""
+    """Returns `edge.gather` for `kelpstage.edge.gather.table`, `edge` for `kelpstage.edge.app`."""
     parts = module.split(".")[1:]
     path = module_paths()[module]
     depth = 2 if len(parts) > 2 or path.name == "__init__.py" else 1
@@ -98,7 +98,7 @@
 
 
 def package_edges() -> Graph:
-    """Which package imports which, with the imports inside functions and for types."""
+    """Returns the packages that each package imports, also in functions and for types."""
     edges: Graph = defaultdict(set)
     for module, targets in import_graph(in_functions=True, for_types=True).items():
         for target in targets:
@@ -109,8 +109,8 @@
 
 
 def subpackage_edges() -> Graph:
-    """The same among the subpackages of one package, each package for itself; imports for
-    type checking alone are left out."""
+    """Returns the imports between subpackages of the same package, without imports that are
+    only for type checking."""
     edges: Graph = defaultdict(set)
     for module, targets in import_graph(in_functions=True, for_types=False).items():
         for target in targets:
@@ -124,33 +124,33 @@
 
 
 def strongly_connected(*, graph: Graph) -> list[list[str]]:
-    """Circles of a graph: the sets of more than one node that reach each other.
+    """Returns the cycles of a graph: the sets of nodes that can reach each other.
 
     >>> strongly_connected(graph={"a": {"b"}, "b": {"a", "c"}, "c": set()})
     [['a', 'b']]
     """
     reached = {node: reachable(graph=graph, start=node) for node in graph}
-    circles = {
+    cycles = {
         tuple(sorted(other for other in reached[node] if node in reached[other]))
         for node in graph
         if node in reached[node]
     }
-    return [list(circle) for circle in sorted(circles)]
+    return [list(cycle) for cycle in sorted(cycles)]
 
 
 def reachable(*, graph: Graph, start: str) -> set[str]:
-    """What can be reached from a node in one step or more."""
+    """Returns the nodes that can be reached from a node in one or more steps."""
     seen: set[str] = set()
-    ahead = [start]
-    while ahead:
-        for target in graph[ahead.pop()] - seen:
+    pending = [start]
+    while pending:
+        for target in graph[pending.pop()] - seen:
             seen.add(target)
-            ahead.append(target)
+            pending.append(target)
     return seen
 
 
-def picture(*, heading: str) -> Graph:
-    """The arrows of the mermaid block behind a heading of the page."""
+def diagram_on_page(*, heading: str) -> Graph:
+    """Returns the arrows of the Mermaid diagram below a heading of the page."""
     text = PAGE.read_text(encoding="utf-8")
     block = text.partition(f"\n{heading}\n")[2].partition("```mermaid\n")[2].partition("```")[0]
     return {source: set(targets.split(" & ")) for source, targets in ARROW.findall(block)}
@@ -161,14 +161,14 @@
     return "\n".join(["```mermaid", "graph TD", *lines, "```"])
 
 
-class Picture(unittest.TestCase):
+class Diagrams(unittest.TestCase):
     maxDiff = None
 
-    def test_packages_import_each_other_as_drawn(self) -> None:
-        self.assertEqual(package_edges(), picture(heading="### Packages"))
+    def test_package_imports_match_the_diagram(self) -> None:
+        self.assertEqual(package_edges(), diagram_on_page(heading="### Packages"))
 
-    def test_subpackages_import_each_other_as_drawn(self) -> None:
-        self.assertEqual(subpackage_edges(), picture(heading="### Inside the packages"))
+    def test_subpackage_imports_match_the_diagram(self) -> None:
+        self.assertEqual(subpackage_edges(), diagram_on_page(heading="### Inside the packages"))
 
     def test_every_path_on_the_page_exists(self) -> None:
         named = re.findall(r"`([\w./-]+\.py)`", PAGE.read_text(encoding="utf-8"))
@@ -180,7 +180,7 @@
         ]
         self.assertEqual([], missing)
 
-    def test_every_class_in_the_table_of_state_is_where_it_says(self) -> None:
+    def test_every_class_in_the_table_of_state_is_in_the_named_file(self) -> None:
         text = PAGE.read_text(encoding="utf-8").partition("\n## State\n")[2].partition("\n## ")[0]
         owners = re.findall(r"`(\w+)` in `([\w./-]+\.py)`", text)
         self.assertGreater(len(owners), 15)
@@ -200,7 +200,7 @@
 class Imports(unittest.TestCase):
     maxDiff = None
 
-    def test_no_package_imports_upward(self) -> None:
+    def test_packages_import_only_allowed_packages(self) -> None:
         wrong = [
             f"{module} imports {target}"
             for module, targets in import_graph(in_functions=True, for_types=True).items()
@@ -210,7 +210,7 @@
         ]
         self.assertEqual([], wrong)
 
-    def test_no_circle_of_modules(self) -> None:
+    def test_modules_have_no_import_cycles(self) -> None:
         graph = import_graph(in_functions=False, for_types=False)
         product = {
             module: targets
@@ -218,22 +218,22 @@
             if package_of(module=module) in PRODUCT
         }
         self.assertGreater(len(product), 100)
-        outward = {module: targets & set(product) for module, targets in product.items()}
-        circles = strongly_connected(graph=outward)
-        self.assertEqual([], [" <-> ".join(circle) for circle in circles])
+        internal = {module: targets & set(product) for module, targets in product.items()}
+        cycles = strongly_connected(graph=internal)
+        self.assertEqual([], [" <-> ".join(cycle) for cycle in cycles])
 
 
-class OnPlantedGraphs(unittest.TestCase):
-    """The checks themselves find what they are for."""
+class ChecksOnKnownGraphs(unittest.TestCase):
+    """Tests the checks themselves on small graphs."""
 
-    def test_a_circle_is_found(self) -> None:
+    def test_a_cycle_is_found(self) -> None:
         graph = {"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}
         self.assertEqual([["a", "b", "c"]], strongly_connected(graph=graph))
 
-    def test_a_graph_without_circles_has_none(self) -> None:
+    def test_an_acyclic_graph_has_no_cycles(self) -> None:
         self.assertEqual([], strongly_connected(graph={"a": {"b", "c"}, "b": {"c"}, "c": set()}))
 
-    def test_imports_are_told_apart_by_where_they_stand(self) -> None:
+    def test_imports_are_selected_by_their_position(self) -> None:
         source = (
             "import a\nif TYPE_CHECKING:\n    import b\n"
             "def f():\n    import c\ntry:\n    import d\nexcept ImportError:\n    pass\n"
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages name every error, setting and fault story that there is."""
+"""The documentation names every error, setting, fault, checker and rule of the code."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     return sorted((ROOT / folder).rglob("*.py"))
 
 
-class Pages(unittest.TestCase):
-    def test_every_error_is_explained(self) -> None:
+class Documentation(unittest.TestCase):
+    def test_every_error_is_documented(self) -> None:
         text = page(name="callers.md") + page(name="operators.md")
         for module in pkgutil.iter_modules(errors.__path__, prefix=f"{errors.__name__}."):
             importlib.import_module(module.name)
@@ -38,23 +38,23 @@
         self.assertGreater(len(kinds), 30)
         self.assertEqual([], [kind for kind in kinds if f"`{kind}`" not in text])
 
-    def test_every_setting_is_explained(self) -> None:
+    def test_every_setting_is_documented(self) -> None:
         text = page(name="operate/settings.md")
         names = {key.name for form in (CORE_FORM, EDGE_FORM) for key in form.keys}
         self.assertGreater(len(names), 6)
         self.assertEqual([], sorted(name for name in names if f"`{name}`" not in text))
 
-    def test_every_fault_and_checker_stands_in_the_table(self) -> None:
+    def test_every_fault_and_checker_is_documented(self) -> None:
         text = page(name="failures.md")
         self.assertEqual([], [name for name in FAULTS if f"`{name}`" not in text])
         self.assertEqual([], [name for name in CHECKERS if f".{name}`" not in text])
 
-    def test_every_rule_and_trouble_of_the_platform_stands_in_the_table(self) -> None:
+    def test_every_rule_and_fault_of_the_platform_model_is_documented(self) -> None:
         text = page(name="failures.md")
         named = [*RULES, *PLATFORM_FAULTS, *CLOSING_FAULTS]
         self.assertEqual([], [name for name in named if f"`{name}`" not in text])
 
-    def test_links_between_pages_lead_somewhere(self) -> None:
+    def test_links_between_pages_resolve(self) -> None:
         broken = []
         for path in [*DOCS.rglob("*.md"), DOCS.parent / "README.md"]:
             for target in re.findall(r"\]\(([^)#]+)[^)]*\)", path.read_text(encoding="utf-8")):
@@ -62,7 +62,7 @@
                     broken.append(f"{path.name}: {target}")
         self.assertEqual([], broken)
 
-    def test_files_that_pages_name_exist(self) -> None:
+    def test_files_named_on_pages_exist(self) -> None:
         files = [f"/{path.relative_to(ROOT)}" for folder in CODE for path in source_files(folder)]
         self.assertGreater(len(files), 200)
         missing = [
@@ -73,7 +73,7 @@
         ]
         self.assertEqual([], missing)
 
-    def test_pages_that_the_code_names_exist(self) -> None:
+    def test_pages_named_in_the_code_exist(self) -> None:
         missing = [
             f"{path.relative_to(ROOT)}: {named}"
             for folder in CODE
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -1,4 +1,4 @@
-"""Words that were withdrawn from the code and its pages do not come back."""
+"""Withdrawn words are not used again in the code or the documentation."""
 
 from __future__ import annotations
 
@@ -10,18 +10,20 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 FOLDERS = ("kelpstage", "platform", "tests", "docs", "deploy")
-LISTS_THEM = ROOT / "docs" / "glossary.md"  # says what each became
+LISTS_THEM = ROOT / "docs" / "glossary.md"  # lists each withdrawn word and its replacement
 ENDINGS = {".py", ".md", ".json", ".toml", ".sh"}
-STANDARD_LIBRARY = ("cap" + "ture_output",)  # names that are not ours
-# In two parts, so that this page does not hold them itself.
+STANDARD_LIBRARY = (
+    "cap" + "ture_output",
+)  # names of the standard library that contain a withdrawn word
+# Each word is split, so that this file does not contain it.
 WITHDRAWN = ("blue" + "print", "cap" + "ture", "pros" + "pect", "Follow" + "(")
 NOT_YET = re.compile(r"\*\*not yet renamed\*\*: ([^|;]+)")
-OLD_DATA = ROOT / "tests" / "fixtures"  # written by version 0.1.0 and kept as it was
+OLD_DATA = ROOT / "tests" / "fixtures"  # data written by version 0.1.0, kept unchanged
 
 
 @dataclass(frozen=True, kw_only=True)
 class Allowed:
-    """Where a withdrawn word may still stand: what matches `pattern`, below `folder`."""
+    """An allowed use of a withdrawn word: text that matches `pattern` in a path below `folder`."""
 
     pattern: str
     folder: str = ""
@@ -29,13 +31,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Word:
-    """A word that is done whole. It is found in any case, also inside a longer name."""
+    """A word that is withdrawn everywhere; matched in any case, also inside longer names."""
 
     word: str
     allowed: tuple[Allowed, ...] = ()
 
     def found_in(self, *, path: str, text: str) -> list[str]:
-        """What of the word stands in a text where it is not allowed.
+        """Returns the uses of the word in a text that are not allowed.
 
         >>> one = Word(word="old", allowed=(Allowed(pattern="/v1/old"),))
         >>> one.found_in(path="p", text="GET /v1/old, the old_name")
@@ -47,7 +49,7 @@
         return re.findall(self.word, text, flags=re.IGNORECASE)
 
 
-# What the public interface has: keys of JSON, kinds of errors, paths, older commands.
+# Allowed uses belong to the public interface: JSON keys, error kinds, paths, older commands.
 DONE = (
     Word(
         word="def" + "ect",
@@ -96,7 +98,7 @@
     Word(word=r"\bkelp" + r"rig\b"),
     Word(word=r"kelpstage[./](?:base|ctl|rep|proof)\b"),
 )
-# Whole words that the pages no longer use; the code may not have come so far.
+# Whole words that the documentation no longer uses; the code may still contain them.
 DONE_IN_PAGES = (
     "sh" + "unned",
     "kn" + "ocked",
@@ -113,14 +115,14 @@
 
 @functools.cache
 def pages() -> list[pathlib.Path]:
-    """Every text of the project; not the journal, whose entries stay as written."""
+    """Returns the text files of the project, except the journal: its entries are not changed."""
     found = [path for folder in FOLDERS for path in (ROOT / folder).rglob("*")]
     texts = [path for path in found if path.suffix in ENDINGS and path != LISTS_THEM]
     return [ROOT / "README.md", *texts]
 
 
 def own_text(*, path: pathlib.Path) -> str:
-    """A page without the names of the standard library."""
+    """Returns the text of a file without names of the standard library."""
     text = path.read_text(encoding="utf-8")
     for name in STANDARD_LIBRARY:
         text = text.replace(name, "")
@@ -175,7 +177,7 @@
 
 class Glossary(unittest.TestCase):
     def test_what_it_marks_as_not_yet_renamed_is_still_in_the_code(self) -> None:
-        """A rename that is done takes its mark off the page."""
+        """A completed rename removes its mark from the glossary."""
         marked = NOT_YET.findall(LISTS_THEM.read_text(encoding="utf-8"))
         names = [name for part in marked for name in re.findall(r"`([\w./]+)`", part)]
         self.assertEqual(bool(names), bool(marked))
@@ -192,7 +194,7 @@
 
 
 class Finding(unittest.TestCase):
-    """The check itself finds what it is for."""
+    """Tests the check itself."""
 
     def test_an_allowed_use_hides_no_other(self) -> None:
         word = Word(word="old", allowed=(Allowed(pattern='"old"', folder="kelpstage/"),))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The folder that translates for the platform: settings, configurations, calls, the list."""
+"""The platform adapter: settings, configurations, operator calls and the list of backends."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from tests.async_case import AsyncCase
 
 ROOT = Path(__file__).resolve().parent.parent
-TESTBED = ROOT / "kelpstage" / "testbed"  # holds a model of the platform, is not deployed
+TESTBED = ROOT / "kelpstage" / "testbed"  # contains a model of the platform; not deployed
 FOLDER = ROOT / "platform"
 
 
 def load(name: str):
-    """A module of the folder; it is no package, lest it hide Python's own `platform`."""
+    """Imports a module of the folder, which is no package: it would hide Python's `platform`."""
     with mock.patch.object(sys, "path", [str(FOLDER), *sys.path]):
         return importlib.import_module(name)
 
@@ -125,7 +125,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_both_daemons_settings_are_the_products_own(self):
+    def test_settings_of_both_daemons_are_translated(self):
         settings = load("settings")
         edge = validate_settings(raw=settings.edge_settings(fields=FIELDS), form=EDGE_FORM)
         core = validate_settings(raw=settings.core_settings(fields=FIELDS), form=CORE_FORM)
@@ -137,7 +137,7 @@
         self.assertEqual(edge["bounds"]["retry_ratio"], 0.17)
         self.assertEqual(edge["header_names"]["seal"], "X-Answer-Seal")
 
-    def test_a_missing_field_is_named_with_exit_code_2(self):
+    def test_a_missing_field_is_reported_with_exit_code_2(self):
         edge = load("edge")
         for path, without in (
             ("BindAddrs.FrontAddr", {"BindAddrs": {"Readiness": "10.1.0.6:1"}}),
@@ -157,7 +157,7 @@
                 self.assertEqual(end.exception.code, 2)
                 self.assertIn(path, errors.getvalue())
 
-    def test_a_broken_file_is_named_with_exit_code_2(self):
+    def test_an_invalid_file_exits_with_code_2(self):
         core = load("core")
         for text in ("", "{", "[1]", "NodeName=x"):
             with self.subTest(text), tempfile.TemporaryDirectory() as folder:
@@ -173,7 +173,7 @@
 
 
 def settings_file(*, folder: str) -> Path:
-    """The platform's file for a process whose data lie in `folder`."""
+    """Writes the platform's file for a process with its data in `folder`."""
     file = Path(folder, "local.conf")
     file.write_text(json.dumps({**FIELDS, "DataPath": folder}))
     return file
@@ -200,7 +200,7 @@
     def setUp(self):
         self.configuration = load("configuration")
 
-    def test_a_body_becomes_a_document_and_comes_back_byte_for_byte(self):
+    def test_a_body_is_translated_and_returned_byte_for_byte(self):
         document, version = self.configuration.to_document(body=BODY)
         configuration = read_configuration(data=document, version=version)
         self.assertIsInstance(configuration, Configuration)
@@ -213,26 +213,26 @@
         self.assertEqual(configuration.limits.header_us, 3_000_000)
         self.assertEqual(self.configuration.source_of(document=document), BODY)
 
-    def test_what_is_invalid_is_refused_here_or_by_the_product(self):
-        def broken(change):
+    def test_invalid_configurations_are_rejected_by_translation_or_validation(self):
+        def changed_body(change):
             raw = json.loads(BODY)
             change(raw)
             return json.dumps(raw).encode()
 
         for name, body in {
             "not JSON": b"{",
-            "cut off": BODY[:-9],
-            "no version": broken(lambda raw: raw.pop("Revision")),
-            "unknown service": broken(lambda raw: raw["ServiceTable"].pop(0)),
-            "host and prefix twice": broken(
+            "truncated JSON": BODY[:-9],
+            "no version": changed_body(lambda raw: raw.pop("Revision")),
+            "unknown service": changed_body(lambda raw: raw["ServiceTable"].pop(0)),
+            "host and prefix twice": changed_body(
                 lambda raw: raw["RouteTable"].append({**raw["RouteTable"][0], "Name": "r-9"})
             ),
-            "weights of 0": broken(
+            "weights of 0": changed_body(
                 lambda raw: raw["RouteTable"][2].update(Weighted=[{"Service": "s1", "Share": 0}])
             ),
-            "deadline of 0": broken(lambda raw: raw["RouteTable"][0].update(DeadlineMs=0)),
-            "no table": broken(lambda raw: raw.update(RouteTable={})),
-            "a route that is none": broken(lambda raw: raw["RouteTable"].append(7)),
+            "deadline of 0": changed_body(lambda raw: raw["RouteTable"][0].update(DeadlineMs=0)),
+            "no table": changed_body(lambda raw: raw.update(RouteTable={})),
+            "a route that is not an object": changed_body(lambda raw: raw["RouteTable"].append(7)),
         }.items():
             with self.subTest(name):
                 try:
@@ -255,34 +255,34 @@
 
         self.serve = load("operator_calls").operator_calls(own=own)
 
-    def ask(self, **fields) -> HttpReply:
+    def call(self, **fields) -> HttpReply:
         return asyncio.run(self.serve(core=None, call=HttpCall(**fields)))
 
-    def test_a_replacement_is_a_put_and_repeats_carry_the_same_id(self):
-        ask = {"method": "POST", "url": "/api/Config.Replace", "body": BODY}
-        self.assertEqual(self.ask(headers={"x-base-version": "5"}, **ask).status, 200)
-        self.ask(headers={"x-base-version": "5"}, **ask)
-        first, again = self.calls
+    def test_a_replacement_is_a_put_and_repeats_have_the_same_id(self):
+        request = {"method": "POST", "url": "/api/Config.Replace", "body": BODY}
+        self.assertEqual(self.call(headers={"x-base-version": "5"}, **request).status, 200)
+        self.call(headers={"x-base-version": "5"}, **request)
+        first, repeat = self.calls
         self.assertEqual((first.method, first.url), ("PUT", "/v1/configuration"))
         self.assertEqual((first.headers["if-match"], first.headers["kelp-version"]), ("5", "7"))
-        self.assertEqual(first.headers, again.headers)
+        self.assertEqual(first.headers, repeat.headers)
 
-    def test_verdicts_keep_their_meaning(self):
-        ask = {"method": "POST", "url": "/api/Config.Replace", "body": BODY}
-        for ours, theirs in ((200, 200), (412, 412), (422, 400), (409, 400), (503, 503)):
-            self.reply = HttpReply(status=ours, headers={"Retry-After": "1"})
-            self.assertEqual(self.ask(**ask).status, theirs)
-        self.assertEqual(self.ask(**{**ask, "body": b"{"}).status, 400)
+    def test_statuses_are_translated(self):
+        request = {"method": "POST", "url": "/api/Config.Replace", "body": BODY}
+        for status, expected in ((200, 200), (412, 412), (422, 400), (409, 400), (503, 503)):
+            self.reply = HttpReply(status=status, headers={"Retry-After": "1"})
+            self.assertEqual(self.call(**request).status, expected)
+        self.assertEqual(self.call(**{**request, "body": b"{"}).status, 400)
 
-    def test_reading_gives_the_operators_own_bytes(self):
+    def test_reading_returns_the_written_body(self):
         document, _ = load("configuration").to_document(body=BODY)
         self.reply = HttpReply(status=200, body=document)
-        self.assertEqual(self.ask(method="GET", url="/api/Config.Read").body, BODY)
+        self.assertEqual(self.call(method="GET", url="/api/Config.Read").body, BODY)
         self.reply = HttpReply(status=503)
-        self.assertEqual(self.ask(method="GET", url="/api/Config.Read").status, 503)
+        self.assertEqual(self.call(method="GET", url="/api/Config.Read").status, 503)
 
-    def test_all_else_is_the_products(self):
-        self.ask(method="GET", url="/v1/status")
+    def test_other_calls_are_passed_on_unchanged(self):
+        self.call(method="GET", url="/v1/status")
         self.assertEqual(self.calls[0].url, "/v1/status")
 
 
@@ -306,7 +306,7 @@
             .read_page(HttpReply(status=200, body=body))
         )
 
-    def test_a_page(self):
+    def test_a_page_is_read(self):
         instances, token = self.read({"InstanceList": [self.ROW], "NextToken": "p-50"})
         self.assertEqual(
             (instances[0].instance_id, instances[0].slots, instances[0].cold_us),
@@ -314,7 +314,7 @@
         )
         self.assertEqual(token, "p-50")
 
-    def test_a_bad_entry_is_passed_over_and_a_bad_page_changes_nothing(self):
+    def test_an_invalid_entry_is_skipped_and_an_invalid_page_is_an_error(self):
         rows = [7, {**self.ROW, "Address": 9}, {**self.ROW, "InstanceId": ""}, self.ROW]
         instances, token = self.read({"InstanceList": rows, "NextToken": None})
         self.assertEqual(([instance.instance_id for instance in instances], token), (["i-1"], None))
@@ -330,7 +330,7 @@
         re.IGNORECASE,
     )
 
-    def test_no_name_of_the_platform_stands_elsewhere_in_the_product(self):
+    def test_names_of_the_platform_are_used_only_in_the_adapter(self):
         found = [
             f"{path.relative_to(ROOT)}: {match.group()}"
             for path in sorted((ROOT / "kelpstage").rglob("*.py"))
@@ -339,7 +339,7 @@
         ]
         self.assertEqual(found, [])
 
-    def test_the_folder_hides_no_module_of_pythons(self):
+    def test_the_folder_does_not_hide_pythons_platform_module(self):
         self.assertFalse((FOLDER / "__init__.py").exists())
         import platform
 
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Days: written by an edge beside its work, read back, replayed, compared."""
+"""Recordings: written by an edge, read back, replayed and compared."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 
 
-def record_day(*, seed: int) -> list[dict]:
-    """A few seconds of calls on a simulated fleet, as a day."""
+def record_requests(*, seed: int) -> list[dict]:
+    """Returns a recording of a few seconds of requests on a simulated fleet."""
 
     async def scenario(fleet: SimFleet) -> None:
         await fleet.bring_up()
@@ -31,19 +31,19 @@
     return recording_of(history=fleet.history)
 
 
-def quietly(work, **arguments: object) -> tuple[int, str, str]:
-    """Run a command in this process; its exit code, output and errors."""
+def run_command(command, **arguments: object) -> tuple[int, str, str]:
+    """Runs a command in this process; returns its exit code, stdout and stderr."""
     out, err = io.StringIO(), io.StringIO()
     code = 0
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
         try:
-            work(**arguments)
+            command(**arguments)
         except SystemExit as end:
             code = int(end.code or 0)
     return code, out.getvalue(), err.getvalue()
 
 
-class DayFile(unittest.TestCase):
+class RecordingFiles(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -52,7 +52,7 @@
     def path(self, name: str) -> str:
         return str(self.folder / name)
 
-    def test_torn_damaged_and_foreign_files_are_told_with_the_place(self) -> None:
+    def test_truncated_damaged_and_foreign_files_are_reported_with_the_offset(self) -> None:
         rows = [{"what": "call", "at_us": n, "path": "/p"} for n in range(5)]
         data = HEAD + b"".join(pack_row(row=row) for row in rows)
         for size in range(len(HEAD), len(data)):
@@ -62,40 +62,40 @@
             self.assertIsInstance(outcome, TruncatedRecordingError)
             whole = read_day(path="p", data=data[:size], is_torn_tail_fine=True)
             self.assertEqual(rows[: len(whole)], whole)
-        bent = bytearray(data)
-        bent[len(HEAD) + 20] ^= 1
-        damaged = read_day(path="p", data=bytes(bent), is_torn_tail_fine=True)
+        damaged_data = bytearray(data)
+        damaged_data[len(HEAD) + 20] ^= 1
+        damaged = read_day(path="p", data=bytes(damaged_data), is_torn_tail_fine=True)
         self.assertEqual((InvalidRecordingError, len(HEAD)), (type(damaged), damaged.offset))
         (self.folder / "x").write_bytes(b"junk")
-        code, out, err = quietly(show, day=self.path("x"), torn_tail=False)
+        code, out, err = run_command(show, day=self.path("x"), torn_tail=False)
         self.assertEqual((2, ""), (code, out))
         self.assertIn("day_foreign", err)
         self.assertIn("offset 0", err)
-        self.assertEqual(2, quietly(show, day=self.path("nowhere"), torn_tail=False)[0])
+        self.assertEqual(2, run_command(show, day=self.path("nowhere"), torn_tail=False)[0])
 
-    def test_replay_twice_gives_one_result_and_a_fault_shows(self) -> None:
-        rows = record_day(seed=3)
+    def test_replays_are_deterministic_and_a_fault_changes_the_result(self) -> None:
+        rows = record_requests(seed=3)
         save(path=self.path("day"), rows=rows)
         self.assertEqual(rows, load(path=self.path("day"), is_torn_tail_fine=False))
         common = {"edge": None, "core": None, "sim": "tiny", "speed": 1.0, "torn_tail": False}
         for name, seed in (("a", 1), ("b", 1)):
-            code, out, err = quietly(
+            code, out, err = run_command(
                 run_day, day=self.path("day"), out=self.path(name), seed=seed, **common
             )
             self.assertEqual((0, ""), (code, err))
         self.assertEqual((self.folder / "a").read_bytes(), (self.folder / "b").read_bytes())
-        code, out, _ = quietly(diff, a=self.path("a"), b=self.path("b"))
+        code, out, _ = run_command(diff, a=self.path("a"), b=self.path("b"))
         self.assertEqual((0, 0), (code, json.loads(out)["changed_count"]))
         faulty = [{"what": "fault", "name": "many_dark", "at_us": 0}, *rows]
         save(path=self.path("day2"), rows=faulty)
-        quietly(run_day, day=self.path("day2"), out=self.path("c"), seed=1, **common)
-        code, out, _ = quietly(diff, a=self.path("a"), b=self.path("c"))
+        run_command(run_day, day=self.path("day2"), out=self.path("c"), seed=1, **common)
+        code, out, _ = run_command(diff, a=self.path("a"), b=self.path("c"))
         self.assertEqual(1, code)
         self.assertGreater(json.loads(out)["changed_count"], 0)
 
-    def test_bad_input_leaves_no_file(self) -> None:
+    def test_bad_input_writes_no_file(self) -> None:
         save(path=self.path("day"), rows=[{"what": "begin", "at_us": 0}])
-        code, _, err = quietly(
+        code, _, err = run_command(
             run_day,
             day=self.path("day"),
             out=self.path("out"),
@@ -109,11 +109,11 @@
         self.assertEqual(2, code)
         self.assertIn("IP:port", err)
         self.assertFalse((self.folder / "out").exists())
-        self.assertEqual(2, quietly(diff, a=self.path("day"), b=self.path("day"))[0])
+        self.assertEqual(2, run_command(diff, a=self.path("day"), b=self.path("day"))[0])
 
 
-class EdgeWrites(unittest.TestCase):
-    def test_an_edge_records_calls_and_a_full_disk_does_not_slow_it(self) -> None:
+class RecordingOnEdge(unittest.TestCase):
+    def test_an_edge_records_requests_and_serves_them_while_its_disk_is_full(self) -> None:
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             edge = fleet.daemons["edge/node-04"]
@@ -130,8 +130,8 @@
             await fleet.drain_callers()
             await edge.day.flush()
             rows = read_day(path="d", data=platter.files["d.day"].data)
-            asked = [r for r in fleet.history if r["event"] == "call" and r["node"] == "node-04"]
-            self.assertEqual(len(asked), sum(r["what"] == "call" for r in rows))
-            self.assertTrue(all(r["end"] == "ok" for r in asked))
+            calls = [r for r in fleet.history if r["event"] == "call" and r["node"] == "node-04"]
+            self.assertEqual(len(calls), sum(r["what"] == "call" for r in rows))
+            self.assertTrue(all(r["end"] == "ok" for r in calls))
 
         run_sim(seed=4, deployment=load_deployment(name="tiny"), scenario=scenario)
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -1,4 +1,4 @@
-"""The runner itself: known failures, what a test leaves behind, the closing line."""
+"""The test runner: known failures, errors that no assertion reports, the closing line."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def outcome(*, name: str = HERE, failed: frozenset[str] = frozenset(), skipped: int = 0) -> Outcome:
-    """The outcome of one test."""
+    """Returns the outcome of one test."""
     return Outcome(name=name, run=1, skipped=skipped, failed=failed, text="")
 
 
 def summary_of(*tests: str) -> Summary:
-    """A summary that knows these tests to fail."""
+    """Returns a summary with these tests listed as known failures."""
     return Summary(known=[known_red_of(test=test) for test in tests])
 
 
 def known_red_of(*, test: str, seen: str = "a block is lost") -> KnownRed:
-    """An entry of the list."""
+    """Returns an entry of the list."""
     return KnownRed(test=test, command="python -m tests, seed 1", seen=seen, issue="issue 1")
 
 
@@ -50,7 +50,7 @@
     def test_an_empty_file_means_no_entries(self) -> None:
         self.assertEqual([], known_red.parse("\n \n"))
 
-    def test_a_line_names_a_test_its_command_what_was_seen_and_its_issue(self) -> None:
+    def test_a_line_requires_test_command_with_seed_observation_and_issue(self) -> None:
         self.assertEqual(1, len(known_red.parse(LINE)))
         for line in (
             "tests.a.B.test_c",
@@ -64,13 +64,13 @@
             with self.subTest(line=line), self.assertRaises(BrokenList):
                 known_red.parse(line)
 
-    def test_a_test_is_listed_once(self) -> None:
+    def test_a_duplicate_entry_is_rejected(self) -> None:
         with self.assertRaises(BrokenList):
             known_red.parse(f"{LINE}\n{LINE.replace('lost', 'read twice')}")
 
 
-class Counting(unittest.TestCase):
-    def test_a_listed_failure_is_in_no_count_of_the_closing_line(self) -> None:
+class SummaryCounts(unittest.TestCase):
+    def test_a_listed_failure_is_not_counted_in_the_closing_line(self) -> None:
         summary = summary_of(HERE)
         summary.add(outcome(failed=frozenset({HERE})))
         summary.add(outcome(name=OTHER))
@@ -78,7 +78,7 @@
         self.assertEqual("1 passed, 0 failed, 0 skipped", summary.closing_line())
         self.assertEqual({HERE}, summary.known_failed)
 
-    def test_another_failure_is_still_a_failure(self) -> None:
+    def test_an_unlisted_failure_is_counted_as_failed(self) -> None:
         summary = summary_of(HERE)
         summary.add(outcome(failed=frozenset({HERE})))
         summary.add(outcome(name=OTHER, failed=frozenset({OTHER})))
@@ -95,20 +95,20 @@
         summary.add(outcome(skipped=1))
         self.assertEqual(1, len(summary.stale(selected={HERE})))
 
-    def test_a_listed_test_that_fails_now_and_then_may_pass(self) -> None:
+    def test_a_listed_intermittent_failure_may_pass(self) -> None:
         summary = Summary(known=[known_red_of(test=HERE, seen="now and then a block is lost")])
         summary.add(outcome())
         self.assertEqual([], summary.stale(selected={HERE}))
         self.assertEqual("1 passed, 0 failed, 0 skipped", summary.closing_line())
 
-    def test_a_listed_test_that_was_not_asked_for_is_not_stale(self) -> None:
+    def test_a_listed_test_that_was_not_selected_is_not_stale(self) -> None:
         self.assertEqual([], summary_of(HERE).stale(selected={OTHER}))
 
     def test_a_listed_test_that_does_not_exist_is_stale(self) -> None:
         summary = summary_of("tests.test_runner.KnownRedFile.test_of_long_ago")
         self.assertEqual(1, len(summary.stale(selected=set())))
 
-    def test_only_a_single_test_exists(self) -> None:
+    def test_exists_is_true_only_for_a_single_test(self) -> None:
         self.assertTrue(exists(HERE))
         for name in ("tests.test_runner", "tests.test_runner.KnownRedFile", "tests.no_such"):
             with self.subTest(name=name):
@@ -116,7 +116,7 @@
 
 
 class Samples:
-    """Tests that the tests below run; hidden in here from discovery."""
+    """Tests that the tests below run; nested in a class so that discovery does not find them."""
 
     class Broken(unittest.TestCase):
         def test_subtests(self) -> None:
@@ -146,11 +146,11 @@
             loop.close()
 
 
-class LeftBehind(unittest.TestCase):
+class UnreportedErrors(unittest.TestCase):
     def run_sample(self, test: unittest.TestCase) -> Outcome:
         return run_suite(name=test.id(), suite=unittest.TestSuite([test]))
 
-    def test_what_a_test_leaves_behind_fails_it(self) -> None:
+    def test_an_unreported_error_fails_the_test_that_caused_it(self) -> None:
         for test, report in (
             (Samples.Async("test_unretrieved"), "Task exception was never retrieved"),
             (Samples.Async("test_never_awaited"), "was never awaited"),
@@ -165,6 +165,6 @@
         found = self.run_sample(Samples.Async("test_clean"))
         self.assertEqual((1, frozenset()), (found.run, found.failed))
 
-    def test_subtests_that_fail_count_as_their_test(self) -> None:
+    def test_failed_subtests_are_reported_as_their_test(self) -> None:
         test = Samples.Broken("test_subtests")
         self.assertEqual({test.id()}, self.run_sample(test).failed)
