--- a/kelpstage/testbed/model/__init__.py
+++ b/kelpstage/testbed/model/__init__.py
@@ -1,1 +1,1 @@
-"""A model checker of the control side's own plain code."""
+"""A model checker that runs the real code of the control plane."""
--- a/kelpstage/testbed/model/actions.py
+++ b/kelpstage/testbed/model/actions.py
@@ -1,7 +1,7 @@
-"""The actions of a walk, each a function on the modelled system and two small numbers.
+"""The actions of a walk, each a function of the modelled system and two small numbers.
 
-An action that does not fit the state it meets (a crash of a machine that is down, a
-delivery where nothing travels) does nothing.
+An action that is not possible in the current state (a crash of a machine that is down, a
+delivery when no message is in flight) does nothing.
 """
 
 from __future__ import annotations
@@ -12,15 +12,17 @@
 from kelpstage.testbed.model.calls import OrderCall, ReadCall
 from kelpstage.testbed.model.cluster import Cluster
 
-SILENCE_US = 1_500_000
-STEPS_US = (1_000, 20_000, 100_000, 400_000, 1_700_000, 3_000_000)
-CALM_ACTIONS = frozenset({"rounds", "busy", "order", "repeat", "read", "renew", "snapshot", "fill"})
+LOST_CONTACT_US = 1_500_000  # a time step this long counts every machine as faulty
+TICK_STEPS_US = (1_000, 20_000, 100_000, 400_000, 1_700_000, 3_000_000)
+FAULT_FREE_ACTIONS = frozenset(
+    {"rounds", "busy", "order", "repeat", "read", "renew", "snapshot", "fill"}
+)
 
-Perform = Callable[[Cluster, int, int], None]
-ACTIONS: dict[str, Perform] = {}
+ActionFunction = Callable[[Cluster, int, int], None]
+ACTIONS: dict[str, ActionFunction] = {}
 
 
-def action(perform: Perform) -> Perform:
+def action(perform: ActionFunction) -> ActionFunction:
     """Register an action under its function's name."""
     ACTIONS[perform.__name__] = perform
     return perform
@@ -28,52 +30,54 @@
 
 @action
 def deliver(cluster: Cluster, a: int, b: int) -> None:
-    """A message under way arrives."""
+    """Deliver message `a` of those in flight."""
     if cluster.packets:
-        cluster.deliver(cluster.take_packet(a))
+        cluster.deliver(cluster.remove_packet(a))
 
 
 @action
 def drop(cluster: Cluster, a: int, b: int) -> None:
-    """A message under way is lost."""
+    """Drop message `a` of those in flight."""
     if cluster.packets:
-        cluster.take_packet(a)
+        cluster.remove_packet(a)
 
 
 @action
 def duplicate(cluster: Cluster, a: int, b: int) -> None:
-    """A message under way arrives, and stays under way."""
+    """Deliver message `a` of those in flight and keep it in flight."""
     if cluster.packets:
         cluster.deliver(cluster.packets[a % len(cluster.packets)])
 
 
 @action
 def tick(cluster: Cluster, a: int, b: int) -> None:
-    """Time passes, and one machine looks at its clock."""
+    """Advance the clock by step `b` of `TICK_STEPS_US` and run the timer of machine `a`."""
     node = cluster.node_at(a)
-    step_us = STEPS_US[b % len(STEPS_US)]
+    step_us = TICK_STEPS_US[b % len(TICK_STEPS_US)]
     cluster.now_us += step_us
-    if step_us >= SILENCE_US:
-        cluster.lost.update(cluster.nodes)  # no messages were received for that long
-    if node.runs:
+    if step_us >= LOST_CONTACT_US:
+        cluster.faulty.update(cluster.nodes)  # no machine received a message for that long
+    if node.is_running:
         node.tick()
 
 
 @action
 def sync(cluster: Cluster, a: int, b: int) -> None:
-    """A disk takes the oldest of its machine's unsynced writes."""
+    """Sync the `1 + b` oldest unsynced writes of machine `a` to its disk."""
     node = cluster.node_at(a)
-    if node.runs:
+    if node.is_running:
         node.sync(count=1 + b)
 
 
 @action
 def crash(cluster: Cluster, a: int, b: int) -> None:
-    """A process is killed; `b` of its unsynced writes are on disk all the same, and
-    an odd one finds a snapshot there without its segment."""
+    """Kill the process of machine `a`; its `b // 2` oldest unsynced writes are on disk anyway.
+
+    With an odd `b`, a snapshot that is the next unsynced write is on disk without its segment.
+    """
     node = cluster.node_at(a)
     if node.is_up:
-        cluster.lost.add(node.address)
+        cluster.faulty.add(node.address)
         node.crash(kept=b // 2, is_torn=bool(b % 2))
         cluster.sessions.node_ended(node=node)
         cluster.checks.disks_changed()
@@ -81,20 +85,20 @@
 
 @action
 def power(cluster: Cluster, a: int, b: int) -> None:
-    """All machines lose power and start again, but for those in the bits of `b`."""
-    for place, node in enumerate(cluster.nodes.values()):
-        if b >> place & 1:
+    """Cut the power of all machines except those in the bit mask `b`, and start them again."""
+    for position, node in enumerate(cluster.nodes.values()):
+        if b >> position & 1:
             continue
-        was_lost = node.address in cluster.lost
-        crash(cluster, place, 0)
+        was_faulty = node.address in cluster.faulty
+        crash(cluster, position, 0)
         node.start()
-        if not was_lost:
-            cluster.lost.discard(node.address)  # a power cut of all counts for none
+        if not was_faulty:
+            cluster.faulty.discard(node.address)  # a power loss makes no machine faulty
 
 
 @action
 def start(cluster: Cluster, a: int, b: int) -> None:
-    """A process that is down starts."""
+    """Start the process of machine `a` if it is down."""
     node = cluster.node_at(a)
     if not node.is_up:
         node.start()
@@ -102,12 +106,12 @@
 
 @action
 def wipe(cluster: Cluster, a: int, b: int) -> None:
-    """A disk is lost for good, if the deployment says that this is to be borne."""
+    """Lose the disk of machine `a` permanently, if the scope's tolerance allows one more loss."""
     node = cluster.node_at(a)
-    cluster.note_repairs()
-    if len(cluster.lost | {node.address}) > cluster.scope.tolerance:
+    cluster.clear_repaired_faults()
+    if len(cluster.faulty | {node.address}) > cluster.scope.tolerance:
         return
-    cluster.lost.add(node.address)
+    cluster.faulty.add(node.address)
     node.replace_disk()
     cluster.sessions.node_ended(node=node)
     cluster.checks.disks_changed()
@@ -116,16 +120,16 @@
 
 @action
 def freeze(cluster: Cluster, a: int, b: int) -> None:
-    """A process stands still."""
+    """Suspend the process of machine `a`."""
     node = cluster.node_at(a)
-    if node.runs:
-        cluster.lost.add(node.address)
+    if node.is_running:
+        cluster.faulty.add(node.address)
         node.is_frozen = True
 
 
 @action
 def wake(cluster: Cluster, a: int, b: int) -> None:
-    """A frozen process goes on."""
+    """Resume the suspended process of machine `a`."""
     node = cluster.node_at(a)
     if node.is_frozen:
         node.is_frozen = False
@@ -134,94 +138,98 @@
 
 @action
 def cut(cluster: Cluster, a: int, b: int) -> None:
-    """One way."""
+    """Block the link from machine `a` to machine `b`, in this direction only."""
     source, to = cluster.node_at(a).address, cluster.node_at(b).address
     if source != to:
-        cluster.lost.add(source)
-        cluster.cuts.add((source, to))
+        cluster.faulty.add(source)
+        cluster.blocked_links.add((source, to))
 
 
 @action
 def isolate(cluster: Cluster, a: int, b: int) -> None:
-    """Both ways, or with `b` 1 only what the machine sends, with 2 only what it receives."""
+    """Isolate machine `a` from all others.
+
+    With `b` 1 only what it sends is blocked, with `b` 2 only what it receives.
+    """
     one = cluster.node_at(a).address
-    cluster.lost.add(one)
+    cluster.faulty.add(one)
     for other in cluster.nodes:
         if other == one:
             continue
         if b != 2:
-            cluster.cuts.add((one, other))
+            cluster.blocked_links.add((one, other))
         if b != 1:
-            cluster.cuts.add((other, one))
+            cluster.blocked_links.add((other, one))
 
 
 @action
 def halves(cluster: Cluster, a: int, b: int) -> None:
-    """All machines fall into two halves, the first of them from the machine of number `a` on.
+    """Partition the machines into two halves; the first half begins at machine `a`.
 
-    Nobody counts as lost by it: as many disks may be lost meanwhile as at any other time.
+    No machine counts as faulty because of it, so that as many disks may be lost during the
+    partition as at any other time.
     """
     names = list(cluster.nodes)
-    turned = names[a % len(names) :] + names[: a % len(names)]
-    left, right = turned[: len(names) // 2], turned[len(names) // 2 :]
+    rotated = names[a % len(names) :] + names[: a % len(names)]
+    left, right = rotated[: len(names) // 2], rotated[len(names) // 2 :]
     for one in left:
         for other in right:
-            cluster.cuts |= {(one, other), (other, one)}
+            cluster.blocked_links |= {(one, other), (other, one)}
 
 
 @action
 def heal(cluster: Cluster, a: int, b: int) -> None:
-    """All cuts of the network end."""
-    cluster.cuts.clear()
+    """End all network partitions between machines."""
+    cluster.blocked_links.clear()
 
 
 @action
 def snapshot(cluster: Cluster, a: int, b: int) -> None:
-    """A machine takes a snapshot."""
+    """Begin a snapshot on machine `a`."""
     node = cluster.node_at(a)
-    if node.runs:
+    if node.is_running:
         node.take_snapshot()
 
 
 @action
 def fetch(cluster: Cluster, a: int, b: int) -> None:
-    """A transfer of a snapshot goes one stage further."""
+    """Advance a snapshot transfer of machine `a` by one stage."""
     node = cluster.node_at(a)
-    if node.runs and node.fetches:
-        node.advance_fetch(place=b)
+    if node.is_running and node.fetches:
+        node.advance_fetch(position=b)
 
 
 @action
 def transfer(cluster: Cluster, a: int, b: int) -> None:
-    """A leader is asked to hand over."""
+    """Ask machine `a` to transfer its leadership."""
     node = cluster.node_at(a)
-    if node.runs:
-        node.take(core.TransferLeadership())
+    if node.is_running:
+        node.step(core.TransferLeadership())
 
 
 @action
 def leave(cluster: Cluster, a: int, b: int) -> None:
-    """A planned stop, begun only while nothing is lost."""
+    """Begin a planned, permanent stop of machine `a`, only while no machine is faulty."""
     node = cluster.node_at(a)
-    cluster.note_repairs()
-    if node.runs and not cluster.lost:
-        cluster.lost.add(node.address)
+    cluster.clear_repaired_faults()
+    if node.is_running and not cluster.faulty:
+        cluster.faulty.add(node.address)
         node.is_leaving = True
 
 
 @action
 def order(cluster: Cluster, a: int, b: int) -> None:
-    """An operator sends its order."""
+    """Send the current or next order of operator `a` to machine `b`."""
     if not cluster.sessions.operators:
         return
     operator = cluster.sessions.operators[f"op{a % cluster.scope.operators}"]
-    call = OrderCall(order=operator.order())
+    call = OrderCall(order=operator.next_order())
     cluster.send(source=operator.name, to=cluster.node_at(b).address, body=call)
 
 
 @action
 def repeat(cluster: Cluster, a: int, b: int) -> None:
-    """An order that was acknowledged is sent again, at any node."""
+    """Send an acknowledged order of operator `a` again, to any machine."""
     if not cluster.sessions.operators:
         return
     operator = cluster.sessions.operators[f"op{a % cluster.scope.operators}"]
@@ -234,14 +242,14 @@
 
 @action
 def read(cluster: Cluster, a: int, b: int) -> None:
-    """The first operator reads the configuration."""
+    """Send a configuration read of the first operator to machine `a`."""
     call = ReadCall(floor=cluster.checks.newest_version)
     cluster.send(source="op0", to=cluster.node_at(a).address, body=call)
 
 
 @action
 def renew(cluster: Cluster, a: int, b: int) -> None:
-    """An edge asks for a lease."""
+    """Send a lease request of edge `a` to machine `b`."""
     if cluster.sessions.edges.by_name:
         edge = cluster.sessions.edges.at(a)
         if not edge.lease_holder.has_left:
@@ -250,14 +258,14 @@
 
 @action
 def restart_edge(cluster: Cluster, a: int, b: int) -> None:
-    """An edge starts again."""
+    """Restart edge `a`."""
     if cluster.sessions.edges.by_name:
         cluster.sessions.edges.restart(edge=cluster.sessions.edges.at(a))
 
 
 @action
 def leave_edge(cluster: Cluster, a: int, b: int) -> None:
-    """An edge leaves in order."""
+    """Let edge `a` leave gracefully, with a message to machine `b`."""
     if cluster.sessions.edges.by_name:
         edge = cluster.sessions.edges.at(a)
         cluster.sessions.edges.leave(edge=edge, to=cluster.node_at(b).address)
@@ -265,57 +273,57 @@
 
 @action
 def replace_edge(cluster: Cluster, a: int, b: int) -> None:
-    """An observer is gone for good, and one of another name comes."""
+    """Replace edge `a`, if it is an observer, by one with a new name."""
     if cluster.sessions.edges.by_name and cluster.sessions.edges.at(a).is_observer:
         edge = cluster.sessions.edges.at(a)
-        cluster.muted.discard(edge.name)
+        cluster.muted_edges.discard(edge.name)
         cluster.sessions.edges.replace(edge=edge)
 
 
 @action
 def mute(cluster: Cluster, a: int, b: int) -> None:
-    """An edge is cut off from all cores, or no longer so."""
+    """Isolate edge `a` from all cores, or connect it again if it is isolated."""
     if cluster.sessions.edges.by_name:
-        cluster.muted ^= {cluster.sessions.edges.at(a).name}
+        cluster.muted_edges ^= {cluster.sessions.edges.at(a).name}
 
 
 @action
 def mute_most(cluster: Cluster, a: int, b: int) -> None:
-    """All observers are cut off from all cores, and with an odd `b` one voter as well."""
+    """Isolate all observers from all cores, and with an odd `b` also edge `a`."""
     edges = cluster.sessions.edges.by_name.values()
-    cluster.muted |= {edge.name for edge in edges if edge.is_observer}
+    cluster.muted_edges |= {edge.name for edge in edges if edge.is_observer}
     if edges and b % 2:
-        cluster.muted.add(cluster.sessions.edges.at(a).name)
+        cluster.muted_edges.add(cluster.sessions.edges.at(a).name)
 
 
 @action
 def unmute(cluster: Cluster, a: int, b: int) -> None:
-    """No edge is cut off any more."""
-    cluster.muted.clear()
+    """Connect all isolated edges again."""
+    cluster.muted_edges.clear()
 
 
 @action
 def fill(cluster: Cluster, a: int, b: int) -> None:
-    """The leader's log grows by `a` entries that change no state."""
+    """Propose `a` entries at the leader that change no state."""
     leader = cluster.leader()
     for _ in range(a if leader is not None else 0):
-        leader.take(core.Propose(kind=core.NOOP, data=b"", token=0))
+        leader.step(core.Propose(kind=core.NOOP, data=b"", token=0))
 
 
 @action
 def rounds(cluster: Cluster, a: int, b: int) -> None:
-    """Rounds in which all that travels arrives, all disks sync and all clocks tick."""
+    """Run `a` rounds; in each, all messages arrive, all disks sync and all timers run."""
     for _ in range(a):
         cluster.run_round()
 
 
 @action
 def busy(cluster: Cluster, a: int, b: int) -> None:
-    """Rounds with orders of all operators at the leader."""
+    """Run `a` rounds, and send an order of every operator to the leader in each."""
     for _ in range(a):
         leader = cluster.leader()
         if leader is not None:
-            place = list(cluster.nodes).index(leader.address)
+            position = list(cluster.nodes).index(leader.address)
             for number in range(cluster.scope.operators):
-                order(cluster, number, place)
+                order(cluster, number, position)
         cluster.run_round()
--- a/kelpstage/testbed/model/adapter.py
+++ b/kelpstage/testbed/model/adapter.py
@@ -1,8 +1,8 @@
-"""The place of the model checker that knows the names of the replicas under check.
+"""The only module of the model checker that depends on the names of the checked Raft code.
 
-Events and effects of `Replica` are given here under the names that the rest of the
-package uses, together with the few readings of its state that the invariants need. What
-it knows of edges and leases stands in `edge_adapter`.
+It re-exports the events and effects of `Replica` under the names that the rest of the
+package uses, and has accessors for the state that the invariants need. `edge_adapter` does
+the same for edges and leases.
 """
 
 from __future__ import annotations
@@ -119,7 +119,7 @@
     log: MemoryLog,
     voters: int,
 ) -> Replica:
-    """A replica as the daemon makes it from what it recovered."""
+    """Return a replica, constructed from recovered state as the core process does it."""
     return Replica(
         me=me,
         cluster=CLUSTER,
@@ -134,48 +134,48 @@
 
 
 def role_of(replica: Replica) -> str:
-    """Follower, pre-candidate, candidate or leader."""
+    """Return the role: follower, pre-candidate, candidate or leader."""
     return replica.role
 
 
 def term_of(replica: Replica) -> int:
-    """The current term."""
+    """Return the current term."""
     return replica.term
 
 
 def commit_index_of(replica: Replica) -> int:
-    """The commit index in memory."""
+    """Return the commit index in memory."""
     return replica.commit_index
 
 
 def members_of(replica: Replica) -> list[CoreMember]:
-    """The members of the newest configuration in the log, committed or not."""
+    """Return the members of the newest membership in the log, committed or not."""
     return replica.members.current
 
 
 def members_at(replica: Replica, *, index: int) -> list[CoreMember]:
-    """The members in force at a log index."""
+    """Return the members in force at a log index."""
     return replica.members.at(index=index)
 
 
 def knows_leader(replica: Replica) -> bool:
-    """Does it know the leader of its term?"""
+    """True if the replica knows the leader of its term."""
     return bool(replica.leader)
 
 
 def may_leave(replica: Replica, *, leaving: str, term: int, last_index: int) -> bool:
-    """Does this leader allow a member to stop for good?"""
+    """True if this leader allows a member to stop permanently."""
     status = replica.leave_status(replica=leaving, term=term, last_index=last_index)
     return status.state in (raft.LeaveState.REPLACED, raft.LeaveState.COPIED)
 
 
 def tail_of(effect: SaveSnapshot) -> list[LogEntry]:
-    """Entries that stay behind a fetched snapshot."""
+    """Return the log entries that are kept after a fetched snapshot."""
     return list(getattr(effect, "tail", []))
 
 
 def fetched_event(*, snapshot: DiskSnapshot, offer: FetchOffered) -> SnapshotFetched:
-    """The event by which a daemon hands a completely fetched snapshot to its replica."""
+    """Return the event by which a core passes a completely fetched snapshot to its replica."""
     return SnapshotFetched(
         index=snapshot.index,
         term=snapshot.term,
@@ -189,42 +189,45 @@
 def order_bytes(
     *, put_id: str, expected: int, version: int, document: bytes, state: CoreState
 ) -> bytes:
-    """An operator's order as the command that a leader in this state proposes."""
+    """Return the command that a leader in this state proposes for an operator's order."""
     put = PutConfiguration(put_id=put_id, expected=expected, version=version, document=document)
     return bytes(put_command(put=put, state=state))
 
 
 def refusal_bytes(*, put_id: str, expected: int, version: int, digest: bytes) -> bytes:
-    """The command that refuses an order on a version to come by the log."""
+    """Return the command that rejects, through the log, an order on a future version."""
     refusal = RefusePut(put_id=put_id, digest=digest, expected=expected, version=version)
     return bytes(Command(refuse=refusal))
 
 
 def order_digest(*, expected: int, version: int, document: bytes) -> bytes:
-    """The digest by which a repeat of an order is recognized."""
+    """Return the digest that identifies repeats of an order."""
     return put_digest(document=document, expected=expected, version=version)
 
 
 def decided(*, machine: Machine, order: Any) -> Any:
-    """The outcome of an order, as far as the state machine's records hold it."""
+    """Return the outcome that the state machine has recorded for an order, or `None`."""
     put = PutConfiguration(put_id=order.put_id, expected=order.expected, version=order.version)
     return machine.decided(put=put, digest=order.digest)
 
 
 def is_unclear(outcome: Any) -> bool:
-    """Would the operator be answered that the outcome of the order is unknown?"""
+    """True if the reply to the operator would be that the outcome of the order is unknown."""
     return isinstance(as_result(outcome=outcome, put_id=""), WriteUnresolvedError)
 
 
 def is_refusal(outcome: Any) -> bool:
-    """Would the operator be answered that the order was finally refused?"""
+    """True if the reply to the operator would be a final rejection of the order."""
     return isinstance(as_result(outcome=outcome, put_id=""), KelpstageError) and not is_unclear(
         outcome
     )
 
 
 def refusal_of_base(*, expected: int, version: int, current: int) -> Any:
-    """What the leader says of an order that does not build on the version in force."""
+    """Return the leader's rejection of an order whose base is not the version in force.
+
+    Returns `None` for an order that builds on that version.
+    """
     if current != expected:
         return PutSuperseded(expected=expected, current=current)
     if version and version <= current:
--- a/kelpstage/testbed/model/calls.py
+++ b/kelpstage/testbed/model/calls.py
@@ -1,5 +1,7 @@
-"""Operators with their orders, edges with their leases, and the messages between them
-and the nodes: values only, without the rules of who answers what."""
+"""Operators, edges, and the messages between them and the nodes.
+
+These are values only; `sessions` holds the rules by which calls are answered.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +13,12 @@
 from kelpstage.testbed.model import edge_adapter as leases
 
 ACKNOWLEDGED_KEPT = 40
-PADDING = 200  # each second document is long enough to travel as a difference
+PADDING = 200  # every second document is long enough that the leader proposes a delta
 
 
 @dataclass(frozen=True, kw_only=True)
 class Order:
-    """One order of an operator's: compare-and-set on the version that it builds on."""
+    """A configuration write of an operator: a compare-and-set on its base version `expected`."""
 
     operator: str
     expected: int
@@ -26,7 +28,7 @@
 
     @functools.cached_property
     def digest(self) -> bytes:
-        """The digest by which a repeat of the order is recognized."""
+        """The digest that identifies repeats of the order."""
         return core.order_digest(
             expected=self.expected, version=self.version, document=self.document
         )
@@ -34,20 +36,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OrderCall:
-    """An operator sends an order."""
+    """An operator's request to apply an order."""
 
     order: Order
 
 
 @dataclass(frozen=True, kw_only=True)
 class ReadCall:
-    """An operator reads the configuration; `floor` is what was acknowledged before."""
+    """An operator's read of the configuration.
+
+    `floor` is the newest version that was acknowledged before the read.
+    """
 
     floor: int
 
 
 @dataclass(frozen=True, kw_only=True)
-class OrderAnswer:
+class OrderReply:
     """The reply to an operator's order."""
 
     order: Order
@@ -57,7 +62,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RenewCall:
-    """An edge asks for a lease."""
+    """An edge's request for a lease."""
 
     edge: str
     incarnation: int
@@ -68,7 +73,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LeaveEdgeCall:
-    """An edge says that it has stopped serving and confirming."""
+    """An edge's report that it has stopped serving and confirming."""
 
     edge: str
     incarnation: int
@@ -76,11 +81,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MembershipCall:
-    """A leader looks whether an edge is to join or to be removed."""
+    """A leader's check whether an edge is to be added or removed."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class LeaseAnswer:
+class LeaseGrant:
     """A lease, for the incarnation that asked."""
 
     incarnation: int
@@ -89,7 +94,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class StateAnswer:
+class StateReply:
     """The state that an edge is to install."""
 
     doc: Any
@@ -97,7 +102,7 @@
 
 @dataclass(kw_only=True, eq=False)
 class Operator:
-    """Knows a version; has one order under way at the most."""
+    """An operator: the newest version that it knows, and at most one order in flight."""
 
     name: str
     known: int = 0
@@ -105,8 +110,8 @@
     pending: Order | None = None
     acknowledged: list[Order] = field(default_factory=list)
 
-    def order(self) -> Order:
-        """The order under way, or a new one with the next number."""
+    def next_order(self) -> Order:
+        """Return the order in flight, or a new one with the next number."""
         if self.pending is None:
             self.count += 1
             mark = f"{self.name}-{self.count}"
@@ -119,12 +124,12 @@
             )
         return self.pending
 
-    def hear(self, *, answer: OrderAnswer) -> None:
-        """Take an answer; one that belongs to no order under way is old."""
-        self.known = max(self.known, answer.version)
-        if self.pending is None or self.pending.digest != answer.order.digest:
+    def receive(self, *, reply: OrderReply) -> None:
+        """Process a reply; one that does not belong to the order in flight is stale."""
+        self.known = max(self.known, reply.version)
+        if self.pending is None or self.pending.digest != reply.order.digest:
             return
-        if not answer.is_refused:
+        if not reply.is_refused:
             self.acknowledged.append(self.pending)
             del self.acknowledged[:-ACKNOWLEDGED_KEPT]
         self.pending = None
@@ -132,7 +137,7 @@
 
 @dataclass(kw_only=True, eq=False)
 class Edge:
-    """An edge with what it has installed and its leases."""
+    """An edge with its installed state and its leases."""
 
     name: str
     lease_holder: leases.LeaseHolder
--- a/kelpstage/testbed/model/cluster.py
+++ b/kelpstage/testbed/model/cluster.py
@@ -1,4 +1,4 @@
-"""The modelled system without its actions: machines, network, operators, edges, one clock."""
+"""The modelled system without its actions: machines, network, operators, edges and clock."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from kelpstage.testbed.model import adapter as core
 from kelpstage.testbed.model import edge_adapter as leases
 from kelpstage.testbed.model.checks import Checks
-from kelpstage.testbed.model.node import Hooks, Node, seeded
-from kelpstage.testbed.model.packets import JoinCall, LeaveAnswer, LeaveCall, Packet
+from kelpstage.testbed.model.node import Hooks, Node, seeded_random
+from kelpstage.testbed.model.packets import JoinCall, LeaveCall, LeaveReply, Packet
 from kelpstage.testbed.model.scope import Scope
 from kelpstage.testbed.model.sessions import Sessions
 
 ROUND_US = 20_000
-RENEW_US = 400_000
+RENEW_INTERVAL_US = 400_000
 PACKET_LIMIT = 600
-CATCH_UP_US = 5_000_000  # of undisturbed time; a replaced machine counts as repaired after it
-HEARD_AGAIN_US = 500_000  # of undisturbed time; every member has answered the leader since
+REPAIR_US = 5_000_000  # fault-free time after which a replaced machine counts as repaired
+RECONNECT_US = 500_000  # fault-free time in which every member has answered the leader
 
 
 class Cluster:
-    """Machines, network, operators and edges; what each action works on."""
+    """The machines, network, operators and edges that the actions work on."""
 
     def __init__(self, *, scope: Scope, seed: int, hooks: Hooks | None = None) -> None:
         self.scope = scope
@@ -31,24 +31,24 @@
         self.now_us = 0
         self.steps = 0
         self.packets: deque[Packet] = deque()
-        self.cuts: set[tuple[str, str]] = set()
-        self.muted: set[str] = set()  # edges that are cut off
-        self.lost: set[str] = set()
-        self.calm_us = 0
+        self.blocked_links: set[tuple[str, str]] = set()
+        self.muted_edges: set[str] = set()  # edges that are isolated from all cores
+        self.faulty: set[str] = set()  # addresses of machines that are not repaired yet
+        self.fault_free_us = 0
         self.checks = Checks(world=self)
         self.sessions = Sessions(world=self, scope=scope)
         self.nodes: dict[str, Node] = {}
-        self._found()
+        self._bootstrap()
 
     def random_for(self, *, name: str) -> random.Random:
-        """The generator of one instance of one replica."""
-        return seeded(seed=self.seed, name=name)
+        """Return the random generator of one start of one replica."""
+        return seeded_random(seed=self.seed, name=name)
 
     def make_lease_table(self) -> leases.LeaseTable:
-        """The lease table of a leader that was elected now."""
+        """Return the lease table of a leader that is elected now."""
         return leases.LeaseTable(since_us=self.now_us)
 
-    def _found(self) -> None:
+    def _bootstrap(self) -> None:
         names = [f"n{i}" for i in range(self.scope.machines)]
         founders = names[: self.scope.voters]
         members = [core.CoreMember(replica=n, address=n, is_voter=True) for n in founders]
@@ -72,17 +72,17 @@
         for node in self.nodes.values():
             node.start()
 
-    # --- members that come and go ---------------------------------------------------
+    # --- joins and departures of members --------------------------------------------
 
-    def ask_place(self, *, node: Node) -> None:
-        """A replica asks every other machine for its place."""
+    def request_join(self, *, node: Node) -> None:
+        """Send a replica's request to join to every other machine."""
         member = core.CoreMember(replica=node.identity, address=node.address)
         self._broadcast(source=node.address, body=JoinCall(member=member))
 
-    def ask_to_leave(self, *, node: Node) -> None:
-        """A replica that is about to stop asks whether it may; a leader hands over first."""
+    def request_leave(self, *, node: Node) -> None:
+        """Request permission for a replica to stop; a leader first transfers its leadership."""
         if core.role_of(node.replica) == core.LEADER:
-            node.take(core.TransferLeadership())
+            node.step(core.TransferLeadership())
             return
         call = LeaveCall(
             replica=node.identity,
@@ -96,20 +96,20 @@
             if address != source:
                 self.send(source=source, to=address, body=body)
 
-    def _take_leave_call(self, *, node: Node, source: str, call: LeaveCall) -> None:
+    def _handle_leave_call(self, *, node: Node, source: str, call: LeaveCall) -> None:
         if core.role_of(node.replica) != core.LEADER:
             return
-        node.take(core.LeaveRequest(replica=call.replica))
+        node.step(core.LeaveRequest(replica=call.replica))
         if core.may_leave(
             node.replica, leaving=call.replica, term=call.term, last_index=call.last_index
         ):
-            self.send(source=node.address, to=source, body=LeaveAnswer(replica=call.replica))
+            self.send(source=node.address, to=source, body=LeaveReply(replica=call.replica))
 
-    def _take_leave_answer(self, *, node: Node, answer: LeaveAnswer) -> None:
-        """The member is gone for good, and its disk with it; another comes in its place."""
-        if not node.is_leaving or node.identity != answer.replica:
+    def _handle_leave_reply(self, *, node: Node, reply: LeaveReply) -> None:
+        """Stop the member permanently, drop its disk, and start a new replica on its machine."""
+        if not node.is_leaving or node.identity != reply.replica:
             return
-        self.lost.add(node.address)
+        self.faulty.add(node.address)
         node.replace_disk()
         self.sessions.node_ended(node=node)
         self.checks.disks_changed()
@@ -118,16 +118,16 @@
     # --- the network ---------------------------------------------------------------
 
     def send(self, *, source: str, to: str, body: Any) -> None:
-        """Put something under way; a flood drops the oldest."""
+        """Send a message; above `PACKET_LIMIT` in flight, the oldest is dropped."""
         self.packets.append(Packet(source=source, to=to, body=body))
         if len(self.packets) > PACKET_LIMIT:
             self.packets.popleft()
 
     def deliver(self, packet: Packet) -> None:
-        """Deliver a packet, unless its path is cut or the receiver is down."""
-        if (packet.source, packet.to) in self.cuts:
+        """Deliver a packet, unless its link is blocked or the receiver is down."""
+        if (packet.source, packet.to) in self.blocked_links:
             return
-        if {packet.source, packet.to} & self.muted:
+        if {packet.source, packet.to} & self.muted_edges:
             return
         node = self.nodes.get(packet.to)
         if node is None:
@@ -140,64 +140,74 @@
             return
         if isinstance(packet.body, JoinCall):
             if core.role_of(node.replica) == core.LEADER:
-                node.take(core.JoinRequest(member=packet.body.member))
+                node.step(core.JoinRequest(member=packet.body.member))
             return
         if isinstance(packet.body, LeaveCall):
-            self._take_leave_call(node=node, source=packet.source, call=packet.body)
+            self._handle_leave_call(node=node, source=packet.source, call=packet.body)
             return
-        if isinstance(packet.body, LeaveAnswer):
-            self._take_leave_answer(node=node, answer=packet.body)
+        if isinstance(packet.body, LeaveReply):
+            self._handle_leave_reply(node=node, reply=packet.body)
             return
         if packet.source in self.nodes:
-            node.take(core.Received(message=packet.body))
+            node.step(core.Received(message=packet.body))
             return
-        self.sessions.arrive(node=node, source=packet.source, call=packet.body)
+        self.sessions.handle_call(node=node, source=packet.source, call=packet.body)
 
-    def take_packet(self, place: int) -> Packet:
-        """Take a packet out of those under way, by its place counted round."""
-        place %= len(self.packets)
-        packet = self.packets[place]
-        del self.packets[place]
+    def remove_packet(self, position: int) -> Packet:
+        """Remove and return the packet at a position, modulo the number in flight."""
+        position %= len(self.packets)
+        packet = self.packets[position]
+        del self.packets[position]
         return packet
 
     def snapshot_at(self, *, reader: Node, address: str, index: int) -> core.DiskSnapshot | None:
-        """What a machine gives to one that fetches the snapshot at this index."""
+        """Return what a machine serves to a fetch of the snapshot at this index, if anything."""
         node = self.nodes.get(address)
-        if node is None or not node.runs or node.shown is None:
+        if node is None or not node.is_running or node.served_snapshot is None:
             return None
-        if {(reader.address, address), (address, reader.address)} & self.cuts:
+        if {(reader.address, address), (address, reader.address)} & self.blocked_links:
             return None
-        return node.shown if node.shown.index >= index else None
+        return node.served_snapshot if node.served_snapshot.index >= index else None
 
-    # --- what can be asked of it -------------------------------------------------------
+    # --- queries -----------------------------------------------------------------------
 
     def leader(self) -> Node | None:
-        """The running leader of the highest term."""
+        """Return the running leader of the highest term."""
         leaders = [
             node
             for node in self.nodes.values()
-            if node.runs and core.role_of(node.replica) == core.LEADER
+            if node.is_running and core.role_of(node.replica) == core.LEADER
         ]
         return max(leaders, key=lambda node: core.term_of(node.replica), default=None)
 
-    def node_at(self, place: int) -> Node:
-        """A machine by its place, counted round."""
+    def node_at(self, position: int) -> Node:
+        """Return the machine at a position, modulo the number of machines."""
         names = list(self.nodes)
-        return self.nodes[names[place % len(names)]]
+        return self.nodes[names[position % len(names)]]
 
     # --- repairs and rounds ----------------------------------------------------------
 
-    def note_repairs(self) -> None:
-        """Lost machines count as repaired when all voters are there again with all that
-        is committed, or after an undisturbed while, whatever the system made of it."""
-        if self.calm_us >= CATCH_UP_US or (self.calm_us >= HEARD_AGAIN_US and self.is_complete()):
-            self.lost.clear()
+    def clear_repaired_faults(self) -> None:
+        """Count no machine as faulty any more if the system has recovered.
 
-    def is_complete(self) -> bool:
-        """Are all voters there, connected, with all that is committed, under a leader
-        that has no change of members under way?"""
+        After `REPAIR_US` without a fault they count as repaired whether it has or not.
+        """
+        if self.fault_free_us >= REPAIR_US or (
+            self.fault_free_us >= RECONNECT_US and self.is_recovered()
+        ):
+            self.faulty.clear()
+
+    def is_recovered(self) -> bool:
+        """True if all voters are connected and have all committed entries on disk.
+
+        There must also be a leader whose newest membership is committed.
+        """
         leader = self.leader()
-        if leader is None or self.cuts or not all(node.runs for node in self.nodes.values()):
+        if (
+            leader is None
+            or self.blocked_links
+            or not all(node.is_running for node in self.nodes.values())
+        ):
             return False
         if core.members_of(leader.replica) != self.checks.members:
             return False
@@ -215,24 +225,24 @@
         )
 
     def run_round(self) -> None:
-        """All that travels arrives, all disks sync, all clocks tick, leases are renewed."""
+        """Deliver all messages, sync all disks, run all timers and renew the leases."""
         self.now_us += ROUND_US
-        is_whole = not self.cuts and all(node.runs for node in self.nodes.values())
-        self.calm_us = self.calm_us + ROUND_US if is_whole else 0
+        is_healthy = not self.blocked_links and all(node.is_running for node in self.nodes.values())
+        self.fault_free_us = self.fault_free_us + ROUND_US if is_healthy else 0
         for _ in range(len(self.packets)):
             self.deliver(self.packets.popleft())
         for node in self.nodes.values():
-            if not node.runs:
+            if not node.is_running:
                 continue
             node.sync(count=len(node.disk.queue))
             for _ in range(len(node.fetches)):
-                node.advance_fetch(place=0)
+                node.advance_fetch(position=0)
             node.tick()
         self._renew_edges()
 
     def _renew_edges(self) -> None:
         leader = self.leader()
         for edge in self.sessions.edges.by_name.values():
-            is_due = self.now_us - edge.renewed_us >= RENEW_US
+            is_due = self.now_us - edge.renewed_us >= RENEW_INTERVAL_US
             if leader is not None and is_due and not edge.lease_holder.has_left:
                 self.sessions.edges.renew(edge=edge, to=leader.address)
--- a/kelpstage/testbed/model/disk.py
+++ b/kelpstage/testbed/model/disk.py
@@ -1,4 +1,4 @@
-"""A modelled disk: writes wait in order for their sync, and a crash loses a tail of them."""
+"""A modelled disk: writes are synced in order, and a crash loses the last unsynced ones."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SnapshotWrite:
-    """A snapshot to keep, with the entries behind it and the vote of that moment."""
+    """A snapshot to store, with the log entries after it, and the term and vote at that time."""
 
     snapshot: DiskSnapshot
     tail: tuple[LogEntry, ...]
@@ -20,7 +20,7 @@
 
 @dataclass(kw_only=True)
 class Disk:
-    """What is synced, and the writes that are not.
+    """The synced contents of a disk, and the queue of unsynced writes.
 
     >>> disk = Disk()
     >>> disk.queue.append(Persist(number=1, entries=[LogEntry(index=1, term=1)]))
@@ -39,10 +39,10 @@
     queue: list[Persist | SnapshotWrite] = field(default_factory=list)
 
     def write_next(self) -> None:
-        """The oldest write reaches the platters."""
+        """Make the oldest queued write durable."""
         write = self.queue.pop(0)
         if isinstance(write, SnapshotWrite):
-            self._keep(write=write)
+            self._store_snapshot(write=write)
             return
         if write.cut_from is not None:
             del self.entries[max(0, write.cut_from - self.base_index - 1) :]
@@ -50,16 +50,18 @@
         if write.term is not None:
             self.term, self.vote = write.term, write.vote or ""
 
-    def _keep(self, *, write: SnapshotWrite) -> None:
+    def _store_snapshot(self, *, write: SnapshotWrite) -> None:
         self.snapshot = write.snapshot
         self.base_index, self.base_term = write.snapshot.index, write.snapshot.term
         self.entries = list(write.tail)
         self.term, self.vote = write.term, write.vote
 
     def crash(self, *, kept: int, is_torn: bool) -> None:
-        """The process or the power is gone: the first `kept` unsynced writes reached
-        the disk all the same. If torn, of a snapshot's write behind them only the
-        snapshot itself did, not the segment of the log that begins at it."""
+        """Apply a crash: the first `kept` unsynced writes reach the disk, the others are lost.
+
+        With `is_torn`, a snapshot write that comes next is stored in part: the snapshot
+        itself, but not the log segment that begins at it.
+        """
         for _ in range(min(kept, len(self.queue))):
             self.write_next()
         if is_torn and self.queue and isinstance(self.queue[0], SnapshotWrite):
@@ -70,7 +72,7 @@
         self.entries = log.entries
 
     def recovered_log(self) -> MemoryLog:
-        """The log that a start finds: what stands behind the newest snapshot."""
+        """Return the log that a start recovers: the entries after the newest snapshot."""
         log = MemoryLog(
             base_index=self.base_index, base_term=self.base_term, entries=list(self.entries)
         )
@@ -82,8 +84,8 @@
         return MemoryLog(base_index=self.snapshot.index, base_term=self.snapshot.term)
 
     def holds(self, *, index: int, term: int) -> bool:
-        """Is this entry on disk, in the log or in the snapshot?"""
+        """True if this entry is on disk, in the log or covered by the snapshot."""
         if index <= self.base_index:
             return True
-        place = index - self.base_index - 1
-        return place < len(self.entries) and self.entries[place].term == term
+        position = index - self.base_index - 1
+        return position < len(self.entries) and self.entries[position].term == term
--- a/kelpstage/testbed/model/interfaces.py
+++ b/kelpstage/testbed/model/interfaces.py
@@ -1,4 +1,4 @@
-"""What the invariants and the sessions see of a node, without its module."""
+"""The node interface that the invariants and the sessions use; it avoids an import of `node`."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class NodeView(Protocol):
-    """A machine of the control side, as its observers see it.
+    """The parts of a control-plane machine that the invariants and the sessions read.
 
-    `identity` is the replica's name, a new one after its disk was lost; `starts` counts the
+    `identity` is the replica's name, which changes when its disk is lost; `starts` counts the
     starts of its process; `applied` is the index of the last applied entry.
     """
 
@@ -25,5 +25,5 @@
     machine: core.Machine | None
     lease_table: leases.LeaseTable | None
 
-    def take(self, event: Any) -> None:
-        """Step the replica by an event and perform the effects."""
+    def step(self, event: Any) -> None:
+        """Pass an event to the replica and perform the effects that it returns."""
--- a/kelpstage/testbed/model/main.py
+++ b/kelpstage/testbed/model/main.py
@@ -12,20 +12,20 @@
 from kelpstage.testbed.model.system import Action, Scope
 from kelpstage.testbed.model.walk import PROFILES, Outcome, as_test, random_walk, shrink
 
-SETTLED_ROUNDS = 60
+WARM_UP_ROUNDS = 60
 
 app = typer.Typer(
     add_completion=False,
     no_args_is_help=True,
-    help="Check the control side's own code: every interleaving of a small system to a "
-    "depth, or random walks far past it.",
+    help="Check the real code of the control plane: every interleaving of a small system to "
+    "a depth, or random walks far beyond it.",
 )
 
 
 def scope_of(
     *, machines: int, voters: int, operators: int, edges: int, observers: int = 0
 ) -> Scope:
-    """A scope whose voters bear as many lost disks as so many can.
+    """Return a scope that tolerates as many lost disks as its number of voters can.
 
     >>> scope_of(machines=6, voters=5, operators=2, edges=1).tolerance
     2
@@ -43,18 +43,18 @@
 @app.command("search")
 def search_command(
     voters: int = typer.Option(3, min=1, max=5, help="Voters; no other machines."),
-    depth: int = typer.Option(8, min=1, max=60, help="Actions in a row."),
-    states: int = typer.Option(100_000, min=10, help="Stop when so many states were seen."),
+    depth: int = typer.Option(8, min=1, max=60, help="Actions on one path."),
+    states: int = typer.Option(100_000, min=10, help="Stop after this many states."),
     elections: int = typer.Option(2, min=0, help="Election timeouts on one path."),
     orders: int = typer.Option(1, min=0, help="Orders on one path."),
     crashes: int = typer.Option(1, min=0, help="Crashes on one path."),
     drops: int = typer.Option(1, min=0, help="Lost messages on one path."),
-    duplicates: int = typer.Option(1, min=0, help="Doubled messages on one path."),
-    packets: int = typer.Option(4, min=1, help="Choose among so many of the oldest messages."),
-    seconds: float = typer.Option(120.0, min=1.0, help="Stop after so long."),
-    led: bool = typer.Option(False, help="Begin with a leader instead of the founding."),
+    duplicates: int = typer.Option(1, min=0, help="Duplicated messages on one path."),
+    packets: int = typer.Option(4, min=1, help="Consider only this many of the oldest messages."),
+    seconds: float = typer.Option(120.0, min=1.0, help="Stop after this many seconds."),
+    led: bool = typer.Option(False, help="Begin with an elected leader instead of the bootstrap."),
 ) -> None:
-    """Every interleaving to a depth; prints a shortest trace that breaks an invariant."""
+    """Search every interleaving to a depth; print a shortest trace that violates an invariant."""
     limits = Limits(
         elections=elections,
         orders=orders,
@@ -69,14 +69,14 @@
         states=states,
         seconds=seconds,
         limits=limits,
-        first=(Action("rounds", SETTLED_ROUNDS),) if led else (),
+        first=(Action("rounds", WARM_UP_ROUNDS),) if led else (),
     )
     print(show_search(report=report))
     raise SystemExit(0 if report.failure is None else 1)
 
 
 def show_search(*, report: SearchReport) -> str:
-    """A search's figures, and its trace if it found one.
+    """Return a search's figures, and the trace of the failure if it found one.
 
     >>> show_search(report=SearchReport(states=3, transitions=4, depth=2))
     '3 states, 4 transitions, depth 2 complete, 0.0 s'
@@ -95,20 +95,24 @@
 
 @app.command("walk")
 def walk_command(
-    machines: int = typer.Option(3, min=1, max=9, help="Machines; those above the voters wait."),
+    machines: int = typer.Option(
+        3, min=1, max=9, help="Machines; those beyond the voters stand by."
+    ),
     voters: int = typer.Option(3, min=1, max=5, help="Voters."),
-    operators: int = typer.Option(2, min=0, max=4, help="Operators, all with one number."),
+    operators: int = typer.Option(
+        2, min=0, max=4, help="Operators, all writing the same next version."
+    ),
     edges: int = typer.Option(3, min=0, max=9, help="Edges with leases."),
-    observers: int = typer.Option(0, min=0, max=9, help="Those of them that do not vote."),
+    observers: int = typer.Option(0, min=0, max=9, help="Edges among them that do not vote."),
     profile: str = typer.Option("chaos", help=f"One of: {', '.join(PROFILES)}."),
     first_seed: int = typer.Option(1, min=0, help="The first seed."),
-    walks: int = typer.Option(40, min=1, help="How many seeds."),
+    walks: int = typer.Option(40, min=1, help="Number of walks, one for each seed."),
     steps: int = typer.Option(3_000, min=1, help="Actions of each walk."),
-    workers: int = typer.Option(4, min=1, max=64, help="Walks side by side."),
+    workers: int = typer.Option(4, min=1, max=64, help="Walks that run in parallel."),
 ) -> None:
-    """Random walks; prints a failing one, shortened, as a ready test."""
+    """Run random walks; print the first failing one, shortened, as a test method."""
     if profile not in PROFILES:
-        raise typer.BadParameter(f"there are: {', '.join(PROFILES)}", param_hint="--profile")
+        raise typer.BadParameter(f"the profiles are: {', '.join(PROFILES)}", param_hint="--profile")
     scope = scope_of(
         machines=machines, voters=voters, operators=operators, edges=edges, observers=observers
     )
@@ -124,7 +128,7 @@
             )
         )
     print(show_walks(outcomes=outcomes, seconds=time.monotonic() - began))
-    failed = [outcome for outcome in outcomes if not outcome.is_kept]
+    failed = [outcome for outcome in outcomes if not outcome.has_passed]
     for outcome in failed:
         print(f"seed {outcome.walk.seed}: {outcome.invariant}: {outcome.detail}")
     if failed:
@@ -137,12 +141,12 @@
 
 
 def show_walks(*, outcomes: list[Outcome], seconds: float) -> str:
-    """A summary of some walks, as one line of text.
+    """Return a one-line summary of walks.
 
     >>> show_walks(outcomes=[], seconds=1.0)
     '0 of 0 walks kept; 0 steps, 0 entries, 0 orders, 0 membership changes, 0 snapshots, 1.0 s'
     """
-    kept = sum(outcome.is_kept for outcome in outcomes)
+    kept = sum(outcome.has_passed for outcome in outcomes)
     return (
         f"{kept} of {len(outcomes)} walks kept; "
         f"{sum(o.steps for o in outcomes)} steps, {sum(o.entries for o in outcomes)} entries, "
--- a/kelpstage/testbed/model/node.py
+++ b/kelpstage/testbed/model/node.py
@@ -1,7 +1,7 @@
 """One core machine of the model: a replica, its disk, its state machine and its lease table.
 
-The effects of the replica are performed as the daemon's own task performs them; what is
-asynchronous there (a sync, a snapshot's write, a fetch) is an action of the model here.
+The effects of the replica are performed as the task of a core process performs them. What
+is asynchronous there (a sync, a snapshot's write, a fetch) is an action of the model here.
 """
 
 from __future__ import annotations
@@ -13,44 +13,44 @@
 
 from kelpstage.testbed.model import adapter as core
 from kelpstage.testbed.model import edge_adapter as leases
-from kelpstage.testbed.model.checks import OWN_ASSERTIONS, Checks
+from kelpstage.testbed.model.checks import REPLICA_ASSERTIONS, Checks
 from kelpstage.testbed.model.disk import Disk, SnapshotWrite
 from kelpstage.testbed.model.scope import Scope
 from kelpstage.testbed.model.sessions import Sessions
 
 SNAPSHOT_ENTRIES = 40
-JOIN_AGAIN_US = 500_000
+JOIN_RETRY_US = 500_000
 
 
 @dataclass(kw_only=True, eq=False)
 class Fetch:
-    """A snapshot under transfer: offered, then read from the leader, then arrived."""
+    """A snapshot transfer: offered, then read from the leader, then received."""
 
     offer: core.FetchOffered
     snapshot: core.DiskSnapshot | None = None
 
 
 class Hooks:
-    """Where a planted fault takes hold; without one, nothing is changed."""
+    """The points at which an injected fault changes a node; the defaults change nothing."""
 
     def on_start(self, node: "Node") -> None:
-        """A replica was made from its disk."""
+        """Called when a replica was created from its disk."""
 
-    def before(self, node: "Node", event: Any) -> Any:
-        """The event that the replica is to take instead of this one, or `None`."""
+    def before_step(self, node: "Node", event: Any) -> Any:
+        """Return the event to pass to the replica instead; `None` drops it."""
         return event
 
-    def after(self, node: "Node", event: Any, effects: list[Any]) -> list[Any]:
-        """The effects that are to be performed instead of these."""
+    def after_step(self, node: "Node", event: Any, effects: list[Any]) -> list[Any]:
+        """Return the effects to perform instead of these."""
         return effects
 
-    def snapshot(self, node: "Node", snapshot: core.DiskSnapshot) -> core.DiskSnapshot:
-        """The snapshot that is kept instead of this one."""
+    def on_snapshot(self, node: "Node", snapshot: core.DiskSnapshot) -> core.DiskSnapshot:
+        """Return the snapshot to store instead of this one."""
         return snapshot
 
 
 class NodeHost(Protocol):
-    """What a node needs of the modelled system around it."""
+    """The parts of the modelled system that a node uses."""
 
     now_us: int
     scope: Scope
@@ -59,27 +59,27 @@
     sessions: Sessions
 
     def random_for(self, *, name: str) -> random.Random:
-        """The generator of one instance of one replica."""
+        """Return the random generator of one start of one replica."""
 
     def make_lease_table(self) -> leases.LeaseTable:
-        """The lease table of a leader that was elected now."""
+        """Return the lease table of a leader that is elected now."""
 
     def send(self, *, source: str, to: str, body: Any) -> None:
-        """Put a message on its way."""
+        """Send a message over the modelled network."""
 
-    def ask_place(self, *, node: "Node") -> None:
-        """Ask every other machine for this replica's place."""
+    def request_join(self, *, node: "Node") -> None:
+        """Send this replica's request to join to every other machine."""
 
-    def ask_to_leave(self, *, node: "Node") -> None:
-        """Ask whether this replica may stop for good."""
+    def request_leave(self, *, node: "Node") -> None:
+        """Request permission for this replica to stop permanently."""
 
     def snapshot_at(self, *, reader: "Node", address: str, index: int) -> core.DiskSnapshot | None:
-        """What a machine gives to one that fetches the snapshot at this index."""
+        """Return what a machine serves to a fetch of the snapshot at this index, if anything."""
 
 
 @dataclass(kw_only=True, eq=False)
 class Node:
-    """A machine of the control side."""
+    """A machine of the control plane."""
 
     address: str
     world: NodeHost
@@ -93,38 +93,38 @@
     machine: core.Machine | None = None
     lease_table: leases.LeaseTable | None = None
     applied: int = 0
-    synced: int = 0
-    held: list[core.Send] = field(default_factory=list)
+    last_synced: int = 0
+    deferred_sends: list[core.Send] = field(default_factory=list)
     proposals: dict[int, tuple[int, int]] = field(default_factory=dict)
     fetches: list[Fetch] = field(default_factory=list)
-    arrived: core.DiskSnapshot | None = None
-    shown: core.DiskSnapshot | None = None
-    in_writing: core.DiskSnapshot | None = None
+    fetched_snapshot: core.DiskSnapshot | None = None
+    served_snapshot: core.DiskSnapshot | None = None
+    pending_snapshot: core.DiskSnapshot | None = None
     is_leaving: bool = False
-    asked_place_us: int = -JOIN_AGAIN_US
+    join_requested_us: int = -JOIN_RETRY_US
 
     @property
-    def runs(self) -> bool:
-        """Does the process take events now?"""
+    def is_running(self) -> bool:
+        """True if the process handles events now."""
         return self.is_up and not self.is_frozen
 
     # --- start and end ------------------------------------------------------------
 
     def start(self) -> None:
-        """Start the process from what its disk holds."""
+        """Start the process from the contents of its disk."""
         disk = self.disk
         log = disk.recovered_log()
         state, members = None, []
         if disk.snapshot is not None:
             members = list(disk.snapshot.members)
             state = core.CoreState().parse(disk.snapshot.state)
-        self.shown = disk.snapshot
+        self.served_snapshot = disk.snapshot
         self.machine = core.Machine(cluster=core.CLUSTER, state=state)
         self.applied = log.base_index
         self.lease_table = leases.LeaseTable(since_us=self.world.now_us)
-        self.synced = 0
-        self.held, self.proposals, self.fetches = [], {}, []
-        self.arrived, self.in_writing = None, None
+        self.last_synced = 0
+        self.deferred_sends, self.proposals, self.fetches = [], {}, []
+        self.fetched_snapshot, self.pending_snapshot = None, None
         self.is_leaving = False
         self.starts += 1
         self.replica = core.make_replica(
@@ -142,14 +142,14 @@
         self.world.checks.started(node=self)
 
     def crash(self, *, kept: int, is_torn: bool) -> None:
-        """End the process at once; `kept` of the unsynced writes are on disk all the same."""
+        """Kill the process; the first `kept` unsynced writes reach the disk anyway."""
         self.is_up, self.is_frozen = False, False
         self.disk.crash(kept=kept, is_torn=is_torn)
         self.replica = None
-        self.held, self.proposals, self.fetches = [], {}, []
+        self.deferred_sends, self.proposals, self.fetches = [], {}, []
 
     def replace_disk(self) -> None:
-        """The disk is lost: an empty replica under a new name comes up in its place."""
+        """Replace the lost disk by an empty one, for a replica with a new name."""
         self.crash(kept=0, is_torn=False)
         self.disk = Disk()
         self.generation += 1
@@ -157,42 +157,42 @@
 
     # --- events ---------------------------------------------------------------------
 
-    def take(self, event: Any) -> None:
-        """Give the replica an event and perform what it answers with."""
-        event = self.world.hooks.before(self, event)
+    def step(self, event: Any) -> None:
+        """Pass an event to the replica and perform the effects that it returns."""
+        event = self.world.hooks.before_step(self, event)
         if event is None:
             return
         try:
             effects = self.replica.step(now_us=self.world.now_us, event=event)
         except core.ReplicaInvariantViolated as violated:
-            self.world.checks.fail(OWN_ASSERTIONS, f"{self.identity}: {violated}")
-        effects = self.world.hooks.after(self, event, effects)
+            self.world.checks.fail(REPLICA_ASSERTIONS, f"{self.identity}: {violated}")
+        effects = self.world.hooks.after_step(self, event, effects)
         self.perform(effects)
         if isinstance(event, core.SnapshotTaken):
-            self._snapshot_is_on_disk(index=event.index)
+            self._handle_snapshot_written(index=event.index)
         self.world.checks.stepped(node=self)
         if self.applied - self.replica.log.base_index >= SNAPSHOT_ENTRIES:
             self.take_snapshot()
 
     def perform(self, effects: list[Any]) -> None:
-        """Do what the replica asks for, in its order."""
+        """Perform the replica's effects in order."""
         for effect in effects:
             self._perform(effect)
 
     def tick(self) -> None:
-        """The timer of the process: Raft, waiting orders, and a request for a place."""
-        self.take(core.Tick())
+        """Run the timer of the process: Raft, pending calls, and a leave or join request."""
+        self.step(core.Tick())
         self.world.sessions.tick(node=self)
         if self.is_leaving:
-            self.world.ask_to_leave(node=self)
+            self.world.request_leave(node=self)
             return
-        has_place = any(m.replica == self.identity for m in core.members_of(self.replica))
-        if has_place and core.knows_leader(self.replica):
+        is_member = any(m.replica == self.identity for m in core.members_of(self.replica))
+        if is_member and core.knows_leader(self.replica):
             return
-        if self.world.now_us - self.asked_place_us < JOIN_AGAIN_US:
+        if self.world.now_us - self.join_requested_us < JOIN_RETRY_US:
             return
-        self.asked_place_us = self.world.now_us
-        self.world.ask_place(node=self)
+        self.join_requested_us = self.world.now_us
+        self.world.request_join(node=self)
 
     def sync(self, *, count: int) -> None:
         """Make the oldest `count` writes durable and notify the replica."""
@@ -201,17 +201,17 @@
             self.disk.write_next()
             self.world.checks.disks_changed()
             if write.number:
-                self.synced = max(self.synced, write.number)
-                self.take(core.Synced(number=write.number))
-                self._release()
+                self.last_synced = max(self.last_synced, write.number)
+                self.step(core.Synced(number=write.number))
+                self._send_deferred()
             if isinstance(write, SnapshotWrite):
-                self.take(core.SnapshotTaken(index=write.snapshot.index))
+                self.step(core.SnapshotTaken(index=write.snapshot.index))
 
-    def _release(self) -> None:
-        while self.held and self.held[0].after <= self.synced:
-            self._dispatch(send=self.held.pop(0))
+    def _send_deferred(self) -> None:
+        while self.deferred_sends and self.deferred_sends[0].after <= self.last_synced:
+            self._send(send=self.deferred_sends.pop(0))
 
-    def _dispatch(self, *, send: core.Send) -> None:
+    def _send(self, *, send: core.Send) -> None:
         self.world.send(source=self.address, to=send.to.address, body=send.message)
 
     # --- effects ----------------------------------------------------------------------
@@ -222,23 +222,23 @@
 
     @_perform.register
     def _(self, effect: core.MarginChanged) -> None:
-        """How many losses the voters in reach still bear: for operators only."""
+        """Ignore it: the number of further losses that the voters tolerate is for operators."""
 
     @_perform.register
     def _(self, effect: core.Send) -> None:
-        if effect.after > self.synced:
-            self.held.append(effect)
+        if effect.after > self.last_synced:
+            self.deferred_sends.append(effect)
             return
-        self._dispatch(send=effect)
+        self._send(send=effect)
 
     @_perform.register
     def _(self, effect: core.Persist) -> None:
         if effect.cut_from is not None:
-            self._lose_proposals(start=effect.cut_from)
+            self._drop_proposals(start=effect.cut_from)
         self.disk.queue.append(effect)
         self.world.checks.appended(node=self, entries=effect.entries)
 
-    def _lose_proposals(self, *, start: int) -> None:
+    def _drop_proposals(self, *, start: int) -> None:
         for index in [i for i in self.proposals if i >= start]:
             token, _ = self.proposals.pop(index)
             self.world.sessions.proposal_lost(token=token)
@@ -284,13 +284,13 @@
 
     @_perform.register
     def _(self, effect: core.Removed) -> None:
-        pass  # the process stays up; it asks for a place again
+        pass  # the process stays up and requests to join again
 
     # --- snapshots ----------------------------------------------------------------------
 
     def take_snapshot(self) -> None:
-        """Begin to write a snapshot of all that is applied."""
-        if self.in_writing is not None or self.applied == self.replica.log.base_index:
+        """Begin to write a snapshot of the applied state."""
+        if self.pending_snapshot is not None or self.applied == self.replica.log.base_index:
             return
         log = self.replica.log
         snapshot = core.DiskSnapshot(
@@ -300,8 +300,8 @@
             state=bytes(self.machine.state),
             cluster=core.CLUSTER,
         )
-        snapshot = self.world.hooks.snapshot(self, snapshot)
-        self.in_writing = snapshot
+        snapshot = self.world.hooks.on_snapshot(self, snapshot)
+        self.pending_snapshot = snapshot
         self.disk.queue.append(
             SnapshotWrite(
                 snapshot=snapshot,
@@ -312,23 +312,23 @@
             )
         )
 
-    def _snapshot_is_on_disk(self, *, index: int) -> None:
-        snapshot = self.in_writing
+    def _handle_snapshot_written(self, *, index: int) -> None:
+        snapshot = self.pending_snapshot
         if snapshot is None or snapshot.index != index:
             return
-        self.in_writing = None
+        self.pending_snapshot = None
         if index == self.replica.log.base_index:
-            self.shown = snapshot
+            self.served_snapshot = snapshot
 
     @_perform.register
     def _(self, effect: core.FetchOffered) -> None:
         if self.fetches:
-            return  # one at a time
+            return  # at most one transfer at a time
         self.fetches.append(Fetch(offer=effect))
 
-    def advance_fetch(self, *, place: int) -> None:
-        """A transfer reads its snapshot from the leader, or what it read arrives."""
-        fetch = self.fetches[place % len(self.fetches)]
+    def advance_fetch(self, *, position: int) -> None:
+        """Read a transfer's snapshot from the leader, or pass a snapshot already read on."""
+        fetch = self.fetches[position % len(self.fetches)]
         if fetch.snapshot is None:
             fetch.snapshot = self.world.snapshot_at(
                 reader=self, address=fetch.offer.leader_address, index=fetch.offer.index
@@ -339,18 +339,18 @@
         self.fetches.remove(fetch)
         if fetch.snapshot.index <= core.commit_index_of(self.replica):
             return
-        self.arrived = fetch.snapshot
-        self.take(core.fetched_event(snapshot=fetch.snapshot, offer=fetch.offer))
+        self.fetched_snapshot = fetch.snapshot
+        self.step(core.fetched_event(snapshot=fetch.snapshot, offer=fetch.offer))
 
     @_perform.register
     def _(self, effect: core.SaveSnapshot) -> None:
-        snapshot = self.arrived
-        self._lose_proposals(start=0)
+        snapshot = self.fetched_snapshot
+        self._drop_proposals(start=0)
         self.machine = core.Machine(
             cluster=core.CLUSTER, state=core.CoreState().parse(snapshot.state)
         )
         self.applied = snapshot.index
-        self.shown = snapshot
+        self.served_snapshot = snapshot
         self.world.checks.installed_snapshot(node=self, snapshot=snapshot)
         self.disk.queue.append(
             SnapshotWrite(
@@ -363,10 +363,10 @@
         )
 
 
-def seeded(*, seed: int, name: str) -> random.Random:
-    """A generator that depends on the walk's seed and a name alone.
+def seeded_random(*, seed: int, name: str) -> random.Random:
+    """Return a random generator that depends only on the walk's seed and a name.
 
-    >>> seeded(seed=1, name="a").random() == seeded(seed=1, name="a").random()
+    >>> seeded_random(seed=1, name="a").random() == seeded_random(seed=1, name="a").random()
     True
     """
     return random.Random(f"{seed}/{name}")
--- a/kelpstage/testbed/model/packets.py
+++ b/kelpstage/testbed/model/packets.py
@@ -1,4 +1,4 @@
-"""What travels between the machines of the model, beside the replicas' own messages."""
+"""Packets on the modelled network, and the messages that are not part of Raft."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Packet:
-    """Something under way."""
+    """A message in flight."""
 
     source: str
     to: str
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class JoinCall:
-    """A replica without a place, or without a leader, asks for one."""
+    """A request to join, from a replica that is not a member or knows no leader."""
 
     member: core.CoreMember
 
 
 @dataclass(frozen=True, kw_only=True)
 class LeaveCall:
-    """A replica is about to stop for good and asks whether it may."""
+    """A request for permission to stop permanently."""
 
     replica: str
     term: int
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class LeaveAnswer:
-    """It may."""
+class LeaveReply:
+    """Permission for a replica to stop permanently."""
 
     replica: str
--- a/kelpstage/testbed/model/scope.py
+++ b/kelpstage/testbed/model/scope.py
@@ -1,4 +1,4 @@
-"""The size of a modelled system, and the actions that drive it."""
+"""The size of a modelled system, and the action type."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Action(NamedTuple):
-    """One step of a walk."""
+    """One step of a walk: the action's name and its two numbers."""
 
     name: str
     a: int = 0
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Scope:
-    """How large the modelled system is.
+    """The size of the modelled system and the number of lost disks that it must tolerate.
 
-    `machines` above `voters` are learners that stand by; `tolerance` disks may be lost
-    for good before the first of them counts as repaired. The last `observers` of the edges
-    do not vote.
+    Machines beyond `voters` are standby learners. A disk is lost permanently only if, with
+    its machine, at most `tolerance` machines count as faulty. The last `observers` of the
+    edges do not vote.
     """
 
     machines: int = 3
--- a/kelpstage/testbed/model/search.py
+++ b/kelpstage/testbed/model/search.py
@@ -1,8 +1,8 @@
 """Breadth-first search over every interleaving of a small system, up to a depth.
 
-States that are equal but for the names of replicas, or for how long ago the clocks were
-moved, count once: a state is written down as plain tuples under each renaming, times as
-distances from now, and the least hash stands for it.
+States that differ only in the names of replicas or in absolute times count once. A state is
+encoded as plain tuples under each renaming of the nodes, with times as distances from now,
+and the smallest hash of these encodings identifies it.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 from kelpstage.testbed.model.system import Action, Scope, World
 from kelpstage.testbed.model.walk import Outcome, Walk, replay
 
-TIME_FROM_US = 50_000  # numbers above are times; terms, indexes and tokens stay below
-TIME_STEP_US = 100_000
-FAR_US = 4_000_000
-ELECTION_TICK = 4  # the place of a step longer than any election timeout
+MIN_TIME_US = 50_000  # larger integers are times; terms, indexes and tokens are smaller
+TIME_RESOLUTION_US = 100_000
+MAX_DISTANCE_US = 4_000_000
+ELECTION_STEP = 4  # index in TICK_STEPS_US of a step longer than any election timeout
 
 
-class EvenRandom(random.Random):
-    """A generator that always returns the middle: a search branches instead of drawing."""
+class ConstantRandom(random.Random):
+    """A generator that always returns 0.5: a search branches on actions, not on chance."""
 
     def random(self) -> float:
-        """A half."""
+        """Return 0.5."""
         return 0.5
 
 
@@ -45,12 +45,12 @@
     crashes: int = 1
     drops: int = 1
     duplicates: int = 1
-    packets: int = 4  # only so many of the oldest may be chosen from
+    packets: int = 4  # only this many of the oldest packets are considered
 
 
 @dataclass(kw_only=True)
 class SearchReport:
-    """What a search came to."""
+    """The result of a search."""
 
     states: int = 0
     transitions: int = 0
@@ -61,15 +61,15 @@
 
 
 class SearchWorld(World):
-    """A world without chance."""
+    """A world without randomness."""
 
     def random_for(self, *, name: str) -> random.Random:
-        """The same for all."""
-        return EvenRandom()
+        """Return the same constant generator for all replicas."""
+        return ConstantRandom()
 
 
 def fork(value: Any) -> Any:
-    """A copy that shares what never changes: messages, frozen records, keys.
+    """Return a deep copy that shares immutable parts: messages, frozen dataclasses, keys.
 
     >>> fork({"a": [1, {2}]})
     {'a': [1, {2}]}
@@ -107,29 +107,29 @@
     if value is None or isinstance(value, (str, bytes, int, float, bool, frozenset)):
         return True
     if isinstance(value, (bp.Message, Hooks, random.Random)):
-        # The state machine changes its state in place; all other messages are kept as sent.
+        # The state machine changes its state in place; no other message changes once sent.
         return not isinstance(value, core.CoreState)
     return is_dataclass(value) and value.__dataclass_params__.frozen
 
 
-# --- writing a state down ------------------------------------------------------------------
+# --- encoding of a state -------------------------------------------------------------------
 
 
-def canonical(world: World) -> int:
-    """A number that equal states share."""
+def canonical_hash(world: World) -> int:
+    """Return a hash that is the same for equivalent states."""
     return min(
-        hash(_write_world(world, dict(zip(order, world.nodes, strict=True))))
+        hash(_encode_world(world, dict(zip(order, world.nodes, strict=True))))
         for order in _orders(world)
     )
 
 
 def _orders(world: World) -> Iterator[list[str]]:
-    """The orderings of the nodes to try for the canonical form.
+    """Yield the orderings of the nodes to try for the canonical form.
 
-    Nodes are sorted by what distinguishes them cheaply; nodes that are equal in that are
+    Nodes are sorted by a signature that is cheap to compute; nodes with equal signatures are
     tried in every order.
     """
-    marks = {name: repr(_glance(world, name)) for name in world.nodes}
+    marks = {name: repr(_signature(world, name)) for name in world.nodes}
     groups = [
         [name for name in world.nodes if marks[name] == mark]
         for mark in sorted(set(marks.values()))
@@ -138,10 +138,10 @@
         yield [name for order in orders for name in order]
 
 
-def _glance(world: World, name: str) -> tuple:
+def _signature(world: World, name: str) -> tuple:
     node = world.nodes[name]
-    to = [place for place, packet in enumerate(world.packets) if packet.to == name]
-    sent = [place for place, packet in enumerate(world.packets) if packet.source == name]
+    to = [position for position, packet in enumerate(world.packets) if packet.to == name]
+    sent = [position for position, packet in enumerate(world.packets) if packet.source == name]
     basics: tuple = ()
     if node.replica is not None:
         log, replica = node.replica.log, node.replica
@@ -150,18 +150,18 @@
             core.term_of(replica),
             core.commit_index_of(replica),
             log.last_index,
-            len(node.held),
+            len(node.deferred_sends),
         )
     return (node.is_up, len(node.disk.queue), to, sent, basics)
 
 
-def _write_world(world: World, names: dict[str, str]) -> Any:
+def _encode_world(world: World, names: dict[str, str]) -> Any:
     nodes = sorted(
-        (names[node.address], _write(_node_state(node), names, world.now_us))
+        (names[node.address], _encode(_node_state(node), names, world.now_us))
         for node in world.nodes.values()
     )
-    packets = tuple(_write(packet, names, world.now_us) for packet in world.packets)
-    seen = _write((world.checks.newest_committed, world.checks.acknowledged), names, 0)
+    packets = tuple(_encode(packet, names, world.now_us) for packet in world.packets)
+    seen = _encode((world.checks.newest_committed, world.checks.acknowledged), names, 0)
     return repr((nodes, packets, seen))
 
 
@@ -172,8 +172,8 @@
         replica,
         machine,
         node.disk,
-        node.held,
-        node.synced,
+        node.deferred_sends,
+        node.last_synced,
         node.proposals,
         node.fetches,
         node.is_up,
@@ -181,34 +181,34 @@
     )
 
 
-def _write(value: Any, names: dict[str, str], now_us: int) -> Any:
+def _encode(value: Any, names: dict[str, str], now_us: int) -> Any:
     if isinstance(value, bool) or value is None:
         return value
     if isinstance(value, int):
-        if abs(value) < TIME_FROM_US:
+        if abs(value) < MIN_TIME_US:
             return value
-        distance = max(-FAR_US, min(FAR_US, value - now_us))
-        return ("at", distance // TIME_STEP_US)
+        distance = max(-MAX_DISTANCE_US, min(MAX_DISTANCE_US, value - now_us))
+        return ("at", distance // TIME_RESOLUTION_US)
     if isinstance(value, str):
         return names.get(value, value)
     if isinstance(value, (bytes, float)):
         return value
     if isinstance(value, (list, tuple, deque)):
-        return tuple(_write(one, names, now_us) for one in value)
+        return tuple(_encode(one, names, now_us) for one in value)
     if isinstance(value, (set, frozenset)):
-        return tuple(sorted(repr(_write(one, names, now_us)) for one in value))
+        return tuple(sorted(repr(_encode(one, names, now_us)) for one in value))
     if isinstance(value, dict):
         return tuple(
             sorted(
-                repr((_write(key, names, now_us), _write(one, names, now_us)))
+                repr((_encode(key, names, now_us), _encode(one, names, now_us)))
                 for key, one in value.items()
                 if key not in ("rand", "timing", "effects", "now_us")
             )
         )
     if isinstance(value, bp.Message):
-        written = [_write(getattr(value, one.name), names, now_us) for one in fields(value)]
-        return (type(value).__name__, *written)
-    return (type(value).__name__, _write(vars(value), names, now_us))
+        encoded = [_encode(getattr(value, one.name), names, now_us) for one in fields(value)]
+        return (type(value).__name__, *encoded)
+    return (type(value).__name__, _encode(vars(value), names, now_us))
 
 
 # --- the search ------------------------------------------------------------------------------
@@ -216,34 +216,34 @@
 
 @dataclass(kw_only=True)
 class Branch:
-    """A state on the edge of what was searched, and how it came about."""
+    """A state to expand, the actions that led to it, and the uses of limited actions."""
 
     world: World
     path: tuple[Action, ...] = ()
     used: dict[str, int] = field(default_factory=dict)
 
 
-def _choices(branch: Branch, limits: Limits) -> Iterator[tuple[Action, str]]:
-    """Every action that can change this state, and what it uses up."""
+def _enabled_actions(branch: Branch, limits: Limits) -> Iterator[tuple[Action, str]]:
+    """Yield every action that can change this state, with the limit that it counts against."""
     world = branch.world
     count = min(len(world.packets), limits.packets)
-    for place in range(count):
-        yield Action("deliver", place), ""
-    for place, node in enumerate(world.nodes.values()):
-        if node.runs and node.disk.queue:
-            yield Action("sync", place), ""
-        if node.runs and node.fetches:
-            yield Action("fetch", place), ""
+    for position in range(count):
+        yield Action("deliver", position), ""
+    for position, node in enumerate(world.nodes.values()):
+        if node.is_running and node.disk.queue:
+            yield Action("sync", position), ""
+        if node.is_running and node.fetches:
+            yield Action("fetch", position), ""
         if not node.is_up:
-            yield Action("start", place), ""
-        if node.runs:
-            yield Action("tick", place, ELECTION_TICK), "elections"
-            yield Action("crash", place, 0), "crashes"
-        if node.runs and core.role_of(node.replica) == core.LEADER:
-            yield Action("order", 0, place), "orders"
-    for place in range(count):
-        yield Action("drop", place), "drops"
-        yield Action("duplicate", place), "duplicates"
+            yield Action("start", position), ""
+        if node.is_running:
+            yield Action("tick", position, ELECTION_STEP), "elections"
+            yield Action("crash", position, 0), "crashes"
+        if node.is_running and core.role_of(node.replica) == core.LEADER:
+            yield Action("order", 0, position), "orders"
+    for position in range(count):
+        yield Action("drop", position), "drops"
+        yield Action("duplicate", position), "duplicates"
 
 
 def search(
@@ -256,39 +256,42 @@
     states: int = 1_000_000,
     seconds: float = 3_600.0,
 ) -> SearchReport:
-    """Every interleaving behind the actions `first`, breadth first, to a depth or until
-    so many states were seen or seconds spent; the first failure found is a shortest one."""
+    """Search every interleaving after the actions `first`, breadth first.
+
+    It ends at a depth, a number of states or a number of seconds. The trace of the first
+    failure that it finds is a shortest one.
+    """
     began = time.monotonic()
     world = SearchWorld(scope=scope, seed=0, hooks=hooks)
     for action in first:
         world.act(action)
     report = SearchReport(states=1)
-    seen = {canonical(world)}
+    seen = {canonical_hash(world)}
     level = [Branch(world=world)]
-    is_over = False
-    while level and report.depth < depth and not is_over:
-        following: list[Branch] = []
+    is_limit_reached = False
+    while level and report.depth < depth and not is_limit_reached:
+        next_level: list[Branch] = []
         for branch in level:
-            report.failure = _expand(branch, following, seen, report, limits)
-            is_over = report.states >= states or time.monotonic() - began > seconds
-            if report.failure is not None or is_over:
+            report.failure = _expand(branch, next_level, seen, report, limits)
+            is_limit_reached = report.states >= states or time.monotonic() - began > seconds
+            if report.failure is not None or is_limit_reached:
                 break
         if report.failure is not None:
             actions = [*first, *report.failure.walk.actions]
             report.failure.walk.actions = actions
             break
-        if not is_over:
+        if not is_limit_reached:
             report.depth += 1
-        level = following
-    report.is_complete = not level and not is_over
+        level = next_level
+    report.is_complete = not level and not is_limit_reached
     report.seconds = time.monotonic() - began
     return report
 
 
 def _expand(
-    branch: Branch, following: list[Branch], seen: set[int], report: SearchReport, limits: Limits
+    branch: Branch, next_level: list[Branch], seen: set[int], report: SearchReport, limits: Limits
 ) -> Outcome | None:
-    for action, kind in _choices(branch, limits):
+    for action, kind in _enabled_actions(branch, limits):
         used = branch.used.get(kind, 0)
         if kind and used >= getattr(limits, kind):
             continue
@@ -301,12 +304,12 @@
             walk = Walk(scope=world.scope, seed=0, actions=list(path), is_settled_at_end=False)
             return Outcome(walk=walk, invariant=violated.invariant, detail=violated.detail)
         budget = branch.used | {kind: used + 1} if kind else branch.used
-        mark = hash((canonical(world), tuple(sorted(budget.items()))))
+        mark = hash((canonical_hash(world), tuple(sorted(budget.items()))))
         if mark in seen:
             continue
         seen.add(mark)
         report.states += 1
-        following.append(Branch(world=world, path=path, used=budget))
+        next_level.append(Branch(world=world, path=path, used=budget))
     return None
 
 
--- a/kelpstage/testbed/model/sessions.py
+++ b/kelpstage/testbed/model/sessions.py
@@ -1,8 +1,8 @@
-"""How the leader serves operators' orders and edges' leases.
+"""How the leader handles operators' orders and edges' lease requests.
 
 An order is looked up under a read index, checked, proposed, and acknowledged when no edge
-can serve an older epoch; a lease is given under a read index. The calls may be lost,
-late, doubled or sent again; an operator without a clear answer repeats its order.
+can serve an older epoch. A lease is granted under a read index. Calls may be lost, delayed,
+duplicated or sent again; an operator without a definite reply repeats its order.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from kelpstage.testbed.model import adapter as core
 from kelpstage.testbed.model import edge_adapter as leases
 from kelpstage.testbed.model.calls import (
-    LeaseAnswer,
+    LeaseGrant,
     LeaveEdgeCall,
     MembershipCall,
     Operator,
     Order,
-    OrderAnswer,
     OrderCall,
+    OrderReply,
     ReadCall,
     RenewCall,
-    StateAnswer,
+    StateReply,
 )
 from kelpstage.testbed.model.edges import EdgeHost, ModelEdges
 from kelpstage.testbed.model.interfaces import NodeView
@@ -30,18 +30,22 @@
 
 ORDER_WAIT_US = 10_000_000
 
-LOOK_UP, TURN, PROPOSED, SETTLE = "look-up", "turn", "proposed", "settle"
+LOOK_UP, AWAITING_TURN, PROPOSED, SETTLING = "look-up", "turn", "proposed", "settle"
 
 
 @dataclass(kw_only=True, eq=False)
-class Work:
-    """A call that a node has not answered yet."""
+class PendingCall:
+    """A call that a node has not answered yet.
+
+    `stage` says what it waits for: the read index (`LOOK_UP`), the change before it
+    (`AWAITING_TURN`), its log entry (`PROPOSED`), or the end of older epochs (`SETTLING`).
+    """
 
     address: str
     starts: int
     call: Any
     lease_table: leases.LeaseTable
-    until_us: int
+    deadline_us: int
     source: str = ""
     stage: str = LOOK_UP
     epoch: int = 0
@@ -49,7 +53,7 @@
 
 
 class Sessions:
-    """All operators and edges, and their calls under way."""
+    """All operators and edges, and their pending calls."""
 
     def __init__(self, *, world: EdgeHost, scope: Scope) -> None:
         self.world = world
@@ -57,39 +61,38 @@
         self.operators = {f"op{i}": Operator(name=f"op{i}") for i in range(scope.operators)}
         self.edges = ModelEdges(world=world, scope=scope)
         self._joining: dict[str, bool] = {}  # is it an observer?
-        self._work: dict[int, Work] = {}
+        self._pending_calls: dict[int, PendingCall] = {}
         self._token = 0
 
     # --- calls arrive at a node --------------------------------------------------------
 
-    def arrive(self, *, node: NodeView, source: str, call: Any) -> None:
-        """A call of an operator's or an edge's; one that is not the leader gives no
-        clear answer."""
+    def handle_call(self, *, node: NodeView, source: str, call: Any) -> None:
+        """Handle a call of an operator or an edge; only the leader answers."""
         if core.role_of(node.replica) != core.LEADER:
             return
         if isinstance(call, LeaveEdgeCall):
-            self._note_leaving(node=node, call=call)
+            self._record_leave(node=node, call=call)
             return
         if isinstance(call, RenewCall):
-            self._note_edge(node=node, call=call)
-        if isinstance(call, OrderCall) and self._is_at_work(node=node, order=call.order):
-            return  # the call joins the work that is under way for the same order
-        self._begin(node=node, source=source, call=call)
+            self._record_heartbeat(node=node, call=call)
+        if isinstance(call, OrderCall) and self._is_pending(node=node, order=call.order):
+            return  # the pending call for the same order answers this one as well
+        self._begin_call(node=node, source=source, call=call)
 
-    def _begin(self, *, node: NodeView, source: str, call: Any) -> None:
-        """A call waits for a read index first."""
+    def _begin_call(self, *, node: NodeView, source: str, call: Any) -> None:
+        """Add a call to the pending ones and request its read index."""
         self._token += 1
-        self._work[self._token] = Work(
+        self._pending_calls[self._token] = PendingCall(
             address=node.address,
             starts=node.starts,
             call=call,
             lease_table=node.lease_table,
-            until_us=self.world.now_us + ORDER_WAIT_US,
+            deadline_us=self.world.now_us + ORDER_WAIT_US,
             source=source,
         )
-        node.take(core.ReadIndexRequest(token=self._token))
+        node.step(core.ReadIndexRequest(token=self._token))
 
-    def _note_leaving(self, *, node: NodeView, call: LeaveEdgeCall) -> None:
+    def _record_leave(self, *, node: NodeView, call: LeaveEdgeCall) -> None:
         leases.lease_table_leaves(
             node.lease_table,
             edge=call.edge,
@@ -97,15 +100,15 @@
             now_us=self.world.now_us,
         )
 
-    def _is_at_work(self, *, node: NodeView, order: Order) -> bool:
+    def _is_pending(self, *, node: NodeView, order: Order) -> bool:
         return any(
-            work.lease_table is node.lease_table
-            and isinstance(work.call, OrderCall)
-            and work.call.order.digest == order.digest
-            for work in self._work.values()
+            pending.lease_table is node.lease_table
+            and isinstance(pending.call, OrderCall)
+            and pending.call.order.digest == order.digest
+            for pending in self._pending_calls.values()
         )
 
-    def _note_edge(self, *, node: NodeView, call: RenewCall) -> None:
+    def _record_heartbeat(self, *, node: NodeView, call: RenewCall) -> None:
         leases.lease_table_hears(
             node.lease_table,
             edge=call.edge,
@@ -114,86 +117,86 @@
             now_us=self.world.now_us,
         )
 
-    # --- what the replica says --------------------------------------------------------------
+    # --- effects of the replica -------------------------------------------------------------
 
     def read_lost(self, *, token: int) -> None:
-        """The lead was lost before the read index was confirmed."""
-        self._work.pop(token, None)
+        """Drop a call: leadership was lost before its read index was confirmed."""
+        self._pending_calls.pop(token, None)
 
     def proposal_lost(self, *, token: int) -> None:
-        """Nobody knows what becomes of the entry: no clear answer."""
-        self._work.pop(token, None)
+        """Drop a call without a reply: the outcome of its entry is unknown here."""
+        self._pending_calls.pop(token, None)
 
     def read_ready(self, *, node: NodeView, token: int, index: int) -> None:
-        """The read index is confirmed by a majority."""
-        work = self._work.get(token)
-        if work is None:
+        """Continue a call whose read index a majority has confirmed."""
+        pending = self._pending_calls.get(token)
+        if pending is None:
             return
-        if isinstance(work.call, OrderCall):
-            self._look_up(node=node, token=token, work=work)
+        if isinstance(pending.call, OrderCall):
+            self._look_up(node=node, token=token, pending=pending)
             return
-        if isinstance(work.call, MembershipCall):
-            work.stage = TURN
-            self._propose_membership(node=node, token=token, work=work)
+        if isinstance(pending.call, MembershipCall):
+            pending.stage = AWAITING_TURN
+            self._propose_membership(node=node, token=token, pending=pending)
             return
-        del self._work[token]
-        if isinstance(work.call, ReadCall):
+        del self._pending_calls[token]
+        if isinstance(pending.call, ReadCall):
             self.world.checks.read_done(
-                node=node, floor=work.call.floor, version=node.machine.state.version
+                node=node, floor=pending.call.floor, version=node.machine.state.version
             )
-        if isinstance(work.call, RenewCall):
-            self._give_lease(node=node, work=work)
+        if isinstance(pending.call, RenewCall):
+            self._grant_lease(node=node, pending=pending)
 
-    def _give_lease(self, *, node: NodeView, work: Work) -> None:
-        if work.lease_table is not node.lease_table:
+    def _grant_lease(self, *, node: NodeView, pending: PendingCall) -> None:
+        if pending.lease_table is not node.lease_table:
             return
-        call, epoch = work.call, node.machine.state.epoch
-        is_on_membership = call.edge in node.machine.state.membership
-        if not is_on_membership or call.is_observer != (call.edge in node.machine.state.observers):
+        call, epoch = pending.call, node.machine.state.epoch
+        is_member = call.edge in node.machine.state.membership
+        if not is_member or call.is_observer != (call.edge in node.machine.state.observers):
             self._joining[call.edge] = call.is_observer
-        if not is_on_membership:
+        if not is_member:
             self._send_state(node=node, call=call)
             return
         leases.lease_table_gives(
             node.lease_table, edge=call.edge, epoch=epoch, now_us=self.world.now_us
         )
-        answer = LeaseAnswer(
+        grant = LeaseGrant(
             incarnation=call.incarnation,
             reply=leases.lease_reply(epoch=epoch),
             sent_us=call.sent_us,
         )
-        self.world.send(source=node.address, to=call.edge, body=answer)
+        self.world.send(source=node.address, to=call.edge, body=grant)
         self._send_state(node=node, call=call)
 
     def _send_state(self, *, node: NodeView, call: RenewCall) -> None:
         if call.epoch < node.machine.state.epoch:
-            state = StateAnswer(doc=node.machine.doc())
+            state = StateReply(doc=node.machine.doc())
             self.world.send(source=node.address, to=call.edge, body=state)
 
     # --- the membership of edges --------------------------------------------------------------
 
-    def _is_changing(self, *, work: Work) -> bool:
-        """Is another change of this leader proposed, and not yet applied?"""
+    def _is_changing(self, *, pending: PendingCall) -> bool:
+        """True if another change of this leader is proposed and not applied yet."""
         return any(
-            other.lease_table is work.lease_table and other.stage == PROPOSED
-            for other in self._work.values()
+            other.lease_table is pending.lease_table and other.stage == PROPOSED
+            for other in self._pending_calls.values()
         )
 
-    def _may_propose(self, *, node: NodeView, work: Work) -> bool:
-        """One change at a time, when the one before it is settled."""
+    def _may_propose(self, *, node: NodeView, pending: PendingCall) -> bool:
+        """True if no other change is in progress and the current epoch is settled."""
         state = node.machine.state
-        return not self._is_changing(work=work) and leases.lease_table_settled(
+        return not self._is_changing(pending=pending) and leases.lease_table_settled(
             node.lease_table, state=state, epoch=state.epoch, now_us=self.world.now_us
         )
 
     def _begin_membership_change(self, *, node: NodeView) -> None:
-        """A leader looks now and then whether an edge is to join or to be removed."""
+        """Begin a change of the membership if an edge is to be added or removed."""
         is_begun = any(
-            work.lease_table is node.lease_table and isinstance(work.call, MembershipCall)
-            for work in self._work.values()
+            pending.lease_table is node.lease_table and isinstance(pending.call, MembershipCall)
+            for pending in self._pending_calls.values()
         )
         if not is_begun and self._membership_command(node=node):
-            self._begin(node=node, source=node.address, call=MembershipCall())
+            self._begin_call(node=node, source=node.address, call=MembershipCall())
 
     def _membership_command(self, *, node: NodeView) -> bytes:
         state = node.machine.state
@@ -212,46 +215,46 @@
             node.lease_table, state=state, tolerance=self._scope.tolerance, now_us=now_us
         )
 
-    def _propose_membership(self, *, node: NodeView, token: int, work: Work) -> None:
-        if not self._may_propose(node=node, work=work):
+    def _propose_membership(self, *, node: NodeView, token: int, pending: PendingCall) -> None:
+        if not self._may_propose(node=node, pending=pending):
             return
         data = self._membership_command(node=node)
         if not data:
-            del self._work[token]
+            del self._pending_calls[token]
             return
-        work.stage = PROPOSED
-        node.take(core.Propose(kind=core.COMMAND, data=data, token=token))
+        pending.stage = PROPOSED
+        node.step(core.Propose(kind=core.COMMAND, data=data, token=token))
 
     # --- orders -------------------------------------------------------------------------------
 
-    def _look_up(self, *, node: NodeView, token: int, work: Work) -> None:
-        order = work.call.order
+    def _look_up(self, *, node: NodeView, token: int, pending: PendingCall) -> None:
+        order = pending.call.order
         outcome = core.decided(machine=node.machine, order=order)
         if outcome is not None:
-            self._decided(node=node, token=token, work=work, outcome=outcome)
+            self._handle_outcome(node=node, token=token, pending=pending, outcome=outcome)
             return
         current = node.machine.state.version
         if order.expected > current:
-            self._refuse_by_log(node=node, token=token, work=work)
+            self._propose_refusal(node=node, token=token, pending=pending)
             return
         refusal = core.refusal_of_base(
             expected=order.expected, version=order.version, current=current
         )
         if refusal is not None:
-            self._refuse(node=node, token=token, work=work)
+            self._refuse(node=node, token=token, pending=pending)
             return
-        work.stage = TURN
-        self._propose(node=node, token=token, work=work)
+        pending.stage = AWAITING_TURN
+        self._propose(node=node, token=token, pending=pending)
 
-    def _propose(self, *, node: NodeView, token: int, work: Work) -> None:
-        """Propose the order when the change before it is settled.
+    def _propose(self, *, node: NodeView, token: int, pending: PendingCall) -> None:
+        """Propose the order once the change before it is settled.
 
-        The state machine checks it once more, against what is in force at its index.
+        The state machine checks the order again, against the version in force at its index.
         """
-        order, state = work.call.order, node.machine.state
-        if not self._may_propose(node=node, work=work):
+        order, state = pending.call.order, node.machine.state
+        if not self._may_propose(node=node, pending=pending):
             return
-        work.stage = PROPOSED
+        pending.stage = PROPOSED
         data = core.order_bytes(
             put_id=order.put_id,
             expected=order.expected,
@@ -259,92 +262,103 @@
             document=order.document,
             state=state,
         )
-        node.take(core.Propose(kind=core.COMMAND, data=data, token=token))
+        node.step(core.Propose(kind=core.COMMAND, data=data, token=token))
 
-    def _refuse_by_log(self, *, node: NodeView, token: int, work: Work) -> None:
-        """Have the state machine refuse an order on a version to come."""
-        order = work.call.order
-        work.stage = PROPOSED
+    def _propose_refusal(self, *, node: NodeView, token: int, pending: PendingCall) -> None:
+        """Propose that the state machine reject an order on a future version."""
+        order = pending.call.order
+        pending.stage = PROPOSED
         data = core.refusal_bytes(
             put_id=order.put_id,
             expected=order.expected,
             version=order.version,
             digest=order.digest,
         )
-        node.take(core.Propose(kind=core.COMMAND, data=data, token=token))
+        node.step(core.Propose(kind=core.COMMAND, data=data, token=token))
 
     def applied(self, *, node: NodeView, token: int, outcome: Any) -> None:
-        """The state machine decided an order that was proposed here."""
-        work = self._work.get(token)
-        if work is None:
+        """Continue a call whose proposed entry the state machine has applied."""
+        pending = self._pending_calls.get(token)
+        if pending is None:
             return
-        if isinstance(work.call, MembershipCall):
-            del self._work[token]
+        if isinstance(pending.call, MembershipCall):
+            del self._pending_calls[token]
             return
-        self._decided(node=node, token=token, work=work, outcome=outcome)
+        self._handle_outcome(node=node, token=token, pending=pending, outcome=outcome)
 
-    def _decided(self, *, node: NodeView, token: int, work: Work, outcome: Any) -> None:
+    def _handle_outcome(
+        self, *, node: NodeView, token: int, pending: PendingCall, outcome: Any
+    ) -> None:
         if core.is_unclear(outcome):
-            del self._work[token]
+            del self._pending_calls[token]
             return
         if core.is_refusal(outcome):
-            self._refuse(node=node, token=token, work=work)
+            self._refuse(node=node, token=token, pending=pending)
             return
-        self.world.checks.order_took_effect(order=work.call.order)
-        work.stage, work.epoch, work.version = SETTLE, outcome.epoch, outcome.version
-        self._settle(node=node, token=token, work=work)
+        self.world.checks.order_took_effect(order=pending.call.order)
+        pending.stage, pending.epoch, pending.version = SETTLING, outcome.epoch, outcome.version
+        self._acknowledge_if_settled(node=node, token=token, pending=pending)
 
-    def _refuse(self, *, node: NodeView, token: int, work: Work) -> None:
-        del self._work[token]
-        self.world.checks.refused_order(order=work.call.order)
-        self._answer(node=node, work=work, is_refused=True, version=node.machine.state.version)
+    def _refuse(self, *, node: NodeView, token: int, pending: PendingCall) -> None:
+        del self._pending_calls[token]
+        self.world.checks.refused_order(order=pending.call.order)
+        self._reply(node=node, pending=pending, is_refused=True, version=node.machine.state.version)
 
-    def _settle(self, *, node: NodeView, token: int, work: Work) -> None:
-        """Acknowledge when no edge can serve an older epoch."""
+    def _acknowledge_if_settled(self, *, node: NodeView, token: int, pending: PendingCall) -> None:
+        """Acknowledge an order if no edge can serve an older epoch."""
         state = node.machine.state
         if not leases.lease_table_settled(
-            work.lease_table, state=state, epoch=work.epoch, now_us=self.world.now_us
+            pending.lease_table, state=state, epoch=pending.epoch, now_us=self.world.now_us
         ):
             return
-        del self._work[token]
-        order = work.call.order
-        self.world.checks.acknowledged_order(order=order, version=work.version, epoch=work.epoch)
-        self._answer(node=node, work=work, is_refused=False, version=work.version)
+        del self._pending_calls[token]
+        order = pending.call.order
+        self.world.checks.acknowledged_order(
+            order=order, version=pending.version, epoch=pending.epoch
+        )
+        self._reply(node=node, pending=pending, is_refused=False, version=pending.version)
 
-    def _answer(self, *, node: NodeView, work: Work, is_refused: bool, version: int) -> None:
-        answer = OrderAnswer(order=work.call.order, is_refused=is_refused, version=version)
-        self.world.send(source=node.address, to=work.source, body=answer)
+    def _reply(
+        self, *, node: NodeView, pending: PendingCall, is_refused: bool, version: int
+    ) -> None:
+        reply = OrderReply(order=pending.call.order, is_refused=is_refused, version=version)
+        self.world.send(source=node.address, to=pending.source, body=reply)
 
     def tick(self, *, node: NodeView) -> None:
-        """Orders that wait for a settled epoch are looked at again, and the membership."""
+        """Check the membership, and retry or drop the waiting calls of a node."""
         if core.role_of(node.replica) == core.LEADER:
             self._begin_membership_change(node=node)
         waiting = [
-            (token, work)
-            for token, work in self._work.items()
-            if work.address == node.address and work.stage in (TURN, SETTLE)
+            (token, pending)
+            for token, pending in self._pending_calls.items()
+            if pending.address == node.address and pending.stage in (AWAITING_TURN, SETTLING)
         ]
-        for token, work in waiting:
-            if work.lease_table is not node.lease_table or self.world.now_us > work.until_us:
-                del self._work[token]
-            elif work.stage == SETTLE:
-                self._settle(node=node, token=token, work=work)
+        for token, pending in waiting:
+            if (
+                pending.lease_table is not node.lease_table
+                or self.world.now_us > pending.deadline_us
+            ):
+                del self._pending_calls[token]
+            elif pending.stage == SETTLING:
+                self._acknowledge_if_settled(node=node, token=token, pending=pending)
             elif core.role_of(node.replica) != core.LEADER:
-                del self._work[token]
-            elif isinstance(work.call, MembershipCall):
-                self._propose_membership(node=node, token=token, work=work)
+                del self._pending_calls[token]
+            elif isinstance(pending.call, MembershipCall):
+                self._propose_membership(node=node, token=token, pending=pending)
             else:
-                self._propose(node=node, token=token, work=work)
+                self._propose(node=node, token=token, pending=pending)
 
     def node_ended(self, *, node: NodeView) -> None:
-        """Drop the calls that are pending at a process that ended; they get no reply."""
-        self._work = {t: w for t, w in self._work.items() if w.address != node.address}
+        """Drop the pending calls of a process that ended; they get no reply."""
+        self._pending_calls = {
+            t: w for t, w in self._pending_calls.items() if w.address != node.address
+        }
 
-    # --- answers arrive ---------------------------------------------------------------------------
+    # --- replies ----------------------------------------------------------------------------------
 
     def receive(self, *, name: str, body: Any) -> None:
-        """An operator or an edge takes an answer."""
+        """Pass a reply to an operator or an edge."""
         if name in self.operators:
-            self.operators[name].hear(answer=body)
+            self.operators[name].receive(reply=body)
         else:
             self.edges.receive(name=name, body=body)
--- a/kelpstage/testbed/model/system.py
+++ b/kelpstage/testbed/model/system.py
@@ -1,12 +1,12 @@
 """The whole model, driven by actions.
 
-An action is a name and small numbers, so that a walk is a plain list: it can be run
-again, shortened, and written down as a test.
+An action is a name and two small numbers, so that a walk is a plain list that can be
+replayed, shortened, and printed as a test.
 """
 
 from __future__ import annotations
 
-from kelpstage.testbed.model.actions import ACTIONS, CALM_ACTIONS
+from kelpstage.testbed.model.actions import ACTIONS, FAULT_FREE_ACTIONS
 from kelpstage.testbed.model.cluster import Cluster
 from kelpstage.testbed.model.packets import Packet
 from kelpstage.testbed.model.scope import Action, Scope
@@ -23,8 +23,8 @@
     """
 
     def act(self, action: Action) -> None:
-        """Do one action, and check the invariants after each step of it."""
+        """Perform one action; the invariants are checked after each of its steps."""
         self.steps += 1
-        if action.name not in CALM_ACTIONS:
-            self.calm_us = 0
+        if action.name not in FAULT_FREE_ACTIONS:
+            self.fault_free_us = 0
         ACTIONS[action.name](self, action.a, action.b)
--- a/kelpstage/testbed/model/walk.py
+++ b/kelpstage/testbed/model/walk.py
@@ -1,4 +1,4 @@
-"""Seeded random walks, the liveness check at their end, and the shortening of one that failed."""
+"""Seeded random walks, the liveness check at their end, and the shrinking of failed walks."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from kelpstage.testbed.model.node import Hooks
 from kelpstage.testbed.model.system import Action, Scope, World
 
-SETTLE_ROUNDS = 1_000  # 20 s of virtual time
+CONVERGENCE_ROUNDS = 1_000  # 20 s of virtual time
 ORDER_ROUNDS = 500
 SHRINK_RUNS = 400
 
-# How often each action is chosen, for each kind of walk.
+# The weight of each action, for each profile of walks.
 CHAOS = {
     "deliver": 300,
     "drop": 12,
@@ -89,7 +89,7 @@
 
 @dataclass(kw_only=True)
 class Walk:
-    """What is needed to run a walk again."""
+    """All that is needed to replay a walk."""
 
     scope: Scope
     seed: int
@@ -99,7 +99,7 @@
 
 @dataclass(kw_only=True)
 class Outcome:
-    """How a walk ended."""
+    """The result of a walk."""
 
     walk: Walk
     invariant: str = ""
@@ -113,23 +113,25 @@
     seconds: float = 0.0
 
     @property
-    def is_kept(self) -> bool:
-        """Did all invariants hold?"""
+    def has_passed(self) -> bool:
+        """True if all invariants held."""
         return not self.invariant
 
 
-TICK_WEIGHTS = (30, 60, 25, 8, 3, 1)  # of the steps in time, from a millisecond to 3 s
+TICK_STEP_WEIGHTS = (30, 60, 25, 8, 3, 1)  # of TICK_STEPS_US, from 1 ms to 3 s
 
 
 def choose(*, rand: random.Random, world: World, profile: dict[str, int]) -> Action:
-    """The next action of a random walk."""
+    """Choose the next action of a random walk."""
     name = rand.choices(list(profile), weights=list(profile.values()))[0]
-    return Action(name, _first_number(name, rand, world), _second_number(name, rand, world))
+    return Action(
+        name, _choose_first_number(name, rand, world), _choose_second_number(name, rand, world)
+    )
 
 
-def _first_number(name: str, rand: random.Random, world: World) -> int:
+def _choose_first_number(name: str, rand: random.Random, world: World) -> int:
     if name in ("deliver", "drop", "duplicate"):
-        # Mostly the oldest, so that something comes about; at times any.
+        # Mostly the oldest packet, so that the system makes progress; sometimes any packet.
         return 0 if rand.random() < 0.6 else rand.randrange(max(1, len(world.packets)))
     if name in ("rounds", "busy"):
         return rand.choice([1, 3, 10, 30, 90])
@@ -142,10 +144,10 @@
     return rand.randrange(world.scope.machines)
 
 
-def _second_number(name: str, rand: random.Random, world: World) -> int:
+def _choose_second_number(name: str, rand: random.Random, world: World) -> int:
     machines = world.scope.machines
     if name == "tick":
-        return rand.choices(range(len(TICK_WEIGHTS)), weights=TICK_WEIGHTS)[0]
+        return rand.choices(range(len(TICK_STEP_WEIGHTS)), weights=TICK_STEP_WEIGHTS)[0]
     if name == "sync":
         return rand.choice([0, 0, 1, 9])
     if name == "crash":
@@ -154,21 +156,24 @@
         return rand.choice([0, 0, 1, 2, 4])
     if name == "isolate":
         return rand.randrange(3)
-    place = rand.randrange(machines)
+    position = rand.randrange(machines)
     if name in ("order", "repeat", "renew", "leave_edge"):
         leader = world.leader()
         if leader is not None and rand.random() < 0.8:
-            place = list(world.nodes).index(leader.address)
+            position = list(world.nodes).index(leader.address)
     if name == "repeat":
-        place += machines * rand.randrange(320)  # which of the acknowledged orders
-    return place
+        position += machines * rand.randrange(320)  # selects one of the acknowledged orders
+    return position
+
 
+def check_liveness(*, world: World) -> None:
+    """Repair all faults and checks that the system recovers within bounded virtual time.
 
-def settle(*, world: World) -> None:
-    """Everything is mended: one leader, and all members reach its commit index within
-    bounded virtual time; then a new order is acknowledged."""
-    world.cuts.clear()
-    world.muted.clear()
+    It recovers when there is one leader and all members have its commit index, and then a
+    new order is acknowledged.
+    """
+    world.blocked_links.clear()
+    world.muted_edges.clear()
     for edge in world.sessions.edges.by_name.values():
         if edge.lease_holder.has_left:
             world.sessions.edges.restart(edge=edge)
@@ -177,26 +182,29 @@
             node.start()
         node.is_frozen = False
         node.is_leaving = False
-    for _ in range(SETTLE_ROUNDS):
+    for _ in range(CONVERGENCE_ROUNDS):
         world.act(Action("rounds", 1))
-        if _is_settled(world=world):
+        if _has_converged(world=world):
             break
     else:
-        raise InvariantViolated(invariant=LIVENESS, detail=f"not settled: {_roles(world=world)}")
+        raise InvariantViolated(
+            invariant=LIVENESS, detail=f"not converged: {_describe_nodes(world=world)}"
+        )
     before = world.checks.newest_version
     for number in range(ORDER_ROUNDS):
         world.act(Action("busy" if number % 10 == 0 else "rounds", 1))
-        if world.checks.newest_version > before and _is_settled(world=world):
+        if world.checks.newest_version > before and _has_converged(world=world):
             for node in world.nodes.values():
                 world.checks.compare_state(node=node)
             return
     if world.scope.operators:
         raise InvariantViolated(
-            invariant=LIVENESS, detail=f"no order is acknowledged: {_roles(world=world)}"
+            invariant=LIVENESS,
+            detail=f"no new order was acknowledged: {_describe_nodes(world=world)}",
         )
 
 
-def _is_settled(*, world: World) -> bool:
+def _has_converged(*, world: World) -> bool:
     nodes = list(world.nodes.values())
     leaders = [node for node in nodes if core.role_of(node.replica) == core.LEADER]
     if len(leaders) != 1:
@@ -211,7 +219,7 @@
     return all(core.commit_index_of(node.replica) == commit for node in nodes)
 
 
-def _roles(*, world: World) -> str:
+def _describe_nodes(*, world: World) -> str:
     return "; ".join(
         f"{n.identity} {core.role_of(n.replica)} term {core.term_of(n.replica)} commit "
         f"{core.commit_index_of(n.replica)} members "
@@ -228,7 +236,7 @@
     profile: str = "chaos",
     hooks: Hooks | None = None,
 ) -> Outcome:
-    """A walk of so many actions, chosen by the seed."""
+    """Run a walk of `steps` actions, chosen by the seed."""
     rand = random.Random(f"walk/{seed}")
     world = World(scope=scope, seed=seed, hooks=hooks)
     walk = Walk(scope=scope, seed=seed)
@@ -237,7 +245,7 @@
             action = choose(rand=rand, world=world, profile=PROFILES[profile])
             walk.actions.append(action)
             world.act(action)
-        settle(world=world)
+        check_liveness(world=world)
     except InvariantViolated as violated:
         walk.is_settled_at_end = violated.invariant == LIVENESS
         return _outcome(world=world, walk=walk, violated=violated)
@@ -245,13 +253,13 @@
 
 
 def replay(*, walk: Walk, hooks: Hooks | None = None, make_world: type[World] = World) -> Outcome:
-    """Run the actions of a walk."""
+    """Run the actions of a walk again."""
     world = make_world(scope=walk.scope, seed=walk.seed, hooks=hooks)
     try:
         for action in walk.actions:
             world.act(Action(*action))
         if walk.is_settled_at_end:
-            settle(world=world)
+            check_liveness(world=world)
     except InvariantViolated as violated:
         return _outcome(world=world, walk=walk, violated=violated)
     return _outcome(world=world, walk=walk, violated=None)
@@ -274,26 +282,29 @@
 
 
 def shrink(*, outcome: Outcome, hooks: Hooks | None = None, runs: int = SHRINK_RUNS) -> Outcome:
-    """Leave out what the failure does not need, greedily, from large pieces to single
-    actions; the shortest walk that breaks the same invariant."""
+    """Return a shorter walk that violates the same invariant.
+
+    It greedily leaves out actions that the failure does not need, from large pieces to
+    single actions, and replays at most `runs` candidates.
+    """
     best = outcome
     size = max(1, len(best.walk.actions) // 2)
     while runs > 0:
-        place, is_shorter = 0, False
-        while place < len(best.walk.actions) and runs > 0:
+        position, is_shorter = 0, False
+        while position < len(best.walk.actions) and runs > 0:
             actions = best.walk.actions
-            fewer = Walk(
+            candidate = Walk(
                 scope=best.walk.scope,
                 seed=best.walk.seed,
-                actions=actions[:place] + actions[place + size :],
+                actions=actions[:position] + actions[position + size :],
                 is_settled_at_end=best.walk.is_settled_at_end,
             )
             runs -= 1
-            again = replay(walk=fewer, hooks=hooks)
-            if again.invariant == best.invariant:
-                best, is_shorter = again, True
+            replayed = replay(walk=candidate, hooks=hooks)
+            if replayed.invariant == best.invariant:
+                best, is_shorter = replayed, True
             else:
-                place += size
+                position += size
         if size == 1 and not is_shorter:
             break
         size = max(1, size // 2)
@@ -301,7 +312,7 @@
 
 
 def as_test(*, outcome: Outcome, is_search: bool = False) -> str:
-    """A walk as a ready test method.
+    """Return a walk as the source of a test method.
 
     >>> print(as_test(outcome=Outcome(walk=Walk(scope=Scope(), seed=3))).splitlines()[0])
         def test_walk_of_seed_3(self) -> None:
--- a/tests/model_mutants.py
+++ b/tests/model_mutants.py
@@ -1,6 +1,6 @@
-"""Planted faults: each one a way in which the control side could be wrong.
+"""Injected faults: each is an error that the control plane could have.
 
-A fault changes the events that a replica takes, the effects that it gives, or one
+A fault changes the events that a replica receives, the effects that it returns, or one
 function of the code, and nothing else; the model checker must find it.
 """
 
@@ -14,18 +14,18 @@
 from kelpstage.testbed.model import adapter as core
 from kelpstage.testbed.model import edge_adapter as leases
 from kelpstage.testbed.model.node import Hooks, Node
-from kelpstage.testbed.model.sessions import RenewCall, Sessions, Work
+from kelpstage.testbed.model.sessions import PendingCall, RenewCall, Sessions
 from kelpstage.testbed.model.system import World
 from tests import model_patches as patches
 
 
 class SuffixDroppedBySnapshot(Hooks):
-    """An installed snapshot throws away the entries behind it."""
+    """The installation of a snapshot drops the log entries after it."""
 
-    def after(self, node: Node, event: Any, effects: list[Any]) -> list[Any]:
+    def after_step(self, node: Node, event: Any, effects: list[Any]) -> list[Any]:
         if not any(isinstance(effect, core.SaveSnapshot) for effect in effects):
             return effects
-        patches.drop_log_behind(node.replica, index=event.index)
+        patches.drop_log_after(node.replica, index=event.index)
         return [
             dataclasses.replace(effect, tail=[])
             if isinstance(effect, core.SaveSnapshot)
@@ -34,12 +34,12 @@
         ]
 
 
-class _UnsyncedAnswer(Hooks):
-    """Answers of one kind leave before what they promise is on disk."""
+class _UnsyncedReply(Hooks):
+    """Replies of one kind are sent before the data that they acknowledge is on disk."""
 
     kind: type = object
 
-    def after(self, node: Node, event: Any, effects: list[Any]) -> list[Any]:
+    def after_step(self, node: Node, event: Any, effects: list[Any]) -> list[Any]:
         return [
             dataclasses.replace(effect, after=0)
             if isinstance(effect, core.Send) and isinstance(effect.message, self.kind)
@@ -48,22 +48,22 @@
         ]
 
 
-class VoteNotSynced(_UnsyncedAnswer):
-    """A vote is given before it is on disk."""
+class VoteNotSynced(_UnsyncedReply):
+    """A vote is granted before it is on disk."""
 
     kind = core.RequestVoteReply
 
 
-class AcknowledgedBeforeSync(_UnsyncedAnswer):
+class AcknowledgedBeforeSync(_UnsyncedReply):
     """A follower acknowledges entries before they are on its disk."""
 
     kind = core.AppendEntriesReply
 
 
 class VoteForgotten(Hooks):
-    """Term and vote are never written."""
+    """Term and vote are never written to disk."""
 
-    def after(self, node: Node, event: Any, effects: list[Any]) -> list[Any]:
+    def after_step(self, node: Node, event: Any, effects: list[Any]) -> list[Any]:
         return [
             dataclasses.replace(effect, term=None, vote=None)
             if isinstance(effect, core.Persist)
@@ -73,18 +73,18 @@
 
 
 class _ChangedMessage(Hooks):
-    """Messages of one kind are taken as if they said something else."""
+    """Messages of one kind are changed before the replica receives them."""
 
     kind: type = object
 
-    def before(self, node: Node, event: Any) -> Any:
+    def before_step(self, node: Node, event: Any) -> Any:
         if isinstance(event, core.Received) and isinstance(event.message, self.kind):
             message = self.change(node, patches.copy_message(event.message))
             return core.Received(message=message)
         return event
 
     def change(self, node: Node, message: Any) -> Any:
-        """The message as the fault makes it."""
+        """Return the message after the fault changed it."""
         raise NotImplementedError
 
 
@@ -99,7 +99,7 @@
 
 
 class LogNotComparedInVotes(_ChangedMessage):
-    """A vote is given whatever the candidate's log holds."""
+    """A vote is granted whatever the candidate's log contains."""
 
     kind = core.RequestVote
 
@@ -109,7 +109,7 @@
 
 
 class StaleAppendTruncates(_ChangedMessage):
-    """An old AppendEntries cuts off what came after it."""
+    """A stale AppendEntries message truncates the entries after its own."""
 
     kind = core.AppendEntries
 
@@ -123,7 +123,7 @@
 
 
 class CommitBeyondWhatMatches(_ChangedMessage):
-    """A follower commits up to the leader's index, over entries that it did not check."""
+    """A follower commits up to the leader's index, including entries that it did not check."""
 
     kind = core.AppendEntries
 
@@ -135,7 +135,7 @@
 
 
 class AcknowledgementOverstated(_ChangedMessage):
-    """A leader counts a follower's answer for more than it said."""
+    """A leader takes a follower's reply as an acknowledgement of its whole log."""
 
     kind = core.AppendEntriesReply
 
@@ -146,18 +146,18 @@
 
 
 class LeaderCountsUnsynced(Hooks):
-    """A leader counts entries of its own that are not on its disk."""
+    """A leader counts its own entries before they are on its disk."""
 
-    def before(self, node: Node, event: Any) -> Any:
+    def before_step(self, node: Node, event: Any) -> Any:
         if core.role_of(node.replica) == core.LEADER:
-            patches.claim_durable(node.replica)
+            patches.mark_log_durable(node.replica)
         return event
 
 
 class ReadWithoutQuorum(Hooks):
     """A leader answers reads without asking a majority."""
 
-    def after(self, node: Node, event: Any, effects: list[Any]) -> list[Any]:
+    def after_step(self, node: Node, event: Any, effects: list[Any]) -> list[Any]:
         is_leader = core.role_of(node.replica) == core.LEADER
         if not is_leader or not isinstance(event, core.ReadIndexRequest):
             return effects
@@ -166,9 +166,9 @@
 
 
 class DedupLostInSnapshot(Hooks):
-    """A snapshot leaves out the records of orders."""
+    """A snapshot omits the records of orders."""
 
-    def snapshot(self, node: Node, snapshot: core.DiskSnapshot) -> core.DiskSnapshot:
+    def on_snapshot(self, node: Node, snapshot: core.DiskSnapshot) -> core.DiskSnapshot:
         state = core.CoreState().parse(snapshot.state)
         state.puts, state.superseded = [], b""
         return core.DiskSnapshot(
@@ -181,9 +181,9 @@
 
 
 class SnapshotMembersIgnored(Hooks):
-    """A replica keeps the members that it knew beside a fetched snapshot."""
+    """A replica uses the initial members instead of those in a fetched snapshot."""
 
-    def before(self, node: Node, event: Any) -> Any:
+    def before_step(self, node: Node, event: Any) -> Any:
         if isinstance(event, core.SnapshotFetched):
             founders = [
                 core.CoreMember(replica=f"n{i}", address=f"n{i}", is_voter=True)
@@ -194,17 +194,17 @@
 
 
 class RepeatRefused(Hooks):
-    """An order that was decided is decided anew when it is sent again."""
+    """A repeat of a decided order is decided again."""
 
-    def before(self, node: Node, event: Any) -> Any:
+    def before_step(self, node: Node, event: Any) -> Any:
         node.machine.decided = lambda **_: None
         return event
 
 
 class LeasesForgottenByNewLeader(Hooks):
-    """A new leader takes it that nobody held a lease before."""
+    """A new leader assumes that no edge holds a lease of the previous leader."""
 
-    def after(self, node: Node, event: Any, effects: list[Any]) -> list[Any]:
+    def after_step(self, node: Node, event: Any, effects: list[Any]) -> list[Any]:
         for effect in effects:
             if isinstance(effect, core.RoleChanged) and effect.role == core.LEADER:
                 node.world.make_lease_table = lambda: leases.LeaseTable(since_us=-(10**9))
@@ -212,59 +212,59 @@
 
 
 class LearnerKeepsLeader(Hooks):
-    """A learner that hears no leader any more goes on believing in the last one."""
+    """A learner without contact to a leader never forgets the last one."""
 
-    def before(self, node: Node, event: Any) -> Any:
+    def before_step(self, node: Node, event: Any) -> Any:
         if isinstance(event, core.Tick):
-            patches.put_off_learners_timeout(node.replica)
+            patches.postpone_learner_timeout(node.replica)
         return event
 
 
 @contextlib.contextmanager
 def patched(target: Any, name: str, replacement: Any) -> Iterator[None]:
-    """A function of the code or of the model is another one for a while."""
+    """Replace a function of the code or of the model within the context."""
     with mock.patch.object(target, name, replacement):
         yield
 
 
 def lease_without_quorum() -> contextlib.AbstractContextManager:
-    """A leader gives leases without asking a majority."""
-    arrive = Sessions.arrive
+    """A leader grants leases without asking a majority."""
+    handle_call = Sessions.handle_call
 
-    def give_at_once(self: Sessions, *, node: Node, source: str, call: Any) -> None:
+    def grant_at_once(self: Sessions, *, node: Node, source: str, call: Any) -> None:
         if not isinstance(call, RenewCall) or core.role_of(node.replica) != core.LEADER:
-            arrive(self, node=node, source=source, call=call)
+            handle_call(self, node=node, source=source, call=call)
             return
-        self._note_edge(node=node, call=call)
-        work = Work(
+        self._record_heartbeat(node=node, call=call)
+        pending = PendingCall(
             address=node.address,
             starts=node.starts,
             call=call,
             lease_table=node.lease_table,
-            until_us=0,
+            deadline_us=0,
         )
-        self._give_lease(node=node, work=work)
+        self._grant_lease(node=node, pending=pending)
 
-    return patched(Sessions, "arrive", give_at_once)
+    return patched(Sessions, "handle_call", grant_at_once)
 
 
 def acknowledged_unsettled() -> contextlib.AbstractContextManager:
-    """An order is acknowledged while edges may still serve what was before it."""
+    """An order is acknowledged while edges may still serve an older epoch."""
     return patched(leases, "lease_table_settled", lambda *_, **__: True)
 
 
 def lease_from_arrival() -> contextlib.AbstractContextManager:
-    """An edge counts its lease from when it came, not from when it was asked for."""
-    take = leases.take_lease
+    """An edge counts the span of its lease from its arrival, not from the request for it."""
+    record = leases.take_lease
 
-    def take_late(lease_holder: leases.LeaseHolder, *, reply: Any, sent_us: int) -> None:
-        take(lease_holder, reply=reply, sent_us=sent_us + 1_500_000)
+    def record_late(lease_holder: leases.LeaseHolder, *, reply: Any, sent_us: int) -> None:
+        record(lease_holder, reply=reply, sent_us=sent_us + 1_500_000)
 
-    return patched(leases, "take_lease", take_late)
+    return patched(leases, "take_lease", record_late)
 
 
 def observer_confirms_for_ever() -> contextlib.AbstractContextManager:
-    """An observer confirms its epoch without a bound."""
+    """An observer confirms its epoch without a time limit."""
     return patches.patch_may_confirm(
         lambda holder: (
             holder.first_leased_epoch is not None and holder.epoch >= holder.first_leased_epoch
@@ -273,17 +273,17 @@
 
 
 def observers_not_waited_for() -> contextlib.AbstractContextManager:
-    """A leader takes it that whoever lacks an epoch confirms nothing any more."""
+    """A leader assumes that edges without the newest epoch confirm no older one."""
     return patched(leases.LeaseTable, "_may_confirm_older", lambda *_, **__: False)
 
 
-def membership_before_forgotten() -> contextlib.AbstractContextManager:
-    """An epoch is settled by the newest membership alone."""
+def previous_membership_ignored() -> contextlib.AbstractContextManager:
+    """An epoch counts as settled by the newest membership alone."""
     return patches.patch_previous_membership()
 
 
-def learner_never_raised() -> contextlib.AbstractContextManager:
-    """A learner that has caught up is not made a voter."""
+def learner_never_promoted() -> contextlib.AbstractContextManager:
+    """A learner that has caught up is not promoted to voter."""
     return patches.patch_caught_up(lambda state, *, name: False)
 
 
@@ -293,27 +293,27 @@
 
 
 class SmallMessages(Hooks):
-    """No fault: AppendEntries carries one entry at a time."""
+    """Not a fault: AppendEntries messages have one entry each."""
 
     def on_start(self, node: Node) -> None:
         patches.send_one_entry_at_a_time(node.replica)
 
 
 def older_term_counted() -> contextlib.AbstractContextManager:
-    """An entry of an older term is committed because a majority has it."""
+    """A leader commits an entry of an older term when a majority has it."""
     return patches.patch_commit_any_term()
 
 
 def change_before_terms_entry() -> contextlib.AbstractContextManager:
-    """A leader changes members before an entry of its term is committed."""
+    """A leader proposes a membership change before an entry of its term is committed."""
     return patches.patch_change_pending(lambda state: state.members.index > state.commit_index)
 
 
-def changes_side_by_side() -> contextlib.AbstractContextManager:
-    """A leader changes members while a change is under way."""
+def concurrent_membership_changes() -> contextlib.AbstractContextManager:
+    """A leader proposes a membership change while another one is in progress."""
     return patches.patch_change_pending(lambda state: False)
 
 
 def snapshot_never_found() -> contextlib.AbstractContextManager:
-    """A leader offers a snapshot that it does not give."""
+    """A leader offers a snapshot and does not serve it."""
     return patched(World, "snapshot_at", lambda *_, **__: None)
--- a/tests/model_patches.py
+++ b/tests/model_patches.py
@@ -1,4 +1,4 @@
-"""Ways into the code under check that only planted faults of the model checker need."""
+"""Access to internals of the checked code for the injected faults of the model checker."""
 
 from __future__ import annotations
 
@@ -19,48 +19,48 @@
 
 
 def copy_message(message: Any) -> Any:
-    """A message of its own, to be changed."""
+    """Return a copy of a message that may be changed."""
     return type(message)().parse(bytes(message))
 
 
 def forget_vote(replica: Replica) -> None:
-    """The vote of the present term is gone from memory."""
+    """Remove the vote of the current term from memory."""
     replica.state.vote = ""
 
 
-def claim_durable(replica: Replica) -> None:
-    """The whole log counts as on disk."""
+def mark_log_durable(replica: Replica) -> None:
+    """Mark the whole log as durable."""
     replica.state.writes.durable = replica.log.last_index
 
 
-def drop_log_behind(replica: Replica, *, index: int) -> None:
-    """The entries behind `index` leave the log in memory."""
+def drop_log_after(replica: Replica, *, index: int) -> None:
+    """Remove the entries after `index` from the log in memory."""
     replica.log.cut(index=index + 1)
     replica.members.cut(index=index + 1)
     replica.state.writes.drop_behind(index=index)
 
 
 def truncate(node: Any, *, index: int) -> None:
-    """The entries behind `index` leave the log, in memory and on disk."""
+    """Remove the entries after `index` from the log, in memory and on disk."""
     if node.replica.log.last_index <= index:
         return
-    drop_log_behind(node.replica, index=index)
+    drop_log_after(node.replica, index=index)
     number = node.replica.state.writes.begin(last_index=index, now_us=node.replica.state.now_us)
     node.disk.queue.append(Persist(number=number, cut_from=index + 1))
 
 
 def commit_unchecked(replica: Replica, *, index: int) -> None:
-    """The commit index rises over whatever is in the log; the effect stays for the step."""
+    """Advance the commit index without a check; the replica's next step returns the effect."""
     commit_to(replica.state, index=index)
 
 
 def send_one_entry_at_a_time(replica: Replica) -> None:
-    """AppendEntries carries one entry, so that messages end anywhere in the log."""
+    """Limit AppendEntries to one entry, so that a message can end anywhere in the log."""
     replica.state.timing = dataclasses.replace(replica.state.timing, batch_bytes=1)
 
 
 def change_members(replica: Replica, *, members: list[CoreMember]) -> bool:
-    """Have a leader propose these members, if its rule lets a change begin now."""
+    """Propose these members at a leader; false if its rule does not allow a change now."""
     if membership.is_change_pending(replica.state):
         return False
     append_own(replica.state, kind=MEMBERSHIP, data=write_members(members=members))
@@ -69,12 +69,12 @@
 
 
 def patch_change_pending(rule: Callable[[Any], bool]) -> AbstractContextManager:
-    """Another rule of when a change of members has to wait."""
+    """Replace the rule for when a membership change has to wait."""
     return mock.patch.object(membership, "is_change_pending", rule)
 
 
 def patch_commit_any_term() -> AbstractContextManager:
-    """Entries of older terms are committed by counting who has them."""
+    """Let a leader commit entries of older terms by counting the replicas that have them."""
 
     def advance(state: Any) -> bool:
         matches = sorted(
@@ -88,8 +88,8 @@
     return mock.patch.object(leadership, "advance_commit_index", advance)
 
 
-def put_off_learners_timeout(replica: Replica) -> None:
-    """The election timeout of a replica that may not vote never comes."""
+def postpone_learner_timeout(replica: Replica) -> None:
+    """Postpone the election timeout of a replica that is not a voter."""
     if not replica.members.is_voter(replica=replica.me):
         replica.state.election_due_us = replica.state.now_us + 10**9
 
@@ -97,7 +97,7 @@
 def patch_majority(
     rule: Callable[[set[str], set[str]], bool],
 ) -> AbstractContextManager:
-    """Another rule of what a majority is, given names and voters."""
+    """Replace the majority rule by one of names and voters."""
 
     def is_majority(self: MemberList, *, names: set[str]) -> bool:
         return rule(names, {member.replica for member in self.current if member.is_voter})
@@ -106,14 +106,14 @@
 
 
 def patch_may_confirm(rule: Callable[[LeaseHolder], bool]) -> AbstractContextManager:
-    """Another rule of who may confirm its epoch, at whatever time."""
+    """Replace the rule for whether an edge may confirm its epoch by one without a time limit."""
     return mock.patch.object(
         LeaseHolder, "may_confirm", lambda self, *, now_us: not self.has_left and rule(self)
     )
 
 
 def patch_previous_membership() -> AbstractContextManager:
-    """The membership before the newest epoch is taken for the newest one."""
+    """Replace the previous membership by the newest one."""
     return mock.patch.object(
         epoch_settlement,
         "previous_edge_membership",
@@ -122,5 +122,5 @@
 
 
 def patch_caught_up(replacement: Callable[..., bool]) -> AbstractContextManager:
-    """Another rule of when a learner can be raised."""
+    """Replace the rule for when a learner can be promoted."""
     return mock.patch.object(membership, "_is_caught_up", replacement)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""The model checker: walks over the control side's own code, and traces that it found."""
+"""The model checker: walks over the real code of the control plane, and traces that it found."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 SMALL = Scope(machines=3, voters=3, operators=1, edges=0)
 
 
-class FoundTest(unittest.TestCase):
-    """Traces that broke an invariant once, each with its cause in the commit."""
+class RegressionTest(unittest.TestCase):
+    """Traces that violated an invariant before the fault was fixed."""
 
     def replay(self, *, scope: Scope, actions: list[Action], seed: int = 1) -> Outcome:
-        """Run a trace to its end, with the liveness check."""
+        """Replay a trace and the liveness check; no invariant may be violated."""
         outcome = replay(walk=Walk(scope=scope, seed=seed, actions=actions))
         self.assertEqual("", outcome.detail)
         return outcome
 
-    def test_learner_that_was_removed_while_cut_off_comes_back(self) -> None:
+    def test_learner_that_was_removed_while_isolated_joins_again(self) -> None:
         outcome = self.replay(
             scope=WITH_SPARE,
             actions=[
@@ -48,7 +48,7 @@
         )
         self.assertGreaterEqual(outcome.membership_changes, 3, "the learner was never removed")
 
-    def test_successor_of_a_member_that_left_is_lost_as_well(self) -> None:
+    def test_disk_of_the_replacement_of_a_member_that_left_is_lost(self) -> None:
         outcome = self.replay(
             scope=THREE,
             seed=9,
@@ -66,10 +66,10 @@
 
 
 class WalkTest(unittest.TestCase):
-    """Seeded walks far past what a search reaches; each ends with the liveness check."""
+    """Seeded walks far beyond the depth of a search; each ends with the liveness check."""
 
     def walk(self, *, scope: Scope, seeds: range, steps: int, profile: str) -> list[Outcome]:
-        """Walks of some seeds, all of which must keep every invariant."""
+        """Run a walk for each seed; no walk may violate an invariant."""
         outcomes = []
         for seed in seeds:
             outcome = random_walk(scope=scope, seed=seed, steps=steps, profile=profile)
@@ -77,14 +77,14 @@
             outcomes.append(outcome)
         return outcomes
 
-    def test_halves(self) -> None:
-        """The members fall into halves again and again; disks are lost meanwhile."""
+    def test_machines_partitioned_into_halves(self) -> None:
+        """The members are partitioned into halves repeatedly, and disks are lost meanwhile."""
         for scope, seeds in ((THREE_EDGES, range(8)), (FIVE, range(6)), (WITH_SPARE, range(6))):
             outcomes = self.walk(scope=scope, seeds=seeds, steps=2_000, profile="halves")
             self.assertGreater(sum(o.acknowledged for o in outcomes), len(seeds))
 
-    def test_edges_that_leave_are_replaced_or_cut_off(self) -> None:
-        """Edges leave, are cut off all together, and are replaced, while the lead changes."""
+    def test_edges_that_leave_are_replaced_or_isolated(self) -> None:
+        """Edges leave, are all isolated at once, and are replaced, while the leader changes."""
         for scope in (OBSERVERS, THREE_EDGES):
             outcomes = self.walk(scope=scope, seeds=range(6), steps=2_000, profile="edges")
             self.assertGreater(sum(o.acknowledged for o in outcomes), 60)
@@ -98,7 +98,7 @@
         outcomes = self.walk(scope=FIVE, seeds=range(12), steps=2_500, profile="chaos")
         self.assertGreater(sum(o.acknowledged for o in outcomes), 30)
 
-    def test_hundreds_of_entries_with_a_learner_standing_by(self) -> None:
+    def test_hundreds_of_entries_with_a_standby_learner(self) -> None:
         outcomes = self.walk(scope=WITH_SPARE, seeds=range(8), steps=2_500, profile="long")
         self.assertGreater(min(o.entries for o in outcomes), 300)
         self.assertGreater(sum(o.entries for o in outcomes), 2_400)
@@ -106,19 +106,19 @@
 
 
 class Script:
-    """A world in which a test itself says what arrives, and when."""
+    """A world in which the test determines which messages arrive, and when."""
 
     def __init__(self, *, hooks: Hooks, scope: Scope = LOG_ONLY) -> None:
         self.world = World(scope=scope, seed=1, hooks=hooks)
         self.world.act(Action("rounds", 100))
         self.leader = self.world.leader()
         self.others = [n for n in self.world.nodes.values() if n is not self.leader]
-        self.near, self.far = self.others[:2]
+        self.follower, self.other_follower = self.others[:2]
         self.world.packets.clear()
 
-    def cut(self, *nodes: Node) -> None:
-        """These hear nothing and are not heard."""
-        self.world.cuts = {
+    def partition(self, *nodes: Node) -> None:
+        """Isolate these nodes, each from all others."""
+        self.world.blocked_links = {
             (one, other)
             for node in nodes
             for address in self.world.nodes
@@ -126,12 +126,12 @@
         }
 
     def propose(self) -> None:
-        """The leader appends an entry that changes no state."""
-        self.leader.take(core.Propose(kind=core.NOOP, data=b"", token=0))
+        """Append an entry that changes no state at the leader."""
+        self.leader.step(core.Propose(kind=core.NOOP, data=b"", token=0))
         self.leader.sync(count=9)
 
     def deliver(self, *, source: Node, to: Node) -> list[Packet]:
-        """What is under way from one to the other arrives, in order."""
+        """Deliver the messages in flight from one node to another, in order."""
         pair = (source.address, to.address)
         chosen = [p for p in self.world.packets if (p.source, p.to) == pair]
         for packet in chosen:
@@ -140,29 +140,31 @@
         return chosen
 
     def exchange(self, one: Node, other: Node, *, turns: int) -> None:
-        """Two nodes talk, and their disks keep up."""
+        """Exchange messages between two nodes, and sync their disks."""
         for _ in range(turns):
             for source, to in ((one, other), (other, one)):
                 self.deliver(source=source, to=to)
                 to.sync(count=9)
 
-    def connect(self, *nodes: Node) -> None:
-        """These hear each other, and nobody else anybody."""
+    def connect_only(self, *nodes: Node) -> None:
+        """Connect these nodes to each other, and isolate all others."""
         names = {node.address for node in nodes}
         self.world.packets.clear()
-        self.world.cuts = {
+        self.world.blocked_links = {
             (one, other)
             for one in self.world.nodes
             for other in self.world.nodes
             if not {one, other} <= names
         }
 
-    def change(self, node: Node, *, without: Node | None = None, voter: Node | None = None) -> None:
-        """A leader changes members, if it may."""
-        raised = voter.identity if voter is not None else ""
+    def change_members(
+        self, node: Node, *, without: Node | None = None, voter: Node | None = None
+    ) -> None:
+        """Propose a change of members at a leader, if its rule allows one now."""
+        promoted = voter.identity if voter is not None else ""
         members = [
             core.CoreMember(
-                replica=m.replica, address=m.address, is_voter=m.is_voter or m.replica == raised
+                replica=m.replica, address=m.address, is_voter=m.is_voter or m.replica == promoted
             )
             for m in core.members_of(node.replica)
             if without is None or m.replica != without.identity
@@ -172,7 +174,7 @@
         node.sync(count=9)
 
     def elect(self, node: Node, *, by: Node, also: Node | None = None) -> None:
-        """A node is elected by the votes of others; what it sends as a leader is lost."""
+        """Have a node elected by the votes of others, and drop what it sends as a leader."""
         term = max(core.term_of(n.replica) for n in self.world.nodes.values())
         while core.role_of(node.replica) != core.LEADER or core.term_of(node.replica) <= term:
             self.world.now_us += 300_000
@@ -184,15 +186,15 @@
 
 
 def older_entry(hooks: Hooks) -> None:
-    """The paper's figure 8: an entry of an older term is on a majority, and is replaced."""
+    """Figure 8 of the Raft paper: an entry of an older term is on a majority, and is replaced."""
     script = Script(hooks=hooks)
-    first, middle, last = script.leader, script.near, script.far
-    script.cut(first)
+    first, middle, last = script.leader, script.follower, script.other_follower
+    script.partition(first)
     script.propose()
     older = first.replica.log.last_index
     script.world.packets.clear()
     script.elect(last, by=middle)
-    script.cut(last)
+    script.partition(last)
     script.elect(first, by=middle)
     while middle.replica.log.last_index < older:
         script.world.now_us += 100_000
@@ -201,76 +203,84 @@
         middle.sync(count=9)
         script.deliver(source=middle, to=first)
     script.world.packets.clear()
-    script.cut(first)
+    script.partition(first)
     script.elect(last, by=middle)
 
 
 def change_of_a_new_leader(hooks: Hooks) -> None:
-    """The correction to the thesis: a new leader's change beside one that it never saw."""
+    """The correction to the Raft thesis: a new leader has not received a change in progress.
+
+    It begins a change of its own, and the two memberships need not share a majority.
+    """
     script = Script(hooks=hooks, scope=FOUR_AND_ONE)
     first = script.leader
     newcomer = script.world.nodes["n4"]
     second, third, fourth = [node for node in script.others if node is not newcomer]
-    script.connect(first, newcomer)
-    script.change(first, voter=newcomer)
+    script.connect_only(first, newcomer)
+    script.change_members(first, voter=newcomer)
     script.exchange(first, newcomer, turns=3)
-    script.connect(second, third, fourth)
+    script.connect_only(second, third, fourth)
     script.elect(second, by=third, also=fourth)
-    script.connect(second, third)
-    script.change(second, without=first)
+    script.connect_only(second, third)
+    script.change_members(second, without=first)
     for _ in range(4):
         script.world.now_us += 100_000
-        second.take(core.Tick())
+        second.step(core.Tick())
         script.exchange(second, third, turns=2)
-    script.connect(first, fourth, newcomer)
+    script.connect_only(first, fourth, newcomer)
     script.elect(first, by=fourth, also=newcomer)
 
 
 def two_changes(hooks: Hooks) -> None:
-    """A leader removes one member, and the next before that is committed."""
+    """A leader removes a second member before the removal of the first one is committed."""
     script = Script(hooks=hooks)
-    first, second, third = script.leader, script.near, script.far
-    script.connect(first)
-    script.change(first, without=second)
-    script.change(first, without=third)
-    script.connect(second, third)
+    first, second, third = script.leader, script.follower, script.other_follower
+    script.connect_only(first)
+    script.change_members(first, without=second)
+    script.change_members(first, without=third)
+    script.connect_only(second, third)
     script.elect(second, by=third)
 
 
 def late_snapshot(hooks: Hooks) -> None:
-    """A snapshot that was offered by one leader arrives after the next one's entries."""
+    """A snapshot that a leader offered arrives after entries of the next leader."""
     script = Script(hooks=hooks)
-    world, first, second, behind = script.world, script.leader, script.near, script.far
-    script.cut(behind)
+    world, first, second, lagging = (
+        script.world,
+        script.leader,
+        script.follower,
+        script.other_follower,
+    )
+    script.partition(lagging)
     world.act(Action("rounds", 5))
     script.propose()
     script.exchange(first, second, turns=1)
-    world.packets.clear()  # the second does not hear that the entry is committed
+    world.packets.clear()  # the second node does not learn that the entry is committed
     first.take_snapshot()
     first.sync(count=9)
-    script.cut()
-    while not behind.fetches:
+    script.partition()
+    while not lagging.fetches:
         world.now_us += 50_000
         first.tick()
-        script.deliver(source=first, to=behind)
-        script.deliver(source=behind, to=first)
-    behind.advance_fetch(place=0)
-    script.cut(first)
+        script.deliver(source=first, to=lagging)
+        script.deliver(source=lagging, to=first)
+    lagging.advance_fetch(position=0)
+    script.partition(first)
     world.packets.clear()
-    newest = first.replica.log.last_index + 1  # what the second appends when it is elected
+    newest = first.replica.log.last_index + 1  # the entry that the second appends when elected
     while core.commit_index_of(second.replica) < newest:
         world.now_us += 300_000
         second.tick()
-        script.exchange(second, behind, turns=1)
-    behind.advance_fetch(place=0)
-    behind.sync(count=9)
+        script.exchange(second, lagging, turns=1)
+    lagging.advance_fetch(position=0)
+    lagging.sync(count=9)
 
 
 def stale_append(hooks: Hooks) -> None:
-    """An AppendEntries arrives once more after the next one was acknowledged."""
+    """An AppendEntries message arrives again after the next one was acknowledged."""
     script = Script(hooks=hooks)
-    first, follower = script.leader, script.near
-    script.cut(script.far)
+    first, follower = script.leader, script.follower
+    script.partition(script.other_follower)
     script.propose()
     early = script.deliver(source=first, to=follower)
     follower.sync(count=9)
@@ -283,47 +293,47 @@
     follower.sync(count=9)
 
 
-class ScriptTest(unittest.TestCase):
-    """Interleavings that walks seldom reach, each with the fault that it is there for."""
+class ScriptedTest(unittest.TestCase):
+    """Interleavings that walks rarely reach, each with the injected fault that it detects."""
 
     def check(self, script: Callable[[Hooks], None], fault: Hooks, invariant: str) -> None:
-        """The code as it is keeps the invariants; with the fault it does not."""
+        """Check that the script violates this invariant with the fault, and none without it."""
         script(Hooks())
         with self.assertRaises(checks.InvariantViolated) as caught:
             script(fault)
         self.assertEqual(invariant, caught.exception.invariant)
 
-    def test_snapshot_that_arrives_late_keeps_an_acknowledged_suffix(self) -> None:
+    def test_late_snapshot_keeps_the_acknowledged_suffix(self) -> None:
         self.check(late_snapshot, mutants.SuffixDroppedBySnapshot(), checks.DURABILITY)
 
-    def test_append_that_arrives_again_cuts_nothing_off(self) -> None:
+    def test_repeated_append_entries_truncates_nothing(self) -> None:
         self.check(stale_append, mutants.StaleAppendTruncates(), checks.DURABILITY)
 
-    def test_entry_of_an_older_term_is_not_committed_by_counting(self) -> None:
+    def test_entry_of_an_older_term_is_not_committed_by_counting_replicas(self) -> None:
         older_entry(mutants.SmallMessages())
         with mutants.older_term_counted(), self.assertRaises(checks.InvariantViolated) as caught:
             older_entry(mutants.SmallMessages())
         self.assertEqual(checks.LEADER_COMPLETENESS, caught.exception.invariant)
 
-    def test_change_of_members_waits_for_an_entry_of_the_term(self) -> None:
+    def test_membership_change_waits_for_a_committed_entry_of_the_term(self) -> None:
         change_of_a_new_leader(Hooks())
         fault = mutants.change_before_terms_entry()
         with fault, self.assertRaises(checks.InvariantViolated) as caught:
             change_of_a_new_leader(Hooks())
         self.assertEqual(checks.LEADER_COMPLETENESS, caught.exception.invariant)
 
-    def test_change_of_members_waits_for_the_one_before(self) -> None:
+    def test_membership_change_waits_for_the_previous_one(self) -> None:
         two_changes(Hooks())
-        fault = mutants.changes_side_by_side()
+        fault = mutants.concurrent_membership_changes()
         with fault, self.assertRaises(checks.InvariantViolated) as caught:
             two_changes(Hooks())
         self.assertEqual(checks.LEADER_COMPLETENESS, caught.exception.invariant)
 
-    def test_new_leader_waits_for_leases_that_the_one_before_gave(self) -> None:
+    def test_new_leader_waits_for_leases_of_the_previous_leader(self) -> None:
         actions = [
             Action("rounds", 100),
             Action("mute", 0),
-            *(Action("transfer", place) for place in range(3)),
+            *(Action("transfer", position) for position in range(3)),
             Action("rounds", 15),
             Action("busy", 60),
         ]
@@ -333,7 +343,7 @@
         self.assertEqual(checks.LEASE_FENCING, outcome.invariant)
 
 
-# A fault, the walks that find it, the first seed to try, and what it breaks there.
+# A fault, the walks that find it, the first seed to try, and the invariant that it violates.
 CAUGHT: list[tuple[Any, Scope, str, int, str]] = [
     (mutants.VoteForgotten, LOG_ONLY, "elections", 15, checks.ELECTION_SAFETY),
     (mutants.VoteNotSynced, LOG_ONLY, "elections", 3, checks.ELECTION_SAFETY),
@@ -351,19 +361,19 @@
     (mutants.lease_from_arrival, THREE_EDGES, "cuts", 0, checks.LEASE_FENCING),
     (mutants.observer_confirms_for_ever, OBSERVERS, "edges", 3, checks.CONFIRMATION_FENCING),
     (mutants.observers_not_waited_for, OBSERVERS, "edges", 2, checks.CONFIRMATION_FENCING),
-    (mutants.membership_before_forgotten, OBSERVERS, "edges", 27, checks.CONFIRMATION_FENCING),
+    (mutants.previous_membership_ignored, OBSERVERS, "edges", 27, checks.CONFIRMATION_FENCING),
     (mutants.DedupLostInSnapshot, THREE, "chaos", 4, checks.NO_LATE_REFUSAL),
     (mutants.RepeatRefused, THREE, "chaos", 15, checks.NO_LATE_REFUSAL),
     (mutants.snapshot_never_found, THREE, "chaos", 0, checks.LIVENESS),
-    (mutants.learner_never_raised, WITH_SPARE, "chaos", 9, checks.LIVENESS),
+    (mutants.learner_never_promoted, WITH_SPARE, "chaos", 9, checks.LIVENESS),
     (mutants.LearnerKeepsLeader, WITH_SPARE, "long", 11, checks.LIVENESS),
 ]
-SHORT_WALKS = {mutants.learner_never_raised: 600, mutants.LearnerKeepsLeader: 600}
-FURTHER_SEEDS = range(60)  # tried in turn when the code has changed since the seed was noted
+SHORT_WALKS = {mutants.learner_never_promoted: 600, mutants.LearnerKeepsLeader: 600}
+FURTHER_SEEDS = range(60)  # tried in turn if the first seed no longer finds the fault
 
 
 class MutantTest(unittest.TestCase):
-    """Every invariant bites: each planted fault is found, from fixed seeds."""
+    """Walks from fixed seeds find each injected fault by the invariant that it violates."""
 
     def test_each_fault_is_found(self) -> None:
         for mutant, scope, profile, first_seed, invariant in CAUGHT:
@@ -376,7 +386,7 @@
                 self.assertIn(invariant, found)
 
     def walk(self, mutant: Any, scope: Scope, profile: str, seed: int) -> str:
-        """The invariant that a walk breaks with this fault planted."""
+        """Return the invariant that a walk violates with this fault injected."""
         is_hooks = inspect.isclass(mutant)
         with contextlib.nullcontext() if is_hooks else mutant():
             outcome = random_walk(
@@ -388,25 +398,25 @@
             )
         return outcome.invariant
 
-    def test_failing_walk_is_shortened_to_a_ready_test(self) -> None:
+    def test_failing_walk_is_shrunk_and_printed_as_a_test(self) -> None:
         fault = mutants.AcknowledgedBeforeSync()
         outcome = random_walk(scope=THREE, seed=5, steps=500, hooks=fault)
         short = shrink(outcome=outcome, hooks=fault, runs=1_500)
         self.assertLess(len(short.walk.actions), len(outcome.walk.actions))
-        for place in range(len(short.walk.actions)):
-            actions = short.walk.actions[:place] + short.walk.actions[place + 1 :]
+        for position in range(len(short.walk.actions)):
+            actions = short.walk.actions[:position] + short.walk.actions[position + 1 :]
             walk = dataclasses.replace(short.walk, actions=actions)
             shorter = replay(walk=walk, hooks=fault)
-            self.assertNotEqual(outcome.invariant, shorter.invariant, "it can be shorter")
+            self.assertNotEqual(outcome.invariant, shorter.invariant, "walk can be shortened")
         self.assertEqual(outcome.invariant, replay(walk=short.walk, hooks=fault).invariant)
         self.assertEqual("", replay(walk=short.walk).detail)
         self.assertIn("self.assertEqual", as_test(outcome=short))
 
 
 class SearchTest(unittest.TestCase):
-    """Every interleaving of a small system, to a depth."""
+    """Search of every interleaving of a small system, to a depth."""
 
-    def test_elections_from_the_founding(self) -> None:
+    def test_elections_after_bootstrap(self) -> None:
         report = search(scope=SMALL, depth=5, states=1_200)
         self.assertIsNone(report.failure)
         self.assertGreaterEqual(report.states, 1_200)
@@ -423,8 +433,8 @@
         report = search(scope=SMALL, depth=12, limits=QUIET, first=first, hooks=fault)
         self.assertEqual(checks.DURABILITY, report.failure.invariant)
         self.assertLess(len(report.failure.walk.actions), 9)
-        again = replay_search(walk=report.failure.walk, hooks=fault)
-        self.assertEqual(checks.DURABILITY, again.invariant)
+        replayed = replay_search(walk=report.failure.walk, hooks=fault)
+        self.assertEqual(checks.DURABILITY, replayed.invariant)
 
 
 QUIET = Limits(elections=0, crashes=0, drops=0, duplicates=0, packets=3)
