--- a/tests/test_core_cuts.py
+++ b/tests/test_core_cuts.py
@@ -398,11 +398,11 @@
     return VersionMismatchError(expected=put.expected, current=current)
 
 
-async def read_from_memory(*, core: Core, ask: ForwardOperatorCall) -> HttpReply:
+async def read_from_memory(*, core: Core, request: ForwardOperatorCall) -> HttpReply:
     """Planted fault: a member that believes to be the leader reads without the read index."""
-    if ask.method == "GET" and core.task.is_leader:
+    if request.method == "GET" and core.task.is_leader:
         return _get_configuration(task=core.task)
-    return await real_answer(core=core, ask=ask)
+    return await real_answer(core=core, request=request)
 
 
 def campaign_without_pre_vote(state: RaftState) -> None:
