--- a/kelpstage/core/raft/leadership.py
+++ b/kelpstage/core/raft/leadership.py
@@ -11,7 +11,7 @@
 from kelpstage.core.raft.reads import confirm_reads, start_deferred_reads
 from kelpstage.core.raft.replication import (
     advance_commit_index,
-    append_own,
+    append_as_leader,
     has_large_in_flight,
     replicate_all,
     send_append_entries,
@@ -35,7 +35,7 @@
     become(state, role=LEADER)
     state.on_members_changed()
     carry_over_leader_contact(state)
-    append_own(state, kind=NOOP, data=b"")
+    append_as_leader(state, kind=NOOP, data=b"")
     replicate_all(state)
 
 
@@ -60,7 +60,7 @@
     if state.role != LEADER or state.transfer_target:
         state.emit(NotLeader(token=event.token))
         return
-    index = append_own(state, kind=event.kind, data=event.data)
+    index = append_as_leader(state, kind=event.kind, data=event.data)
     state.emit(Proposed(token=event.token, index=index, term=state.term))
     replicate_all(state)
 
--- a/kelpstage/core/raft/log.py
+++ b/kelpstage/core/raft/log.py
@@ -9,9 +9,9 @@
     """The entries after `base_index`; a snapshot covers those up to it.
 
     >>> log = MemoryLog(base_index=0, base_term=0)
-    >>> log.add(LogEntry(index=1, term=1)); log.last_index, log.term_at(index=1)
+    >>> log.append(LogEntry(index=1, term=1)); log.last_index, log.term_at(index=1)
     (1, 1)
-    >>> log.cut(index=1); log.last_index
+    >>> log.truncate_from(index=1); log.last_index
     0
     """
 
@@ -40,11 +40,11 @@
             return None
         return self.entries[index - self.base_index - 1].term
 
-    def add(self, entry: LogEntry) -> None:
+    def append(self, entry: LogEntry) -> None:
         """Append an entry, whose index must be the next one."""
         self.entries.append(entry)
 
-    def cut(self, *, index: int) -> None:
+    def truncate_from(self, *, index: int) -> None:
         """Truncate the log: remove the entries from `index` on."""
         del self.entries[max(0, index - self.base_index - 1) :]
 
--- a/kelpstage/core/raft/members.py
+++ b/kelpstage/core/raft/members.py
@@ -70,7 +70,7 @@
         if entry.kind == MEMBERSHIP:
             self._history.append((entry.index, read_members(data=entry.data)))
 
-    def cut(self, *, index: int) -> None:
+    def truncate_from(self, *, index: int) -> None:
         """Undo the membership changes of entries from `index` on, which the log truncates."""
         self._history = [self._history[0]] + [s for s in self._history[1:] if s[0] < index]
 
--- a/kelpstage/core/raft/membership.py
+++ b/kelpstage/core/raft/membership.py
@@ -19,7 +19,7 @@
 
 from kelpstage.common.transport.messages import CoreMember
 from kelpstage.core.raft.members import is_majority_of, quorum_size, write_members
-from kelpstage.core.raft.replication import append_own, replicate_all
+from kelpstage.core.raft.replication import append_as_leader, replicate_all
 from kelpstage.core.raft.state import RaftState
 from kelpstage.core.raft.types import (
     LEADER,
@@ -206,7 +206,7 @@
 
 
 def _propose(state: RaftState, *, members: list[CoreMember]) -> None:
-    append_own(state, kind=MEMBERSHIP, data=write_members(members=members))
+    append_as_leader(state, kind=MEMBERSHIP, data=write_members(members=members))
     replicate_all(state)
 
 
--- a/kelpstage/core/raft/pending_writes.py
+++ b/kelpstage/core/raft/pending_writes.py
@@ -26,7 +26,7 @@
     >>> writes = PendingWrites(durable=4)
     >>> writes.begin(last_index=5, now_us=0)
     1
-    >>> writes.drop_behind(index=3); writes.begin(last_index=4, now_us=1)
+    >>> writes.truncate_after(index=3); writes.begin(last_index=4, now_us=1)
     2
     >>> writes.on_synced(number=1); writes.durable
     3
@@ -49,7 +49,7 @@
         )
         return self.last_number
 
-    def drop_behind(self, *, index: int) -> None:
+    def truncate_after(self, *, index: int) -> None:
         """Record that the entries after `index` are truncated from the log."""
         self.durable = min(self.durable, index)
         self._valid_from = self.last_number + 1
--- a/kelpstage/core/raft/replica.py
+++ b/kelpstage/core/raft/replica.py
@@ -236,7 +236,7 @@
             "since_us_ago": state.now_us - state.margin_since_us,
         }
 
-    def lag(self) -> list[dict[str, Any]]:
+    def replication_progress(self) -> list[dict[str, Any]]:
         """Return the replication progress of each member, for status pages; only on a leader."""
         state = self.state
         return [
--- a/kelpstage/core/raft/replication.py
+++ b/kelpstage/core/raft/replication.py
@@ -34,7 +34,7 @@
 # --- leader --------------------------------------------------------------------------
 
 
-def append_own(state: RaftState, *, kind: EntryKind, data: bytes) -> int:
+def append_as_leader(state: RaftState, *, kind: EntryKind, data: bytes) -> int:
     """Append an entry of the leader's current term to its log and return its index."""
     entry = LogEntry(index=state.log.last_index + 1, term=state.term, kind=kind, data=data)
     state.append(entries=[entry])
@@ -296,9 +296,9 @@
 def _truncate_from(state: RaftState, *, index: int) -> None:
     if index <= state.commit_index:
         raise InvariantViolated(f"entry {index} conflicts; commit index is {state.commit_index}")
-    state.log.cut(index=index)
-    state.members.cut(index=index)
-    state.writes.drop_behind(index=index - 1)
+    state.log.truncate_from(index=index)
+    state.members.truncate_from(index=index)
+    state.writes.truncate_after(index=index - 1)
 
 
 def reply_append_entries(
--- a/kelpstage/core/raft/snapshots.py
+++ b/kelpstage/core/raft/snapshots.py
@@ -76,7 +76,7 @@
     if state.log.term_at(index=event.index) == event.term:
         state.log.compact(index=event.index)
     else:
-        state.writes.drop_behind(index=state.commit_index)
+        state.writes.truncate_after(index=state.commit_index)
         state.log = MemoryLog(base_index=event.index, base_term=event.term)
     state.members = MemberList(
         base=event.members, entries=state.log.entries, base_index=event.index
--- a/kelpstage/core/raft/state.py
+++ b/kelpstage/core/raft/state.py
@@ -164,7 +164,7 @@
     def append(self, *, entries: list[LogEntry], cut_from: int | None = None) -> None:
         """Append entries to the log and start writing them to disk."""
         for entry in entries:
-            self.log.add(entry)
+            self.log.append(entry)
             self.members.append(entry=entry)
         self.persist(cut_from=cut_from, entries=entries)
 
--- a/kelpstage/core/web/views.py
+++ b/kelpstage/core/web/views.py
@@ -89,7 +89,7 @@
         "leader": task.leader_address or None,
         "log": _log_view(task=task),
         "snapshot_transfers": dict(sorted(task.snapshots.counts.items())),
-        "members": task.raft.lag() if task.is_leader else _members_view(task=task),
+        "members": task.raft.replication_progress() if task.is_leader else _members_view(task=task),
         "version": task.machine.state.version,
         "epoch": task.machine.state.epoch,
     }
--- a/kelpstage/testbed/measure/choices.py
+++ b/kelpstage/testbed/measure/choices.py
@@ -226,7 +226,7 @@
 
     def has_place() -> bool:
         leader = fleet.leader()
-        rows = fleet.daemons[f"core/{leader}"].task.raft.lag() if leader else []
+        rows = fleet.daemons[f"core/{leader}"].task.raft.replication_progress() if leader else []
         return fleet.is_core_whole() and address in [r["address"] for r in rows if r["is_voter"]]
 
     numbers["whole_again_us"] = [await fleet.wait_for(what="its place", is_there=has_place)]
--- a/kelpstage/testbed/simulation/fleet.py
+++ b/kelpstage/testbed/simulation/fleet.py
@@ -242,7 +242,7 @@
         name = self.leader()
         if name is None:
             return False
-        rows = self.daemons[f"core/{name}"].task.raft.lag()
+        rows = self.daemons[f"core/{name}"].task.raft.replication_progress()
         voters = [row for row in rows if row["is_voter"]]
         return len(voters) == 3 and all(row["heard_us_ago"] < 500_000 for row in voters)
 
--- a/tests/model_patches.py
+++ b/tests/model_patches.py
@@ -12,7 +12,7 @@
 from kelpstage.core.raft import leadership, membership
 from kelpstage.core.raft.members import MemberList, write_members
 from kelpstage.core.raft.replica import Replica
-from kelpstage.core.raft.replication import append_own, commit_to, replicate_all
+from kelpstage.core.raft.replication import append_as_leader, commit_to, replicate_all
 from kelpstage.core.state.replicated_state import edge_membership
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.testbed.model.adapter import MEMBERSHIP, Persist
@@ -35,9 +35,9 @@
 
 def drop_log_behind(replica: Replica, *, index: int) -> None:
     """The entries behind `index` leave the log in memory."""
-    replica.log.cut(index=index + 1)
-    replica.members.cut(index=index + 1)
-    replica.state.writes.drop_behind(index=index)
+    replica.log.truncate_from(index=index + 1)
+    replica.members.truncate_from(index=index + 1)
+    replica.state.writes.truncate_after(index=index)
 
 
 def truncate(node: Any, *, index: int) -> None:
@@ -63,7 +63,7 @@
     """Have a leader propose these members, if its rule lets a change begin now."""
     if membership.is_change_pending(replica.state):
         return False
-    append_own(replica.state, kind=MEMBERSHIP, data=write_members(members=members))
+    append_as_leader(replica.state, kind=MEMBERSHIP, data=write_members(members=members))
     replicate_all(replica.state)
     return True
 
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -96,7 +96,7 @@
     def voters(self) -> list[str]:
         """Addresses of the voters that the leader had contact with in the last 800 ms."""
         name = self.leader()
-        rows = self.daemons[name].task.raft.lag() if name else []
+        rows = self.daemons[name].task.raft.replication_progress() if name else []
         # The current identity of each core.
         here = {d.identity.replica for d in self.daemons.values() if d.identity}
         return [
@@ -223,7 +223,7 @@
         async def scenario(cores: Cores) -> None:
             await cores.start(is_first=True)
             spans.append(await cores.wait_for(lambda: len(cores.voters()) == 5))
-            rows = cores.daemons[cores.leader()].task.raft.lag()
+            rows = cores.daemons[cores.leader()].task.raft.replication_progress()
             await cores.wait_for(
                 lambda: len(cores.daemons[cores.leader()].task.raft.members.current) == 6
             )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -871,7 +871,7 @@
                 await cores.put()
                 await cores.start(name)
                 await cores.wait_for(
-                    lambda: len(cores.daemons[cores.leader()].task.raft.lag()) == 6
+                    lambda: len(cores.daemons[cores.leader()].task.raft.replication_progress()) == 6
                 )
                 await cores.sleep(300_000)
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -589,7 +589,7 @@
     def test_all_entries_of_a_conflicting_term_are_skipped_in_one_round(self) -> None:
         harness = ReplicaHarness(base=0, last=10, term=2)
         for index in range(11, 311):
-            harness.replica.log.add(LogEntry(index=index, term=3, kind=t.COMMAND))
+            harness.replica.log.append(LogEntry(index=index, term=3, kind=t.COMMAND))
         leader_terms = [2] * 10 + [5] * 400
         self.assertEqual(1, self.rounds(harness, leader_terms=leader_terms, next_index=300))
 
