--- a/kelpstage/core/app.py
+++ b/kelpstage/core/app.py
@@ -197,11 +197,11 @@
 
     def _on_applied(self, outcome: object, index: int) -> None:
         if self.lease_service is not None:
-            self.lease_service.applied()
+            self.lease_service.announce_latest_epoch()
 
     def _on_role(self, role: str) -> None:
         if role == raft.LEADER and self.lease_service is not None:
-            self.lease_service.took_lead()
+            self.lease_service.begin_leadership()
 
     def _on_disk_error(self, error: KelpstageError) -> None:
         self._report_disk_error(error=error)
--- a/kelpstage/core/leases/configuration_writes.py
+++ b/kelpstage/core/leases/configuration_writes.py
@@ -33,12 +33,12 @@
 from kelpstage.core.state.digests import put_digest
 from kelpstage.core.state.outcomes import (
     PutApplied,
+    PutDeltaMismatch,
+    PutIdTaken,
     PutNotAbove,
     PutOutcome,
     PutOutcomeUnknown,
     PutSuperseded,
-    PutUnreadable,
-    PutVersionTaken,
     outcome_of,
 )
 from kelpstage.core.state.replicated_state import CoreState, edge_membership
@@ -300,9 +300,9 @@
         return VersionMismatchError(expected=outcome.expected, current=outcome.current)
     if isinstance(outcome, PutNotAbove):
         return VersionNotAboveError(version=outcome.version, current=outcome.current)
-    if isinstance(outcome, PutVersionTaken):
+    if isinstance(outcome, PutIdTaken):
         return PutIdReusedError(put_id=put_id, why="the id was used for another write")
-    if isinstance(outcome, PutUnreadable):
+    if isinstance(outcome, PutDeltaMismatch):
         return WriteUnresolvedError(
             put_id=put_id, why="another change was committed first; send the write again"
         )
--- a/kelpstage/core/leases/contact_updates.py
+++ b/kelpstage/core/leases/contact_updates.py
@@ -36,10 +36,10 @@
     >>> for name in ("a", "b"):
     ...     contact = EdgeContact(name=name, address=name)
     ...     updates.record_report(edge=name, contact=contact, now_us=10)
-    >>> contacts, _ = updates.since(known=0, now_us=20, limit=9)
+    >>> contacts, _ = updates.changes_since(known=0, now_us=20, limit=9)
     >>> [contact.name for contact in contacts]
     ['b', 'a']
-    >>> updates.since(known=updates.mark(), now_us=20, limit=9)
+    >>> updates.changes_since(known=updates.mark(), now_us=20, limit=9)
     ([], [])
     """
 
@@ -70,7 +70,7 @@
         record = self._records.get(edge)
         return record.contact if record is not None else None
 
-    def note_cores(self, *, cores: list[str]) -> None:
+    def set_cores(self, *, cores: list[str]) -> None:
         """Record the addresses of the cores; edges are notified when they change."""
         if cores != self._cores:
             self._change_count += 1
@@ -92,7 +92,9 @@
         """True if this lease table issued the mark `known`."""
         return known >> TABLE_SHIFT << TABLE_SHIFT == self._table and known & CHANGE_COUNT_MASK > 0
 
-    def since(self, *, known: int, now_us: int, limit: int) -> tuple[list[EdgeContact], list[str]]:
+    def changes_since(
+        self, *, known: int, now_us: int, limit: int
+    ) -> tuple[list[EdgeContact], list[str]]:
         """Contacts and cores that changed since the mark `known` was issued.
 
         At most `limit` contacts, the most recently changed; gossip distributes the others.
--- a/kelpstage/core/leases/lease_service.py
+++ b/kelpstage/core/leases/lease_service.py
@@ -60,7 +60,7 @@
             settlement=self._settlement,
             tolerance=tolerance,
         )
-        self.puts = ConfigurationWrites(
+        self.configuration_writes = ConfigurationWrites(
             ports=ports,
             journal=journal,
             task=task,
@@ -77,12 +77,12 @@
         """True if no edge can serve an epoch older than this one."""
         return self._settlement.is_settled(epoch=epoch)
 
-    def took_lead(self) -> None:
+    def begin_leadership(self) -> None:
         """Start a leadership with an empty lease table, and remove absent edges while it lasts."""
         self._settlement.begin_leadership()
         self._ports.spawn(self.membership_changes.remove_absent())
 
-    def applied(self) -> None:
+    def announce_latest_epoch(self) -> None:
         """Announce the newest epoch; called after each applied command."""
         self._announcer.announce_latest_epoch()
 
@@ -94,7 +94,9 @@
         lease_table = self.lease_table
         now_us = self._ports.clock.now_us()
         if request.is_leaving:
-            lease_table.give_back(edge=request.edge, incarnation=request.incarnation, now_us=now_us)
+            lease_table.record_leave(
+                edge=request.edge, incarnation=request.incarnation, now_us=now_us
+            )
             self._settlement.notify_edge_report()
             return LeaseReply(cluster=cluster, why="leaving")
         if request.cluster:
@@ -115,9 +117,9 @@
         state = self._task.machine.state
         is_on_membership = request.edge in state.membership
         members = self._task.raft.members.current
-        lease_table.contacts.note_cores(cores=[member.address for member in members])
+        lease_table.contacts.set_cores(cores=[member.address for member in members])
         is_small = lease_table.count() <= LARGE_MEMBERSHIP_EDGES
-        peers, cores = lease_table.contacts.since(
+        peers, cores = lease_table.contacts.changes_since(
             known=request.known,
             now_us=now_us,
             limit=CONTACTS_IN_REPLY if is_small else CONTACTS_IN_LARGE_REPLY,
--- a/kelpstage/core/leases/lease_table.py
+++ b/kelpstage/core/leases/lease_table.py
@@ -99,7 +99,7 @@
         holder.leases = [lease for lease in holder.leases if lease[1] > oldest_us]
         holder.leases.append((epoch, now_us))
 
-    def give_back(self, *, edge: str, incarnation: int, now_us: int) -> None:
+    def record_leave(self, *, edge: str, incarnation: int, now_us: int) -> None:
         """Record that an edge has shut down cleanly: it no longer serves or confirms."""
         holder = self._holders.setdefault(edge, LeaseRecord())
         if incarnation < holder.incarnation:
--- a/kelpstage/core/leases/membership_changes.py
+++ b/kelpstage/core/leases/membership_changes.py
@@ -35,22 +35,22 @@
 
 
 def edge_to_remove(
-    *, membership: EdgeMembership, lease_table: LeaseTable, least_voters: int, now_us: int
+    *, membership: EdgeMembership, lease_table: LeaseTable, min_voters: int, now_us: int
 ) -> str | None:
     """The next edge to remove because of its absence; None if none may be removed.
 
-    Voting members come first. At least `least_voters` of them are kept: with fewer, those that
+    Voting members come first. At least `min_voters` of them are kept: with fewer, those that
     lost their disks could be more than half of the voting members while the others restart.
 
     >>> lease_table = LeaseTable(since_us=0)
     >>> membership = EdgeMembership(names=("a", "b"))
-    >>> [edge_to_remove(membership=membership, lease_table=lease_table, least_voters=1,
+    >>> [edge_to_remove(membership=membership, lease_table=lease_table, min_voters=1,
     ...     now_us=now_us) for now_us in (3_900_000, 4_000_000)]
     [None, 'a']
     """
     voters = [edge for edge in membership.names if not membership.is_observer(edge)]
     observers = [edge for edge in membership.names if membership.is_observer(edge)]
-    if len(voters) > least_voters:
+    if len(voters) > min_voters:
         for edge in voters:
             is_absent = lease_table.absent_us(edge=edge, now_us=now_us) >= VOTER_REMOVAL_TIMEOUT_US
             if is_absent or lease_table.has_left(edge=edge):
@@ -78,7 +78,7 @@
         self._journal = journal
         self._task = task
         self._settlement = settlement
-        self._least_voters = max(1, 2 * tolerance)
+        self._min_voters = max(1, 2 * tolerance)
         self._joining: dict[str, bool] = {}  # edge: is_observer, in request order
         self._is_adding = False
 
@@ -126,7 +126,7 @@
         return edge_to_remove(
             membership=edge_membership(state=self._task.machine.state),
             lease_table=self._settlement.lease_table,
-            least_voters=self._least_voters,
+            min_voters=self._min_voters,
             now_us=self._ports.clock.now_us(),
         )
 
--- a/kelpstage/core/state/machine.py
+++ b/kelpstage/core/state/machine.py
@@ -26,10 +26,10 @@
 from kelpstage.core.state.outcomes import (
     MembershipSet,
     PutApplied,
+    PutDeltaMismatch,
+    PutIdTaken,
     PutOutcome,
     PutOutcomeUnknown,
-    PutUnreadable,
-    PutVersionTaken,
     outcome_of,
 )
 from kelpstage.core.state.replicated_state import (
@@ -107,7 +107,7 @@
         if put.expected == self.state.version:
             document = self._decode_document(put=put)
         if document is None:
-            return PutUnreadable()
+            return PutDeltaMismatch()
         complete = PutConfiguration(
             put_id=put.put_id, expected=put.expected, document=document, version=put.version
         )
@@ -249,7 +249,7 @@
         """
         record = self._records.get(put.put_id)
         if record is not None and record.digest != digest:
-            return PutVersionTaken()
+            return PutIdTaken()
         record = (
             self._applied_by_digest.get(digest)
             or record
--- a/kelpstage/core/state/outcomes.py
+++ b/kelpstage/core/state/outcomes.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PutVersionTaken:
+class PutIdTaken:
     """The write's id was already used for other content."""
 
 
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PutUnreadable:
+class PutDeltaMismatch:
     """The write's delta does not match the current document: the write changed nothing."""
 
 
@@ -62,7 +62,7 @@
 
 
 PutOutcome = (
-    PutApplied | PutSuperseded | PutNotAbove | PutVersionTaken | PutOutcomeUnknown | PutUnreadable
+    PutApplied | PutSuperseded | PutNotAbove | PutIdTaken | PutOutcomeUnknown | PutDeltaMismatch
 )
 
 
--- a/kelpstage/core/web/metrics.py
+++ b/kelpstage/core/web/metrics.py
@@ -150,5 +150,5 @@
     yield MetricFamily.gauge(
         "kelpstage_configuration_writes_in_progress",
         "Configuration writes that this core works on.",
-        lease_service.puts.in_progress,
+        lease_service.configuration_writes.in_progress,
     )
--- a/kelpstage/core/web/operators.py
+++ b/kelpstage/core/web/operators.py
@@ -76,7 +76,7 @@
     if core.lease_service is None:
         result = validate_document(document=request.body)
     else:
-        result = core.lease_service.puts.validate(document=request.body)
+        result = core.lease_service.configuration_writes.validate(document=request.body)
     return error_reply(error=result) if isinstance(result, KelpstageError) else None
 
 
@@ -139,7 +139,7 @@
         no_leader = error_reply(error=NoLeaderError(why="this core does not lead"))
         return _rejection_of(core=core, request=request) or no_leader
     if request.method == "PUT":
-        outcome = await lease_service.puts.put(
+        outcome = await lease_service.configuration_writes.put(
             document=request.body,
             expected=int(request.if_match.strip('"')),
             put_id=request.put_id,
@@ -213,7 +213,7 @@
 
 
 def _get_put(*, lease_service: LeaseService, put_id: str) -> HttpReply:
-    outcome = lease_service.puts.put_state(put_id=put_id)
+    outcome = lease_service.configuration_writes.put_state(put_id=put_id)
     if outcome is None:
         return error_reply(error=UnknownPutError(put_id=put_id))
     if isinstance(outcome, KelpstageError):
--- a/kelpstage/testbed/model/edge_adapter.py
+++ b/kelpstage/testbed/model/edge_adapter.py
@@ -75,7 +75,7 @@
     lease_table: LeaseTable, *, edge: str, incarnation: int, now_us: int
 ) -> None:
     """The leader hears that an edge leaves."""
-    lease_table.give_back(edge=edge, incarnation=incarnation, now_us=now_us)
+    lease_table.record_leave(edge=edge, incarnation=incarnation, now_us=now_us)
 
 
 def removal_bytes(
@@ -85,7 +85,7 @@
     edge = edge_to_remove(
         membership=edge_membership(state=state),
         lease_table=lease_table,
-        least_voters=max(1, 2 * tolerance),
+        min_voters=max(1, 2 * tolerance),
         now_us=now_us,
     )
     return bytes(Command(remove=RemoveEdge(edge=edge, is_joint=True))) if edge else b""
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -24,7 +24,7 @@
 from kelpstage.core.replica_task import ReplicaTask
 from kelpstage.core.state.commands import Command, PutConfiguration, put_command
 from kelpstage.core.state.machine import Machine
-from kelpstage.core.state.outcomes import PutUnreadable
+from kelpstage.core.state.outcomes import PutDeltaMismatch
 from kelpstage.core.state.replicated_state import CoreState
 from kelpstage.edge.events import Installed
 from kelpstage.testbed.fleet.deployment import load
@@ -176,11 +176,11 @@
         machine = Machine(cluster="c", state=ours)
         before = bytes(machine.state)
         outcome = machine.apply(data=bytes(put_command(put=put, state=theirs)))
-        self.assertEqual(PutUnreadable(), outcome)
+        self.assertEqual(PutDeltaMismatch(), outcome)
         self.assertEqual(before, bytes(machine.state))
         command = put_command(put=put, state=ours)
         command.put_delta.digest = bytes(32)
-        self.assertEqual(PutUnreadable(), machine.apply(data=bytes(command)))
+        self.assertEqual(PutDeltaMismatch(), machine.apply(data=bytes(command)))
         self.assertEqual(before, bytes(machine.state))
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -46,11 +46,11 @@
 from kelpstage.core.state.outcomes import (
     MembershipSet,
     PutApplied,
+    PutDeltaMismatch,
+    PutIdTaken,
     PutNotAbove,
     PutOutcomeUnknown,
     PutSuperseded,
-    PutUnreadable,
-    PutVersionTaken,
 )
 from kelpstage.core.state.replicated_state import CoreState
 from kelpstage.core.store.records import DiskSnapshot, DiskStep
@@ -82,9 +82,9 @@
     PutApplied: "applied",
     PutSuperseded: "lost",
     PutNotAbove: "not above",
-    PutVersionTaken: "clash",
+    PutIdTaken: "clash",
     PutOutcomeUnknown: "unclear",
-    PutUnreadable: "unreadable",
+    PutDeltaMismatch: "unreadable",
     MembershipSet: "roster set",
 }
 
--- a/tests/test_edge_membership.py
+++ b/tests/test_edge_membership.py
@@ -154,7 +154,7 @@
         for edge in "bc":
             report(lease_table, edge, epoch=1, now_us=1)
             lease_table.record_lease(edge=edge, epoch=1, now_us=1)
-            lease_table.give_back(edge=edge, incarnation=1, now_us=2)
+            lease_table.record_leave(edge=edge, incarnation=1, now_us=2)
         self.assertTrue(lease_table.is_settled(epoch=2, membership=membership, now_us=3))
         self.assertTrue(lease_table.has_quorum(membership=membership, now_us=3))
         self.assertFalse(report(lease_table, "b", epoch=1, now_us=4))  # sent before it left
@@ -165,7 +165,7 @@
     def test_leaving_of_an_older_incarnation_is_ignored(self) -> None:
         lease_table = LeaseTable(since_us=0)
         lease_table.record_report(edge="a", incarnation=2, epoch=1, contact=None, now_us=1)
-        lease_table.give_back(edge="a", incarnation=1, now_us=2)
+        lease_table.record_leave(edge="a", incarnation=1, now_us=2)
         self.assertFalse(lease_table.has_left(edge="a"))
 
 
@@ -174,11 +174,11 @@
         self.lease_table = LeaseTable(since_us=0)
         self.membership = membership_of("abcxy", "xy")
 
-    def removal_candidate(self, *, now_us: int, least_voters: int = 2) -> str | None:
+    def removal_candidate(self, *, now_us: int, min_voters: int = 2) -> str | None:
         return edge_to_remove(
             membership=self.membership,
             lease_table=self.lease_table,
-            least_voters=least_voters,
+            min_voters=min_voters,
             now_us=now_us,
         )
 
@@ -190,16 +190,16 @@
         self.report_edges("bcxy", now_us=VOTER_REMOVAL_TIMEOUT_US)
         self.assertIsNone(self.removal_candidate(now_us=VOTER_REMOVAL_TIMEOUT_US - 1))
         self.assertEqual("a", self.removal_candidate(now_us=VOTER_REMOVAL_TIMEOUT_US))
-        self.assertIsNone(self.removal_candidate(now_us=VOTER_REMOVAL_TIMEOUT_US, least_voters=3))
+        self.assertIsNone(self.removal_candidate(now_us=VOTER_REMOVAL_TIMEOUT_US, min_voters=3))
 
     def test_voter_that_left_is_removed(self) -> None:
         self.report_edges("abcxy", now_us=1)
-        self.lease_table.give_back(edge="b", incarnation=1, now_us=2)
+        self.lease_table.record_leave(edge="b", incarnation=1, now_us=2)
         self.assertEqual("b", self.removal_candidate(now_us=3))
 
     def test_absent_observer_is_removed(self) -> None:
         self.report_edges("abcxy", now_us=1)
-        self.lease_table.give_back(edge="y", incarnation=1, now_us=2)
+        self.lease_table.record_leave(edge="y", incarnation=1, now_us=2)
         self.report_edges("abcx", now_us=OBSERVER_REMOVAL_TIMEOUT_US)
         self.assertIsNone(self.removal_candidate(now_us=OBSERVER_REMOVAL_TIMEOUT_US + 1))
         self.assertEqual("y", self.removal_candidate(now_us=OBSERVER_REMOVAL_TIMEOUT_US + 2))
--- a/tests/test_many_edges.py
+++ b/tests/test_many_edges.py
@@ -217,9 +217,11 @@
             lease_table.record_report(
                 edge=f"n{n}", incarnation=1, epoch=1, contact=self.contact(f"n{n}"), now_us=9
             )
-        lease_table.contacts.note_cores(cores=["a:1", "b:1"])
+        lease_table.contacts.set_cores(cores=["a:1", "b:1"])
         mark = lease_table.contacts.mark()
-        self.assertEqual(([], []), lease_table.contacts.since(known=mark, now_us=10, limit=32))
+        self.assertEqual(
+            ([], []), lease_table.contacts.changes_since(known=mark, now_us=10, limit=32)
+        )
         # A renewal without a contact changes nothing, a new incarnation does.
         lease_table.record_report(
             edge="n1", incarnation=1, epoch=2, contact=EdgeContact(), now_us=11
@@ -228,7 +230,7 @@
         lease_table.record_report(
             edge="n2", incarnation=2, epoch=2, contact=self.contact("n2", 2), now_us=11
         )
-        contacts, cores = lease_table.contacts.since(known=mark, now_us=12, limit=32)
+        contacts, cores = lease_table.contacts.changes_since(known=mark, now_us=12, limit=32)
         self.assertEqual((["n2"], []), ([contact.name for contact in contacts], cores))
 
     def test_offset_of_another_lease_table_is_ignored(self) -> None:
@@ -237,8 +239,8 @@
             lease_table.record_report(
                 edge="n", incarnation=1, epoch=1, contact=self.contact("n"), now_us=9
             )
-            lease_table.contacts.note_cores(cores=["a:1"])
-        contacts, cores = new.contacts.since(known=old.contacts.mark(), now_us=10, limit=32)
+            lease_table.contacts.set_cores(cores=["a:1"])
+        contacts, cores = new.contacts.changes_since(known=old.contacts.mark(), now_us=10, limit=32)
         self.assertEqual((1, ["a:1"]), (len(contacts), cores))
 
     def test_lease_survives_one_renewal_without_a_reply(self) -> None:
