--- a/kelpstage/common/process.py
+++ b/kelpstage/common/process.py
@@ -29,7 +29,7 @@
     task without which it is of no use broke.
 
     With `read_settings` they are read again on SIGHUP, and when the file `watch` changes;
-    the daemon's `reread` takes over what may change while it runs. Settings that are
+    the daemon's `reload_settings` takes over what may change while it runs. Settings that are
     broken then change nothing."""
     with install_ring(program=program).applicationbound():
         code = asyncio.run(
@@ -64,7 +64,7 @@
         """Read the settings now; broken ones change nothing."""
         self._stamp = self._look()
         try:
-            self._daemon.reread(settings=self._read())
+            self._daemon.reload_settings(settings=self._read())
         except SystemExit:
             log.error("the settings can't be read again; those before stay")
 
--- a/kelpstage/core/app.py
+++ b/kelpstage/core/app.py
@@ -41,7 +41,7 @@
     SetAside,
     Started,
 )
-from kelpstage.core.graceful_leave import Leaving
+from kelpstage.core.graceful_leave import GracefulLeave
 from kelpstage.core.handlers import handle
 from kelpstage.core.leases.lease_service import LeaseService
 from kelpstage.core.membership_requests import send_join_requests
@@ -141,7 +141,7 @@
     async def _recover(self) -> Recovered | None | KelpstageError:
         identity = await self.store.read_identity()
         if isinstance(identity, LogDamagedError):
-            return await self._set_aside(damage=identity)
+            return await self._discard_replica(damage=identity)
         if isinstance(identity, KelpstageError):
             return identity
         if identity is None:
@@ -154,17 +154,17 @@
             return await self._found_or_join()
         recovered = await self.store.recover(identity=identity)
         if isinstance(recovered, LogDamagedError):
-            return await self._set_aside(damage=recovered)
+            return await self._discard_replica(damage=recovered)
         return recovered
 
-    async def _set_aside(self, *, damage: LogDamagedError) -> KelpstageError | None:
+    async def _discard_replica(self, *, damage: LogDamagedError) -> KelpstageError | None:
         """Discard a damaged replica; this core restarts as a new, empty replica."""
         log.error(
             "{} at {}: {}; restarting as an empty replica", damage.path, damage.offset, damage.why
         )
         self.journal.add(SetAside(path=damage.path, why=damage.why))
         self.identity = None
-        return await self.store.set_aside()
+        return await self.store.discard_replica()
 
     async def _run_replica(self, *, recovered: Recovered) -> None:
         self._disk_failed.clear()
@@ -287,7 +287,7 @@
             self.identity = identity
         return error
 
-    def reread(self, *, settings: dict[str, Any]) -> None:
+    def reload_settings(self, *, settings: dict[str, Any]) -> None:
         """Apply the settings that may change while a core runs: the seeds."""
         self.seeds = list(settings["seeds"])
         self.settings = self.settings | {"seeds": self.seeds}
@@ -309,7 +309,7 @@
         self.is_stopping = True
         task = self.task
         if task is not None:
-            leaving = Leaving(
+            leaving = GracefulLeave(
                 task=task,
                 transport=self.transport,
                 clock=self.ports.clock,
--- a/kelpstage/core/graceful_leave.py
+++ b/kelpstage/core/graceful_leave.py
@@ -33,7 +33,7 @@
     losses_wanted: int = 0
 
 
-class Leaving:
+class GracefulLeave:
     """Requests the removal of this core from the leader until it is granted."""
 
     def __init__(
--- a/kelpstage/core/handlers.py
+++ b/kelpstage/core/handlers.py
@@ -51,7 +51,7 @@
 async def on_raft_message(message: object, core: MessageContext, source: str) -> None:
     """Queue a Raft message for the replica; without a running replica, drop the message."""
     if core.task is not None:
-        core.task.heard(message=message)
+        core.task.receive(message=message)
 
 
 for kind in (
--- a/kelpstage/core/replica_task.py
+++ b/kelpstage/core/replica_task.py
@@ -198,7 +198,7 @@
             return None
         return outcome or NoLeaderError(why="no majority of cores confirmed the leader in time")
 
-    def heard(self, *, message: Any) -> None:
+    def receive(self, *, message: Any) -> None:
         """Queue a received Raft message for the replica."""
         self.inbox.put_nowait(raft.Received(message=message))
 
@@ -210,9 +210,9 @@
     async def _run(self) -> None:
         while True:
             event = await self.inbox.get()
-            self._take(event=event)
+            self._handle_event(event=event)
 
-    def _take(self, *, event: Any) -> None:
+    def _handle_event(self, *, event: Any) -> None:
         for effect in self.raft.step(now_us=self._ports.clock.now_us(), event=event):
             self._perform(effect)
         if isinstance(event, raft.Synced):
@@ -297,7 +297,7 @@
         if snapshot.index <= self.raft.commit_index:
             return
         self._fetched = snapshot
-        self._take(
+        self._handle_event(
             event=raft.SnapshotFetched(
                 index=snapshot.index,
                 term=snapshot.term,
--- a/kelpstage/core/store/store.py
+++ b/kelpstage/core/store/store.py
@@ -55,7 +55,7 @@
 
     Callers first call `read_identity`, then `begin_member` for a replica without a cluster or
     `recover` for one with a cluster, then the write methods, one at a time. After a failed
-    write only `recover` or `set_aside` may be called.
+    write only `recover` or `discard_replica` may be called.
     """
 
     def __init__(self, *, ports: Ports, segment_bytes: int = SEGMENT_BYTES) -> None:
@@ -113,7 +113,7 @@
             error = await self._delete_files(is_obsolete=self._is_foreign)
         return error
 
-    async def set_aside(self) -> KelpstageError | None:
+    async def discard_replica(self) -> KelpstageError | None:
         """Discard a damaged replica; the next `read_identity` finds an empty folder.
 
         The identity is deleted first, durably. An interruption before that leaves the replica
--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -280,7 +280,7 @@
             idle_us=limits.idle_us,
         )
 
-    def reread(self, *, settings: dict[str, Any]) -> None:
+    def reload_settings(self, *, settings: dict[str, Any]) -> None:
         """Take over what may change in the settings of a running edge: its seeds."""
         if list(settings["seeds"]) != list(self.settings["seeds"]):
             self.leases.use_seeds(seeds=settings["seeds"])
--- a/kelpstage/testbed/platform_model/machines.py
+++ b/kelpstage/testbed/platform_model/machines.py
@@ -395,10 +395,12 @@
         fault.end_us = fault.begin_us
         for role, process in node.processes.items():
             daemon = node.daemons[role]
-            if process.is_alive and hasattr(daemon, "reread"):
+            if process.is_alive and hasattr(daemon, "reload_settings"):
                 settings = self._process_settings(node=node, role=role)
                 process.deliver(
-                    lambda daemon=daemon, settings=settings: daemon.reread(settings=settings)
+                    lambda daemon=daemon, settings=settings: daemon.reload_settings(
+                        settings=settings
+                    )
                 )
 
     async def disturb_disk(self, *, node: Node, how: str, for_us: int) -> None:
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -282,10 +282,10 @@
             for name in ("c0", "c1"):
                 self.assertIsNone(cores.daemons[name].task)
             await cores.start("c2", "c3", "c4", "c5", seeds=["c0", "c1", "c2"])
-            cores.daemons["c0"].reread(
+            cores.daemons["c0"].reload_settings(
                 settings={"seeds": [cores.address(n) for n in ("c3", "c4", "c5")]}
             )
-            cores.daemons["c1"].reread(settings={"seeds": [cores.address("c5")]})
+            cores.daemons["c1"].reload_settings(settings={"seeds": [cores.address("c5")]})
             await cores.wait_for(lambda: len(cores.voters()) == 5)
             await cores.wait_for(
                 lambda: all(d.identity.cluster == cluster for d in cores.daemons.values())
--- a/tests/test_cores_power_loss.py
+++ b/tests/test_cores_power_loss.py
@@ -153,7 +153,7 @@
         """Run a scenario with small segments; discarding a replica is a failure."""
         sizes = {"segment_bytes": SEGMENT_BYTES}
         with (
-            mock.patch.object(Core, "_set_aside", set_aside),
+            mock.patch.object(Core, "_discard_replica", set_aside),
             mock.patch.dict(Store.__init__.__kwdefaults__ or {}, sizes),
         ):
             play(scenario, seed=seed, count=3, tolerance=1)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -26,7 +26,7 @@
     RequestVote,
     RequestVoteReply,
 )
-from kelpstage.core.graceful_leave import LeaveOutcome, Leaving
+from kelpstage.core.graceful_leave import GracefulLeave, LeaveOutcome
 from kelpstage.core.raft import membership
 from kelpstage.core.raft import types as t
 from kelpstage.core.raft.log import MemoryLog
@@ -829,12 +829,12 @@
         self.assertLess(max(spans), 1_500_000)
 
     def test_leaving_without_waiting_is_detected(self) -> None:
-        async def leave_at_once(self: Leaving) -> LeaveOutcome:
+        async def leave_at_once(self: GracefulLeave) -> LeaveOutcome:
             return LeaveOutcome(state=LeaveState.REPLACED)
 
         scenario = self.replacement(is_leader=False, after_us=0, states=[], spans=[])
         with (
-            mock.patch.object(Leaving, "run", leave_at_once),
+            mock.patch.object(GracefulLeave, "run", leave_at_once),
             self.assertRaisesRegex(AssertionError, "not read back"),
         ):
             play(scenario, seed=0, count=3, tolerance=1)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -455,7 +455,7 @@
                 self.assertFalse(sent.is_refused or rival.of(Answer.ACKNOWLEDGED))
 
     def test_rejecting_a_write_that_may_still_commit_is_detected(self) -> None:
-        real = ReplicaTask._take
+        real = ReplicaTask._handle_event
 
         def take(self: ReplicaTask, *, event: Any) -> None:
             real(self, event=event)
@@ -465,7 +465,7 @@
                 self.waiters.settle(token=token, outcome=PutSuperseded(expected=3, current=4))
             self._proposals.clear()
 
-        with mock.patch.object(ReplicaTask, "_take", take):
+        with mock.patch.object(ReplicaTask, "_handle_event", take):
             found = [self.lose_leadership(seed=seed)[0].history.anomalies() for seed in range(3)]
         self.assertIn("sent was taken, and refused (another version is current)", sum(found, []))
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -192,7 +192,7 @@
                     program.run()
                     started = run_daemon.call_args.kwargs
                     daemon = started["build"](live_ports(data_folder=folder))
-                    daemon.reread(settings=started["read_settings"]())
+                    daemon.reload_settings(settings=started["read_settings"]())
                 self.assertTrue(callable(daemon.open))
 
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -419,7 +419,7 @@
             on_error=failures.append,
         )
         entries = [LogEntry(index=i, term=2, kind=t.NOOP) for i in range(2, 81)]
-        task.heard(
+        task.receive(
             message=AppendEntries(
                 cluster="k",
                 sender="c",
@@ -434,7 +434,7 @@
         await asyncio.sleep(0.1)
         self.assertEqual(80, task.raft.durable)
         task._fetched = DiskSnapshot(index=60, term=2, members=MEMBERS, cluster="k")
-        task._take(
+        task._handle_event(
             event=t.SnapshotFetched(
                 index=60, term=2, members=MEMBERS, leader="b", leader_term=2, heartbeat=0
             )
--- a/tests/test_store_planted_faults.py
+++ b/tests/test_store_planted_faults.py
@@ -72,13 +72,13 @@
 
 def log_deleted_first() -> Patch:
     """Delete the log before the identity when a replica is discarded."""
-    original = Store.set_aside
+    original = Store.discard_replica
 
     async def set_aside(self: Store) -> KelpstageError | None:
         await self._delete_files(is_obsolete=lambda name: True)
         return await original(self)
 
-    return mock.patch.object(Store, "set_aside", set_aside)
+    return mock.patch.object(Store, "discard_replica", set_aside)
 
 
 def old_segments_deleted_first() -> Patch:
--- a/tests/test_store_power_loss.py
+++ b/tests/test_store_power_loss.py
@@ -564,7 +564,7 @@
         whole, _ = populated_member_state()
         seen = set()
         for left in self.interrupt(
-            begin=populated_member, work=lambda writer: writer.store.set_aside()
+            begin=populated_member, work=lambda writer: writer.store.discard_replica()
         ):
             identity = finish(left.store.read_identity())
             seen.add(identity is None)
@@ -582,7 +582,7 @@
         for path in ("log/notes", "snapshots/r1-1.other", "other"):
             writer.machine.platter.files[path] = SimFile(data=b"x")
         self.assertEqual(writer.acknowledged, finish(writer.open()))
-        finish(writer.store.set_aside())
+        finish(writer.store.discard_replica())
         left = sorted(writer.machine.platter.files)
         self.assertEqual(["log/notes", "other", "snapshots/r1-1.other"], left)
 
