--- a/tests/test_bad_orders.py
+++ b/tests/test_bad_orders.py
@@ -18,7 +18,7 @@
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.core.web.operators import serve_operators
 from kelpstage.testbed.platform_model.machines import load
-from tests.test_cores import Cores, play
+from tests.test_cores import SimulatedCores, run_scenario
 
 REPLACE = "/api/Config.Replace"
 VALID = {
@@ -234,7 +234,7 @@
 INVALID_BASES = ("-1", "1.0", "x", "0x1", "9" * 25, "1 2", "\u0663", "NaN")
 
 
-class Site(Cores):
+class Site(SimulatedCores):
     """Cores that serve the platform's operator interface."""
 
     serve = staticmethod(load(name="operator_calls").operator_calls(own=serve_operators))
@@ -271,7 +271,7 @@
 
 
 def run_cores(scenario: Any) -> None:
-    play(scenario, seed=3, count=3, tolerance=1, make=Site)
+    run_scenario(scenario, seed=3, count=3, tolerance=1, make=Site)
 
 
 class RejectedConfigurations(unittest.TestCase):
--- a/tests/test_beyond_tolerance.py
+++ b/tests/test_beyond_tolerance.py
@@ -23,7 +23,7 @@
     read_from_memory,
     run_with_operators,
 )
-from tests.test_cores import Cores, play
+from tests.test_cores import SimulatedCores, run_scenario
 
 SEEDS = (1, 2, 3)
 CUT_US = 9_000_000
@@ -36,7 +36,9 @@
     return mixed[: len(names) // 2], mixed[len(names) // 2 :]
 
 
-async def partition_into_halves(cores: Cores, operators: Operators, result: RunResult) -> None:
+async def partition_into_halves(
+    cores: SimulatedCores, operators: Operators, result: RunResult
+) -> None:
     """Partition the cores into two random halves, twice; operators reach both halves."""
     rand = random.Random(cores.world.seed)
     for _ in range(2):
@@ -76,7 +78,7 @@
 # --- overlapping losses -----------------------------------------------------------------------
 
 
-async def lose_all_cores(cores: Cores) -> None:
+async def lose_all_cores(cores: SimulatedCores) -> None:
     """All cores are down at once for a while, each from a random time on. As many disks are
     lost as tolerated, the other cores lose power. The acknowledged version is read back."""
     rand = random.Random(cores.world.seed)
@@ -107,18 +109,18 @@
         for count, tolerance in CLUSTER_SIZES:
             for seed in range(6):
                 with self.subTest(count=count, seed=seed):
-                    play(lose_all_cores, seed=seed, count=count, tolerance=tolerance)
+                    run_scenario(lose_all_cores, seed=seed, count=count, tolerance=tolerance)
 
 
 # --- full disks -----------------------------------------------------------------------------------
 
 
-def run_on_three_cores(scenario: Callable[[Cores], Awaitable[None]]) -> None:
+def run_on_three_cores(scenario: Callable[[SimulatedCores], Awaitable[None]]) -> None:
     for seed in SEEDS:
-        play(scenario, seed=seed, count=3, tolerance=1)
+        run_scenario(scenario, seed=seed, count=3, tolerance=1)
 
 
-def fill(cores: Cores, *, names: list[str], is_full: bool) -> None:
+def fill(cores: SimulatedCores, *, names: list[str], is_full: bool) -> None:
     for name in names:
         cores.world.machines[name].platter.is_full = is_full
 
@@ -127,8 +129,8 @@
     """While a disk is full, the process stays up and answers configuration writes with a typed
     error that leaves their outcome open. It recovers by itself once there is space."""
 
-    def check(self, *, of: Callable[[Cores], list[str]], is_put_possible: bool) -> None:
-        async def scenario(cores: Cores) -> None:
+    def check(self, *, of: Callable[[SimulatedCores], list[str]], is_put_possible: bool) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             await cores.put()
@@ -151,7 +153,7 @@
 
         run_on_three_cores(scenario)
 
-    async def expect_rejections(self, cores: Cores) -> None:
+    async def expect_rejections(self, cores: SimulatedCores) -> None:
         """No core acknowledges a write; each reply is a 503 of an expected kind."""
         kinds = set()
         for number in range(12):
@@ -176,7 +178,7 @@
         self.check(of=lambda cores: [cores.leader()], is_put_possible=True)
 
     def test_all_disks_full(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             await cores.put()
@@ -217,7 +219,7 @@
 
 
 async def freeze_and_partition_leaders(
-    cores: Cores, operators: Operators, result: RunResult
+    cores: SimulatedCores, operators: Operators, result: RunResult
 ) -> None:
     """The leader is frozen, then a leader is partitioned, twice."""
     for _ in range(2):
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -30,7 +30,7 @@
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from kelpstage.testbed.simulation.world import SimStream
-from tests.test_cores import Cores, play
+from tests.test_cores import SimulatedCores, run_scenario
 
 WRITE_INTERVAL_US = 100_000
 SLOW_DISK = 30
@@ -189,7 +189,9 @@
     return random.Random(seed).randbytes(size // 2).hex()
 
 
-async def write_steadily(cores: Cores, *, until, size: int = 0, limit: int = 10_000) -> int:
+async def write_steadily(
+    cores: SimulatedCores, *, until, size: int = 0, limit: int = 10_000
+) -> int:
     """Write every 100 ms, or once the previous write is acknowledged; return the count."""
     count = 0
     while not until() and count < limit:
@@ -205,7 +207,7 @@
     return count
 
 
-def is_caught_up(cores: Cores, name: str) -> bool:
+def is_caught_up(cores: SimulatedCores, name: str) -> bool:
     """True if this core has applied all entries that its leader has committed; one may lag."""
     leader, task = cores.leader(), cores.daemons[name].task
     if leader is None or task is None:
@@ -221,7 +223,7 @@
         truncated after every few writes."""
         spans = []
 
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             away = next(name for name in cores.names if name != cores.leader())
@@ -241,13 +243,13 @@
             spans.append(cores.world.now_us() - began_us)
 
         for seed in (1, 2):
-            play(scenario, seed=seed, count=3, tolerance=1)
+            run_scenario(scenario, seed=seed, count=3, tolerance=1)
         self.assertLess(max(spans), 30 * SECOND, spans)
 
     def test_transfer_ends_although_newer_snapshots_follow(self) -> None:
         """A transfer between distant regions takes seconds; new snapshots are more frequent."""
 
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             away = next(name for name in cores.names if name != cores.leader())
@@ -267,10 +269,10 @@
             self.assertTrue(is_caught_up(cores, away), "never caught up")
             self.assertLess(cores.world.now_us() - began_us, 30 * SECOND)
 
-        play(scenario, seed=1, count=3, tolerance=1)
+        run_scenario(scenario, seed=1, count=3, tolerance=1)
 
     def test_offered_snapshot_is_served_while_the_next_is_written(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             await write_steadily(cores, until=lambda: False, limit=3)
@@ -290,7 +292,7 @@
             await cores.wait_for(lambda: task.raft.log.base_index > offered)
             self.assertEqual(task.raft.log.base_index, task.snapshots.mark)
 
-        play(scenario, seed=1, count=3, tolerance=1)
+        run_scenario(scenario, seed=1, count=3, tolerance=1)
 
     def test_interrupted_transfer_resumes_at_its_offset(self) -> None:
         """The two members are partitioned for a while during the transfer."""
@@ -301,7 +303,7 @@
             asked.append((request.pinned, request.offset))
             return serve(task, request=request)
 
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             leader = cores.leader()
@@ -319,7 +321,7 @@
             await cores.wait_for(lambda: is_caught_up(cores, away))
 
         with mock.patch.object(ReplicaTask, "snapshot_chunk", note):
-            play(scenario, seed=1, count=3, tolerance=1)
+            run_scenario(scenario, seed=1, count=3, tolerance=1)
         self.assertEqual(1, sum(offset == 0 for _, offset in asked), asked)
         self.assertEqual(1, len({pinned for pinned, offset in asked if offset}), asked)
 
@@ -331,7 +333,7 @@
         sent: list[int] = []
         write = SimStream.write
 
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             leader = cores.leader()
@@ -366,7 +368,7 @@
             process.thaw()
             await cores.wait_for(lambda: is_caught_up(cores, frozen), us=3 * SECOND)
 
-        play(scenario, seed=1, count=3, tolerance=1)
+        run_scenario(scenario, seed=1, count=3, tolerance=1)
         self.assertLess(sum(sent), 2_500_000, "bytes queued in connections to the frozen member")
 
 
@@ -414,7 +416,7 @@
 class ConsistencyMonitor:
     """Checks leaders and reads in the background; `check` raises what it has found."""
 
-    def __init__(self, *, cores: Cores) -> None:
+    def __init__(self, *, cores: SimulatedCores) -> None:
         self.cores = cores
         self.acknowledged_index = 0
         self.acknowledged_term = 0
@@ -467,7 +469,7 @@
                 self.violations.append(f"{name} answered {version}, acknowledged was {least}")
 
 
-async def write(cores: Cores, monitor: ConsistencyMonitor) -> None:
+async def write(cores: SimulatedCores, monitor: ConsistencyMonitor) -> None:
     """Write once until it is acknowledged; takes at least 100 ms."""
     due_us = cores.world.now_us() + WRITE_INTERVAL_US
     monitor.record_acknowledged(by=await cores.put())
@@ -476,7 +478,7 @@
 
 
 async def rejoin(
-    cores: Cores, monitor: ConsistencyMonitor, *, name: str, kills_leader: bool
+    cores: SimulatedCores, monitor: ConsistencyMonitor, *, name: str, kills_leader: bool
 ) -> int:
     """Start a member that was stopped, during writes; return the virtual time to its catch-up.
 
@@ -499,7 +501,7 @@
     return took_us
 
 
-async def absences(cores: Cores, spans: list[int]) -> None:
+async def absences(cores: SimulatedCores, spans: list[int]) -> None:
     """510 writes on slow disks, with a member stopped for 10, 100 and 400 of them.
 
     Each tenth write restarts the member that returned last, at times by a power loss. At the
@@ -550,7 +552,9 @@
     def run_absences(self, *, seed: int, count: int, tolerance: int) -> list[int]:
         spans: list[int] = []
         with mock.patch.object(snapshots, "SNAPSHOT_ENTRIES", 60):
-            play(lambda cores: absences(cores, spans), seed=seed, count=count, tolerance=tolerance)
+            run_scenario(
+                lambda cores: absences(cores, spans), seed=seed, count=count, tolerance=tolerance
+            )
         return spans
 
     def test_three_cores_catch_up_in_bounded_time(self) -> None:
--- a/tests/test_core_cuts.py
+++ b/tests/test_core_cuts.py
@@ -29,9 +29,9 @@
 from kelpstage.core.web import operators as operators_module
 from kelpstage.core.web.operators import _answer as real_answer
 from kelpstage.core.web.operators import _get_configuration
-from tests.test_cores import Cores, play
+from tests.test_cores import SimulatedCores, run_scenario
 
-CUT_US = 20_000_000
+PARTITION_US = 20_000_000
 CALL_US = 1_000_000  # timeout of an operator's call
 DEADLINE_US = 800_000
 PAUSE_US = 150_000
@@ -42,7 +42,7 @@
 CAUGHT_UP_WITHIN_US = 4_000_000
 SEEDS = (1, 2)
 
-Pairs = list[tuple[str, str]]
+Links = list[tuple[str, str]]
 
 
 @dataclass(kw_only=True)
@@ -103,7 +103,7 @@
     """Sends one write at a time to every member until a member acknowledges it, and once more
     after that; reads at every member meanwhile."""
 
-    def __init__(self, *, cores: Cores, call_us: int) -> None:
+    def __init__(self, *, cores: SimulatedCores, call_us: int) -> None:
         self.cores = cores
         self._call_us = call_us
         self.history = History()
@@ -147,7 +147,7 @@
         )
         return status == 200
 
-    async def order(self) -> int:
+    async def write(self) -> int:
         """Send the next write to all members until one acknowledges it; return the time taken."""
         expected, version = self._version, self._version + 1 + self._version % 3
         body = self.cores.document(f"order {version}")
@@ -195,9 +195,9 @@
             await self.read(member=member)
             await self.cores.sleep(PAUSE_US)
 
-    async def keep_ordering(self) -> None:
+    async def keep_writing(self) -> None:
         while self.is_open:
-            await self.order()
+            await self.write()
             await self.cores.sleep(PAUSE_US)
 
 
@@ -211,34 +211,41 @@
     extra_terms: int = 0  # elections after the partition had healed
 
 
-def both_directions(*, cores: Cores, name: str) -> Pairs:
+def both_directions(*, cores: SimulatedCores, name: str) -> Links:
     """Links between a core and all others, in both directions."""
     return inbound(cores=cores, name=name) + outbound(cores=cores, name=name)
 
 
-def inbound(*, cores: Cores, name: str) -> Pairs:
+def inbound(*, cores: SimulatedCores, name: str) -> Links:
     """Links from all other cores to a core: it receives nothing."""
     return [(other, name) for other in cores.names if other != name]
 
 
-def outbound(*, cores: Cores, name: str) -> Pairs:
+def outbound(*, cores: SimulatedCores, name: str) -> Links:
     """Links from a core to all others: they receive nothing from it."""
     return [(name, other) for other in cores.names if other != name]
 
 
-Partition = Callable[..., Pairs]
+Partition = Callable[..., Links]
 
 
 async def partition_member(
-    *, cores: Cores, operators: Operators, result: RunResult, name: str, partition: Partition
+    *,
+    cores: SimulatedCores,
+    operators: Operators,
+    result: RunResult,
+    name: str,
+    partition: Partition,
 ) -> None:
     """Partition a member for twenty seconds and heal; measure acknowledgement and catch-up."""
     pairs = partition(cores=cores, name=name)
     began_us = cores.world.now_us()
     cores.world.cuts |= set(pairs)
-    await cores.sleep(CUT_US)
+    await cores.sleep(PARTITION_US)
     acknowledged = [when for when, _ in operators.history.acknowledged if when > began_us + 50_000]
-    result.acknowledged_after_us.append(min(acknowledged, default=began_us + CUT_US) - began_us)
+    result.acknowledged_after_us.append(
+        min(acknowledged, default=began_us + PARTITION_US) - began_us
+    )
     term = max(cores.daemons[other].task.raft.term for other in cores.names if other != name)
     cores.world.cuts -= set(pairs)
     cores.world.flush()
@@ -256,7 +263,7 @@
 
 
 def run_with_operators(
-    scenario: Callable[[Cores, Operators, RunResult], Awaitable[None]],
+    scenario: Callable[[SimulatedCores, Operators, RunResult], Awaitable[None]],
     *,
     seed: int,
     count: int = 3,
@@ -266,14 +273,14 @@
     """Run a scenario while operators write and read."""
     results: list[RunResult] = []
 
-    async def run(cores: Cores) -> None:
+    async def run(cores: SimulatedCores) -> None:
         await cores.start(is_first=True)
         await cores.wait_for(lambda: len(cores.voters()) == 2 * tolerance + 1)
         operators = Operators(cores=cores, call_us=call_us)
-        await operators.order()
+        await operators.write()
         result = RunResult(history=operators.history)
         results.append(result)
-        tasks = [asyncio.ensure_future(operators.keep_ordering())]
+        tasks = [asyncio.ensure_future(operators.keep_writing())]
         tasks += [asyncio.ensure_future(operators.keep_reading(member=m)) for m in cores.names]
         await cores.sleep(1_500_000)
         await scenario(cores, operators, result)
@@ -281,14 +288,14 @@
         for task in tasks:
             await task
 
-    play(run, seed=seed, count=count, tolerance=tolerance)
+    run_scenario(run, seed=seed, count=count, tolerance=tolerance)
     return results[0]
 
 
 def partition_scenario(*, of: str, partition: Partition) -> Callable[..., Awaitable[None]]:
     """One partition of the leader, or of the first core that is not the leader."""
 
-    async def scenario(cores: Cores, operators: Operators, result: RunResult) -> None:
+    async def scenario(cores: SimulatedCores, operators: Operators, result: RunResult) -> None:
         leader = cores.leader()
         name = leader if of == "leader" else next(n for n in cores.names if n != leader)
         await partition_member(
@@ -298,7 +305,9 @@
     return scenario
 
 
-async def partition_two_leaders(cores: Cores, operators: Operators, result: RunResult) -> None:
+async def partition_two_leaders(
+    cores: SimulatedCores, operators: Operators, result: RunResult
+) -> None:
     """The leader is partitioned, and once that has healed, the next leader."""
     for _ in range(2):
         name = cores.leader()
@@ -307,7 +316,7 @@
         )
 
 
-async def freeze_cores(cores: Cores, operators: Operators, result: RunResult) -> None:
+async def freeze_cores(cores: SimulatedCores, operators: Operators, result: RunResult) -> None:
     """The leader is frozen for ten seconds, twice; then all cores but one for six. They
     resume with open calls and with every timer due at once."""
     for count, span_us in ((1, FREEZE_US), (1, FREEZE_US), (2, FREEZE_US * 6 // 10)):
@@ -497,13 +506,13 @@
     """The confirmation of a read is checked again when its reply is sent."""
 
     def read_with_interruption(
-        self, *, meanwhile: Callable[[Cores, str], Awaitable[None]]
+        self, *, meanwhile: Callable[[SimulatedCores, str], Awaitable[None]]
     ) -> HttpReply:
         """A read at the leader, with an interruption between its confirmation and its reply."""
         replies: list[HttpReply] = []
         real = ReplicaTask.confirm
 
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             await cores.put()
@@ -528,11 +537,11 @@
                     )
                 )
 
-        play(scenario, seed=4, count=3, tolerance=1)
+        run_scenario(scenario, seed=4, count=3, tolerance=1)
         return replies[0]
 
     def test_read_confirmed_before_a_freeze_is_rejected_after_it(self) -> None:
-        async def freeze(cores: Cores, name: str) -> None:
+        async def freeze(cores: SimulatedCores, name: str) -> None:
             process = cores.processes[name]
             process.freeze()
             version = cores.version
@@ -546,7 +555,7 @@
         self.assertEqual(self.read_with_interruption(meanwhile=freeze).status, 503)
 
     def test_read_confirmed_before_a_replica_restart_is_rejected(self) -> None:
-        async def restart_replica(cores: Cores, name: str) -> None:
+        async def restart_replica(cores: SimulatedCores, name: str) -> None:
             cores.daemons[name]._on_disk_error(DiskError(path="log", op="sync", why="planted"))
             await cores.sleep(10_000)
 
@@ -557,7 +566,7 @@
     """A fourth core that is no voter forgets an unreachable leader, and catches up later."""
 
     def test_partitioned_learner_forgets_the_leader_and_catches_up(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             await cores.sleep(2_000_000)
@@ -572,7 +581,7 @@
             reply = await cores.call(learner, "GET", headers={"Kelp-Time-Left-Us": "800000"})
             self.assertEqual(reply.status, 503)
             self.assertLess(cores.world.now_us() - began_us, 500_000)
-            await cores.sleep(CUT_US)
+            await cores.sleep(PARTITION_US)
             cores.world.heal()
             await cores.put()
             await cores.wait_for(
@@ -580,7 +589,7 @@
             )
 
         for seed in SEEDS:
-            play(scenario, seed=seed, count=4, tolerance=1)
+            run_scenario(scenario, seed=seed, count=4, tolerance=1)
 
 
 if __name__ == "__main__":
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -20,7 +20,7 @@
 CATCH_UP_US = 4_000_000
 
 
-class Cores:
+class SimulatedCores:
     """Simulated machines with disks, a core on each, and an operator outside the cluster."""
 
     serve = staticmethod(serve_operators)
@@ -166,13 +166,13 @@
         raise AssertionError(f"not read back: {reply}")
 
 
-def play(
+def run_scenario(
     scenario: Callable[[Any], Awaitable[None]],
     *,
     seed: int,
     count: int,
     tolerance: int,
-    make: type[Cores] = Cores,
+    make: type[SimulatedCores] = SimulatedCores,
     far_bytes_per_us: float = 0.0,
 ) -> None:
     """Run a scenario in a simulated world of its own, on cores that `make` builds.
@@ -209,18 +209,18 @@
     def test_first_leader_is_elected_in_bounded_time(self) -> None:
         spans = []
 
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             spans.append(await cores.wait_for(lambda: cores.leader() is not None))
 
         for seed in range(10):
-            play(scenario, seed=seed, count=3, tolerance=1)
+            run_scenario(scenario, seed=seed, count=3, tolerance=1)
         self.assertLess(max(spans), 1_500_000, spans)
 
     def test_six_cores_with_three_seeds_reach_five_voters_in_bounded_time(self) -> None:
         spans = []
 
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             spans.append(await cores.wait_for(lambda: len(cores.voters()) == 5))
             rows = cores.daemons[cores.leader()].task.raft.replication_progress()
@@ -231,30 +231,30 @@
             await cores.put()
 
         for seed in range(5):
-            play(scenario, seed=seed, count=6, tolerance=2)
+            run_scenario(scenario, seed=seed, count=6, tolerance=2)
         self.assertLess(max(spans), 4_000_000, spans)
 
     def test_founding_with_one_seed_and_with_nine_seeds(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True, seeds=cores.names[:9])
             await cores.wait_for(lambda: len(cores.voters()) == len(cores.names))
             await cores.put()
 
-        play(scenario, seed=1, count=1, tolerance=0)
-        play(scenario, seed=1, count=9, tolerance=4)
+        run_scenario(scenario, seed=1, count=1, tolerance=0)
+        run_scenario(scenario, seed=1, count=9, tolerance=4)
 
     def test_empty_cores_only_join_at_a_later_start(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=False)
             await cores.sleep(20_000_000)
             for core in cores.daemons.values():
                 self.assertIsNone(core.task)
                 self.assertIn("0 of 3 seeds may found", core.waits_for)
 
-        play(scenario, seed=1, count=3, tolerance=1)
+        run_scenario(scenario, seed=1, count=3, tolerance=1)
 
     def test_seed_restarted_before_the_founding_does_not_block_it(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start("c0", "c1", is_first=True)
             await cores.sleep(500_000)
             for name in ("c0", "c1"):
@@ -265,12 +265,12 @@
             await cores.wait_for(lambda: len(cores.voters()) == 3)
 
         for seed in range(6):
-            play(scenario, seed=seed, count=3, tolerance=1)
+            run_scenario(scenario, seed=seed, count=3, tolerance=1)
 
     def test_seeds_that_lost_their_disks_found_no_new_cluster(self) -> None:
         """Empty seeds must join the existing cluster, which runs on the other machines."""
 
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 5)
             await cores.put()
@@ -292,7 +292,7 @@
             )
             self.assertEqual(cores.version, (await cores.read())[0])
 
-        play(scenario, seed=1, count=6, tolerance=2)
+        run_scenario(scenario, seed=1, count=6, tolerance=2)
 
 
 class DiskAndPowerLosses(unittest.TestCase):
@@ -301,7 +301,7 @@
     def lose_disks_after_write(
         self, *, lost: tuple[str, ...], seed: int, count: int, is_power: bool, pad: int = 0
     ) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             tolerance = cores.tolerance
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 2 * tolerance + 1)
@@ -321,7 +321,7 @@
             await cores.put()
             self.assertEqual(cores.version, (await cores.read())[0], (lost, seed))
 
-        play(scenario, seed=seed, count=count, tolerance=(count - 1) // 2)
+        run_scenario(scenario, seed=seed, count=count, tolerance=(count - 1) // 2)
 
     def test_loss_of_each_disk_of_three_cores(self) -> None:
         for seed, name in enumerate(("c0", "c1", "c2")):
@@ -345,7 +345,7 @@
     def test_disk_losses_one_after_the_other(self) -> None:
         """Each disk is lost as soon as the previous loss counts as recovered."""
 
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             for turn in range(7):
@@ -359,10 +359,10 @@
                 self.assertEqual(3, len(cores.voters()), f"turn {turn}")
 
         for seed in range(4):
-            play(scenario, seed=seed, count=3, tolerance=1)
+            run_scenario(scenario, seed=seed, count=3, tolerance=1)
 
     def test_every_core_is_replaced_in_turn_at_another_address(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             for turn in range(4):
@@ -380,10 +380,10 @@
                 self.assertEqual({cores.address(name) for name in cores.names}, set(cores.voters()))
 
         for seed in range(4):
-            play(scenario, seed=seed, count=3, tolerance=1)
+            run_scenario(scenario, seed=seed, count=3, tolerance=1)
 
     def test_core_moves_to_another_address_with_its_disk(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             for turn in range(3):
@@ -401,10 +401,10 @@
                 await cores.wait_for(lambda: len(cores.voters()) == 3)
 
         for seed in range(3):
-            play(scenario, seed=seed, count=3, tolerance=1)
+            run_scenario(scenario, seed=seed, count=3, tolerance=1)
 
     def test_all_cores_killed_or_powered_off_at_once(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 2 * cores.tolerance + 1)
             for turn in range(6):
@@ -416,13 +416,13 @@
                 self.assertEqual(cores.version, (await cores.read())[0])
 
         for seed in range(3):
-            play(scenario, seed=seed, count=3, tolerance=1)
-            play(scenario, seed=seed, count=6, tolerance=2)
+            run_scenario(scenario, seed=seed, count=3, tolerance=1)
+            run_scenario(scenario, seed=seed, count=6, tolerance=2)
 
     def test_fewer_cores_than_the_tolerance_needs(self) -> None:
         """Two cores store a write on both disks; three are too few to tolerate two losses."""
 
-        async def two(cores: Cores) -> None:
+        async def two(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.put(tries=60)
             self.assertGreater(cores.world.now_us(), 5_000_000, "it waits for a third core first")
@@ -431,16 +431,16 @@
             held = cores.world.machines["c1"].platter.files
             self.assertTrue(any(b"put 1" in file.data for file in held.values()))
 
-        async def three(cores: Cores) -> None:
+        async def three(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             with self.assertRaises(AssertionError):
                 await cores.put(tries=40)
 
-        play(two, seed=1, count=2, tolerance=1)
-        play(three, seed=1, count=3, tolerance=2)
+        run_scenario(two, seed=1, count=2, tolerance=1)
+        run_scenario(three, seed=1, count=3, tolerance=2)
 
     def test_no_write_is_acknowledged_with_too_few_voters(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start("c0", "c1", "c2", is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             with self.assertRaises(AssertionError):
@@ -451,7 +451,7 @@
             await cores.put(is_retry=True)
             self.assertEqual(5, len(cores.voters()))
 
-        play(scenario, seed=1, count=6, tolerance=2)
+        run_scenario(scenario, seed=1, count=6, tolerance=2)
 
 
 class RandomFaults(unittest.TestCase):
@@ -471,7 +471,7 @@
 class Register:
     """The operators' view of the configuration; asserts that each reply is consistent with it."""
 
-    def __init__(self, cores: Cores) -> None:
+    def __init__(self, cores: SimulatedCores) -> None:
         self.cores = cores
         self.acknowledged: dict[int, tuple[int, bytes]] = {}  # version: base version, document
         self.sent: dict[int, list[bytes]] = {}
@@ -544,7 +544,7 @@
         raise AssertionError("no core answered a read")
 
 
-async def hurt(cores: Cores, rand: random.Random) -> None:
+async def inject_fault(cores: SimulatedCores, rand: random.Random) -> None:
     """Inject one fault within the tolerance, then end it."""
     lost = rand.sample(cores.up(), rand.randrange(1, cores.tolerance + 1))
     kind = rand.choice(("kill", "power", "disk", "freeze", "cut", "all", "all power", "stall"))
@@ -581,7 +581,7 @@
 def play_random_faults(*, seed: int, count: int) -> None:
     """Eight faults, each after an acknowledgement; then lost disks and power, a read, a write."""
 
-    async def scenario(cores: Cores) -> None:
+    async def scenario(cores: SimulatedCores) -> None:
         rand = random.Random(f"{seed}/day")
         for name in cores.names:
             cores.world.machines[name].platter.slow = rand.choice((1, 1, 10, 30))
@@ -600,7 +600,7 @@
                 ),
                 us=30_000_000,
             )
-            await hurt(cores, rand)
+            await inject_fault(cores, rand)
             await cores.wait_for(  # the fault counts as recovered
                 lambda: len(cores.voters()) >= 2 * cores.tolerance + 1, us=10_000_000
             )
@@ -615,7 +615,7 @@
         await cores.put()
         assert len(register.acknowledged) >= 8, "fewer than 8 writes were acknowledged"
 
-    play(scenario, seed=seed, count=count, tolerance=(count - 1) // 2)
+    run_scenario(scenario, seed=seed, count=count, tolerance=(count - 1) // 2)
 
 
 if __name__ == "__main__":
--- a/tests/test_cores_power_loss.py
+++ b/tests/test_cores_power_loss.py
@@ -12,7 +12,7 @@
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.core.app import Core
 from kelpstage.core.store.store import Store
-from tests.test_cores import Cores, play
+from tests.test_cores import SimulatedCores, run_scenario
 
 SECOND_OUTAGE_MAX_CHANGES = 60
 SEGMENT_BYTES = 400  # small, so that each core has several segments
@@ -23,7 +23,7 @@
 class Outage:
     """Cuts the power of all cores at a change of one of their disks."""
 
-    def __init__(self, *, cores: Cores) -> None:
+    def __init__(self, *, cores: SimulatedCores) -> None:
         self.cores = cores
         self.power_lost = asyncio.Event()
         self.changes = 0
@@ -46,19 +46,19 @@
         raise asyncio.CancelledError()
 
 
-def is_founded(*, cores: Cores) -> bool:
+def is_founded(*, cores: SimulatedCores) -> bool:
     """True when any core is a member of a cluster."""
     return any(core.identity and core.identity.cluster for core in cores.daemons.values())
 
 
-async def run_workload(*, cores: Cores) -> None:
+async def run_workload(*, cores: SimulatedCores) -> None:
     """Found the cluster, then put and take snapshots on every core, twice."""
     await cores.wait_for(lambda: len(cores.voters()) == 3)
     for _ in range(2):
         await put_and_snapshot(cores=cores)
 
 
-async def put_and_snapshot(*, cores: Cores) -> None:
+async def put_and_snapshot(*, cores: SimulatedCores) -> None:
     """Put three times, take a snapshot on every core, put again."""
     for _ in range(3):
         await cores.put()
@@ -97,7 +97,7 @@
         """
         changes = []
 
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             outage = Outage(cores=cores)
             outage.arm(after=first)
             await cores.start(is_first=True)
@@ -112,7 +112,7 @@
         """Like `lose_power`, from the restart of a core that must install a snapshot."""
         changes = []
 
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await run_workload(cores=cores)
             lagging = next(name for name in cores.names if name != cores.leader())
@@ -128,7 +128,7 @@
         self.run_scenario(scenario, seed=seed)
         return changes[0]
 
-    async def catch_up(self, *, cores: Cores, lagging: str) -> None:
+    async def catch_up(self, *, cores: SimulatedCores, lagging: str) -> None:
         """Wait until this core has installed a snapshot and the newest version."""
 
         def is_there() -> bool:
@@ -139,7 +139,9 @@
         self.assertEqual(1, cores.daemons[lagging].journal.counts["SnapshotInstalled"])
         await cores.put()
 
-    async def restart_and_verify(self, *, cores: Cores, outage: Outage, second: int) -> None:
+    async def restart_and_verify(
+        self, *, cores: SimulatedCores, outage: Outage, second: int
+    ) -> None:
         """Restart all cores after each power loss and check that no acknowledged put is lost."""
         for after in (second, -1):
             if outage.power_lost.is_set():
@@ -149,16 +151,18 @@
                 await cores.start(is_first=is_first)
                 await run_until_outage(work=self.read_and_put(cores=cores), outage=outage)
 
-    def run_scenario(self, scenario: Callable[[Cores], Awaitable[None]], *, seed: int) -> None:
+    def run_scenario(
+        self, scenario: Callable[[SimulatedCores], Awaitable[None]], *, seed: int
+    ) -> None:
         """Run a scenario with small segments; discarding a replica is a failure."""
         sizes = {"segment_bytes": SEGMENT_BYTES}
         with (
             mock.patch.object(Core, "_discard_replica", set_aside),
             mock.patch.dict(Store.__init__.__kwdefaults__ or {}, sizes),
         ):
-            play(scenario, seed=seed, count=3, tolerance=1)
+            run_scenario(scenario, seed=seed, count=3, tolerance=1)
 
-    async def read_and_put(self, *, cores: Cores) -> None:
+    async def read_and_put(self, *, cores: SimulatedCores) -> None:
         """The acknowledged put or one in flight is readable; a new one is accepted."""
         await cores.wait_for(lambda: len(cores.voters()) == 3)
         version = await self.read_version(cores=cores)
@@ -167,7 +171,7 @@
         await cores.put()
         self.assertEqual(cores.version, (await cores.read())[0])
 
-    async def read_version(self, *, cores: Cores) -> int:
+    async def read_version(self, *, cores: SimulatedCores) -> int:
         """Returns the current version, 0 if there is none yet."""
         for turn in range(MAX_READ_ATTEMPTS):
             name = cores.up()[turn % len(cores.up())]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -26,7 +26,7 @@
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from kelpstage.testbed.simulation.world import SimClock
-from tests.test_core_cuts import CALL_US, CUT_US, History, Operators, Pairs
+from tests.test_core_cuts import CALL_US, PARTITION_US, History, Links, Operators
 
 POLL_INTERVAL_US = 20_000
 ACKNOWLEDGED_WITHIN_US = 5_000_000
@@ -114,7 +114,7 @@
 Scenario = Callable[[SimFleet, ScenarioResult], Awaitable[None]]
 
 
-def links_between(*, left: list[str], right: list[str]) -> Pairs:
+def links_between(*, left: list[str], right: list[str]) -> Links:
     """Every link between two sets of machines, in both directions."""
     return [p for a in left for b in right if a != b for p in ((a, b), (b, a))]
 
@@ -123,17 +123,17 @@
     return [node.name for node in fleet.deployment.nodes]
 
 
-async def hold_partition(*, fleet: SimFleet, result: ScenarioResult, pairs: Pairs) -> None:
+async def hold_partition(*, fleet: SimFleet, result: ScenarioResult, pairs: Links) -> None:
     """Apply a network partition for 20 s, heal it, and wait until every edge serves."""
     began_us = fleet.now_us()
     before = dict(result.monitor.unready_us)
     fleet.world.cuts |= set(pairs)
-    await fleet.sleep(us=CUT_US)
+    await fleet.sleep(us=PARTITION_US)
     result.unready_us = {
         name: us - before.get(name, 0) for name, us in result.monitor.unready_us.items()
     }
     after = [when for when, _ in result.history.acknowledged if when > began_us + 50_000]
-    result.acknowledged_after_us = min(after, default=began_us + CUT_US) - began_us
+    result.acknowledged_after_us = min(after, default=began_us + PARTITION_US) - began_us
     fleet.world.cuts -= set(pairs)
     fleet.world.flush()
     result.ready_after_us = await fleet.wait_for(
@@ -150,7 +150,7 @@
         await fleet.start()
         await fleet.wait_for(what="a complete membership", is_there=fleet.is_membership_whole)
         operators = Operators(cores=FleetCores(fleet=fleet), call_us=CALL_US)
-        await operators.order()
+        await operators.write()
         await fleet.wait_for(
             what="all ready",
             is_there=lambda: len(fleet.ready_edges()) == len(machines(fleet=fleet)),
@@ -159,7 +159,7 @@
         result = ScenarioResult(history=operators.history, monitor=monitor)
         results.append(result)
         tasks = [asyncio.ensure_future(monitor.run())]
-        tasks += [asyncio.ensure_future(operators.keep_ordering())]
+        tasks += [asyncio.ensure_future(operators.keep_writing())]
         tasks += [
             asyncio.ensure_future(operators.keep_reading(member=m)) for m in fleet.core_address
         ]
@@ -247,7 +247,7 @@
 
     def test_leader_isolated_with_one_edge(self) -> None:
         for result in self.check(leader_isolated_with_one_edge, expected_unready=2):
-            least_us = CUT_US - LEASE_SPAN_US - POLL_INTERVAL_US
+            least_us = PARTITION_US - LEASE_SPAN_US - POLL_INTERVAL_US
             self.assertGreaterEqual(min(result.unready_us.values()), least_us)
 
     def test_leader_isolated_from_the_other_cores(self) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -34,7 +34,7 @@
 from kelpstage.core.raft.replica import Replica
 from kelpstage.core.raft.state import RaftState
 from kelpstage.core.raft.types import LeaveState
-from tests.test_cores import Cores, play
+from tests.test_cores import SimulatedCores, run_scenario
 
 TICK_US = 20_000
 LEAVE_REQUEST_INTERVAL_US = 100_000
@@ -769,7 +769,7 @@
 class PlannedStopTest(unittest.TestCase):
     """Planned stops of complete core daemons over simulated connections and disks."""
 
-    async def stop_core(self, cores: Cores, name: str) -> tuple[str, int]:
+    async def stop_core(self, cores: SimulatedCores, name: str) -> tuple[str, int]:
         """Stop a core as the platform does; return the final leave state and the duration."""
         core = cores.daemons[name]
         began_us = cores.world.now_us()
@@ -779,7 +779,7 @@
         ends = [e for e in core.journal.tail(limit=50) if e["event"] == "LeaveEnded"]
         return (ends[-1]["state"] if ends else "none"), took_us
 
-    async def start_cores(self, cores: Cores) -> None:
+    async def start_cores(self, cores: SimulatedCores) -> None:
         await cores.start(is_first=True)
         voters = min(2 * cores.tolerance + 1, len(cores.names))
         await cores.wait_for(lambda: len(cores.voters()) == voters)
@@ -793,7 +793,7 @@
         The core that stops is the leader or not; the disk is lost `after_us` after the stop.
         """
 
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await self.start_cores(cores)
             cores.add(name="c3", zone="d0")
             await cores.start("c3", seeds=cores.names[:3])
@@ -824,7 +824,7 @@
                     states=states,
                     spans=spans,
                 )
-                play(scenario, seed=place, count=3, tolerance=1)
+                run_scenario(scenario, seed=place, count=3, tolerance=1)
         self.assertEqual({"REPLACED"}, set(states))
         self.assertLess(max(spans), 1_500_000)
 
@@ -837,10 +837,10 @@
             mock.patch.object(GracefulLeave, "run", leave_at_once),
             self.assertRaisesRegex(AssertionError, "not read back"),
         ):
-            play(scenario, seed=0, count=3, tolerance=1)
+            run_scenario(scenario, seed=0, count=3, tolerance=1)
 
     def test_without_a_replacement_a_core_leaves_and_the_margin_is_reported(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await self.start_cores(cores)
             stopping = cores.leader()
             state, took_us = await self.stop_core(cores, stopping)
@@ -856,10 +856,10 @@
             self.assertEqual(1, cores.daemons[cores.leader()].task.raft.margin()["losses_borne"])
 
         for seed in range(3):
-            play(scenario, seed=seed, count=3, tolerance=1)
+            run_scenario(scenario, seed=seed, count=3, tolerance=1)
 
     def test_rolling_restart_of_six_cores(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await self.start_cores(cores)
             await cores.wait_for(
                 lambda: len(cores.daemons[cores.leader()].task.raft.members.current) == 6
@@ -875,25 +875,25 @@
                 )
                 await cores.sleep(300_000)
 
-        play(scenario, seed=1, count=6, tolerance=2)
+        run_scenario(scenario, seed=1, count=6, tolerance=2)
 
     def test_all_cores_stop_at_once(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await self.start_cores(cores)
             ends = await asyncio.gather(*(self.stop_core(cores, name) for name in cores.names))
             self.assertLess(max(took_us for _, took_us in ends), 4_500_000)
             await cores.start()
             self.assertEqual(cores.version, (await cores.read())[0])
 
-        play(scenario, seed=1, count=3, tolerance=1)
+        run_scenario(scenario, seed=1, count=3, tolerance=1)
 
     def test_a_single_core_stops_immediately(self) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await self.start_cores(cores)
             _, took_us = await self.stop_core(cores, cores.names[0])
             self.assertLess(took_us, 100_000)
 
-        play(scenario, seed=1, count=1, tolerance=0)
+        run_scenario(scenario, seed=1, count=1, tolerance=0)
 
 
 class FoundingMembersTest(unittest.TestCase):
@@ -901,7 +901,7 @@
         """A seed writes the members into its first snapshot, where no truncation of the log
         could undo a change that is never committed."""
 
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             core = cores.daemons[cores.leader()]
@@ -911,4 +911,4 @@
             self.assertTrue(core.task.raft.members.has(replica="new"))
             self.assertEqual(committed, core.seed_state().members)
 
-        play(scenario, seed=1, count=3, tolerance=1)
+        run_scenario(scenario, seed=1, count=3, tolerance=1)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -28,7 +28,7 @@
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from tests.test_bad_orders import Site, order
 from tests.test_cluster_recovery import run_recovery
-from tests.test_cores import hurt, play
+from tests.test_cores import inject_fault, run_scenario
 
 
 class RequestRecords(unittest.TestCase):
@@ -284,7 +284,7 @@
                 ),
                 us=30_000_000,
             )
-            await hurt(site, rand)
+            await inject_fault(site, rand)
             await site.wait_for(lambda: len(site.voters()) >= 2 * site.tolerance + 1, us=15_000_000)
         site.is_running = False
         for task in work:
@@ -299,7 +299,7 @@
             for member in site.names:
                 await site.send(write, member=member)
 
-    play(scenario, seed=seed, count=count, tolerance=(count - 1) // 2, make=OperatorSite)
+    run_scenario(scenario, seed=seed, count=count, tolerance=(count - 1) // 2, make=OperatorSite)
     return sites[0]
 
 
@@ -415,7 +415,7 @@
                 await site.read_once(member=member)
             out.extend((site, answer))
 
-        play(scenario, seed=seed, count=3, tolerance=1, make=OperatorSite)
+        run_scenario(scenario, seed=seed, count=3, tolerance=1, make=OperatorSite)
         return out[0], out[1]
 
     async def send_with_long_timeout(
@@ -488,7 +488,7 @@
             self.assertEqual(6, len(puts), "each write is applied once")
             self.assertEqual([], site.history.anomalies())
 
-        play(scenario, seed=7, count=3, tolerance=1, make=OperatorSite)
+        run_scenario(scenario, seed=7, count=3, tolerance=1, make=OperatorSite)
 
     def test_one_of_two_writes_of_a_version_wins_in_any_arrival_order(self) -> None:
         """Two writes are sent `gap_us` apart to one member each, and then again to all members."""
@@ -518,7 +518,7 @@
                     base += 2
             self.assertEqual([], site.history.anomalies())
 
-        play(scenario, seed=8, count=3, tolerance=1, make=OperatorSite)
+        run_scenario(scenario, seed=8, count=3, tolerance=1, make=OperatorSite)
 
     async def send_later(
         self, site: OperatorSite, write: Write, *, member: str, after_us: int
--- a/tests/test_worst_days.py
+++ b/tests/test_worst_days.py
@@ -10,7 +10,7 @@
 from kelpstage.common.transport.messages import AppendEntries, AppendEntriesReply, CoreMember
 from kelpstage.core.raft.replica import Replica
 from kelpstage.core.raft.types import COMMAND, Persist, Propose, Received, Send, Synced, Tick
-from tests.test_cores import CATCH_UP_US, Cores, Register, play
+from tests.test_cores import CATCH_UP_US, Register, SimulatedCores, run_scenario
 
 WRITE_INTERVAL_US = 470_000
 DOCUMENT_BYTES = 130_000
@@ -21,7 +21,7 @@
 class ConfigurationWriter:
     """An operator that keeps writing configurations."""
 
-    def __init__(self, cores: Cores, *, seed: int) -> None:
+    def __init__(self, cores: SimulatedCores, *, seed: int) -> None:
         self.cores = cores
         self.rand = random.Random(f"{seed}/changes")
         self.register = Register(cores)
@@ -62,12 +62,12 @@
         await self.task
 
 
-def describe_cores(cores: Cores) -> str:
+def describe_cores(cores: SimulatedCores) -> str:
     """Each core's role, log and members, for failure messages."""
     return "\n".join(_describe_core(cores, name=name) for name in cores.names)
 
 
-def _describe_core(cores: Cores, *, name: str) -> str:
+def _describe_core(cores: SimulatedCores, *, name: str) -> str:
     core = cores.daemons.get(name)
     if core is None or not cores.processes[name].is_alive:
         return f"{name}: down"
@@ -82,20 +82,22 @@
     )
 
 
-def expect_all_voters(cores: Cores, *, after: str) -> None:
+def expect_all_voters(cores: SimulatedCores, *, after: str) -> None:
     """Assert that every remaining machine is a voter in contact with the leader."""
     there = {cores.address(name) for name in cores.names}
     if there != set(cores.voters()):
         raise AssertionError(f"after {after}: voters {cores.voters()}\n{describe_cores(cores)}")
 
 
-async def kill_and_restart(cores: Cores, *, name: str, away_us: int, is_disk: bool) -> None:
+async def kill_and_restart(
+    cores: SimulatedCores, *, name: str, away_us: int, is_disk: bool
+) -> None:
     cores.kill(name, is_power=True, is_disk=is_disk)
     await cores.sleep(away_us)
     await cores.start(name)
 
 
-async def replace_core(cores: Cores, *, gone: str, fresh: str) -> None:
+async def replace_core(cores: SimulatedCores, *, gone: str, fresh: str) -> None:
     """Remove a machine with its disk, and start an empty one at another address."""
     cores.kill(gone, is_disk=True)
     cores.names.remove(gone)
@@ -104,10 +106,10 @@
     await cores.start(fresh, seeds=[gone, *cores.names[:2]])
 
 
-def mixed_losses_scenario(*, seed: int) -> Callable[[Cores], Awaitable[None]]:
+def mixed_losses_scenario(*, seed: int) -> Callable[[SimulatedCores], Awaitable[None]]:
     """The faults that broke a cluster in production: outage, power loss, replacement, disk."""
 
-    async def scenario(cores: Cores) -> None:
+    async def scenario(cores: SimulatedCores) -> None:
         rand = random.Random(f"{seed}/story")
         await cores.start(is_first=True)
         await cores.wait_for(lambda: len(cores.voters()) == 3)
@@ -150,14 +152,14 @@
     def test_outage_power_loss_replacement_and_disk_loss(self) -> None:
         for seed in range(2):
             with self.subTest(seed=seed):
-                play(mixed_losses_scenario(seed=seed), seed=seed, count=3, tolerance=1)
+                run_scenario(mixed_losses_scenario(seed=seed), seed=seed, count=3, tolerance=1)
 
     def test_with_bounded_connection_windows(self) -> None:
         """The entries that a returning or new member lacks take over a second to transmit. They
         are sent once, not again with each heartbeat that arrives earlier."""
         for seed in range(3):
             with self.subTest(seed=seed):
-                play(
+                run_scenario(
                     mixed_losses_scenario(seed=seed),
                     seed=seed,
                     count=3,
@@ -166,10 +168,12 @@
                 )
 
 
-def repeated_losses_scenario(*, seed: int, turns: int) -> Callable[[Cores], Awaitable[None]]:
+def repeated_losses_scenario(
+    *, seed: int, turns: int
+) -> Callable[[SimulatedCores], Awaitable[None]]:
     """A sequence of losses, each once the previous one counts as recovered."""
 
-    async def scenario(cores: Cores) -> None:
+    async def scenario(cores: SimulatedCores) -> None:
         rand = random.Random(f"{seed}/wipes")
         await cores.start(is_first=True)
         await cores.wait_for(lambda: len(cores.voters()) == 3)
@@ -201,7 +205,7 @@
     def test_each_loss_is_recovered_in_time(self) -> None:
         for seed in (9, 11):
             with self.subTest(seed=seed):
-                play(
+                run_scenario(
                     repeated_losses_scenario(seed=seed, turns=8),
                     seed=seed,
                     count=3,
@@ -274,7 +278,7 @@
     the others do not wait for its old connections."""
 
     def run_absence(self, *, seed: int, is_partition: bool, away_us: int) -> None:
-        async def scenario(cores: Cores) -> None:
+        async def scenario(cores: SimulatedCores) -> None:
             await cores.start(is_first=True)
             await cores.wait_for(lambda: len(cores.voters()) == 3)
             writer = ConfigurationWriter(cores, seed=seed)
@@ -296,7 +300,7 @@
             await writer.expect_next_write(after=f"{away_us} us away")
             await writer.stop()
 
-        play(scenario, seed=seed, count=3, tolerance=1)
+        run_scenario(scenario, seed=seed, count=3, tolerance=1)
 
     def test_after_a_power_loss(self) -> None:
         for seed, away_us in enumerate((3_000_000, 10_000_000, 30_000_000)):
