--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -108,7 +108,7 @@
         self.registry = BackendRegistry(me=self.name, zone_distances=zone_distances)
         self.swim = build_swim(settings=settings, ports=ports, incarnation=self.incarnation)
         self.swim.is_near = lambda zone: zone_distances.is_same_region(zone=zone)
-        self.swim.on_silent = self._on_silent
+        self.swim.on_ping_timeout = self._on_silent
         self.swim.on_ack = self._on_ack
         self.gather_context = build_gather_context(
             settings=settings,
@@ -283,7 +283,7 @@
     def reload_settings(self, *, settings: dict[str, Any]) -> None:
         """Take over what may change in the settings of a running edge: its seeds."""
         if list(settings["seeds"]) != list(self.settings["seeds"]):
-            self.leases.use_seeds(seeds=settings["seeds"])
+            self.leases.replace_seeds(seeds=settings["seeds"])
         self.settings = settings
 
     # --- how the tasks tell each other ---------------------------------------------
@@ -321,7 +321,7 @@
     def _on_want_state(self, want: WantState) -> None:
         """A request needs a newer configuration: fetch it from the node that has it."""
         member = self.swim.members.get(want.source)
-        self.leases.fetch_soon(first=member.info.address if member else want.source)
+        self.leases.start_fetch(first=member.info.address if member else want.source)
 
     def _on_silent(self, name: str) -> None:
         """A peer gave gossip no direct ack: it is not to be a helper for a while."""
@@ -368,7 +368,7 @@
                     seen_by=self.name,
                 )
             )
-        self.gossip.spread()
+        self.gossip.send_updates()
 
     # --- end -----------------------------------------------------------------------------
 
@@ -386,7 +386,7 @@
             self.discovery.leave()
         self.swim.me.status = LEAVING
         self.journal.add(Leaving())
-        self.gossip.spread()
+        self.gossip.send_updates()
         started_us = clock.now_us()
         await clock.sleep(us=LINGER_US)
         for listener in self._listeners:
--- a/kelpstage/edge/backend/discovery.py
+++ b/kelpstage/edge/backend/discovery.py
@@ -228,7 +228,7 @@
         by_zone: dict[str, list[tuple[bool, tuple[int, str], str]]] = {}
         for name, member in self._swim.members.items():
             status = member.info.status
-            may_have_work = now_us - member.since_us < LEAVING_PEER_US
+            may_have_work = now_us - member.status_since_us < LEAVING_PEER_US
             if status in (ALIVE, SUSPECT) or status == LEAVING and may_have_work:
                 by_zone.setdefault(member.info.zone, []).append(
                     (status != ALIVE, rank_key(name=name), member.info.address)
--- a/kelpstage/edge/gather/stages/admit.py
+++ b/kelpstage/edge/gather/stages/admit.py
@@ -99,7 +99,7 @@
 
 def _admit_child(*, record: RequestState, context: GatherContext) -> None:
     lease_holder = context.lease_holder
-    if lease_holder.has_moved_on(version=record.version, now_us=context.now_us):
+    if lease_holder.is_superseded(version=record.version, now_us=context.now_us):
         settle_record(
             record=record,
             outcome=SubtreeReply(message=_stale_reply(record=record, context=context)),
--- a/kelpstage/edge/gossip/members.py
+++ b/kelpstage/edge/gossip/members.py
@@ -29,7 +29,7 @@
 # Module-level names, to avoid attribute lookups in loops over all members.
 ALIVE, SUSPECT, DEAD, LEAVING = MemberStatus
 
-STATUS_NAMES: dict[int, str] = {
+MEMBER_STATUS_NAMES: dict[int, str] = {
     ALIVE: "alive",
     SUSPECT: "suspect",
     DEAD: "dead",
@@ -54,8 +54,9 @@
     """Another edge, as this edge knows it; times are clock readings in microseconds."""
 
     info: MemberMsg
-    since_us: int  # time of the last change of status
-    served: int = 0  # newest configuration version of its earlier reports, over all incarnations
+    status_since_us: int  # time of the last change of status
+    # Newest configuration version of its earlier reports, over all incarnations.
+    served_version: int = 0
     packed: bytes = b""  # serialized `info`; empty after a change
     last_beat: int = 0  # the last beat that was noted, and when
     last_beat_us: int = 0
--- a/kelpstage/edge/gossip/membership.py
+++ b/kelpstage/edge/gossip/membership.py
@@ -43,7 +43,7 @@
         self._tick_us = tick_us
         self._stale_incarnations: dict[str, None] = {}  # members that send an old incarnation
 
-    def meet(
+    def add_peer(
         self, *, name: str, address: str, incarnation: int, now_us: int, zone: str = ""
     ) -> None:
         """Add an edge that was discovered by other means than gossip."""
@@ -55,8 +55,8 @@
         info = MemberMsg(name=name, address=address, incarnation=incarnation, zone=zone)
         if known is not None:
             info.zone, info.http = zone or known.info.zone, known.info.http
-        served = self.served(name=name)
-        self.members[name] = Member(info=info, since_us=now_us, served=served)
+        served = self.served_version(name=name)
+        self.members[name] = Member(info=info, status_since_us=now_us, served_version=served)
         self.updates.discard(name=name)  # sent once a report of its own exists
         self.table.on_member_changed(name=name)
 
@@ -67,11 +67,11 @@
         member = self.members.get(name)
         return DEAD if member is None else member.info.status
 
-    def served(self, *, name: str) -> int:
+    def served_version(self, *, name: str) -> int:
         """The newest configuration version that a peer has reported, over all its
         incarnations."""
         member = self.members.get(name)
-        return 0 if member is None else max(member.served, member.info.version)
+        return 0 if member is None else max(member.served_version, member.info.version)
 
     def needs_refutation(self, *, name: str) -> bool:
         """True if a member is believed not alive, or sends an old incarnation."""
@@ -105,7 +105,7 @@
     def _set_status(self, *, member: Member, status: int, now_us: int, why: str) -> None:
         member.info.status = status
         member.packed = b""
-        member.since_us = now_us
+        member.status_since_us = now_us
         name = member.info.name
         self._record_change(name=name, is_update=bool(member.info.beat))
         self.table.changes.append(StatusChange(name=name, status=status, why=why))
@@ -118,7 +118,7 @@
     def expire(self, *, name: str, now_us: int) -> None:
         """Declare a suspect dead, or remove a dead or leaving member, once its timeout is over."""
         member = self.members[name]
-        age_us = now_us - member.since_us
+        age_us = now_us - member.status_since_us
         if member.info.status == SUSPECT and age_us > SUSPICION_TIMEOUT_US:
             self._set_status(member=member, status=DEAD, now_us=now_us, why="suspicion timed out")
         elif member.info.status in (DEAD, LEAVING) and age_us > REMOVED_MEMBER_TTL_US:
@@ -171,7 +171,7 @@
                 return  # else reports of dead members would circulate forever
             self.members[info.name] = Member(
                 info=info,
-                since_us=now_us,
+                status_since_us=now_us,
                 packed=packed,
                 last_beat=info.beat,
                 last_beat_us=now_us,
@@ -195,10 +195,10 @@
             known.note_beat(
                 beat=info.beat, now_us=now_us, is_direct=is_direct, tick_us=self._tick_us
             )
-        known.served = max(known.served, old.version)
+        known.served_version = max(known.served_version, old.version)
         known.info, known.packed, known.last_update_us = info, packed, now_us
         if info.status != old.status:
-            known.since_us = now_us
+            known.status_since_us = now_us
             self.table.changes.append(
                 StatusChange(name=info.name, status=info.status, why="reported by gossip")
             )
--- a/kelpstage/edge/gossip/swim.py
+++ b/kelpstage/edge/gossip/swim.py
@@ -54,7 +54,7 @@
     """The SWIM protocol of one edge.
 
     `backend_states` returns the backend states that a message carries, and
-    `on_backend_state` processes a received one. `on_silent` gets the name of a member that
+    `on_backend_state` processes a received one. `on_ping_timeout` gets the name of a member that
     did not acknowledge a ping in time, `on_ack` that of a member that did and the round
     trip in microseconds. `is_near` is true for a zone in this edge's region.
 
@@ -62,10 +62,10 @@
     ...     rand=random.Random(1), backend_states=lambda: [],
     ...     on_backend_state=lambda backend_state: None)
     >>> a, b = node("a"), node("b")
-    >>> a.meet(name="b", address="b", incarnation=0, now_us=0)
+    >>> a.add_peer(name="b", address="b", incarnation=0, now_us=0)
     >>> [(to, ping)] = a.tick(now_us=TICK_US)
-    >>> [(to, ack)] = b.heard(message=ping, now_us=TICK_US)
-    >>> a.heard(message=ack, now_us=TICK_US), sorted(b.live())
+    >>> [(to, ack)] = b.on_message(message=ping, now_us=TICK_US)
+    >>> a.on_message(message=ack, now_us=TICK_US), sorted(b.live())
     ([], ['a', 'b'])
     """
 
@@ -73,7 +73,7 @@
     rand: random.Random
     backend_states: Callable[[], list[BackendStateMsg]]
     on_backend_state: Callable[[BackendStateMsg], None]
-    on_silent: Callable[[str], None] = lambda name: None
+    on_ping_timeout: Callable[[str], None] = lambda name: None
     on_ack: Callable[[str, int], None] = lambda name, took_us: None
     is_near: Callable[[str], bool] = lambda zone: True
     cluster: str = ""
@@ -91,11 +91,11 @@
 
     # --- the members ----------------------------------------------------------------
 
-    def meet(
+    def add_peer(
         self, *, name: str, address: str, incarnation: int, now_us: int, zone: str = ""
     ) -> None:
         """Add an edge that was discovered by other means than gossip."""
-        self._membership.meet(
+        self._membership.add_peer(
             name=name, address=address, incarnation=incarnation, now_us=now_us, zone=zone
         )
 
@@ -111,9 +111,9 @@
         """The status of an edge; `DEAD` if the edge is unknown."""
         return self._membership.status(name=name)
 
-    def served(self, *, name: str) -> int:
+    def served_version(self, *, name: str) -> int:
         """The newest configuration version that a peer has reported."""
-        return self._membership.served(name=name)
+        return self._membership.served_version(name=name)
 
     def live(self) -> list[str]:
         """Names of edges that are not dead or leaving, including this edge."""
@@ -180,7 +180,7 @@
         if age_us <= ACK_TIMEOUT_US or probe.is_indirect:
             return []
         probe.is_indirect = True
-        self.on_silent(probe.name)
+        self.on_ping_timeout(probe.name)
         member = self.members.get(probe.name)
         if member is None:
             return []
@@ -204,8 +204,8 @@
         member = self.members.get(name)
         if self._table.is_small or member is None or member.info.status != SUSPECT:
             return []
-        is_new = member.since_us == now_us
-        return [self._ping(name=name, now_us=now_us)] + (self.spread() if is_new else [])
+        is_new = member.status_since_us == now_us
+        return [self._ping(name=name, now_us=now_us)] + (self.send_updates() if is_new else [])
 
     def _ping(self, *, name: str, now_us: int) -> tuple[str, GossipMsg]:
         self._number += 1
@@ -246,7 +246,7 @@
         sample = self.rand.sample(known, min(count, len(known)))
         return updates + [name for name in sample if name not in updates]
 
-    def spread(self) -> Sends:
+    def send_updates(self) -> Sends:
         """Send updates now, without waiting for the next tick.
 
         They go to every live peer in a small fleet, else to a few random ones that send them
@@ -260,7 +260,7 @@
         _, message = self._build_message(to="", kind=ACK, number=0)
         return [(self.members[name].info.address, message) for name in names]
 
-    def heard(self, *, message: GossipMsg, now_us: int) -> Sends:
+    def on_message(self, *, message: GossipMsg, now_us: int) -> Sends:
         """Process a received datagram; returns the messages to send in response."""
         if message.cluster and self.cluster and message.cluster != self.cluster:
             return []
--- a/kelpstage/edge/gossip/task.py
+++ b/kelpstage/edge/gossip/task.py
@@ -12,7 +12,7 @@
 from kelpstage.edge.backend.backend_state import STATE_NAMES
 from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.events import BackendChanged, PeerChanged
-from kelpstage.edge.gossip.members import STATUS_NAMES
+from kelpstage.edge.gossip.members import MEMBER_STATUS_NAMES
 from kelpstage.edge.gossip.swim import TICK_US, Sends, Swim
 
 MAGIC = b"KG\x01"  # prefix of every datagram
@@ -70,11 +70,11 @@
             self._send(sends=self._swim.tick(now_us=self._ports.clock.now_us()))
             self._note_changes()
 
-    def spread(self) -> None:
+    def send_updates(self) -> None:
         """Send updates to peers now, without waiting for the next tick."""
         self._cached_states = None
         self._refresh()
-        self._send(sends=self._swim.spread())
+        self._send(sends=self._swim.send_updates())
 
     def _send(self, *, sends: Sends) -> None:
         packed: dict[int, bytes] = {}  # a message may have several receivers; it is serialized once
@@ -99,13 +99,15 @@
         if not message.sender.name or not message.sender.address:
             self._counts["gossip_unreadable"] += 1
             return
-        self._send(sends=self._swim.heard(message=message, now_us=self._ports.clock.now_us()))
+        self._send(sends=self._swim.on_message(message=message, now_us=self._ports.clock.now_us()))
         self._note_changes()
 
     def _note_changes(self) -> None:
         for change in self._swim.take_changes():
             self._journal.add(
-                PeerChanged(peer=change.name, status=STATUS_NAMES[change.status], why=change.why)
+                PeerChanged(
+                    peer=change.name, status=MEMBER_STATUS_NAMES[change.status], why=change.why
+                )
             )
 
     def _backend_states(self) -> list[BackendStateMsg]:
--- a/kelpstage/edge/handlers.py
+++ b/kelpstage/edge/handlers.py
@@ -108,14 +108,14 @@
         member = edge.swim.members.get(message.edge)
         address = member.info.address if member else ""
         if lease_holder.note_epoch(epoch=message.epoch, source=address):
-            edge.leases.fetch_soon(first=address)
+            edge.leases.start_fetch(first=address)
     return ConfirmEpochReply(
         edge=lease_holder.me,
         incarnation=edge.incarnation,
         vouches=lease_holder.may_confirm(now_us=edge.ports.clock.now_us()),
         epoch=lease_holder.epoch,
         cluster=lease_holder.cluster,
-        asker_version=edge.swim.served(name=message.edge),
+        asker_version=edge.swim.served_version(name=message.edge),
     )
 
 
--- a/kelpstage/edge/lease/lease_holder.py
+++ b/kelpstage/edge/lease/lease_holder.py
@@ -21,7 +21,7 @@
 from kelpstage.common.lease_timing import CONFIRMS_AFTER_LEASE_US
 from kelpstage.common.transport.messages import ConfirmEpochReply, LeaseReply, StateDoc
 
-CONFIRMATION_US = 1_000_000  # how long a peer's confirmation is valid
+CONFIRMATION_TTL_US = 1_000_000  # how long a peer's confirmation is valid
 PREVIOUS_CONFIGURATION_US = 250_000  # how long the previous one may still be used
 MAX_LEASED_EPOCHS = 4  # number of epochs whose leases are kept at a time
 
@@ -46,9 +46,9 @@
     >>> lease_holder.install(doc=doc,
     ...     configuration=Configuration(version=1, document=b""), now_us=0)
     True
-    >>> lease_holder.take_lease(reply=LeaseReply(is_granted=True, cluster="c", epoch=1,
+    >>> lease_holder.record_lease(reply=LeaseReply(is_granted=True, cluster="c", epoch=1,
     ...     span_us=100), sent_us=10)
-    >>> lease_holder.take_lease(reply=LeaseReply(is_granted=True, cluster="c", epoch=2,
+    >>> lease_holder.record_lease(reply=LeaseReply(is_granted=True, cluster="c", epoch=2,
     ...     span_us=100), sent_us=20)
     >>> lease_holder.refusal(now_us=50), lease_holder.refusal(now_us=2_000_000)
     ('', 'no lease, and 1 of 3 peers vouch')
@@ -97,7 +97,7 @@
             self.newest_sources.append(source)
         return self.newest_epoch > self.epoch
 
-    def take_lease(self, *, reply: LeaseReply, sent_us: int) -> None:
+    def record_lease(self, *, reply: LeaseReply, sent_us: int) -> None:
         """Record a granted lease, which runs from `sent_us`, when it was requested."""
         if not reply.is_granted or self.cluster and reply.cluster != self.cluster:
             return
@@ -160,7 +160,7 @@
             for name in self.membership.names
             if name != self.me
             and name in self.confirmed_epochs
-            and now_us - self.confirmed_epochs[name].asked_us < CONFIRMATION_US
+            and now_us - self.confirmed_epochs[name].asked_us < CONFIRMATION_TTL_US
         ]
         is_confirming = self.me in self.membership.names and self.may_confirm(now_us=now_us)
         return out + ([self.me] if is_confirming else [])
@@ -200,7 +200,7 @@
             return f"a peer has a newer epoch than {self.epoch}"
         return f"no lease, and {len(names)} of {len(self.membership.names)} peers vouch"
 
-    def has_moved_on(self, *, version: int, now_us: int) -> bool:
+    def is_superseded(self, *, version: int, now_us: int) -> bool:
         """True if requests of this version must no longer run here."""
         if version == self.configuration.version:
             return False
--- a/kelpstage/edge/lease/peer_discovery.py
+++ b/kelpstage/edge/lease/peer_discovery.py
@@ -49,7 +49,7 @@
         """Add the peers that a core has sent to the member table."""
         now_us = self._ports.clock.now_us()
         for contact in contacts:
-            self._swim.meet(
+            self._swim.add_peer(
                 name=contact.name,
                 address=contact.address,
                 incarnation=contact.incarnation,
--- a/kelpstage/edge/lease/renewal.py
+++ b/kelpstage/edge/lease/renewal.py
@@ -162,7 +162,7 @@
         self._cores.on_reply(reply=reply)
         self._note_known(reply=reply)
         self.last_refusal = reply.why
-        lease_holder.take_lease(reply=reply, sent_us=sent_us)
+        lease_holder.record_lease(reply=reply, sent_us=sent_us)
         source = relayed_by or reply.leader_address
         if reply.epoch and lease_holder.note_epoch(epoch=reply.epoch, source=source):
             self._on_newer_epoch(source)
--- a/kelpstage/edge/lease/state_sync.py
+++ b/kelpstage/edge/lease/state_sync.py
@@ -51,7 +51,7 @@
 
     # --- fetching -------------------------------------------------------------------------
 
-    def fetch_soon(self, first: str = "") -> None:
+    def start_fetch(self, first: str = "") -> None:
         """Fetch the newest state in the background, trying `first` before other sources."""
         if self._is_fetching:
             return
@@ -74,7 +74,7 @@
         self._is_fetching = False
         if lease_holder.newest_epoch > lease_holder.epoch and (tried or self._fetching_from):
             await self._ports.clock.sleep(us=RETRY_US)
-            self.fetch_soon()
+            self.start_fetch()
 
     def _next_source(self, *, first: str, tried: set[str]) -> str:
         """The next known address to ask; empty if there is none left."""
@@ -135,7 +135,7 @@
             return
         state = self._announced_state(announce=announce)
         if not state or not self._install(data=state, source=source):
-            self.fetch_soon(source)
+            self.start_fetch(source)
 
     def _announced_state(self, *, announce: Announce) -> bytes | None:
         """The announced state, built from its delta if the delta's base is installed."""
--- a/kelpstage/edge/lease/task.py
+++ b/kelpstage/edge/lease/task.py
@@ -67,7 +67,7 @@
             cores=self._directory,
             contact=contact,
             on_contacts=discovery.register_peers,
-            on_newer_epoch=self._states.fetch_soon,
+            on_newer_epoch=self._states.start_fetch,
             is_observer=is_observer,
         )
         self.relay = self.renewal.relay = RelayedRenewal(
@@ -83,7 +83,7 @@
             transport=transport,
             lease_holder=lease_holder,
             swim=swim,
-            on_newer_epoch=self._states.fetch_soon,
+            on_newer_epoch=self._states.start_fetch,
         )
         for loop in (
             self.renewal.run(),
@@ -108,13 +108,13 @@
         """The reason why the last renewal got no lease; empty after a granted one."""
         return self.renewal.last_refusal
 
-    def use_seeds(self, *, seeds: list[str]) -> None:
+    def replace_seeds(self, *, seeds: list[str]) -> None:
         """Replace the seeds."""
         self._directory.seeds = list(seeds)
 
-    def fetch_soon(self, *, first: str = "") -> None:
+    def start_fetch(self, *, first: str = "") -> None:
         """Fetch the newest state in the background, trying `first` before other sources."""
-        self._states.fetch_soon(first)
+        self._states.start_fetch(first)
 
     def state_chunk(self, *, ask: FetchState) -> Chunk:
         """A chunk of the installed state, for a process that requests it."""
--- a/kelpstage/edge/metrics.py
+++ b/kelpstage/edge/metrics.py
@@ -11,7 +11,7 @@
 
 from kelpstage.common.metrics.families import MetricFamily, MetricKind
 from kelpstage.edge.backend.backend_state import STATE_NAMES
-from kelpstage.edge.gossip.members import STATUS_NAMES
+from kelpstage.edge.gossip.members import MEMBER_STATUS_NAMES
 from kelpstage.edge.web.interfaces import ReportingEdge
 
 MICROS = 1_000_000
@@ -178,7 +178,7 @@
         "kelpstage_members",
         "Other edges that are known, by status.",
         "status",
-        Counter(STATUS_NAMES.get(member.info.status, "unknown") for member in members),
+        Counter(MEMBER_STATUS_NAMES.get(member.info.status, "unknown") for member in members),
     )
 
 
--- a/kelpstage/edge/web/explain.py
+++ b/kelpstage/edge/web/explain.py
@@ -11,7 +11,7 @@
 from kelpstage.edge.backend.backend_state import STATE_NAMES
 from kelpstage.edge.backend.selection import options
 from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
-from kelpstage.edge.gossip.members import STATUS_NAMES
+from kelpstage.edge.gossip.members import MEMBER_STATUS_NAMES
 from kelpstage.edge.timelines import as_json
 from kelpstage.edge.web.interfaces import ReportingEdge
 
@@ -134,8 +134,8 @@
                 "the gatherers' selector leaves it out"
                 if not is_gatherer
                 else "not ready"
-                if STATUS_NAMES.get(info.status) == "alive"
-                else STATUS_NAMES.get(info.status, "unknown")
+                if MEMBER_STATUS_NAMES.get(info.status) == "alive"
+                else MEMBER_STATUS_NAMES.get(info.status, "unknown")
             )
         rows.append(
             {
@@ -179,11 +179,11 @@
                 "name": name,
                 "address": member.info.address,
                 "domain": member.info.zone,
-                "status": STATUS_NAMES.get(member.info.status, "unknown"),
+                "status": MEMBER_STATUS_NAMES.get(member.info.status, "unknown"),
                 "load": member.info.load,
                 "version": member.info.version,
                 "is_ready": member.info.is_ready,
-                "status_for_us": now_us - member.since_us,
+                "status_for_us": now_us - member.status_since_us,
             }
             for name, member in sorted(edge.swim.members.items())
         ],
--- a/kelpstage/testbed/model/edge_adapter.py
+++ b/kelpstage/testbed/model/edge_adapter.py
@@ -37,7 +37,7 @@
 
 def take_lease(lease_holder: LeaseHolder, *, reply: LeaseReply, sent_us: int) -> None:
     """An edge takes a lease that it asked for at `sent_us`."""
-    lease_holder.take_lease(reply=reply, sent_us=sent_us)
+    lease_holder.record_lease(reply=reply, sent_us=sent_us)
 
 
 def has_lease(lease_holder: LeaseHolder, *, now_us: int) -> bool:
--- a/tests/membership_scenarios.py
+++ b/tests/membership_scenarios.py
@@ -13,7 +13,7 @@
 from typing import Awaitable, Callable
 
 from kelpstage.core.raft.types import TransferLeadership
-from kelpstage.edge.lease.lease_holder import CONFIRMATION_US
+from kelpstage.edge.lease.lease_holder import CONFIRMATION_TTL_US
 from kelpstage.testbed.fleet.deployment import Node, load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 
@@ -76,7 +76,7 @@
             now_us = self.fleet.now_us()
             self._record_leadership(now_us=now_us)
             newest = self._newest_before(at_us=now_us)
-            settled = self._newest_before(at_us=now_us - CONFIRMATION_US - POLL_INTERVAL_US)
+            settled = self._newest_before(at_us=now_us - CONFIRMATION_TTL_US - POLL_INTERVAL_US)
             for name, daemon in self.fleet.daemons.items():
                 process = self.fleet.processes[name]
                 if name.startswith("edge/") and process.is_alive and not process.is_frozen:
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -206,7 +206,7 @@
             now_us=now_us,
         )
         granted = LeaseReply(is_granted=True, cluster="c", epoch=1, span_us=600_000_000)
-        lease_holder.take_lease(reply=granted, sent_us=now_us)
+        lease_holder.record_lease(reply=granted, sent_us=now_us)
         registry = BackendRegistry(me="e")
         registry.declare(configuration=configuration, listed={})
         return GatherContext(
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -124,7 +124,7 @@
             now_us=now_us,
         )
         granted = LeaseReply(is_granted=True, cluster="c", epoch=version, span_us=SPAN_US)
-        self.lease_holder.take_lease(reply=granted, sent_us=now_us)
+        self.lease_holder.record_lease(reply=granted, sent_us=now_us)
         self.context.registry.declare(configuration=configuration, listed={})
         self.context.registry.set_instances(self.fleet.instances, now_us)
         self.context.registry.set_live_edges(count=1, now_us=now_us)
@@ -136,7 +136,7 @@
             info = MemberMsg(
                 name=other.name, address=other.name, zone="z", status=ALIVE, is_ready=True
             )
-            self.context.swim.members[other.name] = Member(info=info, since_us=0)
+            self.context.swim.members[other.name] = Member(info=info, status_since_us=0)
 
     async def fetch(self, *, call: HttpCall) -> Any:
         address, _, _ = call.url.removeprefix("http://").partition("/")
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -162,7 +162,7 @@
         )
         await self.gossip.open()
         for seed in seeds:
-            self.swim.meet(name=seed.name, address=seed.own, incarnation=1, now_us=0)
+            self.swim.add_peer(name=seed.name, address=seed.own, incarnation=1, now_us=0)
         self.update_times_us: list[int] = []
         self.discovery = DiscoveryTask(
             ports=ports,
@@ -334,7 +334,7 @@
             await self.wait_for(lambda: bool(self.list.first_page_calls), 700_000)
             self.assertNotEqual(reader.name, self.list.first_page_calls[0][1])
             reader.swim.me.status = LEAVING
-            reader.gossip.spread()
+            reader.gossip.send_updates()
             await self.wait(1_500_000)
             self.list.row("i6")["state"] = "draining"
             await self.wait_for(lambda: reader.registry.entries["i6"].is_draining, 1_500_000)
@@ -515,7 +515,7 @@
                 why="sign in a reply",
                 now_us=self.world.now_us(),
             )
-            node.gossip.spread()
+            node.gossip.send_updates()
             await self.wait_for(
                 lambda: all(n.registry.entries["i3"].is_draining for n in self.running_nodes()),
                 SECOND,
--- a/tests/test_edge_membership.py
+++ b/tests/test_edge_membership.py
@@ -226,7 +226,7 @@
 
     def lease(self, holder: LeaseHolder, *, epoch: int, sent_us: int) -> None:
         reply = LeaseReply(is_granted=True, cluster="c", epoch=epoch, span_us=LEASE_SPAN_US)
-        holder.take_lease(reply=reply, sent_us=sent_us)
+        holder.record_lease(reply=reply, sent_us=sent_us)
 
     def test_an_observer_confirms_for_a_limited_time_after_its_lease(self) -> None:
         holder = self.holder(me="x")
--- a/tests/test_fleet_sim.py
+++ b/tests/test_fleet_sim.py
@@ -287,7 +287,7 @@
             configuration=Configuration(version=1, document=b""),
             now_us=0,
         )
-        lease_holder.take_lease(
+        lease_holder.record_lease(
             reply=LeaseReply(is_granted=True, cluster="k", epoch=4, span_us=10), sent_us=0
         )
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -22,7 +22,7 @@
 from kelpstage.core.raft.types import TransferLeadership
 from kelpstage.edge.backend.endpoint_list import EndpointList
 from kelpstage.edge.backend.instance import Instance
-from kelpstage.edge.lease.lease_holder import CONFIRMATION_US, LeaseHolder
+from kelpstage.edge.lease.lease_holder import CONFIRMATION_TTL_US, LeaseHolder
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from kelpstage.testbed.simulation.world import SimClock
@@ -77,7 +77,7 @@
     def check_edges(self) -> None:
         now_us = self.fleet.now_us()
         newest = self.history.newest_before(at_us=now_us)
-        settled = self.history.newest_before(at_us=now_us - CONFIRMATION_US - POLL_INTERVAL_US)
+        settled = self.history.newest_before(at_us=now_us - CONFIRMATION_TTL_US - POLL_INTERVAL_US)
         for node in self.fleet.deployment.nodes:
             edge = self.fleet.daemons[f"edge/{node.name}"]
             process = self.fleet.processes[f"edge/{node.name}"]
--- a/tests/test_many_edges.py
+++ b/tests/test_many_edges.py
@@ -149,7 +149,7 @@
         b._membership.merge(info=member(n=2, beat=14), now_us=14 * TICK_US, is_direct=True)
         a.suspect(name="node-0002", now_us=20 * TICK_US, asked_us=17 * TICK_US, why="no ack")
         _, message = a._build_message(to="node-0001", kind=PING, number=9)
-        b.heard(message=message, now_us=20 * TICK_US)
+        b.on_message(message=message, now_us=20 * TICK_US)
         self.assertEqual(SUSPECT, b.status(name="node-0002"))
         # The member is alive: its own ack refutes the suspicion, whatever beat that has.
         c = Swim(
@@ -158,10 +158,10 @@
             backend_states=list,
             on_backend_state=lambda backend_state: None,
         )
-        c.meet(name="node-0001", address="10.0.0.2:7000", incarnation=0, now_us=0)
+        c.add_peer(name="node-0001", address="10.0.0.2:7000", incarnation=0, now_us=0)
         _, ping = b._build_message(to="node-0002", kind=PING, number=9)
-        [(_, ack)] = c.heard(message=ping, now_us=21 * TICK_US)
-        b.heard(message=ack, now_us=21 * TICK_US)
+        [(_, ack)] = c.on_message(message=ping, now_us=21 * TICK_US)
+        b.on_message(message=ack, now_us=21 * TICK_US)
         self.assertEqual(ALIVE, b.status(name="node-0002"))
 
     def test_merged_table_is_not_sent_as_updates(self) -> None:
