--- a/kelpstage/edge/composition.py
+++ b/kelpstage/edge/composition.py
@@ -13,7 +13,7 @@
 from kelpstage.edge.gather.latency import LatencyEstimates
 from kelpstage.edge.gossip.swim import Swim
 from kelpstage.edge.lease.lease_holder import LeaseHolder
-from kelpstage.edge.retries.budget import SERVICE_SLACK, SPAN_US, Budget
+from kelpstage.edge.retries.budget import SERVICE_SLACK, WINDOW_US, Budget
 
 ATTEMPT_NUMBER_BITS = 40  # attempts are counted from a number by lot
 
@@ -59,10 +59,10 @@
     bounds = settings.get("bounds", {})
     return Budget(
         ratio=bounds.get("retry_ratio"),
-        window_us=bounds.get("retry_window_us", SPAN_US),
+        window_us=bounds.get("retry_window_us", WINDOW_US),
         slack=bounds.get("retry_slack", SERVICE_SLACK),
         me=settings["name"],
-        born_us=ports.clock.now_us(),
+        started_us=ports.clock.now_us(),
     )
 
 
--- a/kelpstage/edge/gather/stages/attempts.py
+++ b/kelpstage/edge/gather/stages/attempts.py
@@ -181,6 +181,6 @@
     count = {"service": record.collection, "shard": shard_state.shard, "now_us": context.now_us}
     if shard_state.attempts or shard_state.is_extra:
         is_again = shard_state.is_restart and not shard_state.attempts
-        return context.budget.take(edges=context.edges(), is_again=is_again, **count)
-    context.budget.first(**count)
+        return context.budget.try_acquire(edges=context.edges(), is_restart=is_again, **count)
+    context.budget.count_first(**count)
     return True
--- a/kelpstage/edge/gather/stages/send.py
+++ b/kelpstage/edge/gather/stages/send.py
@@ -128,7 +128,7 @@
     if not late:
         return  # the late children have all attempts; only their results can arrive
     wanted = record.route.quorum - len(record.parts) - len(in_time)
-    if wanted > context.budget.room(
+    if wanted > context.budget.available(
         service=record.collection,
         now_us=context.now_us,
         edges=context.edges(),
--- a/kelpstage/edge/retries/budget.py
+++ b/kelpstage/edge/retries/budget.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass
 from typing import Collection
 
-SPAN_US = 10_000_000  # the sliding window
+WINDOW_US = 10_000_000  # the sliding window
 SERVICE_SHARE, SERVICE_SLACK = 7, 20  # one retry per this many first attempts, plus a slack
 SHARD_SHARE, SHARD_SLACK = 8, 20
 SHARD_SLACK_MIN = 2  # of one edge, for any number of edges
@@ -48,19 +48,20 @@
     """The retry budget of one edge, by service and shard.
 
     >>> budget = Budget()
-    >>> for n in range(10): budget.first(service="c", shard="s", now_us=n)
-    >>> [budget.take(service="c", shard="s", now_us=20, edges=10) for _ in range(4)]
+    >>> for n in range(10): budget.count_first(service="c", shard="s", now_us=n)
+    >>> [budget.try_acquire(service="c", shard="s", now_us=20, edges=10) for _ in range(4)]
     [True, True, True, False]
-    >>> budget.take(service="c", shard="s", now_us=20 + SPAN_US, edges=10)
+    >>> budget.try_acquire(service="c", shard="s", now_us=20 + WINDOW_US, edges=10)
     True
 
     With a configured limit, which gives no slack in the first window after an edge's start:
 
     >>> budget = Budget(ratio=0.2, slack=60)
-    >>> for n in range(50): budget.first(service="s", shard="", now_us=n)
-    >>> sum(budget.take(service="s", shard="", now_us=60, edges=12) for _ in range(20))
+    >>> for n in range(50): budget.count_first(service="s", shard="", now_us=n)
+    >>> sum(budget.try_acquire(service="s", shard="", now_us=60, edges=12) for _ in range(20))
     8
-    >>> sum(budget.take(service="s", shard="", now_us=SPAN_US + 60, edges=12) for _ in range(9))
+    >>> sum(budget.try_acquire(service="s", shard="", now_us=WINDOW_US + 60, edges=12)
+    ...     for _ in range(9))
     3
     """
 
@@ -68,17 +69,17 @@
         self,
         *,
         ratio: float | None = None,
-        window_us: int = SPAN_US,
+        window_us: int = WINDOW_US,
         slack: int = SERVICE_SLACK,
         me: str = "",
-        born_us: int | None = None,
+        started_us: int | None = None,
     ) -> None:
-        """`born_us` is the time at which this edge started; by default its first attempt."""
+        """`started_us` is the time at which this edge started; by default its first attempt."""
         self._ratio = ratio
         self._window_us = window_us
         self._slack = slack
         self._me = me
-        self._born_us = born_us
+        self._started_us = started_us
         self._sends: deque[tuple[int, bool, str, str]] = deque()
         self._firsts: Counter[Key] = Counter()
         self._retries: Counter[Key] = Counter()
@@ -100,27 +101,29 @@
         counts[service] += 1
         counts[(service, shard)] += 1
 
-    def first(self, *, service: str, shard: str, now_us: int) -> None:
+    def count_first(self, *, service: str, shard: str, now_us: int) -> None:
         """Count a first attempt."""
-        if self._born_us is None:
-            self._born_us = now_us
+        if self._started_us is None:
+            self._started_us = now_us
         service = self._bound_key(service=service, shard=shard)
         self._expire(now_us=now_us)
         if self._ratio is not None:
             self._refill(service=service, now_us=now_us)
         self._record(is_retry=False, service=service, shard=shard, now_us=now_us)
 
-    def take(
-        self, *, service: str, shard: str, now_us: int, edges: int, is_again: bool = False
+    def try_acquire(
+        self, *, service: str, shard: str, now_us: int, edges: int, is_restart: bool = False
     ) -> bool:
         """Count a retry and return true if the budget allows it.
 
-        `is_again` is true for a retry of a search that restarts.
+        `is_restart` is true for a retry of a search that restarts.
         """
         service = self._bound_key(service=service, shard=shard)
-        is_free = self.room(service=service, now_us=now_us, edges=edges, is_again=is_again) >= 1
+        is_free = (
+            self.available(service=service, now_us=now_us, edges=edges, is_restart=is_restart) >= 1
+        )
         # A restarted search asks every shard once, so the limit of the service also bounds shards.
-        if self._ratio is None and not is_again:
+        if self._ratio is None and not is_restart:
             is_free = is_free and self._has_room_for_shard(
                 service=service, shard=shard, edges=edges
             )
@@ -133,14 +136,14 @@
             self._buckets[service].credit = 0.0
         return True
 
-    def give_back(self, *, service: str, shard: str, now_us: int) -> None:
+    def release(self, *, service: str, shard: str, now_us: int) -> None:
         """Remove the newest retry to a service from the count, since it never arrived.
 
         >>> budget = Budget(slack=1)
-        >>> budget.take(service="c", shard="s", now_us=1, edges=1)
+        >>> budget.try_acquire(service="c", shard="s", now_us=1, edges=1)
         True
-        >>> budget.give_back(service="c", shard="s", now_us=2)
-        >>> budget.room(service="c", now_us=3, edges=1)
+        >>> budget.release(service="c", shard="s", now_us=2)
+        >>> budget.available(service="c", now_us=3, edges=1)
         1
         """
         service = self._bound_key(service=service, shard=shard)
@@ -156,23 +159,23 @@
         """What the limit applies to: the service, or with a configured limit the shard."""
         return service if self._ratio is None else shard or service
 
-    def room(
+    def available(
         self,
         *,
         service: str,
         now_us: int,
         edges: int,
-        is_again: bool = False,
+        is_restart: bool = False,
         shards: Collection[str] = (),
     ) -> int:
         """The number of retries to a service that are allowed now.
 
         With a configured limit and `shards`, the number of these shards that may get one.
 
-        >>> Budget().room(service="c", now_us=0, edges=4)
+        >>> Budget().available(service="c", now_us=0, edges=4)
         5
-        >>> Budget(ratio=0.1, slack=60, born_us=0).room(
-        ...     service="c", now_us=SPAN_US, edges=4, shards=("s1", "s2"))
+        >>> Budget(ratio=0.1, slack=60, started_us=0).available(
+        ...     service="c", now_us=WINDOW_US, edges=4, shards=("s1", "s2"))
         2
         """
         self._expire(now_us=now_us)
@@ -183,7 +186,7 @@
             )
         if self._ratio is not None:
             return self._room_under_ratio(service=service, now_us=now_us, edges=edges)
-        share = RESTART_SHARE if is_again else SERVICE_SHARE
+        share = RESTART_SHARE if is_restart else SERVICE_SHARE
         limit = self._firsts[service] / share + max(1, self._slack // max(1, edges))
         return int(limit - self._retries[service])
 
@@ -195,8 +198,8 @@
     # --- the configured limit ---------------------------------------------------------
 
     def _room_under_ratio(self, *, service: str, now_us: int, edges: int) -> int:
-        if self._born_us is None:
-            self._born_us = now_us
+        if self._started_us is None:
+            self._started_us = now_us
         self.note_edges(edges=edges, now_us=now_us)
         limit = self._limit(service=service, now_us=now_us)
         retries = self._retries[service]
@@ -207,9 +210,9 @@
 
     def _limit(self, *, service: str, now_us: int) -> float:
         """The number of retries that this edge may send per window now, as a fraction."""
-        assert self._ratio is not None and self._born_us is not None  # a configured limit
+        assert self._ratio is not None and self._started_us is not None  # a configured limit
         limit = RATIO_SHARE * self._ratio * self._firsts[service]
-        if now_us - self._born_us >= self._window_us:
+        if now_us - self._started_us >= self._window_us:
             # The previous process of this edge may have used its share just before it ended.
             limit += SLACK_SHARE * self._slack / self._highest_edges()
         return limit
--- a/kelpstage/edge/web/forward.py
+++ b/kelpstage/edge/web/forward.py
@@ -13,7 +13,7 @@
 from kelpstage.edge.forward.request import read_request
 from kelpstage.edge.gather.messages import GatherResult
 from kelpstage.edge.gather.request_state import ROOT, SINGLE, RequestState
-from kelpstage.edge.retries.load_shedding import may_enter
+from kelpstage.edge.retries.load_shedding import is_admitted
 from kelpstage.edge.web.interfaces import GatheringEdge, ReplyingEdge
 
 BODY_TYPE = "application/octet-stream"
@@ -68,7 +68,7 @@
         failure = MissingRequestIdError(header=edge.names.request_id)
         return failure_reply(failure=failure, has_run=False, edge=edge)
     in_flight = len(edge.gather.table)
-    if not may_enter(in_flight=in_flight, rank=route.rank):
+    if not is_admitted(in_flight=in_flight, rank=route.rank):
         failure = OverloadedError(in_flight=in_flight)
         return failure_reply(failure=failure, has_run=False, edge=edge)
     left_us = deadline_us(headers=call.headers, names=edge.names, route=route)
--- a/tests/rules_upheld.py
+++ b/tests/rules_upheld.py
@@ -349,7 +349,7 @@
         rule="BUDGET",
         source="RULES",
         says="retries stay within the ratio and the slack, over all machines",
-        code=f"{EDGE}/retries/budget.py:Budget.take",
+        code=f"{EDGE}/retries/budget.py:Budget.try_acquire",
         test="tests.test_backends.RetryBudgetTest"
         ".test_a_restarted_edge_has_no_slack_for_one_window",
         taken_out=TakenOut(
@@ -426,9 +426,9 @@
         rule="Prices",
         source="NEWS-18, NEWS-22",
         says="under load the least urgent is turned away first",
-        code=f"{EDGE}/retries/load_shedding.py:may_enter",
+        code=f"{EDGE}/retries/load_shedding.py:is_admitted",
         test="tests.test_forward.ShedTest.test_the_lowest_rank_goes_first",
-        taken_out=TakenOut(target="tests.test_forward:may_enter", by=_as_rank_zero),
+        taken_out=TakenOut(target="tests.test_forward:is_admitted", by=_as_rank_zero),
         days="`burst`",
     ),
 )
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -947,7 +947,7 @@
         started = [0] * nodes
 
         def new_budget(n: int, now_us: int) -> Budget:
-            return Budget(ratio=ratio, slack=slack, me=f"n{n}", born_us=now_us)
+            return Budget(ratio=ratio, slack=slack, me=f"n{n}", started_us=now_us)
 
         budgets = [new_budget(n, 0) for n in range(nodes)]
         restart_times = sorted(rand.randrange(seconds * SECOND) for _ in range(restarts))
@@ -959,10 +959,10 @@
                 budgets[n], started[n] = new_budget(n, restart_times.pop(0)), now_us
             budget = budgets[rand.randrange(nodes)]
             budget.note_edges(edges=nodes, now_us=now_us)
-            budget.first(service="s", shard="", now_us=now_us)
+            budget.count_first(service="s", shard="", now_us=now_us)
             first_attempts.append(now_us)
             for one in (budget, *rand.sample(budgets, min(nodes, contenders))):
-                while one.take(service="s", shard="", now_us=now_us, edges=nodes):
+                while one.try_acquire(service="s", shard="", now_us=now_us, edges=nodes):
                     retries.append(now_us)
         return first_attempts, retries
 
@@ -1008,34 +1008,34 @@
         """Each of ninety nodes, with a share of 0.75 and few requests, gets retries at times."""
         spent: Counter = Counter()
         for n in range(90):
-            budget = Budget(ratio=0.087, slack=96, me=f"n{n}", born_us=0)
+            budget = Budget(ratio=0.087, slack=96, me=f"n{n}", started_us=0)
             for at in range(0, 60 * SECOND, 100_000):
                 budget.note_edges(edges=90, now_us=at)
-                spent[n] += budget.take(service="s", shard="", now_us=at, edges=90)
+                spent[n] += budget.try_acquire(service="s", shard="", now_us=at, edges=90)
         self.assertTrue(all(2 <= spent[n] <= 5 for n in range(90)), spent)
 
     def test_a_restarted_edge_has_no_slack_for_one_window(self) -> None:
-        budget = Budget(ratio=0.2, slack=64, me="n", born_us=5 * SECOND)
+        budget = Budget(ratio=0.2, slack=64, me="n", started_us=5 * SECOND)
         for at in range(5 * SECOND, 15 * SECOND, 50_000):
-            self.assertFalse(budget.take(service="s", shard="", now_us=at, edges=4))
-        self.assertTrue(budget.take(service="s", shard="", now_us=15 * SECOND, edges=4))
+            self.assertFalse(budget.try_acquire(service="s", shard="", now_us=at, edges=4))
+        self.assertTrue(budget.try_acquire(service="s", shard="", now_us=15 * SECOND, edges=4))
 
     def test_the_budget_of_a_shard_is_shared_by_its_routes(self) -> None:
-        budget = Budget(ratio=0.2, slack=0, me="n", born_us=0)
+        budget = Budget(ratio=0.2, slack=0, me="n", started_us=0)
         budget.note_edges(edges=10, now_us=0)
         for n in range(100):
-            budget.first(service=f"route{n % 2}", shard=f"s{n % 4}", now_us=n)
+            budget.count_first(service=f"route{n % 2}", shard=f"s{n % 4}", now_us=n)
         taken = [
-            budget.take(service=f"route{n % 2}", shard="s1", now_us=200, edges=10)
+            budget.try_acquire(service=f"route{n % 2}", shard="s1", now_us=200, edges=10)
             for n in range(20)
         ]
         self.assertEqual(4, sum(taken))  # 0.8 of a fifth of the 25 first attempts of s1
 
     def test_a_network_partition_does_not_double_the_slack(self) -> None:
-        budget = Budget(ratio=0.2, slack=100, me="n", born_us=0)
+        budget = Budget(ratio=0.2, slack=100, me="n", started_us=0)
         budget.note_edges(edges=10, now_us=10 * SECOND)
-        self.assertEqual(7, budget.room(service="s", now_us=60 * SECOND, edges=2))
-        self.assertEqual(35, budget.room(service="s", now_us=200 * SECOND, edges=2))
+        self.assertEqual(7, budget.available(service="s", now_us=60 * SECOND, edges=2))
+        self.assertEqual(35, budget.available(service="s", now_us=200 * SECOND, edges=2))
 
 
 if __name__ == "__main__":
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -22,7 +22,7 @@
 from kelpstage.edge.gather.record_order import ByteOrder, lowest_limit
 from kelpstage.edge.gather.stages.merge import surely_not_run
 from kelpstage.edge.gather.tree import Subtree, grow_by_zone
-from kelpstage.edge.retries.load_shedding import IN_FLIGHT_AT_MOST, may_enter
+from kelpstage.edge.retries.load_shedding import MAX_IN_FLIGHT, is_admitted
 from kelpstage.edge.web.forward import failure_reply
 
 NAMES = HeaderNames()
@@ -233,8 +233,8 @@
 class ShedTest(unittest.TestCase):
     def test_the_lowest_rank_goes_first(self):
         taken = [
-            next(n for n in range(IN_FLIGHT_AT_MOST + 1) if not may_enter(in_flight=n, rank=rank))
+            next(n for n in range(MAX_IN_FLIGHT + 1) if not is_admitted(in_flight=n, rank=rank))
             for rank in (0, 1, 2, 3, 9)
         ]
         self.assertEqual(taken, sorted(taken, reverse=True))
-        self.assertEqual(taken[0], IN_FLIGHT_AT_MOST)
+        self.assertEqual(taken[0], MAX_IN_FLIGHT)
--- a/tests/test_platform_sim.py
+++ b/tests/test_platform_sim.py
@@ -146,7 +146,7 @@
         return {violation.rule for violation in play(**fields).violations}
 
     def test_a_budget_that_allows_all(self):
-        with mock.patch.object(Budget, "take", lambda self, **_: True):
+        with mock.patch.object(Budget, "try_acquire", lambda self, **_: True):
             found = self.lines(faults=("many_slow",), rate=0.3)
         self.assertIn("BUDGET", found)
 
