--- a/kelpstage/common/recording/format.py
+++ b/kelpstage/common/recording/format.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from kelpstage.common.errors.storage import InvalidRecordingError, TruncatedRecordingError
-from kelpstage.common.log.checksummed import has_sealed, seal, unseal
+from kelpstage.common.log.checksummed import contains_record, decode_record, encode_record
 
 FORMAT = 1
 MAGIC = b"KDAY"
@@ -27,7 +27,7 @@
     >>> read_day(path="p", data=HEAD + pack_row(row={"what": "call", "at_us": 1}))
     [{'what': 'call', 'at_us': 1}]
     """
-    return seal(body=json.dumps(row, separators=(",", ":"), ensure_ascii=False).encode())
+    return encode_record(body=json.dumps(row, separators=(",", ":"), ensure_ascii=False).encode())
 
 
 def read_day(
@@ -50,9 +50,9 @@
     rows: list[Row] = []
     offset = len(HEAD)
     while offset < len(data):
-        found = unseal(data=data, offset=offset)
+        found = decode_record(data=data, offset=offset)
         if found is None:
-            if has_sealed(data=data, start=offset + 1):
+            if contains_record(data=data, start=offset + 1):
                 return InvalidRecordingError(
                     path=path, offset=offset, why="a record fails its check"
                 )
--- a/kelpstage/core/app.py
+++ b/kelpstage/core/app.py
@@ -282,7 +282,7 @@
         """Become a member of a cluster, starting from `snapshot` if there is one."""
         identity = DiskIdentity(replica=empty_identity.replica, cluster=cluster)
         term = FOUNDING_TERM if snapshot else 0
-        error = await self.store.begin_member(identity=identity, snapshot=snapshot, term=term)
+        error = await self.store.initialize_member(identity=identity, snapshot=snapshot, term=term)
         if error is None:
             self.identity = identity
         return error
--- a/kelpstage/core/cluster_recovery.py
+++ b/kelpstage/core/cluster_recovery.py
@@ -265,7 +265,9 @@
         cluster=cluster,
     )
     identity = DiskIdentity(replica=replica, cluster=cluster)
-    error = await store.begin_member(identity=identity, snapshot=snapshot, term=recovered.term + 1)
+    error = await store.initialize_member(
+        identity=identity, snapshot=snapshot, term=recovered.term + 1
+    )
     if error is not None:
         return error
     return RecoveredCluster(
--- a/kelpstage/core/replica_task.py
+++ b/kelpstage/core/replica_task.py
@@ -118,7 +118,7 @@
             store=store,
             now_us=ports.clock.now_us,
             on_synced=lambda number: self.inbox.put_nowait(raft.Synced(number=number)),
-            on_kept=lambda index: self.inbox.put_nowait(raft.SnapshotTaken(index=index)),
+            on_snapshot_saved=lambda index: self.inbox.put_nowait(raft.SnapshotTaken(index=index)),
             on_error=on_error,
         )
         self._snapshot_writer = SnapshotWriter(
--- a/kelpstage/core/snapshot_writer.py
+++ b/kelpstage/core/snapshot_writer.py
@@ -13,7 +13,7 @@
 from kelpstage.core.snapshots import LogSize, SnapshotPolicy
 from kelpstage.core.state.machine import Machine
 from kelpstage.core.store.records import DiskSnapshot
-from kelpstage.core.store.task import PersistRequest
+from kelpstage.core.store.task import SnapshotWriteRequest
 
 UNNUMBERED = 0  # a write whose sync is not reported to the replica
 
@@ -31,7 +31,7 @@
         cluster: str,
         chunks: ChunkServer,
         journal: Journal,
-        write: Callable[[PersistRequest], None],
+        write: Callable[[SnapshotWriteRequest], None],
     ) -> None:
         self._replica = replica
         self._cluster = cluster
@@ -73,7 +73,7 @@
             cluster=self._cluster,
         )
         self._write(
-            PersistRequest(
+            SnapshotWriteRequest(
                 snapshot=self._pending,
                 tail=log.slice(start=applied + 1, stop=log.last_index),
                 term=self._replica.term,
@@ -86,7 +86,7 @@
         """Write a snapshot that was fetched from the leader and installed."""
         self._log_bytes = _data_bytes(entries=effect.tail)
         self._write(
-            PersistRequest(
+            SnapshotWriteRequest(
                 snapshot=snapshot,
                 tail=effect.tail,
                 term=effect.term,
--- a/kelpstage/core/store/records.py
+++ b/kelpstage/core/store/records.py
@@ -20,7 +20,7 @@
 import betterproto as bp
 
 from kelpstage.common.errors.storage import FormatMismatchError, LogDamagedError
-from kelpstage.common.log.checksummed import has_sealed, seal, unseal
+from kelpstage.common.log.checksummed import contains_record, decode_record, encode_record
 from kelpstage.common.transport.messages import CoreMember, LogEntry
 
 FORMAT = 1
@@ -149,7 +149,7 @@
     The first `synced` bytes are known to be synced. Only the last segment may end in an
     incomplete record, and only after those bytes.
 
-    >>> data = SEGMENT_HEADER + seal(body=bytes(DiskRecord(steps=[DiskStep()]))) + b"torn"
+    >>> data = SEGMENT_HEADER + encode_record(body=bytes(DiskRecord(steps=[DiskStep()]))) + b"torn"
     >>> segment = read_segment(path="p", number=1, data=data, is_last=True)
     >>> len(segment.records), segment.end == len(data) - 4
     (1, True)
@@ -166,7 +166,7 @@
             return outcome
         records, end = outcome.records, outcome.end
     is_complete = end == len(data) and end > 0
-    if not is_complete and (not is_last or end < synced or has_sealed(data=data, start=end)):
+    if not is_complete and (not is_last or end < synced or contains_record(data=data, start=end)):
         mismatch = format_mismatch(path=path, data=data, magic=SEGMENT_MAGIC)
         return mismatch or LogDamagedError(
             path=path, offset=end, why=_damage_reason(end=end, synced=synced)
@@ -194,7 +194,7 @@
     """Read the valid records from the beginning of a segment up to the first invalid one."""
     offset = len(SEGMENT_HEADER)
     records: list[RecordAtOffset] = []
-    while (found := unseal(data=data, offset=offset)) is not None:
+    while (found := decode_record(data=data, offset=offset)) is not None:
         body, next_offset = found
         record = _parse(body=body, kind=DiskRecord)
         if record is None:
@@ -220,7 +220,7 @@
     >>> read_snapshot(path="p", data=write_snapshot(snapshot=DiskSnapshot(index=4))).index
     4
     """
-    return SNAPSHOT_HEADER + seal(body=bytes(snapshot))
+    return SNAPSHOT_HEADER + encode_record(body=bytes(snapshot))
 
 
 def read_snapshot(
@@ -240,7 +240,7 @@
     >>> read_identity(path="p", data=write_identity(identity=DiskIdentity(replica="a"))).replica
     'a'
     """
-    return IDENTITY_HEADER + seal(body=bytes(identity))
+    return IDENTITY_HEADER + encode_record(body=bytes(identity))
 
 
 def read_identity(
@@ -264,7 +264,7 @@
     damage = LogDamagedError(path=path, offset=0, why="header or checksum is not valid")
     if not data.startswith(magic + _FORMAT_VERSION):
         return damage
-    found = unseal(data=data, offset=len(magic + _FORMAT_VERSION))
+    found = decode_record(data=data, offset=len(magic + _FORMAT_VERSION))
     if found is None or found[1] != len(data):
         return damage
     return _parse(body=found[0], kind=kind) or damage
@@ -276,7 +276,7 @@
     >>> len(write_mark(mark=SyncedMark(segment=1, size=6)))
     34
     """
-    return MARK_HEADER + seal(body=_MARK_BODY.pack(mark.segment, mark.size))
+    return MARK_HEADER + encode_record(body=_MARK_BODY.pack(mark.segment, mark.size))
 
 
 def read_mark(*, data: bytes) -> SyncedMark | None:
@@ -289,7 +289,7 @@
     """
     if not data.startswith(MARK_HEADER):
         return None
-    found = unseal(data=data, offset=len(MARK_HEADER))
+    found = decode_record(data=data, offset=len(MARK_HEADER))
     if found is None or len(found[0]) != _MARK_BODY.size:
         return None
     segment, size = _MARK_BODY.unpack(found[0])
--- a/kelpstage/core/store/store.py
+++ b/kelpstage/core/store/store.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from kelpstage.common.errors.base import KelpstageError
-from kelpstage.common.log.checksummed import seal
+from kelpstage.common.log.checksummed import encode_record
 from kelpstage.common.ports.interfaces import Disk, Ports
 from kelpstage.common.transport.messages import LogEntry
 from kelpstage.core.store.folder import OWNED_FOLDERS, DataFolder
@@ -53,7 +53,7 @@
 class Store:
     """The persistent storage of one replica.
 
-    Callers first call `read_identity`, then `begin_member` for a replica without a cluster or
+    Callers first call `read_identity`, then `initialize_member` for a replica without a cluster or
     `recover` for one with a cluster, then the write methods, one at a time. After a failed
     write only `recover` or `discard_replica` may be called.
     """
@@ -92,7 +92,7 @@
         data = write_identity(identity=identity)
         return await self._folder.replace_file(path=IDENTITY_PATH, folder=ROOT, data=data)
 
-    async def begin_member(
+    async def initialize_member(
         self, *, identity: DiskIdentity, snapshot: DiskSnapshot | None = None, term: int = 0
     ) -> KelpstageError | None:
         """Become a member of a cluster, with an empty log or starting from a snapshot.
@@ -210,11 +210,11 @@
     async def append(self, *, steps: list[DiskStep]) -> KelpstageError | None:
         """Append the steps to the log as one record and sync it."""
         record = DiskRecord(steps=steps)
-        data = seal(body=bytes(record))
+        data = encode_record(body=bytes(record))
         is_new = self._segment_number == 0 or self._segment_size + len(data) > self._segment_bytes
         if is_new:
             record.previous_size = self._segment_size
-            data = SEGMENT_HEADER + seal(body=bytes(record))
+            data = SEGMENT_HEADER + encode_record(body=bytes(record))
             self._segment_number += 1
             self._segment_size = 0
         self._failpoint("log.before_append")
@@ -280,7 +280,7 @@
     async def _begin_segment(self, *, base: DiskStep) -> KelpstageError | None:
         """Start a segment whose first record supersedes all older segments."""
         self._segment_number += 1
-        data = SEGMENT_HEADER + seal(body=bytes(DiskRecord(steps=[base])))
+        data = SEGMENT_HEADER + encode_record(body=bytes(DiskRecord(steps=[base])))
         path = segment_path(replica=self._replica, number=self._segment_number)
         error = await self._write_synced(path=path, at=0, data=data, is_new=True)
         if error is None:
--- a/kelpstage/core/store/task.py
+++ b/kelpstage/core/store/task.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class PersistRequest:
+class SnapshotWriteRequest:
     """A request to write a snapshot with the log entries after it, the term and the vote.
 
     `number` is reported as synced, like that of a `Persist`; 0 is not reported.
@@ -34,7 +34,7 @@
     """Performs writes in order; it ends at the first failure, after which the replica recovers.
 
     Items in `inbox` are written in order and reported only when they are synced: `on_synced`
-    gets the number up to which all writes are synced, `on_kept` the index of a snapshot.
+    gets the number up to which all writes are synced, `on_snapshot_saved` the index of a snapshot.
     """
 
     def __init__(
@@ -43,18 +43,18 @@
         store: Store,
         now_us: Callable[[], int],
         on_synced: Callable[[int], None],
-        on_kept: Callable[[int], None],
+        on_snapshot_saved: Callable[[int], None],
         on_error: Callable[[KelpstageError], None],
     ) -> None:
         """The store must be recovered already. `now_us` reads the clock that measures durations."""
         self.durations = {"log": DurationHistogram(), "snapshot": DurationHistogram()}
         self._now_us = now_us
-        self.inbox: Queue[Persist | PersistRequest] = Queue()
+        self.inbox: Queue[Persist | SnapshotWriteRequest] = Queue()
         self._store = store
         self._on_synced = on_synced
-        self._on_kept = on_kept
+        self._on_snapshot_saved = on_snapshot_saved
         self._on_error = on_error
-        self._next_item: PersistRequest | None = None  # taken from the inbox, not written yet
+        self._next_item: SnapshotWriteRequest | None = None  # taken from the inbox, not written yet
 
     async def run(self) -> None:
         """Write items from the inbox until a write fails."""
@@ -90,7 +90,7 @@
         return outcome
 
     @_write.register
-    async def _write_snapshot(self, item: PersistRequest) -> KelpstageError | None:
+    async def _write_snapshot(self, item: SnapshotWriteRequest) -> KelpstageError | None:
         outcome = await self._store.save_snapshot(
             snapshot=item.snapshot, tail=item.tail, term=item.term, vote=item.vote
         )
@@ -98,7 +98,7 @@
             return outcome
         if item.number:
             self._on_synced(item.number)
-        self._on_kept(item.snapshot.index)
+        self._on_snapshot_saved(item.snapshot.index)
         return None
 
 
--- a/kelpstage/core/web/operators.py
+++ b/kelpstage/core/web/operators.py
@@ -87,7 +87,7 @@
     """
     clock = core.ports.clock
     began_us = clock.now_us()
-    until_us = began_us + _kept_us(wait_us=wait_us)
+    until_us = began_us + _max_leader_wait_us(wait_us=wait_us)
     while core.task is not None and not core.task.leader_address:
         if clock.now_us() >= until_us:
             break
@@ -95,7 +95,7 @@
     return clock.now_us() - began_us
 
 
-def _kept_us(*, wait_us: int) -> int:
+def _max_leader_wait_us(*, wait_us: int) -> int:
     """The longest delay of a call while no leader is known."""
     return min(LEADER_WAIT_US, wait_us // 2)
 
--- a/tests/test_core_cuts.py
+++ b/tests/test_core_cuts.py
@@ -495,7 +495,9 @@
         self.assertGreater(result.extra_terms, 0)
 
     def test_no_reply_from_a_partitioned_member(self) -> None:
-        with mock.patch.object(operators_module, "_kept_us", lambda *, wait_us: 3_000_000):
+        with mock.patch.object(
+            operators_module, "_max_leader_wait_us", lambda *, wait_us: 3_000_000
+        ):
             found = self.violations(
                 scenario=partition_scenario(of="follower", partition=both_directions)
             )
--- a/tests/test_store_power_loss.py
+++ b/tests/test_store_power_loss.py
@@ -18,14 +18,14 @@
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.errors.storage import DiskError, FormatMismatchError, LogDamagedError
-from kelpstage.common.log.checksummed import MARK
+from kelpstage.common.log.checksummed import RECORD_MARKER
 from kelpstage.common.ports.live import LiveDisk
 from kelpstage.common.transport.messages import LogEntry
 from kelpstage.core.raft.types import Persist
 from kelpstage.core.store.layout import mark_path
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot, DiskStep
 from kelpstage.core.store.store import Store
-from kelpstage.core.store.task import DiskTask, PersistRequest
+from kelpstage.core.store.task import DiskTask, SnapshotWriteRequest
 from kelpstage.testbed.simulation.disk import Platter, SimFile
 from tests.power_loss import Machine, copy_platter, finish, power_loss_outcomes
 
@@ -241,7 +241,7 @@
         """Turn an empty folder into a member with an empty log."""
         assert await self.store.read_identity() is None
         assert await self.store.write_identity(identity=EMPTY) is None
-        assert await self.store.begin_member(identity=MEMBER) is None
+        assert await self.store.initialize_member(identity=MEMBER) is None
         assert await self.open() == DurableState()
 
     async def play(self, *, operations: tuple[Operation, ...] = OPERATIONS) -> None:
@@ -273,7 +273,7 @@
         if identity is None:
             assert await self.store.write_identity(identity=empty) is None
         if identity != member:
-            error = await self.store.begin_member(identity=member, snapshot=snapshot, term=1)
+            error = await self.store.initialize_member(identity=member, snapshot=snapshot, term=1)
             assert error is None, error
         return await self.open(identity=member)
 
@@ -470,17 +470,17 @@
             store=writer.store,
             now_us=lambda: 0,
             on_synced=reported.append,
-            on_kept=lambda index: None,
+            on_snapshot_saved=lambda index: None,
             on_error=self.fail,
         )
-        items: list[Persist | PersistRequest] = [
+        items: list[Persist | SnapshotWriteRequest] = [
             Persist(number=n, entries=[entry(index=n, term=n)], term=n, vote=str(n))
             for n in range(1, 13)
         ]
         place = rand.randrange(2, 12)
         items.insert(
             place,
-            PersistRequest(
+            SnapshotWriteRequest(
                 snapshot=snapshot_of(index=place - 1, term=place - 1),
                 tail=[entry(index=place, term=place)],
                 term=place,
@@ -499,7 +499,7 @@
         return reported[-1]
 
     async def feed(
-        self, *, task: DiskTask, items: list[Persist | PersistRequest], rand: random.Random
+        self, *, task: DiskTask, items: list[Persist | SnapshotWriteRequest], rand: random.Random
     ) -> None:
         """Feed the task with one to three writes at a time."""
         work = task.run()
@@ -595,7 +595,7 @@
         seen = set()
         for left in self.interrupt(
             begin=populated_member,
-            work=lambda writer: writer.store.begin_member(
+            work=lambda writer: writer.store.initialize_member(
                 identity=OTHER, snapshot=snapshot, term=9
             ),
         ):
@@ -660,7 +660,7 @@
         """A power loss may remove the mark; damage before the last record is still detected."""
         _, files = populated_member_state()
         last = max(path for path in files if path.endswith(".seg"))
-        start = files[last].rindex(MARK)
+        start = files[last].rindex(RECORD_MARKER)
         for place in range(start):
             writer = populated_member()
             del writer.machine.platter.files[mark_path(replica=REPLICA)]
