--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -311,7 +311,9 @@
 
     def _declare(self) -> None:
         listed = self.platform.addresses() if self.platform else {}
-        self.registry.declare(configuration=self.lease_holder.configuration, listed=listed)
+        self.registry.apply_configuration(
+            configuration=self.lease_holder.configuration, listed=listed
+        )
 
     def _on_installed(self) -> None:
         self._declare()
@@ -352,7 +354,7 @@
         from the list's own updates, so that gossip need not tell it."""
         for name in names:
             entry = self.registry.entries[name]
-            state = "gone" if entry.gone_us else STATE_NAMES[entry.state]
+            state = "gone" if entry.removed_us else STATE_NAMES[entry.state]
             self.journal.add(
                 BackendChanged(backend=name, state=state, why=entry.why, seen_by=self.name)
             )
--- a/kelpstage/edge/backend/discovery.py
+++ b/kelpstage/edge/backend/discovery.py
@@ -246,7 +246,7 @@
             update.tell, update.is_last = relayed_to, is_last
             self._transport.send(address=address, message=update)
 
-    def take(self, *, update: EndpointUpdate) -> None:
+    def on_update(self, *, update: EndpointUpdate) -> None:
         """Apply an update from a peer and relay it to the addresses that it names."""
         now_us = self._ports.clock.now_us()
         self._apply_update(update=update, now_us=now_us)
@@ -319,7 +319,7 @@
         if isinstance(reply, EndpointUpdate):
             self._apply_update(update=reply, now_us=self._ports.clock.now_us())
 
-    def answer(self, *, ask: FetchEndpoints) -> EndpointUpdate:
+    def on_fetch(self, *, ask: FetchEndpoints) -> EndpointUpdate:
         """Return the recent changes to a peer with the same digest, else the complete list."""
         is_whole = not ask.has_list or ask.digest != self.endpoints.digest
         return self.endpoints.update(now_us=self._ports.clock.now_us(), is_whole=is_whole)
--- a/kelpstage/edge/backend/eligibility.py
+++ b/kelpstage/edge/backend/eligibility.py
@@ -58,12 +58,12 @@
 
     def refusal_of_instance(self, *, entry: BackendEntry, now_us: int) -> str:
         """Return why an instance may not receive requests now; empty if it may."""
-        if entry.gone_us:
+        if entry.removed_us:
             return "not on the list"
         if entry.state == BackendState.DRAINING:
             return f"draining ({entry.why})"
-        if entry.seen.ejected_until_us:
-            if now_us < entry.seen.ejected_until_us:
+        if entry.outlier_statistics.ejected_until_us:
+            if now_us < entry.outlier_statistics.ejected_until_us:
                 return "shunned"
             if entry.in_flight:
                 return "on trial"
--- a/kelpstage/edge/backend/entry.py
+++ b/kelpstage/edge/backend/entry.py
@@ -43,11 +43,11 @@
     slots: int = 1
     warming_up_until_us: int = 0
     revision: str = ""
-    gone_us: int = 0
+    removed_us: int = 0
     connection_limit: int = 0
     distance_us: int = 0
     charge_us: int = 0
-    seen: OutlierStatistics = field(default_factory=OutlierStatistics)
+    outlier_statistics: OutlierStatistics = field(default_factory=OutlierStatistics)
 
     @property
     def is_draining(self) -> bool:
--- a/kelpstage/edge/backend/health.py
+++ b/kelpstage/edge/backend/health.py
@@ -56,14 +56,14 @@
         entry.invalid_replies_in_a_row = entry.suspected_until_us = 0
         entry.unreachable_by.clear()
         net_us = max(took_us - entry.distance_us, took_us // 4) if took_us > 0 else 0
-        entry.seen.note_answer(took_us=net_us, now_us=now_us)
+        entry.outlier_statistics.note_answer(took_us=net_us, now_us=now_us)
 
     def note_overloaded(self, *, name: str, now_us: int) -> None:
         """Record that an instance rejected a request: it is overloaded, not faulty."""
         entry = self._entries.get(name)
         if entry is not None:
             entry.responded_us = now_us
-            entry.seen.note_overloaded(now_us=now_us)
+            entry.outlier_statistics.note_overloaded(now_us=now_us)
 
     def note_failure(
         self, *, name: str, why: str, now_us: int, waited_us: int | None = None
@@ -77,10 +77,12 @@
         entry = self._entries.get(name)
         if entry is None:
             return False
-        cause = entry.seen.classify_failure(why=why, waited_us=waited_us, now_us=now_us)
+        cause = entry.outlier_statistics.classify_failure(
+            why=why, waited_us=waited_us, now_us=now_us
+        )
         if cause != why:
-            entry.seen.note_overloaded(now_us=now_us)
-        if not cause or not entry.seen.note_failure(why=cause, now_us=now_us):
+            entry.outlier_statistics.note_overloaded(now_us=now_us)
+        if not cause or not entry.outlier_statistics.note_failure(why=cause, now_us=now_us):
             return False
         entry.unreachable_by[self._me] = now_us
         self._on_changed(name)
@@ -94,8 +96,8 @@
         if entry is None:
             return
         entry.unreachable_by.clear()
-        if entry.seen.is_ejected(now_us=now_us):
-            entry.seen.ejected_until_us = now_us
+        if entry.outlier_statistics.is_ejected(now_us=now_us):
+            entry.outlier_statistics.ejected_until_us = now_us
 
     def _observe_instance(self, *, entry: BackendEntry, state: int, why: str, now_us: int) -> bool:
         """Handle `observe` for an instance.
@@ -170,7 +172,7 @@
         """
         entry = self._instances.entry(name=name)
         if entry.is_discovered:
-            entry.seen.note_overloaded(now_us=now_us)  # instances pause now and then
+            entry.outlier_statistics.note_overloaded(now_us=now_us)  # instances pause now and then
             return
         entry.overdue_until_us = now_us + OVERDUE_PENALTY_US
 
--- a/kelpstage/edge/backend/instance_registry.py
+++ b/kelpstage/edge/backend/instance_registry.py
@@ -42,7 +42,7 @@
             entry = self.entries[name] = BackendEntry(name=name)
         return entry
 
-    def declare(self, *, configuration: Configuration, listed: dict[str, str]) -> None:
+    def apply_configuration(self, *, configuration: Configuration, listed: dict[str, str]) -> None:
         """Apply a configuration; `listed` provides the addresses that it does not contain."""
         self._limits.configure(configuration=configuration)
         self.apply_limits()
@@ -78,12 +78,12 @@
 
     def _set_instance(self, *, instance: Instance, now_us: int) -> bool:
         entry = self.entries.get(instance.instance_id)
-        is_new = entry is None or not entry.is_discovered or entry.gone_us > 0
+        is_new = entry is None or not entry.is_discovered or entry.removed_us > 0
         if entry is None:
             entry = self.entries[instance.instance_id] = BackendEntry(
                 name=instance.instance_id, why="listed"
             )
-        entry.is_discovered, entry.gone_us = True, 0
+        entry.is_discovered, entry.removed_us = True, 0
         entry.service, entry.address, entry.zone = instance.service, instance.address, instance.zone
         entry.slots, entry.revision = max(1, instance.slots), instance.revision
         entry.distance_us = self.zone_distances.distance_us(zone=instance.zone)
@@ -101,10 +101,10 @@
         for name, entry in list(self.entries.items()):
             if not entry.is_discovered or name in listed:
                 continue
-            if not entry.gone_us:
-                entry.gone_us = now_us
+            if not entry.removed_us:
+                entry.removed_us = now_us
                 removed.append(name)
-            elif now_us - entry.gone_us > REMOVED_INSTANCE_TTL_US and not entry.in_flight:
+            elif now_us - entry.removed_us > REMOVED_INSTANCE_TTL_US and not entry.in_flight:
                 del self.entries[name]
         return removed
 
@@ -130,7 +130,7 @@
             return known[1]
         entries = [self.entries[name] for name in self._instances.get(service, ())]
         up = [entry for entry in entries if entry.state == BackendState.UP]
-        well = [entry for entry in up if not entry.seen.is_ejected(now_us=now_us)]
+        well = [entry for entry in up if not entry.outlier_statistics.is_ejected(now_us=now_us)]
         zones = frozenset(entry.zone for entry in well or up)
         self._zones[service] = (now_us, zones)
         return zones
@@ -145,9 +145,9 @@
         if known is not None and now_us - known[0] < MEDIAN_CACHE_US:
             return known[1]
         means = sorted(
-            entry.seen.mean_us
+            entry.outlier_statistics.mean_us
             for entry in map(self.entries.__getitem__, self._instances.get(service, ()))
-            if entry.seen.answers
+            if entry.outlier_statistics.answers
         )
         median = (
             means[(len(means) - 1) // 2] if means else known[1] if known else DEFAULT_LATENCY_US
--- a/kelpstage/edge/backend/registry.py
+++ b/kelpstage/edge/backend/registry.py
@@ -72,9 +72,9 @@
         """Return the entry of a backend; creates it if there is none."""
         return self._instances.entry(name=name)
 
-    def declare(self, *, configuration: Configuration, listed: dict[str, str]) -> None:
+    def apply_configuration(self, *, configuration: Configuration, listed: dict[str, str]) -> None:
         """Apply a configuration; `listed` provides the addresses that it does not contain."""
-        self._instances.declare(configuration=configuration, listed=listed)
+        self._instances.apply_configuration(configuration=configuration, listed=listed)
 
     def set_instances(self, instances: Iterable[Instance], now_us: int) -> list[str]:
         """Apply a complete list; returns the ids added, removed or newly draining.
--- a/kelpstage/edge/backend/reply.py
+++ b/kelpstage/edge/backend/reply.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class SealedPart:
+class ValidatedPart:
     """The result of one shard, which passed every check."""
 
     shard: str
@@ -134,7 +134,7 @@
 
 def read_reply(
     *, backend: str, reply: HttpReply, shard: str, cut: str, order_by: str
-) -> SealedPart | InvalidReplyError:
+) -> ValidatedPart | InvalidReplyError:
     """Check a complete reply: status, type, encoding, format, shard, cut, count and stamp.
 
     >>> record = b'{"score":3}'
@@ -179,6 +179,6 @@
         if type(rank) is not int or not RANK_MIN <= rank <= RANK_MAX:
             return invalid("record", f"{order_by} is not a 64-bit integer")
         records.append((-rank, data))
-    return SealedPart(
+    return ValidatedPart(
         shard=shard, cut=cut, stamp=fields["stamp"], count=len(records), records=records
     )
--- a/kelpstage/edge/backend/selection.py
+++ b/kelpstage/edge/backend/selection.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Option:
+class Candidate:
     """One candidate of a selection; the one with the lowest rank is chosen.
 
     `refusal` is the reason why it may not receive requests, empty if it may; `mean_us` is its
@@ -61,7 +61,7 @@
     zone: str,
     now_us: int,
     rand: random.Random | None,
-) -> list[Option]:
+) -> list[Candidate]:
     """Return all backends of a shard, best first, refused ones last with the reason.
 
     The backends are those that the configuration's selector matches or, if it matches none,
@@ -89,7 +89,7 @@
         is_overdue = registry.is_overdue(name=name, now_us=now_us)
         random_part = rand.random() if rand else 0.0
         out.append(
-            Option(
+            Candidate(
                 backend=name,
                 refusal=refusal,
                 is_near=is_near,
@@ -110,7 +110,7 @@
     instances: tuple[str, ...],
     now_us: int,
     rand: random.Random | None,
-) -> list[Option]:
+) -> list[Candidate]:
     """Return the instances ranked by the expected time of an answer, with a random weight.
 
     The expected time is the instance's latency (the service's median if it has no answers
@@ -132,7 +132,7 @@
             if _is_unrestricted(entry)
             else registry.refusal_of_instance(entry=entry, now_us=now_us)
         )
-        seen = entry.seen
+        seen = entry.outlier_statistics
         mean_us = seen.latency_us(median_us=median_us, now_us=now_us)
         cost = expected_cost_us(entry=entry, mean_us=mean_us, now_us=now_us)
         is_suspected = bool(entry.unreachable_by) and _is_reported_ejected(
@@ -143,7 +143,7 @@
         if not refusal:
             is_any_available = True
         out.append(
-            Option(
+            Candidate(
                 name,
                 refusal,
                 entry.zone == own_zone,
@@ -160,7 +160,7 @@
     return out
 
 
-def _rank(option: Option) -> Rank:
+def _rank(option: Candidate) -> Rank:
     return option.rank
 
 
@@ -168,15 +168,15 @@
     """True if no condition can refuse the instance; this skips a call in the common case."""
     return (
         not entry.state
-        and not entry.seen.ejected_until_us
-        and not entry.gone_us
+        and not entry.outlier_statistics.ejected_until_us
+        and not entry.removed_us
         and not 0 < entry.connection_limit <= entry.in_flight
     )
 
 
 def expected_cost_us(*, entry: BackendEntry, mean_us: float, now_us: int) -> float:
     """Return the expected time of an answer plus the charge of its zone, in microseconds."""
-    seen = entry.seen
+    seen = entry.outlier_statistics
     load = entry.in_flight + 1
     if now_us < seen.overloaded_until_us:
         load += entry.slots
@@ -199,7 +199,7 @@
     return reports >= UNREACHABLE_REPORT_QUORUM
 
 
-def _offer_least_bad(*, options: list[Option], registry: BackendRegistry, now_us: int) -> None:
+def _offer_least_bad(*, options: list[Candidate], registry: BackendRegistry, now_us: int) -> None:
     """Move the ejected instance that may be tried soonest to the front, without a refusal."""
     ejected = [option for option in options if option.refusal in ("shunned", "on trial")]
     if not ejected:
@@ -208,7 +208,7 @@
         ejected,
         key=lambda option: (
             registry.entries[option.backend].in_flight,
-            registry.entries[option.backend].seen.ejected_until_us,
+            registry.entries[option.backend].outlier_statistics.ejected_until_us,
             option.backend,
         ),
     )
--- a/kelpstage/edge/backend/state_gossip.py
+++ b/kelpstage/edge/backend/state_gossip.py
@@ -111,7 +111,10 @@
 
     def _own_reports(self, *, entry: BackendEntry, now_us: int) -> list[BackendStateMsg]:
         reported = []
-        is_old = entry.is_discovered and now_us - entry.seen.ejected_us >= EJECTION_GOSSIP_US
+        is_old = (
+            entry.is_discovered
+            and now_us - entry.outlier_statistics.ejected_us >= EJECTION_GOSSIP_US
+        )
         if self._me in entry.unreachable_by and not is_old:
             reported.append(BackendState.UNREACHABLE)
         if now_us - entry.invalid_reply_us < INVALID_REPLY_GOSSIP_US:
@@ -125,7 +128,7 @@
 
     def _has_state_to_send(self, *, entry: BackendEntry, now_us: int) -> bool:
         if entry.version or self._me in entry.unreachable_by:
-            return not entry.gone_us
+            return not entry.removed_us
         return now_us - entry.invalid_reply_us < INVALID_REPLY_GOSSIP_US
 
 
--- a/kelpstage/edge/backend/suspected_instances.py
+++ b/kelpstage/edge/backend/suspected_instances.py
@@ -43,7 +43,7 @@
 
 
 def _is_current(*, entry: BackendEntry, now_us: int) -> bool:
-    if entry.gone_us or not entry.unreachable_by:
+    if entry.removed_us or not entry.unreachable_by:
         return False
     reported_until_us = max(entry.unreachable_by.values()) + UNREACHABLE_REPORT_TTL_US
-    return now_us < max(reported_until_us, entry.seen.ejected_until_us)
+    return now_us < max(reported_until_us, entry.outlier_statistics.ejected_until_us)
--- a/kelpstage/edge/forward/sealed_answer.py
+++ b/kelpstage/edge/forward/sealed_answer.py
@@ -17,7 +17,7 @@
 )
 from kelpstage.common.http.headers import joined
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Owner
-from kelpstage.edge.backend.reply import SealedPart
+from kelpstage.edge.backend.reply import ValidatedPart
 from kelpstage.edge.forward.headers import HeaderNames
 
 RECORD_SIZE = 16  # bytes
@@ -122,7 +122,7 @@
 
     def read_part(
         self, *, reply: HttpReply, backend: str, shard: str, request_id: str
-    ) -> SealedPart | RequestNotRunError | InvalidReplyError | BackendFailedError:
+    ) -> ValidatedPart | RequestNotRunError | InvalidReplyError | BackendFailedError:
         """One part of a search, or why there is none."""
         refused = self._refused(reply=reply, backend=backend, request_id=request_id)
         if refused is not None:
@@ -137,7 +137,7 @@
         body = reply.body
         size = len(body) - len(body) % RECORD_SIZE
         records = [body[at : at + RECORD_SIZE] for at in range(0, size, RECORD_SIZE)]
-        return SealedPart(shard=shard, cut="", stamp=seal, count=len(records), records=records)
+        return ValidatedPart(shard=shard, cut="", stamp=seal, count=len(records), records=records)
 
     def read_whole(
         self, *, reply: HttpReply, backend: str, request_id: str
--- a/kelpstage/edge/gather/observation.py
+++ b/kelpstage/edge/gather/observation.py
@@ -11,7 +11,7 @@
 from kelpstage.common.transport.messages import Gathered
 from kelpstage.edge.backend import outlier_detection
 from kelpstage.edge.backend.backend_state import BackendState
-from kelpstage.edge.backend.reply import SealedPart
+from kelpstage.edge.backend.reply import ValidatedPart
 from kelpstage.edge.forward.sealed_answer import WholeReply
 from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.messages import BackendReplied, ChildReplied
@@ -76,7 +76,7 @@
         registry, name, outcome = self._context.registry, event.backend, event.outcome
         took_us = now_us - event.sent_us
         if (
-            isinstance(outcome, SealedPart)
+            isinstance(outcome, ValidatedPart)
             or isinstance(outcome, WholeReply)
             and outcome.status < 500
         ):
--- a/kelpstage/edge/gather/stages/attempts.py
+++ b/kelpstage/edge/gather/stages/attempts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from kelpstage.edge.backend.selection import Option, options
+from kelpstage.edge.backend.selection import Candidate, options
 from kelpstage.edge.events import AttemptRefused, AttemptSent
 from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.messages import QueryBackend
@@ -76,7 +76,7 @@
 
 def _ranked_backends(
     *, shard_state: ShardState, record: RequestState, context: GatherContext
-) -> tuple[Option, ...]:
+) -> tuple[Candidate, ...]:
     """Return all backends of the shard, the best first."""
     return tuple(
         options(
@@ -98,7 +98,7 @@
     record: RequestState,
     context: GatherContext,
     why: str,
-    ranked: tuple[Option, ...],
+    ranked: tuple[Candidate, ...],
 ) -> None:
     context.trace.add(
         AttemptRefused(search=record.search, shard=shard_state.shard, why=why, ranked=ranked)
@@ -112,7 +112,7 @@
     record: RequestState,
     context: GatherContext,
     why: str,
-    ranked: tuple[Option, ...],
+    ranked: tuple[Candidate, ...],
 ) -> None:
     """Record an attempt and emit the effect that sends it."""
     context.next_attempt += 1
--- a/kelpstage/edge/gather/stages/merge.py
+++ b/kelpstage/edge/gather/stages/merge.py
@@ -9,7 +9,7 @@
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.errors.transport import ConnectError, ConnectionLostError, ReplyTimeoutError
 from kelpstage.common.transport.messages import Gathered, PartMsg
-from kelpstage.edge.backend.reply import SealedPart
+from kelpstage.edge.backend.reply import ValidatedPart
 from kelpstage.edge.events import AttemptEnded, BadPart, ChildEnded
 from kelpstage.edge.forward.sealed_answer import WholeReply
 from kelpstage.edge.gather.context import GatherContext
@@ -67,7 +67,7 @@
     if shard_state.state is not WAITING or event.shard in record.parts:
         return
     outcome = event.outcome
-    if isinstance(outcome, SealedPart):
+    if isinstance(outcome, ValidatedPart):
         shard_state.state = RECEIVED
         shard_state.wants_attempt = False
         record.parts[event.shard] = PartMsg(
--- a/kelpstage/edge/handlers.py
+++ b/kelpstage/edge/handlers.py
@@ -144,7 +144,7 @@
 async def handle_endpoint_update(message: EndpointUpdate, edge: HandlingEdge, source: str) -> None:
     """Take what another edge read of the list of backends."""
     if edge.discovery is not None:
-        edge.discovery.take(update=message)
+        edge.discovery.on_update(update=message)
 
 
 @handle.register
@@ -154,7 +154,7 @@
     """Give what is known of the list of backends."""
     if edge.discovery is None:
         return EndpointUpdate()
-    return edge.discovery.answer(ask=message)
+    return edge.discovery.on_fetch(ask=message)
 
 
 @handle.register
--- a/kelpstage/edge/metrics.py
+++ b/kelpstage/edge/metrics.py
@@ -126,12 +126,12 @@
     yield MetricFamily.gauge(
         "kelpstage_backends_ejected",
         "Backends that are ejected as outliers now.",
-        sum(entry.seen.is_ejected(now_us=now_us) for entry in entries),
+        sum(entry.outlier_statistics.is_ejected(now_us=now_us) for entry in entries),
     )
     yield MetricFamily.gauge(
         "kelpstage_backends_on_trial",
         "Backends whose ejection is over and that have not answered since.",
-        sum(entry.seen.is_on_trial(now_us=now_us) for entry in entries),
+        sum(entry.outlier_statistics.is_on_trial(now_us=now_us) for entry in entries),
     )
     yield MetricFamily.gauge(
         "kelpstage_backend_attempts_in_flight",
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -208,7 +208,7 @@
         granted = LeaseReply(is_granted=True, cluster="c", epoch=1, span_us=600_000_000)
         lease_holder.record_lease(reply=granted, sent_us=now_us)
         registry = BackendRegistry(me="e")
-        registry.declare(configuration=configuration, listed={})
+        registry.apply_configuration(configuration=configuration, listed={})
         return GatherContext(
             me="e",
             zone="z",
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -125,7 +125,7 @@
         )
         granted = LeaseReply(is_granted=True, cluster="c", epoch=version, span_us=SPAN_US)
         self.lease_holder.record_lease(reply=granted, sent_us=now_us)
-        self.context.registry.declare(configuration=configuration, listed={})
+        self.context.registry.apply_configuration(configuration=configuration, listed={})
         self.context.registry.set_instances(self.fleet.instances, now_us)
         self.context.registry.set_live_edges(count=1, now_us=now_us)
         self.gather.inbox.put_nowait(ConfigurationMoved())
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -32,7 +32,7 @@
 from kelpstage.edge.backend.endpoint_source import HttpEndpointSource
 from kelpstage.edge.backend.instance import Instance
 from kelpstage.edge.backend.registry import BackendRegistry
-from kelpstage.edge.backend.selection import Option, options
+from kelpstage.edge.backend.selection import Candidate, options
 from kelpstage.edge.backend.zones import ZoneDistances
 from kelpstage.edge.gather.latency import LatencyEstimates
 from kelpstage.edge.gossip.members import LEAVING
@@ -181,9 +181,9 @@
     async def _on_message(self, message: Any, source: str) -> Any:
         if isinstance(message, EndpointUpdate):
             self.update_times_us.append(self.world.now_us())
-            self.discovery.take(update=message)
+            self.discovery.on_update(update=message)
         if isinstance(message, FetchEndpoints):
-            return self.discovery.answer(ask=message)
+            return self.discovery.on_fetch(ask=message)
         return None
 
 
@@ -533,7 +533,7 @@
         registry.set_instances(instances, now_us)
         return registry
 
-    def choose(self, registry: BackendRegistry, now_us: int, rand: Any = None) -> list[Option]:
+    def choose(self, registry: BackendRegistry, now_us: int, rand: Any = None) -> list[Candidate]:
         return options(
             configuration=EMPTY,
             registry=registry,
@@ -626,7 +626,7 @@
         now_us, spans = 0, []
         for _ in range(7):
             registry.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=now_us)
-            until_us = registry.entries["i1"].seen.ejected_until_us
+            until_us = registry.entries["i1"].outlier_statistics.ejected_until_us
             spans.append(until_us - now_us)
             now_us = until_us
             self.assertEqual(
@@ -669,7 +669,7 @@
     def test_signs_of_load_do_not_eject(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"))
         registry.note_answer(name="i1", took_us=12_000, now_us=SECOND)
-        seen = registry.entries["i1"].seen
+        seen = registry.entries["i1"].outlier_statistics
         for _n in range(5):  # sent shortly before the caller's deadline
             self.assertFalse(
                 registry.note_failure(
@@ -751,7 +751,7 @@
 
         registry = self.registry(instance("i1"), instance("i2"))
         registry.set_live_edges(count=12, now_us=0)
-        registry.declare(configuration=Configuration(), listed={})  # type: ignore[arg-type]
+        registry.apply_configuration(configuration=Configuration(), listed={})  # type: ignore[arg-type]
         self.assertEqual(2, registry.entries["i1"].connection_limit)
         registry.entries["i1"].in_flight = 2
         refusals = {o.backend: o.refusal for o in self.choose(registry, 1)}
@@ -814,7 +814,7 @@
             for node in self.nodes:
                 for _ in range(5):  # an ejection of eight seconds
                     now_us = self.world.now_us()
-                    node.registry.entries["i1"].seen.ejected_until_us = 0
+                    node.registry.entries["i1"].outlier_statistics.ejected_until_us = 0
                     node.registry.note_failure(
                         name="i1", why=outlier_detection.REFUSED, now_us=now_us
                     )
@@ -835,7 +835,7 @@
         self.run_scenario(scenario)
 
     def is_ejected_at(self, node: Node) -> bool:
-        return node.registry.entries["i1"].seen.is_ejected(now_us=self.world.now_us())
+        return node.registry.entries["i1"].outlier_statistics.is_ejected(now_us=self.world.now_us())
 
 
 class InstanceSelectionTest(unittest.TestCase):
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -6,7 +6,7 @@
 import unittest
 
 from kelpstage.common.ports.interfaces import HttpReply
-from kelpstage.edge.backend.reply import SealedPart, read_reply
+from kelpstage.edge.backend.reply import ValidatedPart, read_reply
 from kelpstage.edge.gather.record_order import lowest_limit, merge, sort_and_truncate
 from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
 from kelpstage.testbed.stand_ins.backend import INVALID_REPLIES, damaged_body
@@ -94,7 +94,7 @@
     def test_valid_reply_is_kept_byte_for_byte(self) -> None:
         body = sealed_reply(query="name-04", cut=self.CUT, shard="s1")
         got = self.read(body)
-        self.assertIsInstance(got, SealedPart)
+        self.assertIsInstance(got, ValidatedPart)
         self.assertEqual(
             sorted((-s, d) for s, d in part(query="name-04", cut=self.CUT, shard="s1")),
             sorted(got.records),
@@ -106,7 +106,7 @@
             damaged = damaged_body(body=body, lie=kind, shard="s1")
             if damaged != body:
                 with self.subTest(kind=kind):
-                    self.assertNotIsInstance(self.read(damaged), SealedPart)
+                    self.assertNotIsInstance(self.read(damaged), ValidatedPart)
         self.assertEqual("status", self.read(body, status=500).part)
         self.assertEqual("type", self.read(body, headers={"content-type": "text/html"}).part)
         self.assertEqual("encoding", self.read(body, headers={"content-encoding": "gzip"}).part)
@@ -127,5 +127,5 @@
                     + body[place + 1 :]
                 )
             got = self.read(damaged)
-            if isinstance(got, SealedPart):  # the change was outside the records
+            if isinstance(got, ValidatedPart):  # the change was outside the records
                 self.assertEqual(whole.records, got.records)
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -19,7 +19,7 @@
 )
 from kelpstage.edge.backend.backend_state import BackendState
 from kelpstage.edge.backend.registry import BackendRegistry
-from kelpstage.edge.backend.reply import SealedPart
+from kelpstage.edge.backend.reply import ValidatedPart
 from kelpstage.edge.backend.selection import options
 from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.latency import LatencyEstimates
@@ -47,7 +47,7 @@
             data=configuration_of(deployment=load(name="tiny"), addresses=addresses), version=1
         )
         self.registry, self.latencies = BackendRegistry(me="n"), LatencyEstimates()
-        self.registry.declare(configuration=self.configuration, listed={})
+        self.registry.apply_configuration(configuration=self.configuration, listed={})
 
     def order(self, now_us: int) -> list[str]:
         ranked = options(
@@ -76,7 +76,7 @@
             if r.state == BackendState.INVALID_REPLIES
         ]
         other = BackendRegistry(me="m")
-        other.declare(configuration=self.configuration, listed={})
+        other.apply_configuration(configuration=self.configuration, listed={})
         self.assertTrue(other.on_backend_state_received(backend_state=backend_state, now_us=5))
         self.assertTrue(other.is_suspected(name="b-01", now_us=6))
 
@@ -152,7 +152,7 @@
             children=[child],
             shard_states={"s1": ShardState(shard="s1", is_extra=True)},
         )
-        own = SealedPart(shard="s1", cut="c1", stamp="x", count=1, records=[(-5, b"own")])
+        own = ValidatedPart(shard="s1", cut="c1", stamp="x", count=1, records=[(-5, b"own")])
         take(
             BackendReplied(
                 key=1, generation=0, shard="s1", number=1, backend="b", sent_us=0, outcome=own
@@ -310,7 +310,7 @@
             version=1,
         )
         registry = BackendRegistry(me="n")
-        registry.declare(configuration=configuration, listed={})
+        registry.apply_configuration(configuration=configuration, listed={})
         for peer in ("k", "l"):
             for name in configuration.backends:
                 registry.on_backend_state_received(
