--- a/kelpstage/cli/offline/plan.py
+++ b/kelpstage/cli/offline/plan.py
@@ -11,7 +11,7 @@
 from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.backend.selection import options
 from kelpstage.edge.gather.latency import LatencyEstimates
-from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
+from kelpstage.edge.gather.tree import Subtree, build_tree, last_fan_out, levels
 
 
 def offline_plan(
@@ -25,7 +25,7 @@
     route = configuration.routes[collection]
     helpers = _helpers(configuration=configuration, collection=collection, root=root, gone=gone)
     registry = _registry(configuration=configuration, root=root, gone=gone)
-    tree = grow(root=root, shards=route.fan_out, helpers=helpers, fan_out=route.tree_fan_out)
+    tree = build_tree(root=root, shards=route.fan_out, helpers=helpers, fan_out=route.tree_fan_out)
     count = len(route.fan_out)
     placed = _placed(
         configuration=configuration, registry=registry, collection=collection, subtree=tree
--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -27,7 +27,7 @@
 from kelpstage.edge.events import BackendChanged, Leaving, ServingChanged
 from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.forward.sealed_answer import SealedCodec
-from kelpstage.edge.gather.messages import ConfigurationMoved, WantState
+from kelpstage.edge.gather.messages import ConfigurationChanged, FetchConfiguration
 from kelpstage.edge.gather.task import GatherTask
 from kelpstage.edge.gossip.members import LEAVING
 from kelpstage.edge.gossip.task import GossipTask
@@ -157,7 +157,7 @@
             ports=self.ports,
             transport=self.transport,
             context=self.gather_context,
-            on_want_state=self._on_want_state,
+            on_fetch_configuration=self._on_fetch_configuration,
             on_backend_changed=self._on_backend_changed,
             sealed=SealedCodec(names=self.names),
         )
@@ -317,10 +317,10 @@
 
     def _on_installed(self) -> None:
         self._declare()
-        self.gather.inbox.put_nowait(ConfigurationMoved())
+        self.gather.inbox.put_nowait(ConfigurationChanged())
         self._refresh()
 
-    def _on_want_state(self, want: WantState) -> None:
+    def _on_fetch_configuration(self, want: FetchConfiguration) -> None:
         """A request needs a newer configuration: fetch it from the node that has it."""
         member = self.swim.members.get(want.source)
         self.leases.start_fetch(first=member.info.address if member else want.source)
@@ -328,12 +328,12 @@
     def _on_silent(self, name: str) -> None:
         """A peer gave gossip no direct ack: it is not to be a helper for a while."""
         self.gather_context.now_us = self.ports.clock.now_us()
-        self.gather_context.note_silent(name=name)
+        self.gather_context.note_missed_ack(name=name)
 
     def _on_ack(self, name: str, took_us: int) -> None:
         """A peer gave gossip an ack, after this round trip."""
         self.gather_context.note_reply(name=name)
-        self.gather_context.note_distance(name=name, took_us=took_us)
+        self.gather_context.note_round_trip(name=name, took_us=took_us)
         member = self.swim.members.get(name)
         if member is not None and member.info.zone:
             self.registry.zone_distances.note_round_trip(zone=member.info.zone, took_us=took_us)
--- a/kelpstage/edge/gather/context.py
+++ b/kelpstage/edge/gather/context.py
@@ -59,7 +59,7 @@
         """Queue an effect to be performed after this run of the stages."""
         self.effects.append(effect)
 
-    def edges(self) -> int:
+    def live_edge_count(self) -> int:
         """Return the number of live edges, which share the slack of the retry budget."""
         return len(self.swim.live())
 
@@ -73,7 +73,7 @@
         count = 0 if known is None else known.count
         self.late[name] = Lateness(since_us=self.now_us, count=min(count + 1, MAX_LATE_COUNT))
 
-    def note_silent(self, *, name: str) -> None:
+    def note_missed_ack(self, *, name: str) -> None:
         """Record a missed direct gossip ack; queries may not reach the peer either."""
         self.note_late(name=name)
         self.late[name].count = max(self.late[name].count, UNRESPONSIVE_COUNT)
@@ -84,7 +84,7 @@
         if known is not None:
             known.count = 0
 
-    def note_distance(self, *, name: str, took_us: int) -> None:
+    def note_round_trip(self, *, name: str, took_us: int) -> None:
         """Record a round trip to a peer: longer ones are smoothed, shorter ones apply at once."""
         known = self.round_trips_us.get(name, took_us)
         self.round_trips_us[name] = min(took_us, known + (took_us - known) // 4)
--- a/kelpstage/edge/gather/conversion.py
+++ b/kelpstage/edge/gather/conversion.py
@@ -44,7 +44,7 @@
     )
 
 
-def child_record(*, key: int, ask: Gather, now_us: int) -> RequestState:
+def child_state(*, key: int, ask: Gather, now_us: int) -> RequestState:
     """Return the state of a subtree query that the root, or another parent, sent to this node."""
     subtree, addresses = read_subtree(message=ask.subtree)
     forwarded: dict[str, Any] = {}
@@ -112,7 +112,7 @@
     )
 
 
-def reply_of(*, outcome: Any) -> Gathered:
+def gathered_reply(*, outcome: Any) -> Gathered:
     """Return the reply to the parent; stale for any outcome but a `SubtreeReply`."""
     if isinstance(outcome, SubtreeReply):
         message: Gathered = outcome.message
--- a/kelpstage/edge/gather/latency.py
+++ b/kelpstage/edge/gather/latency.py
@@ -13,7 +13,7 @@
     """A smoothed latency and its mean deviation, as TCP estimates its round-trip time.
 
     >>> latency = LatencyEstimate()
-    >>> for _ in range(50): latency.saw(took_us=4_000)
+    >>> for _ in range(50): latency.observe(took_us=4_000)
     >>> 4_000 <= latency.stretch_us() < 6_000
     True
     """
@@ -23,7 +23,7 @@
     sample_count: int = 0
     last_sample_us: int = 0
 
-    def saw(self, *, took_us: int, now_us: int = 0) -> None:
+    def observe(self, *, took_us: int, now_us: int = 0) -> None:
         """Add a measured latency in microseconds."""
         self.last_sample_us = now_us
         took_us = min(took_us, MAX_SAMPLE_US)
@@ -49,9 +49,9 @@
     def __init__(self) -> None:
         self._latencies: dict[str, LatencyEstimate] = {}
 
-    def saw(self, *, name: str, took_us: int, now_us: int = 0) -> None:
+    def observe(self, *, name: str, took_us: int, now_us: int = 0) -> None:
         """Add a measured latency of a name, in microseconds."""
-        self._latencies.setdefault(name, LatencyEstimate()).saw(took_us=took_us, now_us=now_us)
+        self._latencies.setdefault(name, LatencyEstimate()).observe(took_us=took_us, now_us=now_us)
 
     def window_us(self, *, name: str, least_us: int) -> int:
         """Return the window for a name: `least_us`, or more if its estimate is longer."""
--- a/kelpstage/edge/gather/messages.py
+++ b/kelpstage/edge/gather/messages.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ConfigurationMoved:
+class ConfigurationChanged:
     """The configuration in force on this node has changed."""
 
 
@@ -112,7 +112,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class WantState:
+class FetchConfiguration:
     """Fetch a newer configuration that is known to exist, from `source` if possible."""
 
     version: int
--- a/kelpstage/edge/gather/observation.py
+++ b/kelpstage/edge/gather/observation.py
@@ -59,7 +59,7 @@
             if context.registry.note_no_answer(name=event.backend, now_us=now_us):
                 self._on_backend_changed(event.backend)
             if isinstance(outcome, ReplyTimeoutError):
-                context.latencies.saw(
+                context.latencies.observe(
                     name=event.backend, took_us=now_us - event.sent_us, now_us=now_us
                 )
             return
@@ -69,7 +69,7 @@
             self._on_backend_changed(event.backend)
         else:
             context.registry.note_valid_reply(name=event.backend)
-        context.latencies.saw(name=event.backend, took_us=now_us - event.sent_us, now_us=now_us)
+        context.latencies.observe(name=event.backend, took_us=now_us - event.sent_us, now_us=now_us)
 
     def _observe_instance(self, *, event: BackendReplied, now_us: int) -> None:
         """Update the state of a discovered instance from the outcome of an attempt."""
@@ -81,7 +81,7 @@
             and outcome.status < 500
         ):
             registry.note_answer(name=name, took_us=took_us, now_us=now_us)
-            self._context.latencies.saw(name=name, took_us=took_us, now_us=now_us)
+            self._context.latencies.observe(name=name, took_us=took_us, now_us=now_us)
             return
         if isinstance(outcome, RequestNotRunError) and outcome.answer != MISDIRECTED_REQUEST:
             registry.note_overloaded(name=name, now_us=now_us)
@@ -90,7 +90,7 @@
             return  # it waited in this node for a connection
         why = failure_kind(outcome=outcome)
         if isinstance(outcome, ReplyTimeoutError):
-            self._context.latencies.saw(name=name, took_us=took_us, now_us=now_us)
+            self._context.latencies.observe(name=name, took_us=took_us, now_us=now_us)
         if registry.note_failure(name=name, why=why, now_us=now_us, waited_us=took_us):
             self._on_backend_changed(name)
 
@@ -102,7 +102,7 @@
         if isinstance(event.outcome, Gathered):
             context.note_reply(name=event.node)
         if isinstance(event.outcome, Gathered) and not event.outcome.is_stale:
-            context.latencies.saw(
+            context.latencies.observe(
                 name=f"node:{event.node}", took_us=now_us - event.sent_us, now_us=now_us
             )
             return
--- a/kelpstage/edge/gather/record_order.py
+++ b/kelpstage/edge/gather/record_order.py
@@ -16,10 +16,10 @@
 RECORD_HEADER = struct.Struct("!qI")
 
 
-def lowest_limit(*, limit: int | None) -> int | None:
+def leaf_limit(*, limit: int | None) -> int | None:
     """Return how many records a leaf of the tree sends to its parent: Scuba's max(5*limit, 100).
 
-    >>> lowest_limit(limit=5), lowest_limit(limit=50), lowest_limit(limit=None)
+    >>> leaf_limit(limit=5), leaf_limit(limit=50), leaf_limit(limit=None)
     (100, 250, None)
     """
     return None if limit is None else max(5 * limit, 100)
--- a/kelpstage/edge/gather/request_state.py
+++ b/kelpstage/edge/gather/request_state.py
@@ -75,11 +75,11 @@
         """True while an attempt is in flight."""
         return any(attempt.is_open for attempt in self.attempts)
 
-    def miss(self, *, cause: str, detail: str = "") -> None:
+    def mark_missing(self, *, cause: str, detail: str = "") -> None:
         """Mark the shard as missing; no further attempt is sent for it.
 
         >>> shard_state = ShardState(shard="s")
-        >>> shard_state.miss(cause="window"); str(shard_state.state)
+        >>> shard_state.mark_missing(cause="window"); str(shard_state.state)
         'missing'
         """
         self.state, self.cause, self.detail = MISSING, cause, detail
--- a/kelpstage/edge/gather/stages/admit.py
+++ b/kelpstage/edge/gather/stages/admit.py
@@ -12,7 +12,7 @@
 from kelpstage.common.transport.messages import Gathered
 from kelpstage.edge.events import Restarted, SearchRestarted
 from kelpstage.edge.gather.context import GatherContext
-from kelpstage.edge.gather.messages import SubtreeReply, WantState
+from kelpstage.edge.gather.messages import FetchConfiguration, SubtreeReply
 from kelpstage.edge.gather.request_state import (
     AWAITING,
     CHILD,
@@ -109,7 +109,7 @@
     if configuration is None:
         if record.phase is NEW:
             record.phase = AWAITING
-            context.emit(WantState(version=record.version, source=record.root))
+            context.emit(FetchConfiguration(version=record.version, source=record.root))
         return
     route = configuration.route(collection=record.collection)
     if route is None:
--- a/kelpstage/edge/gather/stages/attempts.py
+++ b/kelpstage/edge/gather/stages/attempts.py
@@ -49,7 +49,7 @@
         )
         if not is_hedge:
             detail = shard_state.detail or "none may be asked"
-            shard_state.miss(cause=shard_state.cause or "no_backend", detail=detail)
+            shard_state.mark_missing(cause=shard_state.cause or "no_backend", detail=detail)
         return False
     why = _describe_attempt(shard_state=shard_state, is_hedge=is_hedge)
     if not _acquire_budget(shard_state=shard_state, record=record, context=context):
@@ -59,7 +59,7 @@
         )
         if not is_hedge:
             detail = _budget_spent_detail(detail=shard_state.detail)
-            shard_state.miss(cause=shard_state.cause or "budget", detail=detail)
+            shard_state.mark_missing(cause=shard_state.cause or "budget", detail=detail)
         return True
     reason = "hedge" if is_hedge else "retry" if is_again else "first"
     context.statistics.note_attempt(reason=reason)
@@ -181,6 +181,8 @@
     count = {"service": record.collection, "shard": shard_state.shard, "now_us": context.now_us}
     if shard_state.attempts or shard_state.is_extra:
         is_again = shard_state.is_restart and not shard_state.attempts
-        return context.budget.try_acquire(edges=context.edges(), is_restart=is_again, **count)
+        return context.budget.try_acquire(
+            edges=context.live_edge_count(), is_restart=is_again, **count
+        )
     context.budget.count_first(**count)
     return True
--- a/kelpstage/edge/gather/stages/child_reply.py
+++ b/kelpstage/edge/gather/stages/child_reply.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from kelpstage.common.transport.messages import Gathered, MissingMsg, PartMsg
-from kelpstage.edge.gather.record_order import lowest_limit
+from kelpstage.edge.gather.record_order import leaf_limit
 from kelpstage.edge.gather.request_state import WAITING, RequestState
 
 
@@ -14,7 +14,7 @@
     # Each run was truncated on receipt; the merged run is truncated again. Across regions, where
     # bytes are expensive, it is truncated to the search's limit: records beyond it cannot be in
     # the answer.
-    limit = record.limit if record.is_far else lowest_limit(limit=record.limit)
+    limit = record.limit if record.is_far else leaf_limit(limit=record.limit)
     runs = record.order.merge(runs=list(record.runs.values()), limit=limit)
     return Gathered(
         version=record.version,
--- a/kelpstage/edge/gather/stages/merge.py
+++ b/kelpstage/edge/gather/stages/merge.py
@@ -13,8 +13,13 @@
 from kelpstage.edge.events import AttemptEnded, BadPart, ChildEnded
 from kelpstage.edge.forward.sealed_answer import WholeReply
 from kelpstage.edge.gather.context import GatherContext
-from kelpstage.edge.gather.messages import BackendReplied, ChildReplied, SubtreeReply, WantState
-from kelpstage.edge.gather.record_order import lowest_limit
+from kelpstage.edge.gather.messages import (
+    BackendReplied,
+    ChildReplied,
+    FetchConfiguration,
+    SubtreeReply,
+)
+from kelpstage.edge.gather.record_order import leaf_limit
 from kelpstage.edge.gather.request_state import (
     AWAITING,
     CHILD,
@@ -78,7 +83,7 @@
             cut=outcome.cut,
         )
         record.runs[event.shard] = record.order.sort_and_truncate(
-            records=outcome.records, limit=lowest_limit(limit=record.limit)
+            records=outcome.records, limit=leaf_limit(limit=record.limit)
         )
         return
     if isinstance(outcome, WholeReply):
@@ -103,7 +108,7 @@
         return
     shard_state.cause, shard_state.detail = "backend_failed", str(reply.status)
     if not record.has_attempt(shard_state=shard_state):
-        shard_state.miss(cause=shard_state.cause, detail=shard_state.detail)
+        shard_state.mark_missing(cause=shard_state.cause, detail=shard_state.detail)
         return
     shard_state.wants_attempt = True
 
@@ -170,7 +175,7 @@
         or isinstance(outcome, ReplyTimeoutError)
         or not record.has_attempt(shard_state=shard_state)
     ):
-        shard_state.miss(cause=cause, detail=detail)
+        shard_state.mark_missing(cause=cause, detail=detail)
         return
     shard_state.cause, shard_state.detail = outcome.kind, detail
     shard_state.wants_attempt = True
@@ -249,7 +254,7 @@
         return
     record.phase = AWAITING
     record.awaited_version = reply.version
-    context.emit(WantState(version=reply.version, source=child.subtree.node))
+    context.emit(FetchConfiguration(version=reply.version, source=child.subtree.node))
 
 
 def _note_sent_nothing(*, child: Child, record: RequestState) -> None:
--- a/kelpstage/edge/gather/stages/plan.py
+++ b/kelpstage/edge/gather/stages/plan.py
@@ -13,7 +13,7 @@
     RequestState,
     ShardState,
 )
-from kelpstage.edge.gather.tree import Subtree, grow, grow_by_zone
+from kelpstage.edge.gather.tree import Subtree, build_tree, build_zone_tree
 
 
 def plan(*, record: RequestState, context: GatherContext) -> None:
@@ -48,7 +48,7 @@
     """Return the tree of a query, with this node as its root."""
     if record.request is not None:
         return forward_subtree(record=record, context=context)
-    return grow(
+    return build_tree(
         root=context.me,
         shards=record.route.fan_out,
         helpers=context.helpers(collection=record.collection, rand=context.rand),
@@ -89,7 +89,7 @@
         }
         zone = next((name for name in order if name in zones), context.zone)
         groups.setdefault(zone, []).append(shard)
-    return grow_by_zone(
+    return build_zone_tree(
         root=context.me,
         zone=context.zone,
         groups=[(zone, tuple(shards)) for zone, shards in groups.items()],
--- a/kelpstage/edge/gather/stages/send.py
+++ b/kelpstage/edge/gather/stages/send.py
@@ -131,7 +131,7 @@
     if wanted > context.budget.available(
         service=record.collection,
         now_us=context.now_us,
-        edges=context.edges(),
+        edges=context.live_edge_count(),
         shards=[shard for child in late for shard in child.subtree.all_shards()],
     ):
         return  # too little for the quorum: wait, and leave the budget to others
--- a/kelpstage/edge/gather/task.py
+++ b/kelpstage/edge/gather/task.py
@@ -20,7 +20,8 @@
     BackendReplied,
     CallerGone,
     ChildReplied,
-    ConfigurationMoved,
+    ConfigurationChanged,
+    FetchConfiguration,
     PartialReplyReady,
     QueryBackend,
     QueryChild,
@@ -28,7 +29,6 @@
     RequestSettled,
     ResumeRequested,
     TimerFired,
-    WantState,
 )
 from kelpstage.edge.gather.observation import ReplyObserver
 from kelpstage.edge.gather.request_state import CHILD, RequestState
@@ -44,7 +44,7 @@
         ports: Ports,
         transport: Transport,
         context: GatherContext,
-        on_want_state: Callable[[WantState], None],
+        on_fetch_configuration: Callable[[FetchConfiguration], None],
         on_backend_changed: Callable[[str], None],
         sealed: SealedCodec,
     ) -> None:
@@ -61,7 +61,7 @@
         self._child_queries = ChildQueries(
             ports=ports, transport=transport, context=context, on_reply=self.inbox.put_nowait
         )
-        self._on_want_state = on_want_state
+        self._on_fetch_configuration = on_fetch_configuration
         self._futures: dict[int, asyncio.Future[Any]] = {}
         self._child_keys: dict[tuple[str, int], int] = {}
         self._queries: dict[int, list[Any]] = {}  # by request: the tasks started for it
@@ -175,7 +175,7 @@
         return
 
     @_handle.register
-    def _handle_configuration_moved(self, event: ConfigurationMoved) -> None:
+    def _handle_configuration_changed(self, event: ConfigurationChanged) -> None:
         self.table.touch_all()
 
     @_handle.register
@@ -222,8 +222,8 @@
             future.set_result(outcome)
 
     @_perform.register
-    def _perform_want_state(self, effect: WantState) -> None:
-        self._on_want_state(effect)
+    def _perform_fetch_configuration(self, effect: FetchConfiguration) -> None:
+        self._on_fetch_configuration(effect)
 
     @_perform.register
     def _perform_query_backend(self, effect: QueryBackend) -> None:
--- a/kelpstage/edge/gather/tree.py
+++ b/kelpstage/edge/gather/tree.py
@@ -82,13 +82,14 @@
     return out
 
 
-def grow(*, root: str, shards: tuple[str, ...], helpers: list[str], fan_out: int) -> Subtree:
+def build_tree(*, root: str, shards: tuple[str, ...], helpers: list[str], fan_out: int) -> Subtree:
     """Build the tree of a query; with too few helpers, a node takes several places.
 
-    >>> tree = grow(root="r", shards=tuple("abcdefgh"), helpers=["n1", "n2", "n3", "n4"], fan_out=5)
+    >>> tree = build_tree(
+    ...     root="r", shards=tuple("abcdefgh"), helpers=["n1", "n2", "n3", "n4"], fan_out=5)
     >>> tree.shards, [(c.node, c.shards) for c in tree.children][:2]
     (('a', 'b'), [('n1', ('c', 'd')), ('n2', ('e', 'f'))])
-    >>> grow(root="r", shards=tuple("abcdefgh"), helpers=[], fan_out=5).children
+    >>> build_tree(root="r", shards=tuple("abcdefgh"), helpers=[], fan_out=5).children
     ()
     """
     helper_cycle = _cycle(helpers=helpers)
@@ -101,7 +102,7 @@
     )
 
 
-def grow_by_zone(
+def build_zone_tree(
     *,
     root: str,
     zone: str,
@@ -116,7 +117,7 @@
     other zone gathers for that zone, so that results are merged and truncated before they cross
     zones.
 
-    >>> tree = grow_by_zone(
+    >>> tree = build_zone_tree(
     ...     root="r", zone="a", groups=[("a", ("s1", "s2")), ("b", ("s3", "s4"))],
     ...     helpers={"b": ["n1", "n2"]}, fan_out=5,
     ... )
@@ -156,7 +157,7 @@
     fan_out = min(fan_out, len(helpers) + 1)
     if fan_out < 2 or len(shards) <= 1:
         return Subtree(node=node, shards=shards)
-    return grow(root=node, shards=shards, helpers=helpers, fan_out=fan_out)
+    return build_tree(root=node, shards=shards, helpers=helpers, fan_out=fan_out)
 
 
 def _cycle(*, helpers: list[str]) -> Iterator[str]:
--- a/kelpstage/edge/handlers.py
+++ b/kelpstage/edge/handlers.py
@@ -29,7 +29,7 @@
     Trace,
 )
 from kelpstage.edge.backend.discovery import DiscoveryTask
-from kelpstage.edge.gather.conversion import child_record, reply_of
+from kelpstage.edge.gather.conversion import child_state, gathered_reply
 from kelpstage.edge.gather.task import GatherTask
 from kelpstage.edge.gossip.swim import Swim
 from kelpstage.edge.lease.lease_holder import LeaseHolder
@@ -76,10 +76,10 @@
     message.due_us = min(message.due_us, LONGEST_GATHER_US)
     if message.is_resumed:
         outcome = await edge.gather.resume(root=message.root, ask_id=message.query_id)
-        return reply_of(outcome=outcome) if outcome else _nothing_more(message=message)
-    record = child_record(key=edge.gather.next_key(), ask=message, now_us=edge.ports.clock.now_us())
+        return gathered_reply(outcome=outcome) if outcome else _nothing_more(message=message)
+    record = child_state(key=edge.gather.next_key(), ask=message, now_us=edge.ports.clock.now_us())
     outcome = await edge.gather.settle(record=record)
-    return reply_of(outcome=outcome)
+    return gathered_reply(outcome=outcome)
 
 
 def _nothing_more(*, message: Gather) -> Gathered:
--- a/kelpstage/edge/metrics.py
+++ b/kelpstage/edge/metrics.py
@@ -104,7 +104,9 @@
         "Retries that this node may send now, by service.",
         "service",
         {
-            service: context.budget.available(service=service, now_us=now_us, edges=context.edges())
+            service: context.budget.available(
+                service=service, now_us=now_us, edges=context.live_edge_count()
+            )
             for service in spent
         },
     )
--- a/kelpstage/edge/web/explain.py
+++ b/kelpstage/edge/web/explain.py
@@ -10,7 +10,7 @@
 from kelpstage.common.transport.messages import FetchTrace, Trace
 from kelpstage.edge.backend.backend_state import STATE_NAMES
 from kelpstage.edge.backend.selection import options
-from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
+from kelpstage.edge.gather.tree import Subtree, build_tree, last_fan_out, levels
 from kelpstage.edge.gossip.members import MEMBER_STATUS_NAMES
 from kelpstage.edge.timelines import as_json
 from kelpstage.edge.web.interfaces import ReportingEdge
@@ -27,7 +27,9 @@
     if route is None:
         return None
     helpers = context.helpers(collection=collection, rand=None)
-    tree = grow(root=edge.name, shards=route.fan_out, helpers=helpers, fan_out=route.tree_fan_out)
+    tree = build_tree(
+        root=edge.name, shards=route.fan_out, helpers=helpers, fan_out=route.tree_fan_out
+    )
     count = len(route.fan_out)
     return {
         "collection": collection,
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -162,7 +162,7 @@
             ports=self.ports,
             transport=None,
             context=self.context,
-            on_want_state=lambda want: None,
+            on_fetch_configuration=lambda want: None,
             on_backend_changed=lambda name: None,
             sealed=SealedCodec(names=self.names),
         )
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -34,7 +34,7 @@
 from kelpstage.edge.forward.sealed_answer import SealedCodec
 from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.latency import LatencyEstimates
-from kelpstage.edge.gather.messages import ConfigurationMoved, GatherResult
+from kelpstage.edge.gather.messages import ConfigurationChanged, GatherResult
 from kelpstage.edge.gather.request_state import ROOT, RequestState
 from kelpstage.edge.gather.task import GatherTask
 from kelpstage.edge.gossip.members import ALIVE, Member
@@ -109,7 +109,7 @@
             ports=self.ports,
             transport=SimpleNamespace(call=self.call),
             context=self.context,
-            on_want_state=lambda want: None,
+            on_fetch_configuration=lambda want: None,
             on_backend_changed=lambda name: None,
             sealed=SealedCodec(names=HeaderNames()),
         )
@@ -128,7 +128,7 @@
         self.context.registry.apply_configuration(configuration=configuration, listed={})
         self.context.registry.set_instances(self.fleet.instances, now_us)
         self.context.registry.set_live_edges(count=1, now_us=now_us)
-        self.gather.inbox.put_nowait(ConfigurationMoved())
+        self.gather.inbox.put_nowait(ConfigurationChanged())
 
     def add_peers(self, *, others: list["Node"]) -> None:
         """Add the other nodes as ready members."""
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -19,9 +19,9 @@
 from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.forward.request import read_request
 from kelpstage.edge.forward.sealed_answer import SealedCodec
-from kelpstage.edge.gather.record_order import ByteOrder, lowest_limit
+from kelpstage.edge.gather.record_order import ByteOrder, leaf_limit
 from kelpstage.edge.gather.stages.merge import surely_not_run
-from kelpstage.edge.gather.tree import Subtree, grow_by_zone
+from kelpstage.edge.gather.tree import Subtree, build_zone_tree
 from kelpstage.edge.retries.load_shedding import MAX_IN_FLIGHT, is_admitted
 from kelpstage.edge.web.forward import failure_reply
 
@@ -153,7 +153,7 @@
             for shard in shards:
                 groups.setdefault(rand.choice(zones), []).append(shard)
             helpers = {zone: [f"{zone}-{n}" for n in range(rand.randrange(16))] for zone in zones}
-            tree = grow_by_zone(
+            tree = build_zone_tree(
                 root="r",
                 zone="z0",
                 groups=[(z, tuple(s)) for z, s in groups.items()],
@@ -164,7 +164,7 @@
             self.assertLessEqual(max(len(b.children) for b in walk(tree)), 8)
 
     def test_what_is_asked_far_away_is_gathered_there(self):
-        tree = grow_by_zone(
+        tree = build_zone_tree(
             root="r",
             zone="z0",
             fan_out=5,
@@ -193,12 +193,11 @@
                 for _ in range(rand.choice((1, 3, 8)))
             ]
             runs = [
-                ByteOrder.sort_and_truncate(records=p, limit=lowest_limit(limit=limit))
-                for p in parts
+                ByteOrder.sort_and_truncate(records=p, limit=leaf_limit(limit=limit)) for p in parts
             ]
             split = rand.randrange(len(runs) + 1)
             far = ByteOrder.merge(runs=runs[:split], limit=limit)
-            near = ByteOrder.merge(runs=runs[split:], limit=lowest_limit(limit=limit))
+            near = ByteOrder.merge(runs=runs[split:], limit=leaf_limit(limit=limit))
             carried = ByteOrder.unpack(data=ByteOrder.pack(records=far))
             got = ByteOrder.merge(runs=[carried, near], limit=limit)
             self.assertEqual(got, sorted((r for p in parts for r in p), reverse=True)[:limit])
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -7,8 +7,8 @@
 
 from kelpstage.common.ports.interfaces import HttpReply
 from kelpstage.edge.backend.reply import ValidatedPart, read_reply
-from kelpstage.edge.gather.record_order import lowest_limit, merge, sort_and_truncate
-from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
+from kelpstage.edge.gather.record_order import leaf_limit, merge, sort_and_truncate
+from kelpstage.edge.gather.tree import Subtree, build_tree, last_fan_out, levels
 from kelpstage.testbed.stand_ins.backend import INVALID_REPLIES, damaged_body
 from kelpstage.testbed.stand_ins.records import Cut, best, part, sealed_reply
 
@@ -18,7 +18,7 @@
     runs = [
         sort_and_truncate(
             records=[(-s, d) for s, d in part(query=query, cut=cut, shard=shard)],
-            limit=lowest_limit(limit=limit),
+            limit=leaf_limit(limit=limit),
         )
         for shard in subtree.shards
     ]
@@ -27,14 +27,16 @@
         for child in subtree.children
     ]
     merged = merge(runs=runs, limit=None)
-    leaf_limit = lowest_limit(limit=limit)
-    return merged[:leaf_limit] if leaf_limit is not None and not subtree.children else merged
+    limit_per_leaf = leaf_limit(limit=limit)
+    return (
+        merged[:limit_per_leaf] if limit_per_leaf is not None and not subtree.children else merged
+    )
 
 
 class TreeTest(unittest.TestCase):
     def test_tree_shape_of_eight_shards(self) -> None:
         shards = tuple(f"s{n}" for n in range(8))
-        tree = grow(root="r", shards=shards, helpers=[f"n{n}" for n in range(9)], fan_out=5)
+        tree = build_tree(root="r", shards=shards, helpers=[f"n{n}" for n in range(9)], fan_out=5)
         self.assertEqual(2, levels(shard_count=8, fan_out=5))
         self.assertEqual(1.6, last_fan_out(shard_count=8, fan_out=5))
         self.assertEqual(4, len(tree.children))
@@ -48,7 +50,7 @@
             for helpers in (0, 1, 3, 4, 30):
                 for fan_out in (2, 3, 5):
                     shards = tuple(f"s{n}" for n in range(count))
-                    tree = grow(
+                    tree = build_tree(
                         root="r",
                         shards=shards,
                         helpers=[f"n{n}" for n in range(helpers)],
@@ -65,7 +67,7 @@
             query = f"name-{rand.randrange(30):02d}"
             shards = list(cut.shards)
             rand.shuffle(shards)
-            tree = grow(
+            tree = build_tree(
                 root="r",
                 shards=tuple(shards),
                 helpers=[f"n{n}" for n in range(rand.randrange(7))],
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -90,7 +90,7 @@
         whole = GatherResult(version=1, coverage=1.0, shards=2, body=b"")
         part = GatherResult(version=1, coverage=0.5, shards=1, body=b"", missing=1)
         late = ShardState(shard="s2")
-        late.miss(cause="window")
+        late.mark_missing(cause="window")
         quorum = QuorumNotMetError(collection="r", configuration=1, shards_in=0, quorum=1)
         for outcome, fields in (
             (whole, {}),
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -82,7 +82,7 @@
 
     def test_one_that_was_slow_gives_way_and_is_tried_again(self) -> None:
         for _ in range(20):
-            self.latencies.saw(name="b-01", took_us=900_000, now_us=0)
+            self.latencies.observe(name="b-01", took_us=900_000, now_us=0)
         self.assertEqual(["b-02", "b-01"], self.order(1_000))
         self.assertEqual(["b-01", "b-02"], self.order(60_000_000))
 
