--- a/kelpstage/cli/commands/recovery.py
+++ b/kelpstage/cli/commands/recovery.py
@@ -77,4 +77,6 @@
     *, data: str, own: str, http: str, edges: List[str]
 ) -> RecoveredCluster | KelpstageError:
     """Recovery with this machine's disk and network."""
-    return await recover_core(ports=live_ports(data_folder=data), own=own, http=http, edges=edges)
+    return await recover_core(
+        ports=live_ports(data_folder=data), own_address=own, http=http, edges=edges
+    )
--- a/kelpstage/core/app.py
+++ b/kelpstage/core/app.py
@@ -80,14 +80,14 @@
         self.settings = settings
         self.bounds = bounds_of(settings=settings)
         self._serve = serve
-        self.own: str = settings["own"]
+        self.own_address: str = settings["own"]
         self.http: str = settings["http"]
         self.seeds: list[str] = list(settings["seeds"])
         self.counts: Counter[str] = Counter()
         self.journal = Journal(now=ports.clock.now_us)
         self.transport = Transport(ports=ports, counts=self.counts)
         self.server = TransportServer(
-            ports=ports, address=self.own, on_message=self._on_message, counts=self.counts
+            ports=ports, address=self.own_address, on_message=self._on_message, counts=self.counts
         )
         self.store = Store(ports=ports)
         self.identity: DiskIdentity | None = None
@@ -176,7 +176,7 @@
             transport=self.transport,
             journal=self.journal,
             recovered=recovered,
-            own=self.own,
+            own_address=self.own_address,
             on_applied=self._on_applied,
             on_role=self._on_role,
             on_error=self._on_disk_error,
@@ -187,7 +187,7 @@
             transport=self.transport,
             journal=self.journal,
             task=self.task,
-            own=self.own,
+            own_address=self.own_address,
             tolerance=self.bounds.tolerance,
         )
         await self._disk_failed.wait()
@@ -225,7 +225,7 @@
             members = replica.members.at(index=replica.commit_index)
         return SeedState(
             replica=identity.replica,
-            address=self.own,
+            address=self.own_address,
             http=self.http,
             is_empty=bool(identity.replica) and not identity.cluster,
             cluster=identity.cluster,
@@ -238,7 +238,7 @@
         me = self.identity.replica if self.identity else ""
 
         async def probe(seed: str) -> SeedState | KelpstageError:
-            if seed == self.own:
+            if seed == self.own_address:
                 return self.seed_state()
             reply: SeedState | KelpstageError = await self.transport.call(
                 address=seed, message=SeedProbe(replica=me), wait_us=SEED_PROBE_TIMEOUT_US
@@ -254,7 +254,9 @@
         identity = self.identity
         if identity is None or identity.cluster:
             return None
-        step = decide_bootstrap(me=identity.replica, own=self.own, seeds=self.seeds, states=states)
+        step = decide_bootstrap(
+            me=identity.replica, own_address=self.own_address, seeds=self.seeds, states=states
+        )
         if isinstance(step, WaitForSeeds):
             self.waits_for = step.why
             return None
--- a/kelpstage/core/bootstrap.py
+++ b/kelpstage/core/bootstrap.py
@@ -48,20 +48,21 @@
 
 
 def decide_bootstrap(
-    *, me: str, own: str, seeds: list[str], states: list[SeedState | KelpstageError]
+    *, me: str, own_address: str, seeds: list[str], states: list[SeedState | KelpstageError]
 ) -> WaitForSeeds | JoinCluster | FoundCluster:
     """The next bootstrap step of an empty core, from the states of the seeds that answer.
 
     >>> state = lambda r, a: SeedState(replica=r, address=a, is_empty=True)
     >>> three = [state("x", "1"), state("y", "2"), state("z", "3")]
-    >>> type(decide_bootstrap(me="x", own="1", seeds=["1", "2", "3"], states=three)).__name__
+    >>> type(
+    ...     decide_bootstrap(me="x", own_address="1", seeds=["1", "2", "3"], states=three)).__name__
     'FoundCluster'
-    >>> decide_bootstrap(me="y", own="2", seeds=["1", "2", "3"], states=three)
+    >>> decide_bootstrap(me="y", own_address="2", seeds=["1", "2", "3"], states=three)
     WaitForSeeds(why='the seed x founds')
     >>> three[0].only_joins = True
-    >>> decide_bootstrap(me="x", own="1", seeds=["1", "2", "3"], states=three)
+    >>> decide_bootstrap(me="x", own_address="1", seeds=["1", "2", "3"], states=three)
     WaitForSeeds(why='the seed y founds')
-    >>> decide_bootstrap(me="x", own="1", seeds=["1", "2", "3"],
+    >>> decide_bootstrap(me="x", own_address="1", seeds=["1", "2", "3"],
     ...     states=[SeedState(replica="y", cluster="c"), *three[1:]])
     JoinCluster(cluster='c', members=[])
     """
@@ -74,7 +75,7 @@
         return JoinCluster(cluster=clusters[0], members=named[0] if named else [])
     if len(answers) < len(seeds):
         return WaitForSeeds(why=f"{len(answers)} of {len(seeds)} seeds answer")
-    if own not in seeds:
+    if own_address not in seeds:
         return WaitForSeeds(why="not a seed itself, and no seed has a cluster")
     if len({state.replica for state in answers}) < len(seeds):
         return WaitForSeeds(why="two seeds are one process")
--- a/kelpstage/core/cluster_recovery.py
+++ b/kelpstage/core/cluster_recovery.py
@@ -89,7 +89,7 @@
 
 
 async def recover_cluster(
-    *, ports: Ports, own: str, http: str, edges: list[str]
+    *, ports: Ports, own_address: str, http: str, edges: list[str]
 ) -> RecoveredCluster | KelpstageError:
     """Make the survivor in this data folder the only voter of a new cluster.
 
@@ -113,7 +113,7 @@
         store=store,
         transport=transport,
         recovered=recovered,
-        own=own,
+        own_address=own_address,
         http=http,
         edges=edges,
     )
@@ -127,12 +127,14 @@
     store: Store,
     transport: Transport,
     recovered: Recovered,
-    own: str,
+    own_address: str,
     http: str,
     edges: list[str],
 ) -> RecoveredCluster | KelpstageError:
     members = latest_members(recovered=recovered)
-    reachable = await _reachable_cores(transport=transport, members=members, own=own)
+    reachable = await _reachable_cores(
+        transport=transport, members=members, own_address=own_address
+    )
     if reachable:
         return RecoveryRefusedError(
             why=f"cores answer at {', '.join(reachable)}: stop them or use them"
@@ -156,7 +158,7 @@
         store=store,
         recovered=recovered,
         state=state,
-        own=own,
+        own_address=own_address,
         http=http,
         source=source,
     )
@@ -196,9 +198,9 @@
 
 
 async def _reachable_cores(
-    *, transport: Transport, members: list[CoreMember], own: str
+    *, transport: Transport, members: list[CoreMember], own_address: str
 ) -> list[str]:
-    addresses = sorted({m.address for m in members} | {own})
+    addresses = sorted({m.address for m in members} | {own_address})
     replies = await asyncio.gather(
         *(
             transport.call(address=a, message=SeedProbe(), wait_us=QUERY_TIMEOUT_US)
@@ -247,7 +249,7 @@
     store: Store,
     recovered: Recovered,
     state: CoreState,
-    own: str,
+    own_address: str,
     http: str,
     source: str,
 ) -> RecoveredCluster | KelpstageError:
@@ -260,7 +262,7 @@
     snapshot = DiskSnapshot(
         index=recovered.log.last_index + 1,
         term=recovered.term + 1,
-        members=[CoreMember(replica=replica, address=own, http=http, is_voter=True)],
+        members=[CoreMember(replica=replica, address=own_address, http=http, is_voter=True)],
         state=bytes(state),
         cluster=cluster,
     )
--- a/kelpstage/core/context.py
+++ b/kelpstage/core/context.py
@@ -29,7 +29,7 @@
     journal: Journal
     counts: Counter[str]
     settings: dict[str, Any]
-    own: str
+    own_address: str
     identity: DiskIdentity | None
     task: ReplicaTask | None
     lease_service: LeaseService | None
--- a/kelpstage/core/leases/lease_service.py
+++ b/kelpstage/core/leases/lease_service.py
@@ -36,14 +36,15 @@
         transport: Transport,
         journal: Journal,
         task: ReplicaTask,
-        own: str,
+        own_address: str,
         tolerance: int = 0,
     ) -> None:
-        """`own` is the address of this core; `tolerance` the number of core losses to survive."""
+        """`own_address` is the address of this core; `tolerance` the number of core losses to
+        survive."""
         self._ports = ports
         self._journal = journal
         self._task = task
-        self._own_address = own
+        self._own_address = own_address
         self._settlement = EpochSettlement(ports=ports, journal=journal, task=task)
         self._confirmation = LeaderConfirmation(ports=ports, task=task)
         self._announcer = EpochAnnouncer(
@@ -51,7 +52,7 @@
             transport=transport,
             task=task,
             settlement=self._settlement,
-            own_address=own,
+            own_address=own_address,
         )
         self.membership_changes = MembershipChanges(
             ports=ports,
--- a/kelpstage/core/membership_requests.py
+++ b/kelpstage/core/membership_requests.py
@@ -21,7 +21,7 @@
 
     ports: Ports
     transport: Transport
-    own: str
+    own_address: str
     http: str
     seeds: list[str]
     task: ReplicaTask | None
@@ -38,14 +38,14 @@
         if task is None or core.is_stopping:
             continue
         member = task.raft.members.get(replica=task.me)
-        if member is not None and member.address == core.own and task.raft.leader:
+        if member is not None and member.address == core.own_address and task.raft.leader:
             continue
         if not task.is_leader:
             _request_membership(core=core, task=task)
 
 
 def _request_membership(*, core: JoiningCore, task: ReplicaTask) -> None:
-    member = CoreMember(replica=task.me, address=core.own, http=core.http)
+    member = CoreMember(replica=task.me, address=core.own_address, http=core.http)
     known = {known.address for known in task.raft.members.current} | set(core.seeds)
-    for address in sorted(known - {core.own}):
+    for address in sorted(known - {core.own_address}):
         core.transport.send(address=address, message=JoinCore(cluster=task.cluster, member=member))
--- a/kelpstage/core/replica_task.py
+++ b/kelpstage/core/replica_task.py
@@ -66,7 +66,7 @@
         transport: Transport,
         journal: Journal,
         recovered: Recovered,
-        own: str,
+        own_address: str,
         on_applied: Callable[[Any, int], None],
         on_role: Callable[[str], None],
         on_error: Callable[[KelpstageError], None],
@@ -74,7 +74,7 @@
     ) -> None:
         self._ports = ports
         self._journal = journal
-        self._own = own
+        self._own_address = own_address
         self._on_applied = on_applied
         self._on_role = on_role
         self._on_error = on_error
@@ -161,7 +161,7 @@
     def leader_address(self) -> str:
         """The address of the leader as far as this replica knows; empty if it knows none."""
         if self.is_leader:
-            return self._own
+            return self._own_address
         if not self.raft.leader:
             return ""
         return self.raft.members.address(replica=self.raft.leader) or self.raft.leader_address
--- a/kelpstage/core/web/views.py
+++ b/kelpstage/core/web/views.py
@@ -73,7 +73,7 @@
     identity = core.identity
     view: dict[str, Any] = {
         "program": "kelpstage-control",
-        "own": core.own,
+        "own": core.own_address,
         "domain": core.settings["domain"],
         "replica": identity.replica if identity else None,
         "cluster": identity.cluster if identity else None,
--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -70,7 +70,7 @@
         self.names = HeaderNames(**settings.get("header_names", {}))
         self.name: str = settings["name"]
         self.zone: str = settings["domain"]
-        self.own: str = settings["own"]
+        self.own_address: str = settings["own"]
         self.http: str = settings["http"]
         self.incarnation = ports.clock.wall_us()
         self.counts: Counter[str] = Counter()
@@ -98,7 +98,10 @@
     def _build_transport(self) -> None:
         self.transport = Transport(ports=self.ports, counts=self.counts)
         self.server = TransportServer(
-            ports=self.ports, address=self.own, on_message=self._on_message, counts=self.counts
+            ports=self.ports,
+            address=self.own_address,
+            on_message=self._on_message,
+            counts=self.counts,
         )
 
     def _build_state(self) -> None:
@@ -146,7 +149,7 @@
             journal=self.journal,
             swim=self.swim,
             registry=self.registry,
-            address=self.own,
+            address=self.own_address,
             counts=self.counts,
             refresh=self._refresh,
             has_backends=lambda: bool(self.lease_holder.configuration.backends),
@@ -249,7 +252,7 @@
             swim=self.swim,
             registry=self.registry,
             adapter=self.lists,
-            own=self.own,
+            own=self.own_address,
             counts=self.counts,
             is_ready=lambda: not self.refusal(),
             on_changed=self._on_instances_changed,
--- a/kelpstage/edge/handlers.py
+++ b/kelpstage/edge/handlers.py
@@ -43,7 +43,7 @@
 class HandlingEdge(Protocol):
     """What the handlers need of the edge."""
 
-    own: str
+    own_address: str
     incarnation: int
     ports: Ports
     counts: Counter[str]
@@ -161,7 +161,7 @@
 async def handle_relay_renew(message: RelayRenew, edge: HandlingEdge, source: str) -> LeaseReply:
     """Pass a renewal on to the leader, for an edge that can't reach it."""
     # This node may know a newer leader than the one that the asker could not reach.
-    message.renew.relayed_by = edge.own
+    message.renew.relayed_by = edge.own_address
     reply = await edge.transport.call(
         address=edge.leases.leader or message.target, message=message.renew, wait_us=RELAY_WAIT_US
     )
--- a/tests/test_cluster_recovery.py
+++ b/tests/test_cluster_recovery.py
@@ -20,7 +20,7 @@
         return await process.spawn(
             recover_cluster(
                 ports=process.ports,
-                own=fleet.core_address[name],
+                own_address=fleet.core_address[name],
                 http=fleet.core_http(name=name),
                 edges=[fleet.edge_own[e] for e in edges],
             )
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -413,7 +413,7 @@
             transport=Transport(ports=process.ports, counts=Counter()),
             journal=Journal(now=process.ports.clock.now_us),
             recovered=await store.recover(identity=identity),
-            own="10.0.0.1:7100",
+            own_address="10.0.0.1:7100",
             on_applied=lambda outcome, index: None,
             on_role=lambda role: None,
             on_error=failures.append,
