--- a/kelpstage/common/process.py
+++ b/kelpstage/common/process.py
@@ -30,7 +30,8 @@
     The exit code is 1 if it cannot open, and 70 if a task that it cannot run without fails.
 
     With `read_settings`, the settings are read again on SIGHUP and when the file `watch` changes;
-    the daemon's `reread` applies those that may change at run time. Invalid settings are ignored.
+    the daemon's `reload_settings` applies those that may change at run time. Invalid settings
+    are ignored.
     """
     with install_ring(program=program).applicationbound():
         code = asyncio.run(
@@ -65,7 +66,7 @@
         """Read the settings now; invalid ones are ignored."""
         self._last_state = self._file_state()
         try:
-            self._daemon.reread(settings=self._read())
+            self._daemon.reload_settings(settings=self._read())
         except SystemExit:
             log.error("cannot reload the settings; keeping the previous ones")
 
--- a/kelpstage/core/app.py
+++ b/kelpstage/core/app.py
@@ -41,7 +41,7 @@
     SetAside,
     Started,
 )
-from kelpstage.core.graceful_leave import Leaving
+from kelpstage.core.graceful_leave import GracefulLeave
 from kelpstage.core.handlers import handle
 from kelpstage.core.leases.lease_service import LeaseService
 from kelpstage.core.membership_requests import send_join_requests
@@ -80,14 +80,14 @@
         self.settings = settings
         self.bounds = bounds_of(settings=settings)
         self._serve = serve
-        self.own: str = settings["own"]
+        self.own_address: str = settings["own"]
         self.http: str = settings["http"]
         self.seeds: list[str] = list(settings["seeds"])
         self.counts: Counter[str] = Counter()
         self.journal = Journal(now=ports.clock.now_us)
         self.transport = Transport(ports=ports, counts=self.counts)
         self.server = TransportServer(
-            ports=ports, address=self.own, on_message=self._on_message, counts=self.counts
+            ports=ports, address=self.own_address, on_message=self._on_message, counts=self.counts
         )
         self.store = Store(ports=ports)
         self.identity: DiskIdentity | None = None
@@ -141,7 +141,7 @@
     async def _recover(self) -> Recovered | None | KelpstageError:
         identity = await self.store.read_identity()
         if isinstance(identity, LogDamagedError):
-            return await self._set_aside(damage=identity)
+            return await self._discard_replica(damage=identity)
         if isinstance(identity, KelpstageError):
             return identity
         if identity is None:
@@ -154,17 +154,17 @@
             return await self._found_or_join()
         recovered = await self.store.recover(identity=identity)
         if isinstance(recovered, LogDamagedError):
-            return await self._set_aside(damage=recovered)
+            return await self._discard_replica(damage=recovered)
         return recovered
 
-    async def _set_aside(self, *, damage: LogDamagedError) -> KelpstageError | None:
+    async def _discard_replica(self, *, damage: LogDamagedError) -> KelpstageError | None:
         """Discard a damaged replica; this core restarts as a new, empty replica."""
         log.error(
             "{} at {}: {}; restarting as an empty replica", damage.path, damage.offset, damage.why
         )
         self.journal.add(SetAside(path=damage.path, why=damage.why))
         self.identity = None
-        return await self.store.set_aside()
+        return await self.store.discard_replica()
 
     async def _run_replica(self, *, recovered: Recovered) -> None:
         self._disk_failed.clear()
@@ -176,7 +176,7 @@
             transport=self.transport,
             journal=self.journal,
             recovered=recovered,
-            own=self.own,
+            own_address=self.own_address,
             on_applied=self._on_applied,
             on_role=self._on_role,
             on_error=self._on_disk_error,
@@ -187,7 +187,7 @@
             transport=self.transport,
             journal=self.journal,
             task=self.task,
-            own=self.own,
+            own_address=self.own_address,
             tolerance=self.bounds.tolerance,
         )
         await self._disk_failed.wait()
@@ -197,11 +197,11 @@
 
     def _on_applied(self, outcome: object, index: int) -> None:
         if self.lease_service is not None:
-            self.lease_service.applied()
+            self.lease_service.announce_latest_epoch()
 
     def _on_role(self, role: str) -> None:
         if role == raft.LEADER and self.lease_service is not None:
-            self.lease_service.took_lead()
+            self.lease_service.begin_leadership()
 
     def _on_disk_error(self, error: KelpstageError) -> None:
         self._report_disk_error(error=error)
@@ -225,7 +225,7 @@
             members = replica.members.at(index=replica.commit_index)
         return SeedState(
             replica=identity.replica,
-            address=self.own,
+            address=self.own_address,
             http=self.http,
             is_empty=bool(identity.replica) and not identity.cluster,
             cluster=identity.cluster,
@@ -238,7 +238,7 @@
         me = self.identity.replica if self.identity else ""
 
         async def probe(seed: str) -> SeedState | KelpstageError:
-            if seed == self.own:
+            if seed == self.own_address:
                 return self.seed_state()
             reply: SeedState | KelpstageError = await self.transport.call(
                 address=seed, message=SeedProbe(replica=me), wait_us=SEED_PROBE_TIMEOUT_US
@@ -254,7 +254,9 @@
         identity = self.identity
         if identity is None or identity.cluster:
             return None
-        step = decide_bootstrap(me=identity.replica, own=self.own, seeds=self.seeds, states=states)
+        step = decide_bootstrap(
+            me=identity.replica, own_address=self.own_address, seeds=self.seeds, states=states
+        )
         if isinstance(step, WaitForSeeds):
             self.waits_for = step.why
             return None
@@ -282,12 +284,12 @@
         """Become a member of a cluster, starting from `snapshot` if there is one."""
         identity = DiskIdentity(replica=empty_identity.replica, cluster=cluster)
         term = FOUNDING_TERM if snapshot else 0
-        error = await self.store.begin_member(identity=identity, snapshot=snapshot, term=term)
+        error = await self.store.initialize_member(identity=identity, snapshot=snapshot, term=term)
         if error is None:
             self.identity = identity
         return error
 
-    def reread(self, *, settings: dict[str, Any]) -> None:
+    def reload_settings(self, *, settings: dict[str, Any]) -> None:
         """Apply the settings that may change while a core runs: the seeds."""
         self.seeds = list(settings["seeds"])
         self.settings = self.settings | {"seeds": self.seeds}
@@ -309,7 +311,7 @@
         self.is_stopping = True
         task = self.task
         if task is not None:
-            leaving = Leaving(
+            leaving = GracefulLeave(
                 task=task,
                 transport=self.transport,
                 clock=self.ports.clock,
--- a/kelpstage/core/replica_task.py
+++ b/kelpstage/core/replica_task.py
@@ -66,7 +66,7 @@
         transport: Transport,
         journal: Journal,
         recovered: Recovered,
-        own: str,
+        own_address: str,
         on_applied: Callable[[Any, int], None],
         on_role: Callable[[str], None],
         on_error: Callable[[KelpstageError], None],
@@ -74,7 +74,7 @@
     ) -> None:
         self._ports = ports
         self._journal = journal
-        self._own = own
+        self._own_address = own_address
         self._on_applied = on_applied
         self._on_role = on_role
         self._on_error = on_error
@@ -118,7 +118,7 @@
             store=store,
             now_us=ports.clock.now_us,
             on_synced=lambda number: self.inbox.put_nowait(raft.Synced(number=number)),
-            on_kept=lambda index: self.inbox.put_nowait(raft.SnapshotTaken(index=index)),
+            on_snapshot_saved=lambda index: self.inbox.put_nowait(raft.SnapshotTaken(index=index)),
             on_error=on_error,
         )
         self._snapshot_writer = SnapshotWriter(
@@ -161,7 +161,7 @@
     def leader_address(self) -> str:
         """The address of the leader as far as this replica knows; empty if it knows none."""
         if self.is_leader:
-            return self._own
+            return self._own_address
         if not self.raft.leader:
             return ""
         return self.raft.members.address(replica=self.raft.leader) or self.raft.leader_address
@@ -198,7 +198,7 @@
             return None
         return outcome or NoLeaderError(why="no majority of cores confirmed the leader in time")
 
-    def heard(self, *, message: Any) -> None:
+    def receive(self, *, message: Any) -> None:
         """Queue a received Raft message for the replica."""
         self.inbox.put_nowait(raft.Received(message=message))
 
@@ -210,9 +210,9 @@
     async def _run(self) -> None:
         while True:
             event = await self.inbox.get()
-            self._take(event=event)
+            self._handle_event(event=event)
 
-    def _take(self, *, event: Any) -> None:
+    def _handle_event(self, *, event: Any) -> None:
         for effect in self.raft.step(now_us=self._ports.clock.now_us(), event=event):
             self._perform(effect)
         if isinstance(event, raft.Synced):
@@ -297,7 +297,7 @@
         if snapshot.index <= self.raft.commit_index:
             return
         self._fetched = snapshot
-        self._take(
+        self._handle_event(
             event=raft.SnapshotFetched(
                 index=snapshot.index,
                 term=snapshot.term,
--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -27,7 +27,7 @@
 from kelpstage.edge.events import BackendChanged, Leaving, ServingChanged
 from kelpstage.edge.forward.headers import HeaderNames
 from kelpstage.edge.forward.sealed_answer import SealedCodec
-from kelpstage.edge.gather.messages import ConfigurationMoved, WantState
+from kelpstage.edge.gather.messages import ConfigurationChanged, FetchConfiguration
 from kelpstage.edge.gather.task import GatherTask
 from kelpstage.edge.gossip.members import LEAVING
 from kelpstage.edge.gossip.task import GossipTask
@@ -70,7 +70,7 @@
         self.names = HeaderNames(**settings.get("header_names", {}))
         self.name: str = settings["name"]
         self.zone: str = settings["domain"]
-        self.own: str = settings["own"]
+        self.own_address: str = settings["own"]
         self.http: str = settings["http"]
         self.incarnation = ports.clock.wall_us()
         self.counts: Counter[str] = Counter()
@@ -98,7 +98,10 @@
     def _build_transport(self) -> None:
         self.transport = Transport(ports=self.ports, counts=self.counts)
         self.server = TransportServer(
-            ports=self.ports, address=self.own, on_message=self._on_message, counts=self.counts
+            ports=self.ports,
+            address=self.own_address,
+            on_message=self._on_message,
+            counts=self.counts,
         )
 
     def _build_state(self) -> None:
@@ -108,7 +111,7 @@
         self.registry = BackendRegistry(me=self.name, zone_distances=zone_distances)
         self.swim = build_swim(settings=settings, ports=ports, incarnation=self.incarnation)
         self.swim.is_near = lambda zone: zone_distances.is_same_region(zone=zone)
-        self.swim.on_silent = self._on_missed_ack
+        self.swim.on_ping_timeout = self._on_missed_ack
         self.swim.on_ack = self._on_ack
         self.gather_context = build_gather_context(
             settings=settings,
@@ -146,7 +149,7 @@
             journal=self.journal,
             swim=self.swim,
             registry=self.registry,
-            address=self.own,
+            address=self.own_address,
             counts=self.counts,
             refresh=self._refresh_status,
             has_backends=lambda: bool(self.lease_holder.configuration.backends),
@@ -157,7 +160,7 @@
             ports=self.ports,
             transport=self.transport,
             context=self.gather_context,
-            on_want_state=self._on_want_state,
+            on_fetch_configuration=self._on_fetch_configuration,
             on_backend_changed=self._on_backend_changed,
             sealed=SealedCodec(names=self.names),
         )
@@ -249,7 +252,7 @@
             swim=self.swim,
             registry=self.registry,
             adapter=self.lists,
-            own=self.own,
+            own=self.own_address,
             counts=self.counts,
             is_ready=lambda: not self.refusal(),
             on_changed=self._on_instances_changed,
@@ -280,10 +283,10 @@
             idle_us=limits.idle_us,
         )
 
-    def reread(self, *, settings: dict[str, Any]) -> None:
+    def reload_settings(self, *, settings: dict[str, Any]) -> None:
         """Apply the settings that may change while an edge runs: its seeds."""
         if list(settings["seeds"]) != list(self.settings["seeds"]):
-            self.leases.use_seeds(seeds=settings["seeds"])
+            self.leases.replace_seeds(seeds=settings["seeds"])
         self.settings = settings
 
     # --- callbacks between the tasks -----------------------------------------------
@@ -311,27 +314,29 @@
 
     def _apply_configuration(self) -> None:
         listed = self.address_poll.addresses() if self.address_poll else {}
-        self.registry.declare(configuration=self.lease_holder.configuration, listed=listed)
+        self.registry.apply_configuration(
+            configuration=self.lease_holder.configuration, listed=listed
+        )
 
     def _on_installed(self) -> None:
         self._apply_configuration()
-        self.gather.inbox.put_nowait(ConfigurationMoved())
+        self.gather.inbox.put_nowait(ConfigurationChanged())
         self._refresh_status()
 
-    def _on_want_state(self, want: WantState) -> None:
+    def _on_fetch_configuration(self, want: FetchConfiguration) -> None:
         """Fetch the newer configuration that a request needs from the node that has it."""
         member = self.swim.members.get(want.source)
-        self.leases.fetch_soon(first=member.info.address if member else want.source)
+        self.leases.start_fetch(first=member.info.address if member else want.source)
 
     def _on_missed_ack(self, name: str) -> None:
         """Record a missed gossip ack: the peer is not chosen as a helper for a while."""
         self.gather_context.now_us = self.ports.clock.now_us()
-        self.gather_context.note_silent(name=name)
+        self.gather_context.note_missed_ack(name=name)
 
     def _on_ack(self, name: str, took_us: int) -> None:
         """Record a gossip ack of a peer and its round-trip time."""
         self.gather_context.note_reply(name=name)
-        self.gather_context.note_distance(name=name, took_us=took_us)
+        self.gather_context.note_round_trip(name=name, took_us=took_us)
         member = self.swim.members.get(name)
         if member is not None and member.info.zone:
             self.registry.zone_distances.note_round_trip(zone=member.info.zone, took_us=took_us)
@@ -354,7 +359,7 @@
         """
         for name in names:
             entry = self.registry.entries[name]
-            state = "gone" if entry.gone_us else STATE_NAMES[entry.state]
+            state = "gone" if entry.removed_us else STATE_NAMES[entry.state]
             self.journal.add(
                 BackendChanged(backend=name, state=state, why=entry.why, seen_by=self.name)
             )
@@ -370,7 +375,7 @@
                     seen_by=self.name,
                 )
             )
-        self.gossip.spread()
+        self.gossip.send_updates()
 
     # --- shutdown ------------------------------------------------------------------------
 
@@ -388,7 +393,7 @@
             self.discovery.leave()
         self.swim.me.status = LEAVING
         self.journal.add(Leaving())
-        self.gossip.spread()
+        self.gossip.send_updates()
         started_us = clock.now_us()
         await clock.sleep(us=SHUTDOWN_ACCEPT_US)
         for listener in self._listeners:
--- a/kelpstage/edge/gather/observation.py
+++ b/kelpstage/edge/gather/observation.py
@@ -11,7 +11,7 @@
 from kelpstage.common.transport.messages import Gathered
 from kelpstage.edge.backend import outlier_detection
 from kelpstage.edge.backend.backend_state import BackendState
-from kelpstage.edge.backend.reply import SealedPart
+from kelpstage.edge.backend.reply import ValidatedPart
 from kelpstage.edge.forward.sealed_answer import WholeReply
 from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.messages import BackendReplied, ChildReplied
@@ -59,7 +59,7 @@
             if context.registry.note_no_answer(name=event.backend, now_us=now_us):
                 self._on_backend_changed(event.backend)
             if isinstance(outcome, ReplyTimeoutError):
-                context.latencies.saw(
+                context.latencies.observe(
                     name=event.backend, took_us=now_us - event.sent_us, now_us=now_us
                 )
             return
@@ -69,19 +69,19 @@
             self._on_backend_changed(event.backend)
         else:
             context.registry.note_valid_reply(name=event.backend)
-        context.latencies.saw(name=event.backend, took_us=now_us - event.sent_us, now_us=now_us)
+        context.latencies.observe(name=event.backend, took_us=now_us - event.sent_us, now_us=now_us)
 
     def _observe_instance(self, *, event: BackendReplied, now_us: int) -> None:
         """Update the state of a discovered instance from the outcome of an attempt."""
         registry, name, outcome = self._context.registry, event.backend, event.outcome
         took_us = now_us - event.sent_us
         if (
-            isinstance(outcome, SealedPart)
+            isinstance(outcome, ValidatedPart)
             or isinstance(outcome, WholeReply)
             and outcome.status < 500
         ):
             registry.note_answer(name=name, took_us=took_us, now_us=now_us)
-            self._context.latencies.saw(name=name, took_us=took_us, now_us=now_us)
+            self._context.latencies.observe(name=name, took_us=took_us, now_us=now_us)
             return
         if isinstance(outcome, RequestNotRunError) and outcome.answer != MISDIRECTED_REQUEST:
             registry.note_overloaded(name=name, now_us=now_us)
@@ -90,7 +90,7 @@
             return  # it waited in this node for a connection
         why = failure_kind(outcome=outcome)
         if isinstance(outcome, ReplyTimeoutError):
-            self._context.latencies.saw(name=name, took_us=took_us, now_us=now_us)
+            self._context.latencies.observe(name=name, took_us=took_us, now_us=now_us)
         if registry.note_failure(name=name, why=why, now_us=now_us, waited_us=took_us):
             self._on_backend_changed(name)
 
@@ -102,7 +102,7 @@
         if isinstance(event.outcome, Gathered):
             context.note_reply(name=event.node)
         if isinstance(event.outcome, Gathered) and not event.outcome.is_stale:
-            context.latencies.saw(
+            context.latencies.observe(
                 name=f"node:{event.node}", took_us=now_us - event.sent_us, now_us=now_us
             )
             return
--- a/kelpstage/edge/handlers.py
+++ b/kelpstage/edge/handlers.py
@@ -29,7 +29,7 @@
     Trace,
 )
 from kelpstage.edge.backend.discovery import DiscoveryTask
-from kelpstage.edge.gather.conversion import child_record, reply_of
+from kelpstage.edge.gather.conversion import child_state, gathered_reply
 from kelpstage.edge.gather.task import GatherTask
 from kelpstage.edge.gossip.swim import Swim
 from kelpstage.edge.lease.lease_holder import LeaseHolder
@@ -43,7 +43,7 @@
 class MessageContext(Protocol):
     """The attributes of an edge that the handlers use."""
 
-    own: str
+    own_address: str
     incarnation: int
     ports: Ports
     counts: Counter[str]
@@ -76,10 +76,10 @@
     message.due_us = min(message.due_us, MAX_GATHER_US)
     if message.is_resumed:
         outcome = await edge.gather.resume(root=message.root, ask_id=message.query_id)
-        return reply_of(outcome=outcome) if outcome else _all_missing_reply(message=message)
-    record = child_record(key=edge.gather.next_key(), ask=message, now_us=edge.ports.clock.now_us())
+        return gathered_reply(outcome=outcome) if outcome else _all_missing_reply(message=message)
+    record = child_state(key=edge.gather.next_key(), ask=message, now_us=edge.ports.clock.now_us())
     outcome = await edge.gather.settle(record=record)
-    return reply_of(outcome=outcome)
+    return gathered_reply(outcome=outcome)
 
 
 def _all_missing_reply(*, message: Gather) -> Gathered:
@@ -108,14 +108,14 @@
         member = edge.swim.members.get(message.edge)
         address = member.info.address if member else ""
         if lease_holder.note_epoch(epoch=message.epoch, source=address):
-            edge.leases.fetch_soon(first=address)
+            edge.leases.start_fetch(first=address)
     return ConfirmEpochReply(
         edge=lease_holder.me,
         incarnation=edge.incarnation,
         vouches=lease_holder.may_confirm(now_us=edge.ports.clock.now_us()),
         epoch=lease_holder.epoch,
         cluster=lease_holder.cluster,
-        asker_version=edge.swim.served(name=message.edge),
+        asker_version=edge.swim.served_version(name=message.edge),
     )
 
 
@@ -146,7 +146,7 @@
 ) -> None:
     """Apply an endpoint list update read by another edge."""
     if edge.discovery is not None:
-        edge.discovery.take(update=message)
+        edge.discovery.on_update(update=message)
 
 
 @handle.register
@@ -156,14 +156,14 @@
     """Return this edge's endpoint list; an empty update if it has none."""
     if edge.discovery is None:
         return EndpointUpdate()
-    return edge.discovery.answer(ask=message)
+    return edge.discovery.on_fetch(ask=message)
 
 
 @handle.register
 async def handle_relay_renew(message: RelayRenew, edge: MessageContext, source: str) -> LeaseReply:
     """Forward a renewal to the leader for an edge that cannot reach it."""
     # This node may know a newer leader than the one that the sender could not reach.
-    message.renew.relayed_by = edge.own
+    message.renew.relayed_by = edge.own_address
     reply = await edge.transport.call(
         address=edge.leases.leader or message.target,
         message=message.renew,
--- a/kelpstage/edge/metrics.py
+++ b/kelpstage/edge/metrics.py
@@ -11,7 +11,7 @@
 
 from kelpstage.common.metrics.families import MetricFamily, MetricKind
 from kelpstage.edge.backend.backend_state import STATE_NAMES
-from kelpstage.edge.gossip.members import STATUS_NAMES
+from kelpstage.edge.gossip.members import MEMBER_STATUS_NAMES
 from kelpstage.edge.web.interfaces import ReportingEdge
 
 MICROSECONDS_PER_SECOND = 1_000_000
@@ -104,7 +104,9 @@
         "Retries that this node may send now, by service.",
         "service",
         {
-            service: context.budget.room(service=service, now_us=now_us, edges=context.edges())
+            service: context.budget.available(
+                service=service, now_us=now_us, edges=context.live_edge_count()
+            )
             for service in spent
         },
     )
@@ -126,12 +128,12 @@
     yield MetricFamily.gauge(
         "kelpstage_backends_ejected",
         "Backends that are ejected as outliers now.",
-        sum(entry.seen.is_ejected(now_us=now_us) for entry in entries),
+        sum(entry.outlier_statistics.is_ejected(now_us=now_us) for entry in entries),
     )
     yield MetricFamily.gauge(
         "kelpstage_backends_on_trial",
         "Backends whose ejection is over and that have not answered since.",
-        sum(entry.seen.is_on_trial(now_us=now_us) for entry in entries),
+        sum(entry.outlier_statistics.is_on_trial(now_us=now_us) for entry in entries),
     )
     yield MetricFamily.gauge(
         "kelpstage_backend_attempts_in_flight",
@@ -180,7 +182,7 @@
         "kelpstage_members",
         "Other edges that are known, by status.",
         "status",
-        Counter(STATUS_NAMES.get(member.info.status, "unknown") for member in members),
+        Counter(MEMBER_STATUS_NAMES.get(member.info.status, "unknown") for member in members),
     )
 
 
--- a/kelpstage/edge/web/explain.py
+++ b/kelpstage/edge/web/explain.py
@@ -10,8 +10,8 @@
 from kelpstage.common.transport.messages import FetchTrace, Trace
 from kelpstage.edge.backend.backend_state import STATE_NAMES
 from kelpstage.edge.backend.selection import options
-from kelpstage.edge.gather.tree import Subtree, grow, last_fan_out, levels
-from kelpstage.edge.gossip.members import STATUS_NAMES
+from kelpstage.edge.gather.tree import Subtree, build_tree, last_fan_out, levels
+from kelpstage.edge.gossip.members import MEMBER_STATUS_NAMES
 from kelpstage.edge.timelines import as_json
 from kelpstage.edge.web.interfaces import ReportingEdge
 
@@ -27,7 +27,9 @@
     if route is None:
         return None
     helpers = context.helpers(collection=collection, rand=None)
-    tree = grow(root=edge.name, shards=route.fan_out, helpers=helpers, fan_out=route.tree_fan_out)
+    tree = build_tree(
+        root=edge.name, shards=route.fan_out, helpers=helpers, fan_out=route.tree_fan_out
+    )
     count = len(route.fan_out)
     return {
         "collection": collection,
@@ -140,8 +142,8 @@
                 "excluded by the gatherers' selector"
                 if not is_gatherer
                 else "not ready"
-                if STATUS_NAMES.get(info.status) == "alive"
-                else STATUS_NAMES.get(info.status, "unknown")
+                if MEMBER_STATUS_NAMES.get(info.status) == "alive"
+                else MEMBER_STATUS_NAMES.get(info.status, "unknown")
             )
         rows.append(
             {
@@ -185,11 +187,11 @@
                 "name": name,
                 "address": member.info.address,
                 "domain": member.info.zone,
-                "status": STATUS_NAMES.get(member.info.status, "unknown"),
+                "status": MEMBER_STATUS_NAMES.get(member.info.status, "unknown"),
                 "load": member.info.load,
                 "version": member.info.version,
                 "is_ready": member.info.is_ready,
-                "status_for_us": now_us - member.since_us,
+                "status_for_us": now_us - member.status_since_us,
             }
             for name, member in sorted(edge.swim.members.items())
         ],
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -162,7 +162,7 @@
             ports=self.ports,
             transport=None,
             context=self.context,
-            on_want_state=lambda want: None,
+            on_fetch_configuration=lambda want: None,
             on_backend_changed=lambda name: None,
             sealed=SealedCodec(names=self.names),
         )
@@ -206,9 +206,9 @@
             now_us=now_us,
         )
         granted = LeaseReply(is_granted=True, cluster="c", epoch=1, span_us=600_000_000)
-        lease_holder.take_lease(reply=granted, sent_us=now_us)
+        lease_holder.record_lease(reply=granted, sent_us=now_us)
         registry = BackendRegistry(me="e")
-        registry.declare(configuration=configuration, listed={})
+        registry.apply_configuration(configuration=configuration, listed={})
         return GatherContext(
             me="e",
             zone="z",
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -34,7 +34,7 @@
 from kelpstage.edge.forward.sealed_answer import SealedCodec
 from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.latency import LatencyEstimates
-from kelpstage.edge.gather.messages import ConfigurationMoved, GatherResult
+from kelpstage.edge.gather.messages import ConfigurationChanged, GatherResult
 from kelpstage.edge.gather.request_state import ROOT, RequestState
 from kelpstage.edge.gather.task import GatherTask
 from kelpstage.edge.gossip.members import ALIVE, Member
@@ -109,7 +109,7 @@
             ports=self.ports,
             transport=SimpleNamespace(call=self.call),
             context=self.context,
-            on_want_state=lambda want: None,
+            on_fetch_configuration=lambda want: None,
             on_backend_changed=lambda name: None,
             sealed=SealedCodec(names=HeaderNames()),
         )
@@ -124,11 +124,11 @@
             now_us=now_us,
         )
         granted = LeaseReply(is_granted=True, cluster="c", epoch=version, span_us=SPAN_US)
-        self.lease_holder.take_lease(reply=granted, sent_us=now_us)
-        self.context.registry.declare(configuration=configuration, listed={})
+        self.lease_holder.record_lease(reply=granted, sent_us=now_us)
+        self.context.registry.apply_configuration(configuration=configuration, listed={})
         self.context.registry.set_instances(self.fleet.instances, now_us)
         self.context.registry.set_live_edges(count=1, now_us=now_us)
-        self.gather.inbox.put_nowait(ConfigurationMoved())
+        self.gather.inbox.put_nowait(ConfigurationChanged())
 
     def add_peers(self, *, others: list["Node"]) -> None:
         """Add the other nodes as ready members."""
@@ -136,7 +136,7 @@
             info = MemberMsg(
                 name=other.name, address=other.name, zone="z", status=ALIVE, is_ready=True
             )
-            self.context.swim.members[other.name] = Member(info=info, since_us=0)
+            self.context.swim.members[other.name] = Member(info=info, status_since_us=0)
 
     async def fetch(self, *, call: HttpCall) -> Any:
         address, _, _ = call.url.removeprefix("http://").partition("/")
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -32,7 +32,7 @@
 from kelpstage.edge.backend.endpoint_source import HttpEndpointSource
 from kelpstage.edge.backend.instance import Instance
 from kelpstage.edge.backend.registry import BackendRegistry
-from kelpstage.edge.backend.selection import Option, options
+from kelpstage.edge.backend.selection import Candidate, options
 from kelpstage.edge.backend.zones import ZoneDistances
 from kelpstage.edge.gather.latency import LatencyEstimates
 from kelpstage.edge.gossip.members import LEAVING
@@ -162,7 +162,7 @@
         )
         await self.gossip.open()
         for seed in seeds:
-            self.swim.meet(name=seed.name, address=seed.own, incarnation=1, now_us=0)
+            self.swim.add_peer(name=seed.name, address=seed.own, incarnation=1, now_us=0)
         self.update_times_us: list[int] = []
         self.discovery = DiscoveryTask(
             ports=ports,
@@ -181,9 +181,9 @@
     async def _on_message(self, message: Any, source: str) -> Any:
         if isinstance(message, EndpointUpdate):
             self.update_times_us.append(self.world.now_us())
-            self.discovery.take(update=message)
+            self.discovery.on_update(update=message)
         if isinstance(message, FetchEndpoints):
-            return self.discovery.answer(ask=message)
+            return self.discovery.on_fetch(ask=message)
         return None
 
 
@@ -334,7 +334,7 @@
             await self.wait_for(lambda: bool(self.list.first_page_calls), 700_000)
             self.assertNotEqual(reader.name, self.list.first_page_calls[0][1])
             reader.swim.me.status = LEAVING
-            reader.gossip.spread()
+            reader.gossip.send_updates()
             await self.wait(1_500_000)
             self.list.row("i6")["state"] = "draining"
             await self.wait_for(lambda: reader.registry.entries["i6"].is_draining, 1_500_000)
@@ -515,7 +515,7 @@
                 why="sign in a reply",
                 now_us=self.world.now_us(),
             )
-            node.gossip.spread()
+            node.gossip.send_updates()
             await self.wait_for(
                 lambda: all(n.registry.entries["i3"].is_draining for n in self.running_nodes()),
                 SECOND,
@@ -533,7 +533,7 @@
         registry.set_instances(instances, now_us)
         return registry
 
-    def choose(self, registry: BackendRegistry, now_us: int, rand: Any = None) -> list[Option]:
+    def choose(self, registry: BackendRegistry, now_us: int, rand: Any = None) -> list[Candidate]:
         return options(
             configuration=EMPTY,
             registry=registry,
@@ -626,7 +626,7 @@
         now_us, spans = 0, []
         for _ in range(7):
             registry.note_failure(name="i1", why=outlier_detection.REFUSED, now_us=now_us)
-            until_us = registry.entries["i1"].seen.ejected_until_us
+            until_us = registry.entries["i1"].outlier_statistics.ejected_until_us
             spans.append(until_us - now_us)
             now_us = until_us
             self.assertEqual(
@@ -669,7 +669,7 @@
     def test_signs_of_load_do_not_eject(self) -> None:
         registry = self.registry(instance("i1"), instance("i2"))
         registry.note_answer(name="i1", took_us=12_000, now_us=SECOND)
-        seen = registry.entries["i1"].seen
+        seen = registry.entries["i1"].outlier_statistics
         for _n in range(5):  # sent shortly before the caller's deadline
             self.assertFalse(
                 registry.note_failure(
@@ -751,7 +751,7 @@
 
         registry = self.registry(instance("i1"), instance("i2"))
         registry.set_live_edges(count=12, now_us=0)
-        registry.declare(configuration=Configuration(), listed={})  # type: ignore[arg-type]
+        registry.apply_configuration(configuration=Configuration(), listed={})  # type: ignore[arg-type]
         self.assertEqual(2, registry.entries["i1"].connection_limit)
         registry.entries["i1"].in_flight = 2
         refusals = {o.backend: o.refusal for o in self.choose(registry, 1)}
@@ -814,7 +814,7 @@
             for node in self.nodes:
                 for _ in range(5):  # an ejection of eight seconds
                     now_us = self.world.now_us()
-                    node.registry.entries["i1"].seen.ejected_until_us = 0
+                    node.registry.entries["i1"].outlier_statistics.ejected_until_us = 0
                     node.registry.note_failure(
                         name="i1", why=outlier_detection.REFUSED, now_us=now_us
                     )
@@ -835,7 +835,7 @@
         self.run_scenario(scenario)
 
     def is_ejected_at(self, node: Node) -> bool:
-        return node.registry.entries["i1"].seen.is_ejected(now_us=self.world.now_us())
+        return node.registry.entries["i1"].outlier_statistics.is_ejected(now_us=self.world.now_us())
 
 
 class InstanceSelectionTest(unittest.TestCase):
@@ -947,7 +947,7 @@
         started = [0] * nodes
 
         def new_budget(n: int, now_us: int) -> Budget:
-            return Budget(ratio=ratio, slack=slack, me=f"n{n}", born_us=now_us)
+            return Budget(ratio=ratio, slack=slack, me=f"n{n}", started_us=now_us)
 
         budgets = [new_budget(n, 0) for n in range(nodes)]
         restart_times = sorted(rand.randrange(seconds * SECOND) for _ in range(restarts))
@@ -959,10 +959,10 @@
                 budgets[n], started[n] = new_budget(n, restart_times.pop(0)), now_us
             budget = budgets[rand.randrange(nodes)]
             budget.note_edges(edges=nodes, now_us=now_us)
-            budget.first(service="s", shard="", now_us=now_us)
+            budget.count_first(service="s", shard="", now_us=now_us)
             first_attempts.append(now_us)
             for one in (budget, *rand.sample(budgets, min(nodes, contenders))):
-                while one.take(service="s", shard="", now_us=now_us, edges=nodes):
+                while one.try_acquire(service="s", shard="", now_us=now_us, edges=nodes):
                     retries.append(now_us)
         return first_attempts, retries
 
@@ -1008,34 +1008,34 @@
         """Each of ninety nodes, with a share of 0.75 and few requests, gets retries at times."""
         spent: Counter = Counter()
         for n in range(90):
-            budget = Budget(ratio=0.087, slack=96, me=f"n{n}", born_us=0)
+            budget = Budget(ratio=0.087, slack=96, me=f"n{n}", started_us=0)
             for at in range(0, 60 * SECOND, 100_000):
                 budget.note_edges(edges=90, now_us=at)
-                spent[n] += budget.take(service="s", shard="", now_us=at, edges=90)
+                spent[n] += budget.try_acquire(service="s", shard="", now_us=at, edges=90)
         self.assertTrue(all(2 <= spent[n] <= 5 for n in range(90)), spent)
 
     def test_a_restarted_edge_has_no_slack_for_one_window(self) -> None:
-        budget = Budget(ratio=0.2, slack=64, me="n", born_us=5 * SECOND)
+        budget = Budget(ratio=0.2, slack=64, me="n", started_us=5 * SECOND)
         for at in range(5 * SECOND, 15 * SECOND, 50_000):
-            self.assertFalse(budget.take(service="s", shard="", now_us=at, edges=4))
-        self.assertTrue(budget.take(service="s", shard="", now_us=15 * SECOND, edges=4))
+            self.assertFalse(budget.try_acquire(service="s", shard="", now_us=at, edges=4))
+        self.assertTrue(budget.try_acquire(service="s", shard="", now_us=15 * SECOND, edges=4))
 
     def test_the_budget_of_a_shard_is_shared_by_its_routes(self) -> None:
-        budget = Budget(ratio=0.2, slack=0, me="n", born_us=0)
+        budget = Budget(ratio=0.2, slack=0, me="n", started_us=0)
         budget.note_edges(edges=10, now_us=0)
         for n in range(100):
-            budget.first(service=f"route{n % 2}", shard=f"s{n % 4}", now_us=n)
+            budget.count_first(service=f"route{n % 2}", shard=f"s{n % 4}", now_us=n)
         taken = [
-            budget.take(service=f"route{n % 2}", shard="s1", now_us=200, edges=10)
+            budget.try_acquire(service=f"route{n % 2}", shard="s1", now_us=200, edges=10)
             for n in range(20)
         ]
         self.assertEqual(4, sum(taken))  # 0.8 of a fifth of the 25 first attempts of s1
 
     def test_a_network_partition_does_not_double_the_slack(self) -> None:
-        budget = Budget(ratio=0.2, slack=100, me="n", born_us=0)
+        budget = Budget(ratio=0.2, slack=100, me="n", started_us=0)
         budget.note_edges(edges=10, now_us=10 * SECOND)
-        self.assertEqual(7, budget.room(service="s", now_us=60 * SECOND, edges=2))
-        self.assertEqual(35, budget.room(service="s", now_us=200 * SECOND, edges=2))
+        self.assertEqual(7, budget.available(service="s", now_us=60 * SECOND, edges=2))
+        self.assertEqual(35, budget.available(service="s", now_us=200 * SECOND, edges=2))
 
 
 if __name__ == "__main__":
--- a/tests/test_many_edges.py
+++ b/tests/test_many_edges.py
@@ -149,7 +149,7 @@
         b._membership.merge(info=member(n=2, beat=14), now_us=14 * TICK_US, is_direct=True)
         a.suspect(name="node-0002", now_us=20 * TICK_US, asked_us=17 * TICK_US, why="no ack")
         _, message = a._build_message(to="node-0001", kind=PING, number=9)
-        b.heard(message=message, now_us=20 * TICK_US)
+        b.on_message(message=message, now_us=20 * TICK_US)
         self.assertEqual(SUSPECT, b.status(name="node-0002"))
         # The member is alive: its own ack refutes the suspicion, whatever beat that has.
         c = Swim(
@@ -158,10 +158,10 @@
             backend_states=list,
             on_backend_state=lambda backend_state: None,
         )
-        c.meet(name="node-0001", address="10.0.0.2:7000", incarnation=0, now_us=0)
+        c.add_peer(name="node-0001", address="10.0.0.2:7000", incarnation=0, now_us=0)
         _, ping = b._build_message(to="node-0002", kind=PING, number=9)
-        [(_, ack)] = c.heard(message=ping, now_us=21 * TICK_US)
-        b.heard(message=ack, now_us=21 * TICK_US)
+        [(_, ack)] = c.on_message(message=ping, now_us=21 * TICK_US)
+        b.on_message(message=ack, now_us=21 * TICK_US)
         self.assertEqual(ALIVE, b.status(name="node-0002"))
 
     def test_merged_table_is_not_sent_as_updates(self) -> None:
@@ -217,9 +217,11 @@
             lease_table.record_report(
                 edge=f"n{n}", incarnation=1, epoch=1, contact=self.contact(f"n{n}"), now_us=9
             )
-        lease_table.contacts.note_cores(cores=["a:1", "b:1"])
+        lease_table.contacts.set_cores(cores=["a:1", "b:1"])
         mark = lease_table.contacts.mark()
-        self.assertEqual(([], []), lease_table.contacts.since(known=mark, now_us=10, limit=32))
+        self.assertEqual(
+            ([], []), lease_table.contacts.changes_since(known=mark, now_us=10, limit=32)
+        )
         # A renewal without a contact changes nothing, a new incarnation does.
         lease_table.record_report(
             edge="n1", incarnation=1, epoch=2, contact=EdgeContact(), now_us=11
@@ -228,7 +230,7 @@
         lease_table.record_report(
             edge="n2", incarnation=2, epoch=2, contact=self.contact("n2", 2), now_us=11
         )
-        contacts, cores = lease_table.contacts.since(known=mark, now_us=12, limit=32)
+        contacts, cores = lease_table.contacts.changes_since(known=mark, now_us=12, limit=32)
         self.assertEqual((["n2"], []), ([contact.name for contact in contacts], cores))
 
     def test_offset_of_another_lease_table_is_ignored(self) -> None:
@@ -237,8 +239,8 @@
             lease_table.record_report(
                 edge="n", incarnation=1, epoch=1, contact=self.contact("n"), now_us=9
             )
-            lease_table.contacts.note_cores(cores=["a:1"])
-        contacts, cores = new.contacts.since(known=old.contacts.mark(), now_us=10, limit=32)
+            lease_table.contacts.set_cores(cores=["a:1"])
+        contacts, cores = new.contacts.changes_since(known=old.contacts.mark(), now_us=10, limit=32)
         self.assertEqual((1, ["a:1"]), (len(contacts), cores))
 
     def test_lease_survives_one_renewal_without_a_reply(self) -> None:
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -413,13 +413,13 @@
             transport=Transport(ports=process.ports, counts=Counter()),
             journal=Journal(now=process.ports.clock.now_us),
             recovered=await store.recover(identity=identity),
-            own="10.0.0.1:7100",
+            own_address="10.0.0.1:7100",
             on_applied=lambda outcome, index: None,
             on_role=lambda role: None,
             on_error=failures.append,
         )
         entries = [LogEntry(index=i, term=2, kind=t.NOOP) for i in range(2, 81)]
-        task.heard(
+        task.receive(
             message=AppendEntries(
                 cluster="k",
                 sender="c",
@@ -434,7 +434,7 @@
         await asyncio.sleep(0.1)
         self.assertEqual(80, task.raft.durable)
         task._fetched = DiskSnapshot(index=60, term=2, members=MEMBERS, cluster="k")
-        task._take(
+        task._handle_event(
             event=t.SnapshotFetched(
                 index=60, term=2, members=MEMBERS, leader="b", leader_term=2, heartbeat=0
             )
@@ -589,7 +589,7 @@
     def test_all_entries_of_a_conflicting_term_are_skipped_in_one_round(self) -> None:
         harness = ReplicaHarness(base=0, last=10, term=2)
         for index in range(11, 311):
-            harness.replica.log.add(LogEntry(index=index, term=3, kind=t.COMMAND))
+            harness.replica.log.append(LogEntry(index=index, term=3, kind=t.COMMAND))
         leader_terms = [2] * 10 + [5] * 400
         self.assertEqual(1, self.rounds(harness, leader_terms=leader_terms, next_index=300))
 
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -19,7 +19,7 @@
 )
 from kelpstage.edge.backend.backend_state import BackendState
 from kelpstage.edge.backend.registry import BackendRegistry
-from kelpstage.edge.backend.reply import SealedPart
+from kelpstage.edge.backend.reply import ValidatedPart
 from kelpstage.edge.backend.selection import options
 from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.latency import LatencyEstimates
@@ -47,7 +47,7 @@
             data=configuration_of(deployment=load(name="tiny"), addresses=addresses), version=1
         )
         self.registry, self.latencies = BackendRegistry(me="n"), LatencyEstimates()
-        self.registry.declare(configuration=self.configuration, listed={})
+        self.registry.apply_configuration(configuration=self.configuration, listed={})
 
     def order(self, now_us: int) -> list[str]:
         ranked = options(
@@ -76,13 +76,13 @@
             if r.state == BackendState.INVALID_REPLIES
         ]
         other = BackendRegistry(me="m")
-        other.declare(configuration=self.configuration, listed={})
+        other.apply_configuration(configuration=self.configuration, listed={})
         self.assertTrue(other.on_backend_state_received(backend_state=backend_state, now_us=5))
         self.assertTrue(other.is_suspected(name="b-01", now_us=6))
 
     def test_a_slow_backend_is_ranked_last_and_tried_again_later(self) -> None:
         for _ in range(20):
-            self.latencies.saw(name="b-01", took_us=900_000, now_us=0)
+            self.latencies.observe(name="b-01", took_us=900_000, now_us=0)
         self.assertEqual(["b-02", "b-01"], self.order(1_000))
         self.assertEqual(["b-01", "b-02"], self.order(60_000_000))
 
@@ -157,7 +157,7 @@
             children=[child],
             shard_states={"s1": ShardState(shard="s1", is_extra=True)},
         )
-        own = SealedPart(shard="s1", cut="c1", stamp="x", count=1, records=[(-5, b"own")])
+        own = ValidatedPart(shard="s1", cut="c1", stamp="x", count=1, records=[(-5, b"own")])
         take(
             BackendReplied(
                 key=1, generation=0, shard="s1", number=1, backend="b", sent_us=0, outcome=own
@@ -321,7 +321,7 @@
             version=1,
         )
         registry = BackendRegistry(me="n")
-        registry.declare(configuration=configuration, listed={})
+        registry.apply_configuration(configuration=configuration, listed={})
         for peer in ("k", "l"):
             for name in configuration.backends:
                 registry.on_backend_state_received(
