--- a/kelpstage/testbed/simulation/__init__.py
+++ b/kelpstage/testbed/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A simulated deployment: one seed, one history."""
+"""Simulated deployments in virtual time: the same seed gives the same history."""
--- a/kelpstage/testbed/simulation/failpoints.py
+++ b/kelpstage/testbed/simulation/failpoints.py
@@ -1,7 +1,7 @@
-"""The register of numbered fault points: every place that daemons pass by name.
+"""The numbered failpoints of the daemons' code.
 
-Each is visited in turn by a test that ends a process right there, with the
-power where a disk is concerned, and then has the whole history checked.
+For each failpoint a test kills a process at that place (a core also loses power, so that
+unsynced writes are at risk) and then applies every checker to the history of the run.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def is_core_failpoint(*, name: str) -> bool:
-    """Does a core pass this point?
+    """True if the failpoint is in the core's code, False if it is in the edge's.
 
     >>> is_core_failpoint(name="log.before_sync"), is_core_failpoint(name="edge.before_renew")
     (True, False)
--- a/kelpstage/testbed/simulation/faults/__init__.py
+++ b/kelpstage/testbed/simulation/faults/__init__.py
@@ -1,10 +1,10 @@
-"""The faults that a simulated deployment must bear, by name.
+"""The faults that a simulated deployment must tolerate, by name.
 
-Each is a small scenario of its own. It notes when it begins and ends, and what it
-excuses: "edge" (calls that were at the named nodes), "backend" (what the named backends
-alone could have served), "line" (updates that could not travel to or from the named
-nodes). "away" excuses nothing: it says that machines are away, for the checker of
-returns. A fault that excuses nothing must go by without a caller noticing.
+Each fault is a small scenario. It notes in the history when it begins and ends, and which
+failures it excuses: "edge" (calls that were in flight at the named nodes), "backend" (what
+only the named backends could have served), "line" (updates that could not be sent to or
+from the named nodes). "away" excuses nothing: it tells the checker of returns that machines
+are unavailable. A fault that excuses nothing must not be visible to any client.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 Fault = Callable[[SimFleet, random.Random], Awaitable[None]]
 
-# Seeds draw from this table: a new fault goes to its end, none is moved.
+# Seeds draw faults from this table: add a new fault at its end and do not move any.
 _REGISTERED: tuple[Fault, ...] = (
     backends.backend_crash,
     backends.backend_vanish,
@@ -76,4 +76,4 @@
     configuration.many_recuts,
     configuration.recut,
 )
-FAULTS: dict[str, Fault] = {work.__name__: work for work in _REGISTERED}
+FAULTS: dict[str, Fault] = {fault.__name__: fault for fault in _REGISTERED}
--- a/kelpstage/testbed/simulation/faults/backends.py
+++ b/kelpstage/testbed/simulation/faults/backends.py
@@ -1,4 +1,4 @@
-"""Faults of backends: crashes, slowness, invalid replies, drains."""
+"""Faults of backends: crashes, slow and invalid replies, drains."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 async def backend_crash(fleet: SimFleet, rand: random.Random) -> None:
-    """A backend's process ends and comes back after a while."""
+    """A backend's process ends and is started again after 3 to 10 seconds."""
     name = random_backend(fleet=fleet, rand=rand)
     number = fleet.fault(
         what="backend_crash", backends=[name], excuses=["backend"], after_us=SECOND
@@ -29,7 +29,7 @@
 
 
 async def backend_vanish(fleet: SimFleet, rand: random.Random) -> None:
-    """A backend's machine goes silent for good."""
+    """A backend's machine loses power and does not return."""
     name = random_backend(fleet=fleet, rand=rand)
     fleet.fault(what="backend_vanish", backends=[name], excuses=["backend"])
     fleet.world.machines[name].is_on = False
@@ -39,7 +39,7 @@
 
 
 async def backend_slow(fleet: SimFleet, rand: random.Random) -> None:
-    """A backend takes longer over every answer, for a while."""
+    """Every reply of a backend is delayed for 3 to 10 seconds."""
     name = random_backend(fleet=fleet, rand=rand)
     number = fleet.fault(what="backend_slow", backends=[name], excuses=["backend"], after_us=SECOND)
     await fleet.set_backend(name=name, slow_us=span_us(rand=rand, low_s=0.05, high_s=3))
@@ -49,7 +49,7 @@
 
 
 async def backend_lies(fleet: SimFleet, rand: random.Random) -> None:
-    """A backend sends wrong bytes, of one kind after the other."""
+    """A backend sends invalid replies, of four kinds one after the other."""
     name = random_backend(fleet=fleet, rand=rand)
     number = fleet.fault(what="backend_lies", backends=[name], excuses=["backend"], after_us=SECOND)
     for lie in rand.sample(INVALID_REPLIES, 4):
@@ -60,7 +60,7 @@
 
 
 async def backend_drains(fleet: SimFleet, rand: random.Random) -> None:
-    """The platform stops a backend with a warning, and starts it again."""
+    """The platform drains a backend, stops it and starts it again."""
     name = random_backend(fleet=fleet, rand=rand)
     number = fleet.fault(what="backend_drains", backends=[name], excuses=[])
     await fleet.set_backend(name=name, is_draining=True)
@@ -88,7 +88,7 @@
 
 
 async def shard_dark(fleet: SimFleet, rand: random.Random) -> None:
-    """Every backend of one shard is down."""
+    """All backends of one shard are unreachable for a while."""
     shard = rand.choice(fleet.deployment.cut.shards)
     names = backends_of_shard(fleet=fleet, shard=shard)
     await _unreachable_for(
@@ -100,7 +100,7 @@
 
 
 async def many_dark(fleet: SimFleet, rand: random.Random) -> None:
-    """Several shards go dark together."""
+    """All backends of four shards are unreachable at once."""
     shards = rand.sample(fleet.deployment.cut.shards, 4)
     names = [n for s in shards for n in backends_of_shard(fleet=fleet, shard=s)]
     await _unreachable_for(
@@ -112,7 +112,7 @@
 
 
 async def half_slow(fleet: SimFleet, rand: random.Random) -> None:
-    """Half of all backends turn slow together, some of every shard."""
+    """Half of all backends, some of every shard, are slow at once."""
     names = sorted(fleet.backends)[::2]
     number = fleet.fault(what="half_slow", backends=names, excuses=["backend"], after_us=SECOND)
     for name in names:
@@ -124,7 +124,7 @@
 
 
 async def backends_pause(fleet: SimFleet, rand: random.Random) -> None:
-    """Every backend pauses now and then, twenty times as often as usual."""
+    """All backends pause at random, twenty times as often as usual."""
     number = fleet.fault(what="backends_pause", excuses=[])
     for stand_in in fleet.backends.values():
         stand_in.pause_share = 0.04
@@ -135,8 +135,8 @@
 
 
 async def list_stops(fleet: SimFleet, rand: random.Random) -> None:
-    """The platform's list says that a backend is stopping; the backend itself gives
-    no sign of it until it ends."""
+    """The endpoint list shows a backend as stopping, but the backend itself does not report
+    that it is draining until it ends."""
     name = random_backend(fleet=fleet, rand=rand)
     number = fleet.fault(what="list_stops", backends=[name], excuses=["backend"], after_us=SECOND)
     fleet.platform.note_backend(name=name, state="stopping")
@@ -151,7 +151,7 @@
 
 
 async def many_slow(fleet: SimFleet, rand: random.Random) -> None:
-    """Many shards slow down together."""
+    """All backends of four shards are slow at once."""
     shards = rand.sample(fleet.deployment.cut.shards, 4)
     names = [n for s in shards for n in backends_of_shard(fleet=fleet, shard=s)]
     number = fleet.fault(
--- a/kelpstage/testbed/simulation/faults/callers.py
+++ b/kelpstage/testbed/simulation/faults/callers.py
@@ -1,4 +1,4 @@
-"""What callers do to the fleet."""
+"""Faults that clients cause."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 async def overload(fleet: SimFleet, rand: random.Random) -> None:
-    """Callers call at two or four times their rates for a while."""
+    """Clients send calls at two or four times their usual rates for 4 to 8 seconds."""
     number = fleet.fault(what="overload", excuses=[])
     more = rand.choice((1, 3))
     waves = [fleet.start_callers() for _ in range(more)]
--- a/kelpstage/testbed/simulation/faults/combined.py
+++ b/kelpstage/testbed/simulation/faults/combined.py
@@ -1,4 +1,4 @@
-"""Several parts that fail together."""
+"""Faults of several components at once."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from kelpstage.testbed.simulation.fleet import SimFleet
 
 
-async def _edges_gone_while(
+async def _restart_edges_without_cores(
     *, fleet: SimFleet, rand: random.Random, what: str, count: int, core_s: tuple[float, float]
 ) -> None:
-    """Edges end while every core is gone, and start before a core is back."""
+    """Kill edges while every core is down, and start them before any core runs again."""
     up = running_edges(fleet=fleet)
     names = rand.sample(up, min(count, len(up)))
     cores = [n for n in fleet.core_address if fleet.processes[f"core/{n}"].is_alive]
@@ -36,23 +36,23 @@
 
 
 async def herd_without_cores(fleet: SimFleet, rand: random.Random) -> None:
-    """Most edges end and start again while no core is there."""
+    """Seven tenths of the edges are restarted while no core runs."""
     count = len(fleet.deployment.nodes) * 7 // 10
-    await _edges_gone_while(
+    await _restart_edges_without_cores(
         fleet=fleet, rand=rand, what="herd_without_cores", count=count, core_s=(2, 6)
     )
 
 
 async def restart_without_cores(fleet: SimFleet, rand: random.Random) -> None:
-    """Two edges end and start again while no core is there."""
-    await _edges_gone_while(
+    """Two edges are restarted while no core runs."""
+    await _restart_edges_without_cores(
         fleet=fleet, rand=rand, what="restart_without_cores", count=2, core_s=(3, 8)
     )
 
 
 async def disk_lost_beside_frozen(fleet: SimFleet, rand: random.Random) -> None:
-    """A put is acknowledged while an edge stands still; at once its leader's disk is
-    lost; the edge wakes."""
+    """A configuration write is sent while an edge is frozen; then the leader loses its disk,
+    and the edge is thawed."""
     up = running_edges(fleet=fleet)
     if len(up) < 6 or not fleet.is_core_whole():
         return
@@ -79,7 +79,7 @@
 
 
 async def replaced_while_seeds_swap(fleet: SimFleet, rand: random.Random) -> None:
-    """A core is replaced at a new address while edges start with other seeds."""
+    """A core is replaced at a new address while an edge starts with other seeds."""
     await asyncio.gather(
         core_replaced(fleet, random.Random(rand.random())),
         seeds_swapped(fleet, random.Random(rand.random())),
@@ -87,7 +87,7 @@
 
 
 async def zone_lost(fleet: SimFleet, rand: random.Random) -> None:
-    """Every machine of one zone loses power, and comes back."""
+    """Every machine of one zone loses power and is started again."""
     if not fleet.is_core_whole():
         return
     zone = rand.choice(fleet.deployment.zones)
@@ -100,8 +100,8 @@
         backends=backends,
         after_us=2 * SECOND,
     )
-    back = fleet.lose_zone(zone=zone)
+    ended = fleet.power_off_zone(zone=zone)
     await fleet.sleep(us=span_us(rand=rand, low_s=3, high_s=9))
-    await fleet.return_zone(back=back)
+    await fleet.power_on_zone(ended_processes=ended)
     fleet.fault_end(fault=number)
     fleet.note({"event": "returned", "what": "zone_lost"})
--- a/kelpstage/testbed/simulation/faults/configuration.py
+++ b/kelpstage/testbed/simulation/faults/configuration.py
@@ -1,4 +1,4 @@
-"""Operators: changes of the configuration, drains, another cut of the index."""
+"""Configuration writes by operators: changes, drains by label, resharding."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 async def drain_label(fleet: SimFleet, rand: random.Random) -> None:
-    """An operator drains two backends by their labels, and takes the labels off."""
+    """An operator drains two backends by a label, and later removes the label."""
     number = fleet.fault(what="drain_label", excuses=[])
     names = tuple(rand.sample(sorted(fleet.backends), 2))
     await fleet.put_next(drained=names)
@@ -20,8 +20,8 @@
 
 
 async def put_moves(fleet: SimFleet, rand: random.Random) -> None:
-    """Writes that take a third of the backends out of the index, another third each
-    time, under load."""
+    """Four configuration writes under load, each of which leaves another third of the
+    backends out of the index."""
     number = fleet.fault(what="put_moves", excuses=[])
     names = sorted(fleet.backends)
     for turn in range(4):
@@ -32,21 +32,21 @@
 
 
 async def put_one(fleet: SimFleet, rand: random.Random) -> None:
-    """One change of the configuration."""
+    """An operator writes one change of the configuration."""
     number = fleet.fault(what="put_one", excuses=[])
     await fleet.put_next()
     fleet.fault_end(fault=number)
 
 
 async def put_race(fleet: SimFleet, rand: random.Random) -> None:
-    """Two operators put on the same version, through two cores."""
+    """Two operators write on the same version at once, through random cores."""
     number = fleet.fault(what="put_race", excuses=[])
     await asyncio.gather(fleet.put_next(), fleet.put_next())
     fleet.fault_end(fault=number)
 
 
 async def put_repeat(fleet: SimFleet, rand: random.Random) -> None:
-    """A put is sent again under its id, as after a lost reply."""
+    """A configuration write is repeated under its id, as after a lost reply."""
     number = fleet.fault(what="put_repeat", excuses=[])
     fleet.put_serial += 1
     name = f"put-{fleet.put_serial}"
@@ -58,15 +58,15 @@
 
 
 async def put_large(fleet: SimFleet, rand: random.Random) -> None:
-    """A configuration of over half a megabyte."""
+    """An operator writes a configuration of more than half a megabyte."""
     number = fleet.fault(what="put_large", excuses=[])
     await fleet.put_next(padding=3000)
     fleet.fault_end(fault=number)
 
 
 async def many_recuts(fleet: SimFleet, rand: random.Random) -> None:
-    """Cut to and fro, again and again, while backends are slow enough for searches
-    to be under way at each."""
+    """The index is resharded eight times, between two layouts, while a quarter of the
+    backends is so slow that searches are in flight at each change."""
     names = sorted(fleet.backends)
     number = fleet.fault(what="many_recuts", excuses=["backend"], backends=names[::4])
     for name in names[::4]:
@@ -81,10 +81,10 @@
 
 
 async def recut(fleet: SimFleet, rand: random.Random) -> None:
-    """The index is cut into other shards under load.
+    """The index is resharded under load.
 
-    Callers that fetch single records by the old cut's shards get an error until they
-    use the new ones.
+    Clients that fetch single records by the old shards get an error until they use the new
+    ones.
     """
     number = fleet.fault(what="recut", excuses=[])
     other = [c for name, c in sorted(fleet.cuts.items()) if name != fleet.cut_in_force][0]
--- a/kelpstage/testbed/simulation/faults/cores.py
+++ b/kelpstage/testbed/simulation/faults/cores.py
@@ -1,4 +1,4 @@
-"""Faults of cores: kills, lost power, lost disks, replacement."""
+"""Faults of cores: kills, power losses, lost disks, replacement."""
 
 from __future__ import annotations
 
@@ -17,8 +17,10 @@
     high_s: float,
     **loss: bool,
 ) -> int | None:
-    """Some core ends, with what it loses by that, and is started again after a while;
-    the fault's number, or nothing if no core may be lost now."""
+    """Kill a core, which may lose power or its disk, and start it again after a while.
+
+    Returns the fault's number, or None if no core may be lost now.
+    """
     name = core_to_lose(fleet=fleet, rand=rand)
     if name is None:
         return None
@@ -37,7 +39,7 @@
 
 
 async def core_power(fleet: SimFleet, rand: random.Random) -> None:
-    """Power is lost right after a put was acknowledged; unsynced bytes are gone."""
+    """A core loses power after an acknowledged configuration write; unsynced bytes are lost."""
     await fleet.put_next()
     number = await _lose_core(
         fleet=fleet, rand=rand, what="core_power", low_s=1, high_s=5, is_power=True
@@ -47,7 +49,7 @@
 
 
 async def core_all_power(fleet: SimFleet, rand: random.Random) -> None:
-    """Every core loses power at once, a moment after an acknowledgement."""
+    """All cores lose power at once after an acknowledged configuration write."""
     await fleet.put_next()
     number = fleet.fault(what="core_all_power", excuses=["away"])
     names = [n for n in fleet.core_address if fleet.processes[f"core/{n}"].is_alive]
@@ -60,7 +62,7 @@
 
 
 async def core_disk_lost(fleet: SimFleet, rand: random.Random) -> None:
-    """A disk is lost right after an acknowledgement; the core comes back empty."""
+    """A core loses its disk after an acknowledged configuration write and restarts empty."""
     await fleet.put_next()
     number = await _lose_core(
         fleet=fleet, rand=rand, what="core_disk_lost", low_s=0.2, high_s=2, is_disk=True
@@ -71,7 +73,7 @@
 
 
 async def core_replaced(fleet: SimFleet, rand: random.Random) -> None:
-    """A core machine is gone; an empty one at a new address takes its place."""
+    """A core's machine is lost and replaced by an empty one at a new address."""
     name = core_to_lose(fleet=fleet, rand=rand)
     if name is None:
         return
@@ -84,7 +86,7 @@
 
 
 async def core_freeze(fleet: SimFleet, rand: random.Random) -> None:
-    """A core stands still for a while."""
+    """A core is frozen for 0.5 to 6 seconds."""
     name = core_to_lose(fleet=fleet, rand=rand)
     if name is None:
         return
@@ -97,7 +99,7 @@
 
 
 async def cores_gone(fleet: SimFleet, rand: random.Random) -> None:
-    """All cores are down for long: the fleet serves on."""
+    """All cores are down for 5 to 12 seconds; the edges continue to serve."""
     number = fleet.fault(what="cores_gone", excuses=["away"])
     names = [n for n in fleet.core_address if fleet.processes[f"core/{n}"].is_alive]
     for name in names:
--- a/kelpstage/testbed/simulation/faults/edges.py
+++ b/kelpstage/testbed/simulation/faults/edges.py
@@ -22,7 +22,7 @@
 
 
 async def edge_herd(fleet: SimFleet, rand: random.Random) -> None:
-    """Most edges are killed together and come back together."""
+    """Seven tenths of the running edges are killed at once and started again together."""
     up = running_edges(fleet=fleet)
     names = rand.sample(up, len(up) * 7 // 10)
     number = fleet.fault(what="edge_herd", excuses=["edge", "away"], nodes=names, after_us=SECOND)
@@ -36,7 +36,7 @@
 
 
 async def edge_freeze(fleet: SimFleet, rand: random.Random) -> None:
-    """An edge stands still, past its lease half of the time, and wakes."""
+    """An edge is frozen for 0.3 to 6 seconds, beyond its lease in half of the cases."""
     up = running_edges(fleet=fleet)
     if len(up) < 6:
         return
@@ -54,7 +54,7 @@
 
 
 async def rolling_restart(fleet: SimFleet, rand: random.Random) -> None:
-    """Stop every edge in turn, and start it again when it has ended."""
+    """Every edge in turn is shut down gracefully and started again."""
     number = fleet.fault(what="rolling_restart", excuses=[])
     for node in fleet.deployment.nodes:
         if not fleet.processes[f"edge/{node.name}"].is_alive:
@@ -69,7 +69,7 @@
 
 
 async def seeds_swapped(fleet: SimFleet, rand: random.Random) -> None:
-    """An edge starts again with its seeds in another order, one of them dead."""
+    """An edge restarts with its seeds in another order, the first of them dead."""
     name = rand.choice(running_edges(fleet=fleet))
     number = fleet.fault(what="seeds_swapped", excuses=["edge"], nodes=[name], after_us=SECOND)
     fleet.kill_edge(name=name)
--- a/kelpstage/testbed/simulation/faults/network.py
+++ b/kelpstage/testbed/simulation/faults/network.py
@@ -1,4 +1,4 @@
-"""Faults of the network: machines, cores and zones that are cut off from others."""
+"""Network partitions of machines, cores and zones."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from kelpstage.testbed.simulation.faults.targets import SECOND, core_to_lose, running_edges, span_us
 from kelpstage.testbed.simulation.fleet import SimFleet
 
-LONG_CUT_US = 20 * SECOND
+LONG_PARTITION_US = 20 * SECOND
 
 
 async def edge_cut_off(fleet: SimFleet, rand: random.Random) -> None:
-    """An edge is cut from every other machine."""
+    """An edge's machine is partitioned from every other machine."""
     name = rand.choice(running_edges(fleet=fleet))
     number = fleet.fault(
         what="edge_cut_off", excuses=["edge", "line"], nodes=[name], after_us=4 * SECOND
@@ -28,7 +28,7 @@
 
 
 async def edges_one_way(fleet: SimFleet, rand: random.Random) -> None:
-    """What one edge sends to another is lost; the other way is open."""
+    """The path from one edge to another is blocked, the opposite direction is open."""
     a, b = rand.sample(running_edges(fleet=fleet), 2)
     number = fleet.fault(what="edges_one_way", excuses=["line"], nodes=[a, b], after_us=2 * SECOND)
     fleet.world.cut(a=a, b=b, is_one_way=True)
@@ -46,7 +46,7 @@
     hold_us: int,
     nodes: list[str],
 ) -> None:
-    """Cut network paths one way for a while; calls are excused nothing."""
+    """Block paths, given as sender and receiver, for a while; failed calls are not excused."""
     number = fleet.fault(what=what, excuses=["line"], nodes=nodes, after_us=3 * SECOND)
     for a, b in pairs:
         fleet.world.cut(a=a, b=b, is_one_way=True)
@@ -57,7 +57,7 @@
 
 
 async def core_split(fleet: SimFleet, rand: random.Random) -> None:
-    """One core is cut from the other cores, and from half of the edges' machines."""
+    """One core is partitioned from the other cores and from half of the edges."""
     name = core_to_lose(fleet=fleet, rand=rand)
     if name is None:
         return
@@ -75,7 +75,7 @@
 
 
 async def core_one_way(fleet: SimFleet, rand: random.Random) -> None:
-    """What one core's machine sends to another's is lost."""
+    """The path from one core's machine to another's is blocked."""
     name = core_to_lose(fleet=fleet, rand=rand)
     if name is None:
         return
@@ -89,13 +89,15 @@
     )
 
 
-async def _cut_long(*, fleet: SimFleet, rand: random.Random, what: str, name: str) -> None:
-    """A core's machine is cut from the other cores' for twenty seconds, with puts at any
-    core all the while."""
+async def _partition_core(*, fleet: SimFleet, rand: random.Random, what: str, name: str) -> None:
+    """Partition a core's machine from the other cores' for 20 seconds, with configuration
+    writes at random cores meanwhile."""
     others = [n for n in fleet.core_address if n != name]
     pairs = [pair for other in others for pair in both_ways(a=name, b=other)]
     cut = asyncio.ensure_future(
-        cut_for(fleet=fleet, pairs=pairs, what=what, hold_us=LONG_CUT_US, nodes=[name, *others])
+        cut_for(
+            fleet=fleet, pairs=pairs, what=what, hold_us=LONG_PARTITION_US, nodes=[name, *others]
+        )
     )
     while not cut.done():
         await fleet.put_next(wait_us=2 * SECOND)
@@ -104,23 +106,23 @@
 
 
 async def core_cut_long(fleet: SimFleet, rand: random.Random) -> None:
-    """The leader, or another core, is cut from the other cores for twenty seconds."""
+    """The leader or another core is partitioned from the other cores for 20 seconds."""
     name = core_to_lose(fleet=fleet, rand=rand)
     if name is not None:
-        await _cut_long(fleet=fleet, rand=rand, what="core_cut_long", name=name)
+        await _partition_core(fleet=fleet, rand=rand, what="core_cut_long", name=name)
 
 
 async def leaders_cut_in_turn(fleet: SimFleet, rand: random.Random) -> None:
-    """The leader is cut from the other cores; as soon as that has healed, the next one."""
+    """The leader is partitioned from the other cores for 20 seconds, then its successor."""
     for _ in range(2):
         leader = fleet.leader()
         if leader is not None and fleet.is_core_whole():
-            await _cut_long(fleet=fleet, rand=rand, what="leaders_cut_in_turn", name=leader)
+            await _partition_core(fleet=fleet, rand=rand, what="leaders_cut_in_turn", name=leader)
         await fleet.sleep(us=SECOND)
 
 
 async def zone_cut(fleet: SimFleet, rand: random.Random) -> None:
-    """One zone is cut off from the others; callers and the platform reach all."""
+    """One zone is partitioned from the others; clients and the platform reach all of them."""
     zone = rand.choice(fleet.deployment.zones)
     inside = [n for n, m in fleet.world.machines.items() if m.zone == zone]
     nodes = [n.name for n in fleet.deployment.nodes if n.zone == zone]
@@ -142,5 +144,5 @@
 
 
 def both_ways(*, a: str, b: str) -> list[tuple[str, str]]:
-    """The two directions between two machines."""
+    """Return the paths between two machines, one for each direction."""
     return [(a, b), (b, a)]
--- a/kelpstage/testbed/simulation/figures.py
+++ b/kelpstage/testbed/simulation/figures.py
@@ -1,4 +1,4 @@
-"""Figures of simulated runs: times of detection, election and roll-out."""
+"""Measurements of simulated runs: latencies of writes and searches, partial and failed shares."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def figures(*, fleet: SimFleet | None) -> dict[str, list[int]]:
-    """What one run measured, by name, in microseconds of virtual time."""
+    """Return the samples of one run by name: `_us` in virtual microseconds, others 0 or 1."""
     if fleet is None:
         return {}
     puts = [row for row in fleet.history if row["event"] == "put" and row["status"] == 200]
@@ -27,17 +27,17 @@
 
 
 def summary(*, rows: list[dict[str, list[int]]]) -> dict[str, Any]:
-    """Distributions over all runs.
+    """Summarize all runs: quantiles of each `_us` series, the mean of every other one.
 
     >>> summary(rows=[{"put_us": [1, 3], "partial": [0, 1]}])["partial_share"]
     0.5
     """
-    whole: dict[str, list[int]] = {}
+    samples: dict[str, list[int]] = {}
     for row in rows:
         for name, values in row.items():
-            whole.setdefault(name, []).extend(values)
+            samples.setdefault(name, []).extend(values)
     out: dict[str, Any] = {}
-    for name, values in whole.items():
+    for name, values in samples.items():
         if not name.endswith("_us"):
             out[f"{name}_share"] = round(sum(values) / len(values), 6) if values else None
             continue
--- a/kelpstage/testbed/simulation/fleet.py
+++ b/kelpstage/testbed/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""A simulated deployment: the daemons' own code, stand-ins, callers, faults."""
+"""A simulated deployment: the daemons' code with stand-in backends, platform and callers."""
 
 from __future__ import annotations
 
@@ -26,15 +26,16 @@
 
 
 class SimulationTimeoutError(Exception):
-    """A condition that had to come did not come in its virtual time."""
+    """A condition did not hold within its timeout of virtual time."""
 
 
 @dataclass(kw_only=True)
 class SimFleet(HistoryWriter):
-    """One deployment in one world.
+    """One deployment in one simulated world.
 
-    With `has_observers`, the loss of the machines with a disk counts, one at a time, and
-    any number of the others may go; without, every edge votes.
+    With `has_observers`, only edges on machines with a disk are voting members, of which one
+    may be lost at a time; the others are observers, of which any number may be lost. Without
+    it every edge is a voting member.
     """
 
     world: World
@@ -57,21 +58,21 @@
         self.edge_own: dict[str, str] = {}
         self.cut_in_force = deployment.cut.name
         self.cuts = {c.name: c for c in (deployment.cut, deployment.recut())}
-        for place, node in enumerate(deployment.nodes):
+        for index, node in enumerate(deployment.nodes):
             machine = world.add_machine(name=node.name, zone=node.zone)
-            self.edge_own[node.name] = self._home(machine=machine, host=place + 1, port=7000)
-            self.edge_http[node.name] = self._home(machine=machine, host=place + 1, port=8000)
+            self.edge_own[node.name] = self._home(machine=machine, host=index + 1, port=7000)
+            self.edge_http[node.name] = self._home(machine=machine, host=index + 1, port=8000)
             if node.has_disk:
                 self.core_address[node.name] = self._home(
-                    machine=machine, host=place + 1, port=7100
+                    machine=machine, host=index + 1, port=7100
                 )
-                self._home(machine=machine, host=place + 1, port=8100)
+                self._home(machine=machine, host=index + 1, port=8100)
         self.backend_address: dict[str, str] = {}
         self.backends: dict[str, StandIn] = {}
         world.on_dead_send = self._note_dead_send
-        for place, spec in enumerate(deployment.backends):
+        for index, spec in enumerate(deployment.backends):
             machine = world.add_machine(name=spec.name, zone=spec.zone)
-            address = self._home(machine=machine, host=100 + place, port=9000)
+            address = self._home(machine=machine, host=100 + index, port=9000)
             self.backend_address[spec.name] = address
         outside = world.add_machine(name="outside", zone="outside")
         self.outside = self._process(name="outside", machine=outside)
@@ -130,10 +131,10 @@
             )
 
     def now_us(self) -> int:
-        """Virtual time in microseconds; it stamps the rows of the history."""
+        """Return the virtual time in microseconds, which stamps the rows of the history."""
         return self.world.now_us()
 
-    # --- starting --------------------------------------------------------------------
+    # --- start -----------------------------------------------------------------------
 
     async def start(self) -> None:
         """Start backends, the platform, cores and edges."""
@@ -149,7 +150,7 @@
             await self.start_edge(name=node.name)
 
     async def start_backend(self, *, name: str) -> None:
-        """Start the process of a backend."""
+        """Start a backend's process."""
         process = self._process(name=f"backend/{name}", machine=self.world.machines[name])
         stand_in = StandIn(
             name=name,
@@ -163,11 +164,11 @@
         self.backends[name] = stand_in
 
     def is_up(self, *, process: str) -> bool:
-        """Is the process up, perhaps started again by another fault?"""
+        """True if the process runs, also if another fault has started it again."""
         return process in self.processes and self.processes[process].is_alive
 
     async def start_core(self, *, name: str, seeds: list[str] | None = None) -> None:
-        """Start the core of a machine, unless it is up."""
+        """Start the core of a machine, unless it runs."""
         if self.is_up(process=f"core/{name}"):
             return
         machine = self.world.machines[name]
@@ -183,16 +184,16 @@
         if self.has_observers:
             settings["bounds"] = {"tolerance": 1}
         core = Core(ports=process.ports, settings=settings)
-        await _open(daemon=core)
+        await _open_daemon(daemon=core)
         self.daemons[f"core/{name}"] = core
         self.note({"event": "core", "core": name, "is_up": True})
 
     def core_http(self, *, name: str) -> str:
-        """The address of a core's HTTP."""
+        """Return the address of a core's HTTP interface."""
         return self.core_address[name].replace(":7100", ":8100")
 
     async def start_edge(self, *, name: str, seeds: list[str] | None = None) -> None:
-        """Start the edge of a machine, unless it is up."""
+        """Start the edge of a machine, unless it runs."""
         if self.is_up(process=f"edge/{name}"):
             return
         machine = self.world.machines[name]
@@ -207,20 +208,20 @@
             "observer": self.has_observers and name not in self.core_address,
         }
         edge = Edge(ports=process.ports, settings=settings)
-        await _open(daemon=edge)
+        await _open_daemon(daemon=edge)
         self.daemons[f"edge/{name}"] = edge
         self.note({"event": "started", "edge": name})
 
-    # --- looking ----------------------------------------------------------------------
+    # --- state ------------------------------------------------------------------------
 
     async def sleep(self, *, us: int) -> None:
-        """Let virtual time pass."""
+        """Wait for a duration of virtual time."""
         await asyncio.sleep(us / 1_000_000)
 
     async def wait_for(
         self, *, what: str, is_there: Callable[[], bool], us: int = 60_000_000
     ) -> int:
-        """Wait for a condition; how long it took."""
+        """Wait until a condition holds; return how long it took, in microseconds."""
         started_us = self.world.now_us()
         while not is_there():
             if self.world.now_us() - started_us > us:
@@ -229,7 +230,7 @@
         return self.world.now_us() - started_us
 
     def leader(self) -> str | None:
-        """The core that leads, or nothing."""
+        """Return the machine of the leader, or None."""
         for name in self.core_address:
             core = self.daemons.get(f"core/{name}")
             process = self.processes.get(f"core/{name}")
@@ -238,7 +239,7 @@
         return None
 
     def is_core_whole(self) -> bool:
-        """Does the leader have three voters, all of which answered it lately?"""
+        """True if the leader has three voters, all with a contact in the last 500 ms."""
         name = self.leader()
         if name is None:
             return False
@@ -247,7 +248,7 @@
         return len(voters) == 3 and all(row["heard_us_ago"] < 500_000 for row in voters)
 
     def ready_edges(self) -> list[str]:
-        """The edges that run and serve."""
+        """Return the edges that run, are not frozen and serve."""
         return [
             node.name
             for node in self.deployment.nodes
@@ -257,17 +258,17 @@
         ]
 
     def is_membership_whole(self) -> bool:
-        """Does the leader's membership name every node?"""
+        """True if the leader's membership has as many edges as the deployment has nodes."""
         name = self.leader()
         if name is None:
             return False
         membership = self.daemons[f"core/{name}"].task.machine.state.membership
         return len(membership) == len(self.deployment.nodes)
 
-    # --- acting -------------------------------------------------------------------------
+    # --- actions ------------------------------------------------------------------------
 
     def configuration(self, **more: Any) -> bytes:
-        """The deployment's configuration, with changes."""
+        """Return the deployment's configuration document, with changes."""
         return configuration_of(deployment=self.deployment, addresses=self.backend_address, **more)
 
     async def put(
@@ -279,7 +280,7 @@
         core: str | None = None,
         wait_us: int = 10_000_000,
     ) -> dict:
-        """Put a configuration through any core that is up, and note the reply."""
+        """Write a configuration through a core, by default a random one, and note the outcome."""
         name = core or self.some_core()
         row: dict[str, Any] = {
             "event": "put",
@@ -307,11 +308,11 @@
         else:
             row |= {"status": reply.status, "body": json.loads(reply.body)}
             row["end"] = "ok" if reply.status == 200 else row["body"]["defect"]["kind"]
-            self._learn_version(row=row)
+            self._update_known_version(row=row)
         self.note(row)
         return row
 
-    def _learn_version(self, *, row: dict) -> None:
+    def _update_known_version(self, *, row: dict) -> None:
         if row["status"] == 200:
             self.version = max(self.version, row["body"]["version"])
             self.cut_in_force = row["cut"]
@@ -319,7 +320,7 @@
             self.version = max(self.version, row["body"]["defect"]["current"])
 
     async def put_next(self, *, wait_us: int = 10_000_000, **more: Any) -> dict:
-        """Put a changed configuration on what this operator knows to be the newest."""
+        """Write a changed configuration over the newest version that the operator knows."""
         self.put_serial += 1
         name = f"put-{self.put_serial}"
         more.setdefault("cut", self.cuts[self.cut_in_force])
@@ -331,12 +332,12 @@
         )
 
     def some_core(self) -> str:
-        """Any core that is up, as an operator picks one."""
+        """Return a random core that runs, or any core if none does."""
         up = [n for n in self.core_address if self.processes[f"core/{n}"].is_alive]
         return self.world.rand.choice(up or list(self.core_address))
 
     async def read_back(self, *, tries: int = 40) -> dict:
-        """Read the configuration back, from any core that will answer."""
+        """Read the configuration from random cores until one answers, and note the result."""
         row: dict[str, Any] = {"event": "read_back", "status": 0, "sent_us": self.world.now_us()}
         for _ in range(tries):
             reply = await self.outside.ports.net.fetch(
@@ -358,12 +359,12 @@
         return row
 
     def kill_edge(self, *, name: str) -> None:
-        """Kill an edge."""
+        """Kill an edge without a graceful shutdown."""
         self.processes[f"edge/{name}"].kill()
         self.note({"event": "ended", "edge": name})
 
     def kill_core(self, *, name: str, is_power: bool = False, is_disk: bool = False) -> None:
-        """Kill a core; with the power, unsynced bytes go; with the disk, all."""
+        """Kill a core; a power loss drops unsynced writes, a lost disk all data."""
         self.processes[f"core/{name}"].kill()
         self.note({"event": "core", "core": name, "is_up": False})
         platter = self.world.machines[name].platter
@@ -372,9 +373,9 @@
         elif is_power:
             platter.cut_power()
 
-    def lose_zone(self, *, zone: str) -> list[str]:
-        """Every machine of a zone loses power; the processes that were there."""
-        lost = []
+    def power_off_zone(self, *, zone: str) -> list[str]:
+        """Power off every machine of a zone; return the processes that ended."""
+        ended = []
         for name, machine in self.world.machines.items():
             if machine.zone != zone or not machine.is_on:
                 continue
@@ -382,18 +383,18 @@
             for process in list(self.processes.values()):
                 if process.machine is machine and process.is_alive:
                     process.kill(is_power=True)
-                    lost.append(process.name)
+                    ended.append(process.name)
                     if process.name.startswith("core/"):
                         self.note({"event": "core", "core": name, "is_up": False})
             machine.platter.cut_power()
-        return lost
+        return ended
 
-    async def return_zone(self, *, back: list[str]) -> None:
-        """The machines have power again; their processes start."""
-        for name in back:
+    async def power_on_zone(self, *, ended_processes: list[str]) -> None:
+        """Power the machines on and start their processes again."""
+        for name in ended_processes:
             self.processes[name].machine.is_on = True
-        self.world.flush()  # connections to the former processes are broken now
-        for name in back:
+        self.world.flush()  # breaks connections to the former processes
+        for name in ended_processes:
             kind, _, machine = name.partition("/")
             if kind == "core":
                 if machine in self.core_address:
@@ -402,22 +403,22 @@
                 await self.start_edge(name=machine)
             else:
                 self.world.known_gone.pop(self.backend_address[machine], None)
-                self.world.silences.pop(self.backend_address[machine], None)
+                self.world.timeouts.pop(self.backend_address[machine], None)
                 await self.start_backend(name=machine)
 
     async def replace_core(self, *, name: str) -> str:
-        """An empty machine at a new address takes a dead core's place."""
-        place = len(self.world.homes) + 1
-        fresh = f"{name}-new{place}"
+        """Start a core on an empty machine at a new address in place of a dead one; return it."""
+        index = len(self.world.homes) + 1
+        fresh = f"{name}-new{index}"
         machine = self.world.add_machine(name=fresh, zone=self.world.machines[name].zone)
-        self.core_address[fresh] = self._home(machine=machine, host=60 + place % 30, port=7100)
-        self._home(machine=machine, host=60 + place % 30, port=8100)
+        self.core_address[fresh] = self._home(machine=machine, host=60 + index % 30, port=7100)
+        self._home(machine=machine, host=60 + index % 30, port=8100)
         del self.core_address[name]
         await self.start_core(name=fresh)
         return fresh
 
     async def stop_edge(self, *, name: str) -> None:
-        """Stop an edge as planned: ask it to stop, wait for its grace, end it."""
+        """Shut an edge down gracefully; kill it after 6 seconds if it has not stopped."""
         process = self.processes[f"edge/{name}"]
         done = process.spawn(self.daemons[f"edge/{name}"].stop())
         await asyncio.wait({done}, timeout=6.0)
@@ -425,41 +426,43 @@
         process.kill()
 
     async def stop_core(self, *, name: str) -> None:
-        """A planned stop of a core."""
+        """Shut a core down gracefully; kill it after 6 seconds if it has not stopped."""
         process = self.processes[f"core/{name}"]
         done = process.spawn(self.daemons[f"core/{name}"].stop())
         await asyncio.wait({done}, timeout=6.0)
         process.kill()
 
     async def bring_up(self) -> None:
-        """Start all, put the first configuration, wait until every edge serves."""
+        """Start everything, write the first configuration, wait until every edge serves."""
         await self.start()
-        await self.wait_for(what="a whole membership", is_there=self.is_membership_whole)
+        await self.wait_for(what="a complete membership", is_there=self.is_membership_whole)
         row = await self.put(document=self.configuration(), expected=0, put_id="first")
         if row["status"] != 200:
             raise SimulationTimeoutError(f"first put: {row}")
         await self.wait_for(
-            what="all ready",
+            what="every edge to be ready",
             is_there=lambda: len(self.ready_edges()) == len(self.deployment.nodes),
         )
         await self.wait_for(
-            what="the platform to see it",
+            what="the platform to see every edge ready",
             is_there=lambda: sum(self.platform.ready.values()) == len(self.deployment.nodes),
         )
 
     def start_callers(self) -> list[asyncio.Future]:
-        """Let every kind of caller call at its rate; each wave adds to the ones before."""
+        """Start callers of every kind at their rates, in addition to those that run already."""
         return [self.outside.spawn(self.callers.run(kind=kind)) for kind in self.callers.kinds]
 
     async def drain_callers(self) -> None:
-        """No new calls; wait for the replies that are due."""
+        """Send no more calls and wait until none is in flight."""
         self.callers.is_open = False
         await self.wait_for(
-            what="open calls", is_there=lambda: self.callers.in_flight == 0, us=15_000_000
+            what="calls in flight to end",
+            is_there=lambda: self.callers.in_flight == 0,
+            us=15_000_000,
         )
 
     async def set_backend(self, *, name: str, **mode: Any) -> None:
-        """Change how a stand-in behaves; invalid replies are noted for the checkers."""
+        """Change a stand-in's behaviour, and note for the checkers what they have to know of it."""
         if "lie" in mode:
             self.note({"event": "lie", "backend": name, "lie": mode["lie"]})
         if {"is_listening", "is_draining"} & set(mode):
@@ -469,12 +472,12 @@
         await self.backends[name].set_mode(**mode)
 
     def end(self) -> None:
-        """Kill everything, so that the loop can close."""
+        """Kill all processes, so that the loop can close."""
         for process in self.processes.values():
             process.kill()
 
 
-async def _open(*, daemon: Any) -> None:
+async def _open_daemon(*, daemon: Any) -> None:
     error = await daemon.open()
     if isinstance(error, KelpstageError):
         raise SimulationTimeoutError(f"open: {error}")
@@ -489,8 +492,10 @@
     far_us: int = 0,
     has_observers: bool = False,
 ) -> SimFleet:
-    """Run a scenario in a world of its own; the same seed gives the same history. With
-    `far_us`, zones are so far apart, one way, with jitter and lost datagrams."""
+    """Run a scenario in a world of its own; the same seed gives the same history.
+
+    `far_us` sets the one-way delay between zones, with 30 % jitter and 1 % of datagrams lost.
+    """
     from kelpstage.testbed.simulation.loop import VirtualLoop
 
     loop = VirtualLoop()
@@ -500,7 +505,7 @@
         world.far_us, world.loss = (far_us, far_us * 13 // 10), 0.01
     try:
         fleet = loop.run_until_complete(
-            _play(
+            _run_scenario(
                 SimFleet(
                     world=world, deployment=deployment, rate=rate, has_observers=has_observers
                 ),
@@ -516,7 +521,7 @@
     return fleet
 
 
-async def _play(fleet: SimFleet, *, scenario: Any) -> SimFleet:
+async def _run_scenario(fleet: SimFleet, *, scenario: Any) -> SimFleet:
     try:
         await scenario(fleet)
     finally:
--- a/kelpstage/testbed/simulation/loop.py
+++ b/kelpstage/testbed/simulation/loop.py
@@ -1,4 +1,4 @@
-"""A virtual-time event loop: when nothing is ready, the clock jumps ahead."""
+"""An event loop on virtual time: when no task is ready, the clock advances to the next timer."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 import selectors
 
 
-class NothingLeft(Exception):
-    """No task is ready and no clock event is set: the simulation hangs."""
+class SimulationDeadlockError(Exception):
+    """No task is ready and no timer is set, so the simulation can not go on."""
 
 
 class _NoWaitSelector(selectors.BaseSelector):
-    """Takes no real events; a wait moves the virtual clock instead."""
+    """A selector without I/O events; waiting advances the virtual clock instead."""
 
     def __init__(self) -> None:
-        self.jump = lambda seconds: None
+        self.advance = lambda seconds: None
         self._keys: dict = {}
 
     def register(self, fileobj, events, data=None):
@@ -27,9 +27,9 @@
 
     def select(self, timeout=None):
         if timeout is None:
-            raise NothingLeft()
+            raise SimulationDeadlockError()
         if timeout > 0:
-            self.jump(timeout)
+            self.advance(timeout)
         return []
 
     def get_map(self):
@@ -51,15 +51,15 @@
         selector = _NoWaitSelector()
         super().__init__(selector)
         self._clock_resolution = 1e-7
-        selector.jump = self._jump
+        selector.advance = self._advance
 
-    def _jump(self, seconds: float) -> None:
+    def _advance(self, seconds: float) -> None:
         self._virtual_s += seconds
 
     def time(self) -> float:
-        """Virtual seconds since the loop was made; asyncio schedules by it."""
+        """Virtual seconds since the loop was created; asyncio schedules timers by it."""
         return self._virtual_s
 
     def now_us(self) -> int:
-        """Virtual time since the loop was made, in whole microseconds."""
+        """Virtual time since the loop was created, in whole microseconds."""
         return round(self._virtual_s * 1_000_000)
--- a/kelpstage/testbed/simulation/replay.py
+++ b/kelpstage/testbed/simulation/replay.py
@@ -1,4 +1,4 @@
-"""Replaying a recording in a simulated deployment, for `kelpstage-replay run --sim`."""
+"""Replays a recording in a simulated deployment, for `kelpstage-replay run --sim`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def deployment_names() -> list[str]:
-    """The deployments that can be simulated.
+    """Return the names of the deployments that can be simulated.
 
     >>> "tiny" in deployment_names()
     True
@@ -24,12 +24,12 @@
 def replay_in_simulation(
     *, rows: list[Row], deployment: str, seed: int, speed: float
 ) -> tuple[list[Result], int]:
-    """The results of a replay, and how many rows were left out; faults take place too."""
+    """Replay the rows, with their faults; return the results and the number of skipped rows."""
     replays: list[Replay] = []
 
     async def scenario(fleet: SimFleet) -> None:
         await fleet.bring_up()
-        replay = _replay_at(fleet=fleet, rows=rows, seed=seed, speed=speed)
+        replay = _make_replay(fleet=fleet, rows=rows, seed=seed, speed=speed)
         replays.append(replay)
         await replay.run()
 
@@ -37,7 +37,7 @@
     return replays[0].results, replays[0].skipped
 
 
-def _replay_at(*, fleet: SimFleet, rows: list[Row], seed: int, speed: float) -> Replay:
+def _make_replay(*, fleet: SimFleet, rows: list[Row], seed: int, speed: float) -> Replay:
     edges = list(fleet.edge_http.values())
 
     async def on_fault(row: Row) -> None:
--- a/kelpstage/testbed/simulation/scenario.py
+++ b/kelpstage/testbed/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: a quiet beginning, planned faults, a quiet end, the configuration read back."""
+"""Scenarios: a warm-up, planned faults, recovery, a closing fault, a configuration read."""
 
 from __future__ import annotations
 
@@ -13,21 +13,28 @@
 from kelpstage.testbed.simulation.faults import FAULTS
 from kelpstage.testbed.simulation.fleet import SimFleet, SimulationTimeoutError, run_sim
 
-QUIET_US = 5_000_000
-AFTER_US = 20_000_000
-LAST = ("core_kill", "core_power", "core_all_power", "core_disk_lost", "core_freeze", "core_split")
+WARM_UP_US = 5_000_000
+RECOVERY_US = 20_000_000
+CLOSING_FAULTS = (
+    "core_kill",
+    "core_power",
+    "core_all_power",
+    "core_disk_lost",
+    "core_freeze",
+    "core_split",
+)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Planned:
-    """A fault and when it begins, counted from the end of the quiet."""
+    """A fault and when it begins, in microseconds after the warm-up."""
 
     at_us: int
     name: str
 
 
 def plan_combination(*, seed: int, count: int) -> list[Planned]:
-    """Several faults at random times, by seed.
+    """Draw faults and their start times from a seed.
 
     >>> plan_combination(seed=1, count=2) == plan_combination(seed=1, count=2)
     True
@@ -43,37 +50,37 @@
 
 
 def scenario_of(*, seed: int, plan: list[Planned]) -> Callable[[SimFleet], Awaitable[None]]:
-    """The scenario that runs a plan."""
+    """Return the scenario that runs a plan."""
 
     async def scenario(fleet: SimFleet) -> None:
         await fleet.bring_up()
         fleet.start_callers()
-        await fleet.sleep(us=QUIET_US)
+        await fleet.sleep(us=WARM_UP_US)
         await asyncio.gather(
             *(
-                _run_one(fleet=fleet, planned=planned, place=place, seed=seed)
-                for place, planned in enumerate(plan)
+                _run_fault(fleet=fleet, planned=planned, index=index, seed=seed)
+                for index, planned in enumerate(plan)
             )
         )
         fleet.note({"event": "returned", "what": "everything"})
-        await fleet.sleep(us=AFTER_US)
+        await fleet.sleep(us=RECOVERY_US)
         await fleet.drain_callers()
         await fleet.put_next()
-        last = random.Random(f"{seed}/last").choice(LAST)
-        await FAULTS[last](fleet, random.Random(f"{seed}/{last}"))
+        closing_fault = random.Random(f"{seed}/last").choice(CLOSING_FAULTS)
+        await FAULTS[closing_fault](fleet, random.Random(f"{seed}/{closing_fault}"))
         await fleet.read_back()
 
     return scenario
 
 
-async def _run_one(*, fleet: SimFleet, planned: Planned, place: int, seed: int) -> None:
+async def _run_fault(*, fleet: SimFleet, planned: Planned, index: int, seed: int) -> None:
     await fleet.sleep(us=planned.at_us)
-    await FAULTS[planned.name](fleet, random.Random(f"{seed}/{place}/{planned.name}"))
+    await FAULTS[planned.name](fleet, random.Random(f"{seed}/{index}/{planned.name}"))
 
 
 @dataclass(frozen=True, kw_only=True)
 class Outcome:
-    """What a run came to."""
+    """The result of a run: its violations, and its calls in total and with an `ok` end."""
 
     seed: int
     deployment: str
@@ -86,13 +93,17 @@
 def run_plan(
     *, seed: int, deployment: str, plan: list[Planned], rate: float = 0.15, far_us: int = 0
 ) -> tuple[Outcome, SimFleet | None]:
-    """Run a plan and check its history; tasks that failed count as violations."""
+    """Run a plan and check its history.
+
+    A task that failed, and a condition that did not hold in time, are violations. In the
+    latter case there is no fleet.
+    """
     fleet: SimFleet | None = None
-    shape: Deployment = load(name=deployment)
+    loaded: Deployment = load(name=deployment)
     try:
         fleet = run_sim(
             seed=seed,
-            deployment=shape,
+            deployment=loaded,
             scenario=scenario_of(seed=seed, plan=plan),
             rate=rate,
             far_us=far_us,
@@ -123,33 +134,33 @@
 
 
 def shrink(*, outcome: Outcome, rate: float = 0.15) -> Outcome:
-    """Leave out faults one at a time while the run still violates the same rule."""
-    lines = {violation.rule for violation in outcome.violations}
+    """Remove faults one at a time while the run still violates one of the same rules."""
+    violated_rules = {violation.rule for violation in outcome.violations}
     best = outcome
     is_smaller = True
     while is_smaller and len(best.plan) > 1:
         is_smaller = False
-        for place in range(len(best.plan)):
-            fewer = best.plan[:place] + best.plan[place + 1 :]
+        for index in range(len(best.plan)):
+            fewer = best.plan[:index] + best.plan[index + 1 :]
             tried, _ = run_plan(seed=best.seed, deployment=best.deployment, plan=fewer, rate=rate)
-            if lines & {violation.rule for violation in tried.violations}:
+            if violated_rules & {violation.rule for violation in tried.violations}:
                 best, is_smaller = tried, True
                 break
     return best
 
 
 def as_text(*, outcome: Outcome) -> str:
-    """A run's result as a line of text, and one for each violation.
+    """Format a result as one line, followed by a line for each of the first six violations.
 
     >>> as_text(outcome=Outcome(seed=1, deployment="d", plan=[], violations=[], calls=3, good=3))
     'seed 1 d [] calls 3 good 3: clean'
     """
     plan = ", ".join(f"{p.name}@{p.at_us // 1000}ms" for p in outcome.plan)
-    head = (
+    summary = (
         f"seed {outcome.seed} {outcome.deployment} [{plan}] calls {outcome.calls} "
         f"good {outcome.good}: "
     )
     if not outcome.violations:
-        return head + "clean"
+        return summary + "clean"
     rows = [f"  {v.rule} at {v.at_us / 1e6:.3f} s: {v.why}" for v in outcome.violations[:6]]
-    return head + f"{len(outcome.violations)} violations\n" + "\n".join(rows)
+    return summary + f"{len(outcome.violations)} violations\n" + "\n".join(rows)
--- a/kelpstage/testbed/simulation/world.py
+++ b/kelpstage/testbed/simulation/world.py
@@ -1,4 +1,4 @@
-"""The simulated world: machines, processes, the network between them, one seed."""
+"""The simulated world: machines, processes and the network between them, from one seed."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from kelpstage.testbed.simulation.loop import VirtualLoop
 from kelpstage.testbed.stand_ins.backend import SENDER_HEADER
 
-RETRANSMIT_US = 200_000  # the first one; each later one waits twice as long
+RETRANSMIT_US = 200_000  # delay of the first retransmission; it doubles for each later one
 RETRANSMIT_LIMIT_US = 120_000_000
 
 
 @dataclass(kw_only=True)
 class Machine:
-    """A host: its zone, its disk, whether it has power."""
+    """A host in a zone, with a disk; `is_on` is false while it has no power."""
 
     name: str
     zone: str
@@ -37,45 +37,47 @@
 
 
 class SimClock:
-    """A process's clock, on virtual time; it stands while the process is frozen."""
+    """A process's clock, on virtual time; no wait ends while the process is frozen."""
 
     def __init__(self, *, process: "SimProcess") -> None:
         self._process = process
 
     def now_us(self) -> int:
-        """Microseconds since the run began."""
+        """Return the virtual time since the run began, in microseconds."""
         return self._process.world.now_us()
 
     def wall_us(self) -> int:
-        """A made-up wall clock, in microseconds."""
+        """Return a wall-clock time in microseconds: a fixed start plus the virtual time."""
         return 1_700_000_000_000_000 + self.now_us()
 
     async def sleep(self, *, us: int) -> None:
-        """Wait so long, and until the process is not frozen."""
+        """Wait for a duration, and until the process is not frozen."""
         await asyncio.sleep(max(0, us) / 1_000_000)
-        await self._process.thawed()
+        await self._process.wait_until_thawed()
 
     def later(self, *, us: int, callback: Callable[[], None]) -> None:
-        """Call back after so long."""
+        """Call `callback` after a delay."""
         self._process.world.loop.call_later(
             max(0, us) / 1_000_000, lambda: self._process.deliver(callback)
         )
 
     async def within(self, awaitable: Awaitable, *, us: int) -> Any:
-        """The result of an awaitable, or nothing if it takes longer; a coroutine is then
-        cancelled, a future goes on."""
+        """Return the result of an awaitable, or None if it takes longer than `us`.
+
+        A coroutine that takes longer is cancelled; a future is not.
+        """
         if asyncio.iscoroutine(awaitable):
             outcome = await run_within(awaitable, us=us)
-            await self._process.thawed()
+            await self._process.wait_until_thawed()
             return outcome
         future = asyncio.ensure_future(awaitable)
         await asyncio.wait({future}, timeout=max(0, us) / 1_000_000)
-        await self._process.thawed()
+        await self._process.wait_until_thawed()
         return future.result() if future.done() and not future.cancelled() else None
 
 
 class SimProcess:
-    """One process: its tasks, its ports (clock, network, disk) and its end."""
+    """A process: its tasks and its ports (clock, network, disk); it can be frozen and killed."""
 
     def __init__(self, *, world: "World", name: str, machine: Machine, instance: int) -> None:
         self.world = world
@@ -83,8 +85,8 @@
         self.machine = machine
         self.is_alive = True
         self.is_frozen = False
-        self._held: list[Callable[[], None]] = []
-        self._thaw: asyncio.Event = asyncio.Event()
+        self._deferred: list[Callable[[], None]] = []
+        self._thaw_event: asyncio.Event = asyncio.Event()
         self._tasks: dict[asyncio.Future, None] = {}
         self.streams: dict[int, "SimStream"] = {}
         self.addresses: list[str] = []
@@ -100,7 +102,7 @@
         self.ports.disk = SimDisk(clock=self.ports.clock, platter=machine.platter, rand=rand)
 
     def spawn(self, work: Awaitable) -> asyncio.Future:
-        """Start a task that ends with the process; one that breaks is noted in the world."""
+        """Start a task that ends with the process; `World.broken` gets its exception."""
         task = asyncio.ensure_future(work)
         self._tasks[task] = None
         task.add_done_callback(self._ended)
@@ -112,35 +114,38 @@
             self.world.broken.append((self.name, task.exception()))
 
     def deliver(self, callback: Callable[[], None]) -> None:
-        """Something comes in from outside."""
+        """Run a callback for an event from outside; defer it while frozen, drop it once dead."""
         if not self.is_alive:
             return
         if self.is_frozen:
-            self._held.append(callback)
+            self._deferred.append(callback)
             return
         callback()
 
-    async def thawed(self) -> None:
-        """Wait until the process is not frozen."""
+    async def wait_until_thawed(self) -> None:
+        """Return once the process is not frozen."""
         while self.is_frozen:
-            await self._thaw.wait()
+            await self._thaw_event.wait()
 
     def freeze(self) -> None:
-        """Stop taking anything in."""
+        """Stop processing events and timers."""
         self.is_frozen = True
-        self._thaw.clear()
+        self._thaw_event.clear()
 
     def thaw(self) -> None:
-        """Take in what was held meanwhile, and go on."""
+        """Resume, and run the callbacks that were deferred meanwhile."""
         self.is_frozen = False
-        self._thaw.set()
-        held, self._held = self._held, []
-        for callback in held:
+        self._thaw_event.set()
+        deferred, self._deferred = self._deferred, []
+        for callback in deferred:
             callback()
 
     def kill(self, *, is_power: bool = False) -> None:
-        """The process ends at once; its machine closes what it had open, unless it is
-        without power itself: then no peer is notified."""
+        """End the process at once.
+
+        Its machine closes its connections, but after a power loss (`is_power`) no peer is
+        notified.
+        """
         if not self.is_alive:
             return
         self.is_alive = False
@@ -148,7 +153,7 @@
             self.world.listeners.pop(address, None)
         for stream in list(self.streams.values()):
             if is_power:
-                stream.vanish()
+                stream.drop_silently()
             else:
                 stream.close()
         for task in list(self._tasks):
@@ -157,14 +162,14 @@
 
 @dataclass(kw_only=True)
 class Listener:
-    """What a process serves at an address."""
+    """A process's listening socket at an address."""
 
     process: SimProcess
     kind: str
     on_event: Callable
     body_limit: int = 0
     lost_after_us: int = 0
-    is_cancelling: bool = False  # are requests of callers that have left cancelled?
+    is_cancelling: bool = False  # cancel a request when its client disconnects
 
 
 class _Closer:
@@ -175,10 +180,10 @@
 class SimStream:
     """One end of a TCP connection; bytes arrive in order, after the network's delay.
 
-    What can't pass waits for the next retransmission, each twice as long after the one
-    before: a path that is open again is of use only from then on. If `lost_after_us` is
-    given, an end whose bytes wait for so long is broken. A process that loses power sends
-    no FIN; the other end learns of it by a reset, once something gets through.
+    Bytes that meet a network partition wait for the next retransmission, with a delay that
+    doubles each time, so a path that is open again carries them only from then on. With
+    `lost_after_us`, an end whose bytes have waited for so long is reset. A machine that
+    loses power sends no FIN; the peer is reset once it sends something that gets through.
     """
 
     def __init__(self, *, process: SimProcess, address: str, lost_after_us: int = 0) -> None:
@@ -186,12 +191,12 @@
         self.address = address
         self.other: "SimStream" = self
         self.is_closed = False
-        self.is_gone = False  # this end keeps no connection any more, and never said so
+        self.is_gone = False  # this end has dropped the connection without notifying the peer
         self._lost_after_us = lost_after_us
         self._buffer = bytearray()
         self._eof = False
         self._waiter: asyncio.Future | None = None
-        self._free_us = 0
+        self._last_arrival_us = 0
         self._stalled: list[bytes | None] = []
         self._stalled_us = 0
         world = process.world
@@ -200,7 +205,7 @@
         process.streams[self.serial] = self
 
     async def read(self, *, size: int) -> bytes | KelpstageError:
-        """Exactly so many bytes, or the error if the connection ends before."""
+        """Return exactly `size` bytes, or an error if the connection ends before."""
         while len(self._buffer) < size:
             if self._eof or self.is_closed:
                 return ConnectionLostError(address=self.address, why="closed")
@@ -211,9 +216,9 @@
         return data
 
     def write(self, *, data: bytes) -> None:
-        """Send bytes, or queue them while they can not pass."""
+        """Send bytes, or queue them while the path is blocked."""
         if not self.is_closed:
-            self._push(item=data)
+            self._send(item=data)
 
     def backlog(self) -> int:
         """Bytes that wait to be sent."""
@@ -225,25 +230,25 @@
             return
         self.is_closed = True
         self.process.streams.pop(self.serial, None)
-        self._push(item=None)
-        self._ring()
+        self._send(item=None)
+        self._wake_reader()
 
-    def vanish(self) -> None:
-        """The machine loses power: nothing is said, what waited is lost."""
+    def drop_silently(self) -> None:
+        """Drop this end at a power loss: the peer is not notified, queued bytes are lost."""
         self.is_closed = self.is_gone = True
         self._stalled.clear()
 
-    def _can_pass(self) -> bool:
+    def _is_path_open(self) -> bool:
         here, there = self.process.machine, self.other.process.machine
         return self.process.world.is_open(source=here, target=there)
 
-    def _push(self, *, item: bytes | None) -> None:
+    def _send(self, *, item: bytes | None) -> None:
         if self.is_gone:
             return
         if self._stalled:
             self._stalled.append(item)
             return
-        if not self._can_pass():
+        if not self._is_path_open():
             self._stalled.append(item)
             self._stalled_us = self.process.world.now_us()
             self._retransmit_after(span_us=RETRANSMIT_US)
@@ -258,10 +263,13 @@
             world.at(us=world.now_us() + 2 * delay_us, callback=self._reset)
             return
         transfer_us = world.transfer_us(source=here, target=there, size=len(item or b""))
-        self._free_us = max(self._free_us + 1, world.now_us() + delay_us) + transfer_us
+        self._last_arrival_us = (
+            max(self._last_arrival_us + 1, world.now_us() + delay_us) + transfer_us
+        )
         other = self.other
         world.at(
-            us=self._free_us, callback=lambda: other.process.deliver(lambda: other._arrive(item))
+            us=self._last_arrival_us,
+            callback=lambda: other.process.deliver(lambda: other._on_item(item)),
         )
 
     def _retransmit_after(self, *, span_us: int) -> None:
@@ -274,7 +282,7 @@
     def _retransmit(self, *, span_us: int) -> None:
         if not self._stalled or self.is_gone:
             return
-        if self._can_pass():
+        if self._is_path_open():
             items, self._stalled = self._stalled, []
             for item in items:
                 self._transmit(item=item)
@@ -286,39 +294,39 @@
         self._retransmit_after(span_us=min(2 * span_us, RETRANSMIT_LIMIT_US))
 
     def _reset(self) -> None:
-        """The connection is broken; what was under way is lost."""
+        """Reset this end; its queued bytes are lost."""
         if self.is_gone:
             return
         self.is_gone = True
         self._stalled.clear()
         self.process.streams.pop(self.serial, None)
-        self.process.deliver(self._end)
+        self.process.deliver(self._on_reset)
 
-    def _end(self) -> None:
+    def _on_reset(self) -> None:
         self._eof = self.is_closed = True
-        self._ring()
+        self._wake_reader()
 
-    def _arrive(self, item: bytes | None) -> None:
+    def _on_item(self, item: bytes | None) -> None:
         if item is None:
             self._eof = True
         else:
             self._buffer += item
-        self._ring()
+        self._wake_reader()
 
-    def _ring(self) -> None:
+    def _wake_reader(self) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
 
 class SimDatagrams:
-    """A UDP socket; datagrams may be lost, and come after a random delay."""
+    """A UDP socket; datagrams may be lost, and arrive after a random delay."""
 
     def __init__(self, *, process: SimProcess, address: str) -> None:
         self._process = process
         self._address = address
 
     def send(self, *, address: str, data: bytes) -> None:
-        """Send a datagram; nothing says whether it arrives."""
+        """Send a datagram; the sender does not learn whether it arrives."""
         world = self._process.world
         target = world.listeners.get(f"udp/{address}")
         if target is None:
@@ -360,14 +368,14 @@
         return _Closer(close=close)
 
     async def listen(self, *, address: str, on_stream: Callable, lost_after_us: int = 0) -> Any:
-        """Accept TCP connections at an address."""
+        """Accept TCP connections at an address; return a handle that closes, or an error."""
         outcome = self._listen(key=f"tcp/{address}", kind="tcp", on_event=on_stream)
         if not isinstance(outcome, KelpstageError):
             self._process.world.listeners[f"tcp/{address}"].lost_after_us = lost_after_us
         return outcome
 
     async def datagrams(self, *, address: str, on_datagram: Callable) -> Any:
-        """Open a UDP socket at an address."""
+        """Return a UDP socket at an address, or an error if it is in use."""
         outcome = self._listen(key=f"udp/{address}", kind="udp", on_event=on_datagram)
         if isinstance(outcome, KelpstageError):
             return outcome
@@ -382,7 +390,7 @@
         limits: Callable[[], HttpLimits] | None = None,
         is_cancelling: bool = False,
     ) -> Any:
-        """Answer HTTP calls at an address; callers that leave are not modelled."""
+        """Answer HTTP calls at an address; client disconnects are not modelled."""
         if limits is not None:
             body_limit = limits().body_bytes
         return self._listen(
@@ -390,7 +398,10 @@
         )
 
     async def connect(self, *, address: str, wait_us: int, lost_after_us: int = 0) -> Any:
-        """Open a connection, or the error after the wait."""
+        """Return a connection, or an error if it is refused or takes longer than `wait_us`.
+
+        At an address that serves HTTP it only tests that a connection is accepted.
+        """
         world = self._process.world
         here = self._process.machine
         there = world.machine_at(address=address)
@@ -399,7 +410,7 @@
             return ReplyTimeoutError(address=address, after_us=wait_us)
         await self._process.ports.clock.sleep(us=2 * world.delay_us(source=here, target=there))
         if f"http/{address}" in world.listeners:
-            return _Closer(close=lambda: None)  # a probe: it only connects
+            return _Closer(close=lambda: None)  # a connect check sends nothing
         listener = world.listeners.get(f"tcp/{address}")
         if listener is None:
             return ConnectError(address=address)
@@ -416,11 +427,11 @@
         return mine
 
     async def fetch(self, *, call: HttpCall) -> HttpReply | KelpstageError:
-        """Send an HTTP call; its reply, or the error."""
-        rest = call.url.removeprefix("http://")
-        address, slash, path = rest.partition("/")
+        """Send an HTTP call; return its reply, or an error."""
+        location = call.url.removeprefix("http://")
+        address, slash, path = location.partition("/")
         future: asyncio.Future = asyncio.get_running_loop().create_future()
-        taken = HttpCall(
+        received = HttpCall(
             method=call.method,
             url=slash + path,
             headers={
@@ -430,26 +441,33 @@
             body=call.body,
             raw_headers=tuple(call.headers.items()),
         )
-        self._process.world.carry_call(
-            caller=self._process, address=address, call=taken, future=future
+        self._process.world.deliver_call(
+            caller=self._process, address=address, call=received, future=future
         )
         outcome = await self._process.ports.clock.within(future, us=call.wait_us)
         if outcome is not None:
             return outcome
-        self._process.world.note_silence(address=address)
+        self._process.world.note_timeout(address=address)
         return ReplyTimeoutError(address=call.url, after_us=call.wait_us)
 
 
 @dataclass(kw_only=True)
 class World:
-    """Everything, from one seed."""
+    """All machines, the network and the event loop; every random choice derives from the seed.
+
+    `cuts` are the blocked paths between machines, as pairs of sender and receiver. `broken`
+    are the exceptions of tasks, by process. `known_gone` are the times since when the
+    process at an address is known to be gone, by a refused connection or by two timeouts
+    of a machine without power. `waits` are callbacks for messages that meet a network
+    partition.
+    """
 
     seed: int
     loop: VirtualLoop
     loss: float = 0.002
     near_us: tuple[int, int] = (150, 900)
     far_us: tuple[int, int] = (1_000, 4_000)
-    far_bytes_per_us: float = 0.0  # of one connection between zones; 0: no bound
+    far_bytes_per_us: float = 0.0  # bandwidth of a connection between zones; 0: unlimited
     machines: dict[str, Machine] = field(default_factory=dict)
     listeners: dict[str, Listener] = field(default_factory=dict)
     homes: dict[str, Machine] = field(default_factory=dict)
@@ -458,9 +476,9 @@
     serial: int = 0
     waits: list = field(default_factory=list)
     armed: dict[str, Callable[[SimProcess], bool]] = field(default_factory=dict)
-    visits: dict[str, int] = field(default_factory=dict)
+    failpoint_visits: dict[str, int] = field(default_factory=dict)
     known_gone: dict[str, int] = field(default_factory=dict)
-    silences: dict[str, int] = field(default_factory=dict)
+    timeouts: dict[str, int] = field(default_factory=dict)
     on_dead_send: Callable[[str, str, int], None] = lambda address, by, known_us: None
 
     def __post_init__(self) -> None:
@@ -469,11 +487,11 @@
     # --- time and network ---------------------------------------------------------
 
     def now_us(self) -> int:
-        """Microseconds since the run began."""
+        """Return the virtual time since the run began, in microseconds."""
         return self.loop.now_us()
 
     def at(self, *, us: int, callback: Callable[[], None]) -> None:
-        """Call back at this time."""
+        """Call `callback` at a virtual time."""
         self.loop.call_at(us / 1_000_000, callback)
 
     def add_machine(self, *, name: str, zone: str) -> Machine:
@@ -487,35 +505,35 @@
         return machine
 
     def machine_at(self, *, address: str) -> Machine | None:
-        """The machine that has an address."""
+        """Return the machine that has an address, or None."""
         return self.homes.get(address)
 
     def is_open(self, *, source: Machine, target: Machine) -> bool:
-        """Can something travel this way now?"""
+        """True if both machines have power and the path between them is open in this direction."""
         if source is target:
             return source.is_on
         return source.is_on and target.is_on and (source.name, target.name) not in self.cuts
 
     def is_round_open(self, *, a: Machine, b: Machine) -> bool:
-        """Can something travel there and back now?"""
+        """True if the path is open in both directions."""
         return self.is_open(source=a, target=b) and self.is_open(source=b, target=a)
 
     def delay_us(self, *, source: Machine, target: Machine) -> int:
-        """A random delay for this way."""
+        """Return a random one-way delay."""
         if source is target:
             return 30
         low, high = self.near_us if source.zone == target.zone else self.far_us
         return low + int(self.rand.random() * (high - low))
 
     def transfer_us(self, *, source: Machine, target: Machine, size: int) -> int:
-        """How long so many bytes take on one connection between zones, whose window
-        bounds what is under way."""
+        """Return how long the bytes take on a connection between zones, whose window limits
+        the bytes in flight; 0 within a zone."""
         if not self.far_bytes_per_us or source.zone == target.zone:
             return 0
         return int(size / self.far_bytes_per_us)
 
     def cut(self, *, a: str, b: str, is_one_way: bool = False) -> None:
-        """Cut two machines off from each other, or one way only."""
+        """Block the path between two machines, or only from `a` to `b`."""
         self.cuts.add((a, b))
         if not is_one_way:
             self.cuts.add((b, a))
@@ -523,49 +541,49 @@
     def heal(self) -> None:
         """Open all network paths again.
 
-        What waited in them goes out with the next retransmission, calls at once.
+        Bytes of streams are sent at the next retransmission, waiting calls at once.
         """
         self.cuts.clear()
         self.flush()
 
     def flush(self) -> None:
-        """Send what waited for a way that is open again."""
+        """Send the waiting calls; those whose path is still blocked wait again."""
         calls, self.waits = self.waits, []
         for callback in calls:
             callback()
 
-    def note_silence(self, *, address: str) -> None:
-        """Note a call that timed out; the second to a machine without power proves it gone."""
+    def note_timeout(self, *, address: str) -> None:
+        """Record a timeout; after the second one from a machine without power it is known gone."""
         machine = self.machine_at(address=address)
         if machine is None or machine.is_on:
             return
-        self.silences[address] = self.silences.get(address, 0) + 1
-        if self.silences[address] >= 2:
+        self.timeouts[address] = self.timeouts.get(address, 0) + 1
+        if self.timeouts[address] >= 2:
             self.known_gone.setdefault(address, self.now_us())
 
     # --- HTTP ------------------------------------------------------------------------
 
-    def carry_call(
+    def deliver_call(
         self,
         *,
         caller: SimProcess,
         address: str,
         call: HttpCall,
         future: asyncio.Future,
-        is_again: bool = False,
+        is_resumed: bool = False,
     ) -> None:
-        """Carry an HTTP call to its address, once the way is open."""
+        """Deliver an HTTP call to its address, as soon as the path is open in both directions."""
         here = caller.machine
         there = self.machine_at(address=address)
-        if not is_again and "/shards/" in call.url and f"http/{address}" not in self.listeners:
+        if not is_resumed and "/shards/" in call.url and f"http/{address}" not in self.listeners:
             self.on_dead_send(address, caller.name, self.known_gone.get(address, 0))
         if there is None or not self.is_round_open(a=here, b=there):
             self.waits.append(
                 lambda: (
                     None
                     if future.done() or not caller.is_alive
-                    else self.carry_call(
-                        caller=caller, address=address, call=call, future=future, is_again=True
+                    else self.deliver_call(
+                        caller=caller, address=address, call=call, future=future, is_resumed=True
                     )
                 )
             )
@@ -575,7 +593,7 @@
             listener = self.listeners.get(f"http/{address}")
             if listener is None:
                 self.known_gone.setdefault(address, self.now_us())
-                self._carry_back(
+                self._deliver_reply(
                     there=there,
                     caller=caller,
                     future=future,
@@ -616,14 +634,16 @@
                     body=outcome.body,
                 )
         finally:
-            self._carry_back(there=there, caller=caller, future=future, outcome=outcome)
+            self._deliver_reply(there=there, caller=caller, future=future, outcome=outcome)
 
-    def _carry_back(
+    def _deliver_reply(
         self, *, there: Machine, caller: SimProcess, future: asyncio.Future, outcome: Any
     ) -> None:
         if not self.is_open(source=there, target=caller.machine):
             self.waits.append(
-                lambda: self._carry_back(there=there, caller=caller, future=future, outcome=outcome)
+                lambda: self._deliver_reply(
+                    there=there, caller=caller, future=future, outcome=outcome
+                )
             )
             return
 
@@ -633,11 +653,14 @@
         delay_us = self.delay_us(source=there, target=caller.machine)
         self.at(us=self.now_us() + delay_us, callback=arrive)
 
-    # --- fault points --------------------------------------------------------------------
+    # --- failpoints ----------------------------------------------------------------------
 
     def at_failpoint(self, *, process: SimProcess, failpoint: str) -> None:
-        """A daemon passes a numbered point; a fault may be armed there."""
-        self.visits[failpoint] = self.visits.get(failpoint, 0) + 1
+        """Count a passed failpoint and run the fault that is armed there.
+
+        If that fault ends the process, the task that passed is cancelled.
+        """
+        self.failpoint_visits[failpoint] = self.failpoint_visits.get(failpoint, 0) + 1
         armed = self.armed.get(failpoint)
         if armed is not None and process.is_alive and armed(process):
             raise asyncio.CancelledError()
