--- a/tests/test_rules_page.py
+++ b/tests/test_rules_page.py
@@ -1,5 +1,5 @@
-"""The page of rules: every row's code and tests are there, the page is the table, and each
-row's test fails once the line that upholds the rule is taken out."""
+"""The table of rules: the code and tests of every row exist, the page has the same table, and
+each row's test fails under the row's mutation."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from typing import Any
 from unittest import mock
 
-from tests.rules_upheld import ROWS, TakenOut, Upheld, Wrapped
+from tests.rules_upheld import ROWS, Mutation, Requirement, WrappedOriginal
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PAGE = ROOT / "docs" / "notes" / "rules.md"
 BEGIN, END = "<!-- table -->", "<!-- end -->"
-MUST_HAVE = {
+REQUIRED_RULES = {
     "MIXED",
     "UNASKED",
     "TWICE",
@@ -32,31 +32,31 @@
 
 
 def table() -> str:
-    """The table as it stands on the page."""
+    """Return the table as it is on the page."""
     lines = [
         "| rule | source | in our words | upheld by | held by | taken out, it fails | days |",
         "|---|---|---|---|---|---|---|",
     ]
     for row in ROWS:
-        taken_out = "the same test" if row.taken_out else f"`{short(row.planted)}`"
+        failing_test = "the same test" if row.mutation else f"`{short_name(row.planted_test)}`"
         lines.append(
-            f"| {row.rule} | {row.source} | {row.says} | `{row.code.removeprefix('kelpstage/')}` "
-            f"| `{short(row.test)}` | {taken_out} | {row.days} |"
+            f"| {row.rule} | {row.source} | {row.text} | `{row.code.removeprefix('kelpstage/')}` "
+            f"| `{short_name(row.test)}` | {failing_test} | {row.faults} |"
         )
     return "\n".join(lines)
 
 
-def short(test: str) -> str:
-    """A test's name without the package.
+def short_name(test: str) -> str:
+    """Return a test's name without the package.
 
-    >>> short("tests.test_a.B.test_c")
+    >>> short_name("tests.test_a.B.test_c")
     'test_a.B.test_c'
     """
     return test.removeprefix("tests.")
 
 
-def names_in(path: pathlib.Path) -> set[str]:
-    """Functions, classes and methods of a module, by their dotted names."""
+def definitions_in(path: pathlib.Path) -> set[str]:
+    """Return the dotted names of a module's functions, classes and methods."""
     out: set[str] = set()
     for node in ast.parse(path.read_text(encoding="utf-8")).body:
         if isinstance(node, (ast.FunctionDef, ast.AsyncFunctionDef, ast.ClassDef)):
@@ -70,64 +70,68 @@
     return out
 
 
-def replaced(taken_out: TakenOut) -> Any:
-    """The patch that takes a line out."""
-    module, _, path = taken_out.target.partition(":")
+def mutation_patch(mutation: Mutation) -> Any:
+    """Return the patch that applies a mutation."""
+    module, _, path = mutation.target.partition(":")
     owner: Any = importlib.import_module(module)
     *outer, name = path.split(".")
-    for word in outer:
-        owner = getattr(owner, word)
-    by = taken_out.by
-    if isinstance(by, Wrapped):
-        by = by.make(getattr(owner, name))
-    return mock.patch.object(owner, name, by)
+    for attribute in outer:
+        owner = getattr(owner, attribute)
+    replacement = mutation.replacement
+    if isinstance(replacement, WrappedOriginal):
+        replacement = replacement.make(getattr(owner, name))
+    return mock.patch.object(owner, name, replacement)
 
 
-def result_of(test: str) -> unittest.TestResult:
+def run_test(test: str) -> unittest.TestResult:
     result = unittest.TestResult()
     unittest.defaultTestLoader.loadTestsFromName(test).run(result)
     return result
 
 
-class Page(unittest.TestCase):
+class RulesPage(unittest.TestCase):
     def test_the_page_holds_the_table(self) -> None:
         text = PAGE.read_text(encoding="utf-8")
         found = text[text.index(BEGIN) + len(BEGIN) : text.index(END)].strip()
-        self.assertEqual(table(), found, "python -m tests.test_rules_page writes it anew")
+        self.assertEqual(
+            table(), found, "write the page again with: python -m tests.test_rules_page"
+        )
 
     def test_every_rule_has_a_row(self) -> None:
-        self.assertLessEqual(MUST_HAVE, {row.rule for row in ROWS})
+        self.assertLessEqual(REQUIRED_RULES, {row.rule for row in ROWS})
 
     def test_the_code_and_the_tests_are_there(self) -> None:
         for row in ROWS:
-            with self.subTest(row.says):
+            with self.subTest(row.text):
                 path, _, name = row.code.partition(":")
-                self.assertIn(name, names_in(ROOT / path))
-                for test in filter(None, (row.test, row.planted)):
+                self.assertIn(name, definitions_in(ROOT / path))
+                for test in filter(None, (row.test, row.planted_test)):
                     suite = unittest.defaultTestLoader.loadTestsFromName(test)
                     self.assertGreater(suite.countTestCases(), 0)
                     self.assertNotIn("_FailedTest", str(suite))
-                self.assertTrue(row.taken_out or row.planted)
+                self.assertTrue(row.mutation or row.planted_test)
 
 
-class TakenOutLines(unittest.TestCase):
-    """One test for each row that has a replacement; made below."""
+class Mutations(unittest.TestCase):
+    """One test for each row that has a mutation, added below."""
 
-    def check(self, row: Upheld) -> None:
-        with replaced(row.taken_out):
-            result = result_of(row.test)
+    def check(self, row: Requirement) -> None:
+        with mutation_patch(row.mutation):
+            result = run_test(row.test)
         self.assertGreater(result.testsRun, 0)
-        self.assertFalse(result.wasSuccessful(), f"{row.test} passes without {row.code}")
+        self.assertFalse(
+            result.wasSuccessful(), f"{row.test} passes under the mutation of {row.code}"
+        )
 
 
-def _check_of(row: Upheld) -> Any:
+def _check_of(row: Requirement) -> Any:
     return lambda self: self.check(row)
 
 
-for _place, _row in enumerate(ROWS):
-    if _row.taken_out is not None:
-        _name = "_".join(_row.says.split(",")[0].split())
-        setattr(TakenOutLines, f"test_{_place:02d}_{_name}", _check_of(_row))
+for _index, _row in enumerate(ROWS):
+    if _row.mutation is not None:
+        _name = "_".join(_row.text.split(",")[0].split())
+        setattr(Mutations, f"test_{_index:02d}_{_name}", _check_of(_row))
 
 
 if __name__ == "__main__":
--- a/tests/test_rules_upheld.py
+++ b/tests/test_rules_upheld.py
@@ -1,5 +1,7 @@
-"""Single lines of the users' rules that no other test file holds by itself; the whole table
-is `tests/rules_upheld.py`."""
+"""Tests of requirements of the platform's rules that no other test module covers alone.
+
+`tests/rules_upheld.py` has the table of all of them.
+"""
 
 from __future__ import annotations
 
@@ -23,6 +25,8 @@
 
 
 class WithoutConfiguration(EdgeCase):
+    """An edge without a configuration rejects requests with 503 and a Retry-After header."""
+
     async def test_it_answers_503_and_when_to_come_back(self) -> None:
         self.context.lease_holder.configuration = Configuration(version=0, document=b"")
         for name in ("a", "b"):
@@ -31,47 +35,49 @@
 
 
 class Handed(EdgeCase):
-    """What a backend is handed, and when the client has its answer."""
+    """The instance and deadline that are sent to a backend, and the deadline of the reply."""
 
     is_repeatable = True
     deadline_us = 700_000
 
-    async def heads(self, *, deadline_ms: int, wait_ms: int = 0) -> list[dict[str, str]]:
-        """The heads of all that backends get for one request whose first send is cut off
-        after so long."""
-        heads: list[dict[str, str]] = []
+    async def attempt_headers(self, *, deadline_ms: int, wait_ms: int = 0) -> list[dict[str, str]]:
+        """Send one request and return the headers of each attempt that backends received.
+
+        With `wait_ms`, the first attempt's connection is closed after that time.
+        """
+        attempts: list[dict[str, str]] = []
         time = HeldTime()
 
         async def script(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
             head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
             await reader.readexactly(2)
             rows = (line.partition(": ") for line in head.split("\r\n")[1:] if line)
-            heads.append({name.lower(): value for name, _, value in rows})
-            if len(heads) == 1 and wait_ms:
+            attempts.append({name.lower(): value for name, _, value in rows})
+            if len(attempts) == 1 and wait_ms:
                 time.advance(ms=wait_ms)
                 writer.close()
                 return
-            writer.write(answer(heads[-1]["kelp-request-id"]))
+            writer.write(answer(attempts[-1]["kelp-request-id"]))
             await reader.read()
 
         await self.start(script, script)
         status, _, _ = await self.ask("r", deadline_ms=deadline_ms)
         self.assertEqual(200, status)
-        return heads
+        return attempts
 
     async def test_the_instance_is_named(self) -> None:
-        [head] = await self.heads(deadline_ms=500)
-        self.assertEqual(self.backends[0].name, head["kelp-expect-instance"])
+        [headers] = await self.attempt_headers(deadline_ms=500)
+        self.assertEqual(self.backends[0].name, headers["kelp-expect-instance"])
 
     async def test_no_more_time_than_is_left(self) -> None:
-        [head] = await self.heads(deadline_ms=500)
-        self.assertLessEqual(int(head["kelp-deadline-ms"]), 500)
+        [headers] = await self.attempt_headers(deadline_ms=500)
+        self.assertLessEqual(int(headers["kelp-deadline-ms"]), 500)
         await self.stop_backends()
-        first, again = await self.heads(deadline_ms=500, wait_ms=200)
-        self.assertLessEqual(int(again["kelp-deadline-ms"]), 300)
+        first, retry = await self.attempt_headers(deadline_ms=500, wait_ms=200)
+        self.assertLessEqual(int(retry["kelp-deadline-ms"]), 300)
 
     async def test_the_routes_deadline_ends_it(self) -> None:
-        """The client gives more than the route does: its answer comes at the route's end."""
+        """A client's deadline is later than the route's: the reply comes at the route's."""
 
         async def silent(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
             await backend.request(reader)
@@ -85,27 +91,36 @@
         time.advance(ms=self.deadline_us // 1_000)
         for _ in range(2_000):
             await asyncio.sleep(0)
-        self.assertTrue(asking.done(), "held past the route's deadline")
+        self.assertTrue(asking.done(), "no reply at the route's deadline")
         self.assertEqual(504, (await asking)[0])
 
     async def drop(self, asking: asyncio.Task[Any]) -> None:
-        """A client that was not answered is of no more use."""
+        """Cancel the request, in case it was not answered."""
         asking.cancel()
         await asyncio.gather(asking, return_exceptions=True)
 
 
 class Upward(unittest.TestCase):
+    """A state is installed only if its epoch is higher than that of the installed one."""
+
     def test_an_older_state_is_not_installed(self) -> None:
         holder = LeaseHolder(me="a")
-        for epoch, version, is_taken in ((4, 3, True), (4, 9, False), (3, 9, False), (5, 3, True)):
+        for epoch, version, is_installed in (
+            (4, 3, True),
+            (4, 9, False),
+            (3, 9, False),
+            (5, 3, True),
+        ):
             doc = StateDoc(cluster="k", epoch=epoch, version=version, membership=["a"])
             configuration = Configuration(version=version, document=b"")
             found = holder.install(doc=doc, configuration=configuration, now_us=0)
-            self.assertEqual(is_taken, found, (epoch, version))
+            self.assertEqual(is_installed, found, (epoch, version))
         self.assertEqual((5, 3), (holder.epoch, holder.configuration.version))
 
 
 class Shares(unittest.TestCase):
+    """Requests of a weighted route are split by the weights; a weight of 0 gets none."""
+
     def test_each_part_gets_its_share(self) -> None:
         weights = (("a", 1.0), ("b", 3.0), ("c", 0.0))
         count = 4_000
@@ -115,7 +130,7 @@
 
 class KeptConnections(AsyncCase):
     async def test_a_request_in_work_is_answered(self) -> None:
-        """A server that closes answers what it has read, on connections that were kept too."""
+        """A server that closes answers a request that it has read on a reused connection."""
         gate = asyncio.Event()
         began: list[str] = []
 
@@ -150,6 +165,8 @@
 
 
 class Stopping(unittest.TestCase):
+    """An edge that shuts down is not ready, but answers the requests in flight."""
+
     def test_it_is_not_ready_and_serves_what_it_has(self) -> None:
         seen: dict[str, Any] = {}
 
