--- a/kelpstage/testbed/platform_model/faults/__init__.py
+++ b/kelpstage/testbed/platform_model/faults/__init__.py
@@ -1,4 +1,5 @@
-"""The faults of a scenario by name: what happens to backends, machines, disks, the operator."""
+"""Registered faults of a scenario by name: faults of backends, clients, machines and the network,
+and configuration writes."""
 
 from __future__ import annotations
 
@@ -19,7 +20,7 @@
 
 Fault = Callable[[Any, random.Random], Awaitable[None]]
 
-# Seeds draw from these tables: a new fault goes to its end, none is moved.
+# A seed selects faults by position in these tables: append new faults, never move one.
 _REGISTERED: tuple[Fault, ...] = (
     backends.srv_crash,
     backends.srv_slow,
--- a/kelpstage/testbed/platform_model/faults/backends.py
+++ b/kelpstage/testbed/platform_model/faults/backends.py
@@ -1,4 +1,4 @@
-"""Faults of backends: crashes, slowness, invalid replies, drains."""
+"""Backend faults: crashes, slow or invalid replies, draining, false health checks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def pick_backends(
     play: Any, rand: random.Random, *, count: int, gathered: bool | None = None
 ) -> list:
-    """Random backends that do not drain; `gathered` selects one kind of service."""
+    """Return random backends that are not draining; `gathered` selects one kind of service."""
     found = [
         b
         for b in play.park.live.values()
@@ -20,23 +20,23 @@
     return rand.sample(found, min(count, len(found)))
 
 
-async def _start_again(play: Any, *, backend: Any, after_s: float) -> None:
-    """Another instance of the service comes up."""
+async def _start_replacement(play: Any, *, backend: Any, after_s: float) -> None:
+    """Start a new instance of the backend's service after a delay."""
     await sleep(s=after_s)
     play.park.start(service=backend.service, zone=backend.zone)
 
 
 async def srv_crash(play: Any, rand: random.Random) -> None:
-    """Backends crash one after another; most come back as new instances."""
+    """Backends crash one after another; most are replaced by new instances."""
     for backend in pick_backends(play, rand, count=4):
         play.park.crash(backend=backend)
         if rand.random() < 0.75:
-            play.later(_start_again(play, backend=backend, after_s=1 + rand.random() * 4))
+            play.later(_start_replacement(play, backend=backend, after_s=1 + rand.random() * 4))
         await sleep(s=0.5 + rand.random() * 2)
 
 
 async def srv_slow(play: Any, rand: random.Random) -> None:
-    """Backends work more slowly for a while."""
+    """Backends take four or ten times as long for a while."""
     chosen = pick_backends(play, rand, count=3)
     for backend in chosen:
         backend.mood.slow = rand.choice((4.0, 10.0))
@@ -46,7 +46,7 @@
 
 
 async def garble(play: Any, rand: random.Random) -> None:
-    """Answers cut off, without form, doubled, late, encoded."""
+    """Backends send truncated, malformed, duplicated, late or encoded answers."""
     chosen = pick_backends(play, rand, count=4)
     for backend in chosen:
         backend.mood.bad_share = rand.choice((0.1, 0.5))
@@ -56,7 +56,7 @@
 
 
 async def srv_reset(play: Any, rand: random.Random) -> None:
-    """Backends break connections off."""
+    """Backends reset connections."""
     chosen = pick_backends(play, rand, count=4)
     for backend in chosen:
         backend.mood.reset_share = rand.choice((0.1, 0.4))
@@ -66,7 +66,7 @@
 
 
 async def srv_drain(play: Any, rand: random.Random) -> None:
-    """Backends leave in order, each after its successor has come; addresses come round."""
+    """Backends drain one after another, each after its replacement; addresses are reused."""
     for backend in pick_backends(play, rand, count=6):
         play.park.start(service=backend.service, zone=backend.zone)
         await sleep(s=1.5)
@@ -75,7 +75,7 @@
 
 
 async def srv_dark(play: Any, rand: random.Random) -> None:
-    """Backends fall silent, and take everything."""
+    """Backends accept connections and requests but never answer."""
     chosen = pick_backends(play, rand, count=2)
     for backend in chosen:
         play.park.go_silent(backend=backend)
@@ -85,7 +85,7 @@
 
 
 async def srv_grey(play: Any, rand: random.Random) -> None:
-    """They fail part of their requests while their health answer is good."""
+    """Backends fail a share of their requests while their health check passes."""
     chosen = pick_backends(play, rand, count=4)
     for backend in chosen:
         backend.mood.fail_share, backend.mood.false_health = rand.choice((0.2, 0.8)), "good"
@@ -95,7 +95,7 @@
 
 
 async def srv_lying_health(play: Any, rand: random.Random) -> None:
-    """Backends' health answers say nothing of how they are."""
+    """Backends' health checks pass or fail regardless of their state."""
     chosen = pick_backends(play, rand, count=8)
     for backend in chosen:
         backend.mood.false_health = rand.choice(("good", "bad"))
@@ -105,7 +105,7 @@
 
 
 async def srv_flap(play: Any, rand: random.Random) -> None:
-    """Down and up by turns, each time as a new instance."""
+    """Backends crash and restart repeatedly, each time as a new instance."""
     for backend in pick_backends(play, rand, count=2):
         for _ in range(3):
             play.park.crash(backend=backend)
@@ -115,7 +115,7 @@
 
 
 async def idle_race(play: Any, rand: random.Random) -> None:
-    """Idle connections are dropped without a FIN or RST."""
+    """Backends drop idle connections without a FIN or RST."""
     chosen = pick_backends(play, rand, count=12)
     for backend in chosen:
         backend.mood.forgets_idle = True
@@ -125,7 +125,7 @@
 
 
 async def shard_down(play: Any, rand: random.Random) -> None:
-    """All backends of a shard are down, then new ones come."""
+    """All backends of a shard crash and are replaced by new instances later."""
     service = rand.choice(play.shape.index)
     gone = play.park.of(service=service)
     for backend in gone:
@@ -136,7 +136,7 @@
 
 
 async def many_slow(play: Any, rand: random.Random) -> None:
-    """Backends of many shards work more slowly."""
+    """Backends of many shards are slow."""
     chosen = pick_backends(play, rand, count=len(play.shape.index), gathered=True)
     for backend in chosen:
         backend.mood.slow = 6.0
@@ -146,13 +146,13 @@
 
 
 async def many_dark(play: Any, rand: random.Random) -> None:
-    """Backends of many shards crash or fall silent."""
+    """Backends of many shards crash or stop answering."""
     chosen = pick_backends(play, rand, count=len(play.shape.index) // 2, gathered=True)
     dark = []
     for backend in chosen:
         if rand.random() < 0.5:
             play.park.crash(backend=backend)
-            play.later(_start_again(play, backend=backend, after_s=6))
+            play.later(_start_replacement(play, backend=backend, after_s=6))
         else:
             play.park.go_silent(backend=backend)
             dark.append(backend)
@@ -162,7 +162,8 @@
 
 
 async def srv_desk(play: Any, rand: random.Random) -> None:
-    """Every backend that runs what may run once only: slow, breaking off, answering badly."""
+    """All backends of the non-repeatable service are slow, reset connections and send invalid
+    answers; one of them crashes."""
     chosen = play.park.of(service=play.shape.other)
     for backend in chosen:
         backend.mood.slow = rand.choice((1.0, 3.0, 8.0))
@@ -170,7 +171,7 @@
         backend.mood.forgets_idle = rand.random() < 0.5
     await sleep(s=7)
     play.park.crash(backend=chosen[0])
-    play.later(_start_again(play, backend=chosen[0], after_s=2))
+    play.later(_start_replacement(play, backend=chosen[0], after_s=2))
     await sleep(s=3)
     for backend in chosen:
         backend.mood.slow, backend.mood.bad_share, backend.mood.reset_share = 1.0, 0.0, 0.0
--- a/kelpstage/testbed/platform_model/faults/clients.py
+++ b/kelpstage/testbed/platform_model/faults/clients.py
@@ -1,4 +1,4 @@
-"""What clients do beyond their usual rate."""
+"""Client faults: bursts, disconnects and aggressive retries."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 async def burst(play: Any, rand: random.Random) -> None:
-    """Many users come at once."""
+    """Clients send at three times their usual rate."""
     play.clients.press = 3.0
     await sleep(s=8)
     play.clients.press = 1.0
 
 
 async def clients_leave(play: Any, rand: random.Random) -> None:
-    """Many clients close their connections early, while backends of all shards are so slow
-    that the work would last."""
+    """Many clients disconnect early while the backends of all shards are so slow that abandoned
+    requests would keep running."""
     chosen = pick_backends(play, rand, count=99, gathered=True)
     for backend in chosen:
         backend.mood.slow = 60.0
@@ -30,7 +30,7 @@
 
 
 async def retry_abuse(play: Any, rand: random.Random) -> None:
-    """Some clients repeat at once and often, while backends of many shards are slow."""
+    """Some clients retry often and without a delay while backends of many shards are slow."""
     play.clients.abuse = 0.5
     await many_slow(play, rand)
     play.clients.abuse = 0.0
--- a/kelpstage/testbed/platform_model/faults/closing.py
+++ b/kelpstage/testbed/platform_model/faults/closing.py
@@ -1,4 +1,4 @@
-"""Faults that end a scenario: what was acknowledged must outlive them."""
+"""Faults at the end of a scenario, which acknowledged configuration writes have to survive."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 async def closing_dark(play: Any, rand: random.Random) -> None:
-    """As many machines as may be lost lose their disks, while all others lose power, those
-    without a disk too."""
+    """The tolerated number of core machines lose their disks while all other machines, with
+    or without a disk, lose power."""
     wiped = rand.sample(play.fleet.core(), play.shape.tolerance)
     await asyncio.gather(
         *(
@@ -30,7 +30,7 @@
 
 
 async def closing_early(play: Any, rand: random.Random) -> None:
-    """The same, 5 to 400 ms after a change was sent, acknowledged or not."""
+    """As `closing_dark`, 5 to 400 ms after a write was sent, acknowledged or not."""
     play.later(config_change(play, rand))
     await sleep(s=0.005 + 0.395 * rand.random())
     await closing_dark(play, rand)
@@ -42,7 +42,8 @@
 
 
 async def closing_wipe(play: Any, rand: random.Random) -> None:
-    """As many machines as may be lost lose their disks, while all others lose power."""
+    """The tolerated number of core machines are killed and lose their disks while the other core
+    machines lose power."""
     core = play.fleet.core()
     wiped = rand.sample(core, play.shape.tolerance)
     await asyncio.gather(
--- a/kelpstage/testbed/platform_model/faults/configuration.py
+++ b/kelpstage/testbed/platform_model/faults/configuration.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration by the operator, valid and not."""
+"""Configuration writes, valid and invalid."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 
 async def config_change(play: Any, rand: random.Random) -> None:
-    """One change: a time-out, weights, a move, a route more or fewer."""
+    """One configuration write: a new timeout, other weights, a moved, added or removed route."""
     async with play.changing:
-        await _change(play, rand)
+        await _write_change(play, rand)
 
 
-async def _change(play: Any, rand: random.Random) -> None:
+async def _write_change(play: Any, rand: random.Random) -> None:
     before = dict(play.drafts.routes)
-    what = rand.choice(("time", "split", "move", "add", "drop"))
-    if what == "time":
+    kind = rand.choice(("time", "split", "move", "add", "drop"))
+    if kind == "time":
         play.drafts.change_time_out()
-    if what == "split":
+    if kind == "split":
         play.drafts.split()
-    if what == "move":
+    if kind == "move":
         play.drafts.move()
-    if what == "add":
+    if kind == "add":
         play.drafts.add(kind=rand.choice(play.shape.kinds), is_late=True)
-    if what == "drop" and play.drafts.drop() is None:
+    if kind == "drop" and play.drafts.drop() is None:
         play.drafts.change_time_out()
     await play.put(before=before)
 
 
 async def config_changes(play: Any, rand: random.Random) -> None:
-    """Changes in a row, some of whose answers get lost."""
+    """Several configuration writes in a row, some of whose answers are lost."""
     play.operator.lose_share = 0.3
     for _ in range(4):
         await config_change(play, rand)
@@ -40,19 +40,19 @@
 
 
 async def config_race(play: Any, rand: random.Random) -> None:
-    """Two operators change the configuration on top of the same version."""
+    """Two operators write different configurations on the same base version."""
     async with play.changing:
         await play.race(rand)
 
 
 async def config_invalid(play: Any, rand: random.Random) -> None:
-    """Configurations that must be refused."""
+    """Configuration writes that must be refused."""
     async with play.changing:
         await play.put_invalid(rand)
 
 
 async def big_config(play: Any, rand: random.Random) -> None:
-    """The configuration grows by many routes."""
+    """One configuration write adds 300 routes."""
     async with play.changing:
         before = dict(play.drafts.routes)
         for number in range(300):
@@ -61,7 +61,7 @@
 
 
 async def reshard(play: Any, rand: random.Random) -> None:
-    """The index is cut again: new backends, a version that names them, the old ones drain."""
+    """The index is resharded: new backends start, a write routes to them, the old ones drain."""
     async with play.changing:
         draft = next(d for d in play.drafts.routes.values() if d.fan_out)
         old = draft.fan_out
--- a/kelpstage/testbed/platform_model/faults/disks.py
+++ b/kelpstage/testbed/platform_model/faults/disks.py
@@ -1,4 +1,4 @@
-"""Faults of the core's disks."""
+"""Disk faults of core machines."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 async def disk_slow(play: Any, rand: random.Random) -> None:
-    """A disk of the core is slow during a change."""
+    """A core machine's disk is slow during a configuration write."""
     await _faulty_disk(play, rand, how="slow")
 
 
 async def disk_full(play: Any, rand: random.Random) -> None:
-    """A disk of the core is full during a change."""
+    """A core machine's disk is full during a configuration write."""
     await _faulty_disk(play, rand, how="full")
 
 
 async def disk_stall(play: Any, rand: random.Random) -> None:
-    """A disk of the core finishes no write during a change."""
+    """A core machine's disk completes no operation during a configuration write."""
     await _faulty_disk(play, rand, how="stall")
--- a/kelpstage/testbed/platform_model/faults/machines.py
+++ b/kelpstage/testbed/platform_model/faults/machines.py
@@ -1,4 +1,4 @@
-"""Faults of machines and their processes: kills, power, replacement."""
+"""Faults of machines and their processes: kills, power losses, freezes, replacement."""
 
 from __future__ import annotations
 
@@ -11,19 +11,18 @@
 
 
 def _machines_without_disk(play: Any) -> list:
-    """The machines without a disk."""
     return [node for node in play.fleet.there() if not node.has_disk]
 
 
 async def node_kill(play: Any, rand: random.Random) -> None:
-    """Machines that take clients are killed, one after another."""
+    """Two machines without a disk are killed, one after another."""
     for node in rand.sample(_machines_without_disk(play), 2):
         play.later(play.fleet.kill(node=node, for_us=rand.choice((250_000, 3_000_000))))
         await sleep(s=rand.random() * 4)
 
 
 async def core_kill(play: Any, rand: random.Random) -> None:
-    """Both processes of a machine of the core are killed."""
+    """Both processes of a core machine are killed."""
     async with play.loss(node=None):
         node = rand.choice(play.fleet.core())
         await play.fleet.kill(node=node, for_us=rand.choice((250_000, 4_000_000)))
@@ -37,14 +36,14 @@
 
 
 async def node_freeze(play: Any, rand: random.Random) -> None:
-    """A machine stands still."""
+    """A machine freezes."""
     node = rand.choice(play.fleet.there())
     async with play.loss(node=node):
         await play.fleet.freeze(node=node, for_us=rand.choice((800_000, 3_000_000, 7_000_000)))
 
 
 async def roll_term(play: Any, rand: random.Random) -> None:
-    """Machines are stopped and started in turn."""
+    """Machines are stopped and restarted one after another."""
     nodes = play.fleet.there()
     for node in nodes if len(nodes) < 8 else rand.sample(nodes, 4):
         async with play.loss(node=node):
@@ -53,7 +52,7 @@
 
 
 async def herd_kill(play: Any, rand: random.Random) -> None:
-    """Many processes are killed at the same moment; most of the core stays."""
+    """Half of the machines are killed at the same time, but at most one core machine."""
     async with play.loss(node=None):
         nodes = play.fleet.there()
         chosen = rand.sample(nodes, len(nodes) // 2)
@@ -64,14 +63,14 @@
 
 
 async def core_herd(play: Any, rand: random.Random) -> None:
-    """Every process of the core is killed at once and back within a second."""
+    """The core processes of all core machines are killed at once and restart within a second."""
     for node in play.fleet.core():
         play.later(play.fleet.kill(node=node, roles=("core",), for_us=0))
 
 
 async def losses_overlap(play: Any, rand: random.Random) -> None:
-    """Every machine of the core is away for a while, each from a moment of its own, so that
-    the losses overlap beyond what may be lost; no more disks go than that."""
+    """All core machines lose power at staggered times, so that more of them are down at once
+    than the tolerance allows; the number of lost disks stays within the tolerance."""
     core = play.fleet.core()
     wiped = rand.sample(core, play.shape.tolerance)
     for node in rand.sample(core, len(core)):
@@ -81,7 +80,7 @@
 
 
 async def replace_core(play: Any, rand: random.Random) -> None:
-    """A machine of the core is replaced by another one."""
+    """A core machine is replaced by a new one, with or without notice."""
     async with play.loss(node=None):
         node = rand.choice(play.fleet.core())
         fresh = await play.fleet.replace_core(node=node, is_told=rand.random() < 0.5)
@@ -90,19 +89,19 @@
 
 
 async def seed_turnover(play: Any, rand: random.Random) -> None:
-    """The seeds are exchanged; the settings files change, with a signal or without."""
+    """The seed addresses change in the settings files, with or without a reload signal."""
     core = play.fleet.core()
     play.fleet.seeds = [node.control for node in rand.sample(core, min(3, len(core)))]
     play.fleet.reread_all()
 
 
-async def _after_ack(play: Any, rand: random.Random, *, is_disk: bool) -> None:
-    """What has just acknowledged a configuration loses power, or its disk."""
+async def _fault_after_ack(play: Any, rand: random.Random, *, is_disk: bool) -> None:
+    """The core machine that just acknowledged a write loses power, or its disk."""
     async with play.loss(node=None):
-        await _lose_after_ack(play, rand, is_disk=is_disk)
+        await _fail_acknowledging_machine(play, rand, is_disk=is_disk)
 
 
-async def _lose_after_ack(play: Any, rand: random.Random, *, is_disk: bool) -> None:
+async def _fail_acknowledging_machine(play: Any, rand: random.Random, *, is_disk: bool) -> None:
     acked: list[str] = []
     play.operator.on_acked = lambda order, address: acked.append(address)
     await config_change(play, rand)
@@ -119,10 +118,10 @@
 
 
 async def after_ack_kill(play: Any, rand: random.Random) -> None:
-    """What has just acknowledged a configuration loses power."""
-    await _after_ack(play, rand, is_disk=False)
+    """The core machine that just acknowledged a write loses power."""
+    await _fault_after_ack(play, rand, is_disk=False)
 
 
 async def after_ack_wipe(play: Any, rand: random.Random) -> None:
-    """What has just acknowledged a configuration loses its disk."""
-    await _after_ack(play, rand, is_disk=True)
+    """The core machine that just acknowledged a write is killed and loses its disk."""
+    await _fault_after_ack(play, rand, is_disk=True)
--- a/kelpstage/testbed/platform_model/faults/membership.py
+++ b/kelpstage/testbed/platform_model/faults/membership.py
@@ -1,5 +1,5 @@
-"""Faults of the membership: machines that leave, go dark or stand still, most of them at one
-time, and machines that are replaced until all are new."""
+"""Membership faults: most machines without a disk leave, fail or freeze at once, or all
+machines are replaced."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 from kelpstage.testbed.platform_model.faults.timing import sleep
 from kelpstage.testbed.platform_model.machines import Node
 
-LEAST_SHARE = 0.5  # of the machines whose loss does not count
+MIN_SHARE = 0.5  # of the machines without a disk, whose losses do not count against the tolerance
 
 
-def _uncounted(play: Any) -> list[Node]:
-    """The machines of which any number may go."""
+def _machines_without_disk(play: Any) -> list[Node]:
+    """Return the machines of which any number may fail."""
     return [node for node in play.fleet.there() if not node.has_disk]
 
 
-def _most_of(play: Any, rand: random.Random) -> list[Node]:
-    nodes = _uncounted(play)
-    share = LEAST_SHARE + rand.random() * (1 - LEAST_SHARE)
+def _pick_most(play: Any, rand: random.Random) -> list[Node]:
+    nodes = _machines_without_disk(play)
+    share = MIN_SHARE + rand.random() * (1 - MIN_SHARE)
     return rand.sample(nodes, round(len(nodes) * share))
 
 
 async def most_leave(play: Any, rand: random.Random) -> None:
-    """Most machines leave in order, one soon after the other, while a change is ordered."""
-    for node in _most_of(play, rand):
+    """Most machines without a disk stop for good, shortly one after another, while a write is
+    sent."""
+    for node in _pick_most(play, rand):
         play.front.remove(name=node.name)
         play.later(play.fleet.stop(node=node, is_for_good=True))
         await sleep(s=rand.random())
@@ -35,18 +36,18 @@
 
 
 async def most_go_dark(play: Any, rand: random.Random) -> None:
-    """Most machines lose power at one moment and never return; a change is ordered then."""
-    for node in _most_of(play, rand):
+    """Most machines without a disk fail at once and never return; a write follows."""
+    for node in _pick_most(play, rand):
         play.front.remove(name=node.name)
         play.fleet.lose(node=node)
     await config_change(play, rand)
 
 
 async def most_freeze(play: Any, rand: random.Random) -> None:
-    """Most machines stand still for longer than a lease, and wake at one moment; changes
-    are ordered meanwhile and as they wake."""
+    """Most machines without a disk freeze for longer than a lease and resume at the same time;
+    writes are sent while they are frozen and after they resume."""
     for_us = rand.choice((3_000_000, 5_000_000, 12_000_000))
-    freezes = [play.fleet.freeze(node=node, for_us=for_us) for node in _most_of(play, rand)]
+    freezes = [play.fleet.freeze(node=node, for_us=for_us) for node in _pick_most(play, rand)]
     frozen = asyncio.gather(*freezes)
     await config_change(play, rand)
     await frozen
@@ -54,8 +55,8 @@
 
 
 async def all_replaced(play: Any, rand: random.Random) -> None:
-    """Each machine is replaced by a new one at another address, the counted ones one at a
-    time, with a warning or without."""
+    """Each machine is replaced by a new one at another address, with or without notice; core
+    machines are replaced one at a time."""
     nodes = play.fleet.there()
     for node in rand.sample(nodes, len(nodes)):
         await _replace(play, rand, node=node)
--- a/kelpstage/testbed/platform_model/faults/network.py
+++ b/kelpstage/testbed/platform_model/faults/network.py
@@ -1,4 +1,4 @@
-"""A cut of the network within the core."""
+"""Network partitions within the core."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 async def core_cut(play: Any, rand: random.Random) -> None:
-    """The core is cut in two, or one of its machines off from all others."""
+    """One core machine is partitioned from the rest of the core, or from all machines."""
     async with play.loss(node=None):
-        await _cut_for_a_while(play, rand)
+        await _partition_core_machine(play, rand)
 
 
 async def core_halves(play: Any, rand: random.Random) -> None:
-    """The core falls into two halves, whatever may be lost; all others reach both, and the
-    operators order and read on both sides."""
+    """The core is partitioned into two halves, whatever the tolerance; all other machines reach
+    both, and operators write and read on both sides."""
     core = play.fleet.core()
     left = rand.sample(core, len(core) // 2)
     cuts = []
@@ -37,8 +37,8 @@
     play.world.flush()
 
 
-async def _cut_for_a_while(play: Any, rand: random.Random) -> None:
-    """Cut a machine of the core off, from the core or from all machines."""
+async def _partition_core_machine(play: Any, rand: random.Random) -> None:
+    """Partition a core machine from the core or from all machines, and write meanwhile."""
     node = rand.choice(play.fleet.core())
     is_all = rand.random() < 0.5
     others = [n for n in play.fleet.there() if n is not node and (is_all or n.has_disk)]
--- a/kelpstage/testbed/platform_model/faults/timing.py
+++ b/kelpstage/testbed/platform_model/faults/timing.py
@@ -6,5 +6,5 @@
 
 
 async def sleep(*, s: float) -> None:
-    """Wait so many seconds of virtual time."""
+    """Sleep for `s` seconds of virtual time."""
     await asyncio.sleep(s)
--- a/kelpstage/testbed/platform_model/faults/write_races.py
+++ b/kelpstage/testbed/platform_model/faults/write_races.py
@@ -1,5 +1,5 @@
-"""Faults of the operators' orders: lost answers with eight under way, two operators with
-one number, races while the core is cut or its leader goes, repeats of what was taken."""
+"""Racing configuration writes: lost answers, equal version numbers, network partitions, killed
+core machines, and repeats of acknowledged writes."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from kelpstage.testbed.platform_model.faults.configuration import config_change
 from kelpstage.testbed.platform_model.history import Cut, Order
 
-AT_ONCE = 8
+CONCURRENT_WRITES = 8
 ROUNDS = 3
-LOST_SHARE = 0.7
-CUT_S = 5.0
+LOST_ANSWER_SHARE = 0.7
+PARTITION_S = 5.0
 
 
-async def contest(
+async def race_writes(
     play: Any, rand: random.Random, *, count: int = 2, is_one_number: bool = False
 ) -> list[Order]:
-    """Different changes on top of one version at the same time, by two operators; the
-    losers learn what is in force."""
+    """Two operators send different writes on the same base version at the same time, and the
+    drafts follow the write that is in force afterwards."""
     async with play.changing:
         operators = (play.operator, play.second)
         for who in operators:
@@ -28,22 +28,22 @@
         base = max(who.revision for who in operators)
         before = dict(play.drafts.routes)
         orders, tables = [], []
-        for place in range(count):
+        for index in range(count):
             play.drafts.routes = dict(before)
             rand.choice((play.drafts.move, play.drafts.split, play.drafts.change_time_out))()
             revision = base + (2 if is_one_number else rand.randrange(1, 9))
             order = play.operator.draft_order(
-                body=play.drafts.body(revision=revision) + b" " * place,  # each of its own
+                body=play.drafts.body(revision=revision) + b" " * index,  # distinct bytes
                 revision=revision,
                 base=base,
                 routes=play.drafts.specs(),
             )
-            order.key += f"-{place}"
+            order.key += f"-{index}"
             orders.append(order)
             tables.append(dict(play.drafts.routes))
         play.drafts.routes = before
         await asyncio.gather(
-            *(operators[place % 2].send(order=order) for place, order in enumerate(orders))
+            *(operators[index % 2].send(order=order) for index, order in enumerate(orders))
         )
         await play.operator.catch_up()
         for order, table in zip(orders, tables, strict=True):
@@ -53,86 +53,86 @@
         return orders
 
 
-async def send_again(play: Any, orders: list[Order]) -> None:
-    """Everything once more, as it was, by the other operator, all at once."""
+async def resend(play: Any, orders: list[Order]) -> None:
+    """Send all writes once more, unchanged and concurrently, as the second operator."""
     await asyncio.gather(*(play.second.send_once(order=order) for order in orders))
 
 
 async def ack_lost(play: Any, rand: random.Random) -> None:
-    """Eight orders under way at once, most of whose answers get lost on their way; what
-    was acknowledged is sent again, at once and after later changes."""
+    """Eight concurrent writes, most of whose answers are lost; acknowledged ones are resent
+    immediately and after later writes."""
     known: list[Order] = []
     for _ in range(ROUNDS):
-        play.operator.lose_share = play.second.lose_share = LOST_SHARE
-        orders = await contest(play, rand, count=AT_ONCE)
+        play.operator.lose_share = play.second.lose_share = LOST_ANSWER_SHARE
+        orders = await race_writes(play, rand, count=CONCURRENT_WRITES)
         play.operator.lose_share = play.second.lose_share = 0.0
         known += [order for order in orders if order.acked_us]
-        await send_again(play, known)
+        await resend(play, known)
 
 
 async def one_number(play: Any, rand: random.Random) -> None:
-    """Two operators pick one number for different changes; answers get lost, and machines
-    of the core are killed meanwhile."""
-    play.operator.lose_share = play.second.lose_share = LOST_SHARE
+    """Two operators use one version number for different writes, while answers are lost and
+    core machines are killed."""
+    play.operator.lose_share = play.second.lose_share = LOST_ANSWER_SHARE
     known: list[Order] = []
     for _ in range(ROUNDS):
-        known += await contest(play, rand, is_one_number=True)
-        play.later(_kill_one(play, rand))
+        known += await race_writes(play, rand, is_one_number=True)
+        play.later(_kill_core_machine(play, rand))
     play.operator.lose_share = play.second.lose_share = 0.0
-    await send_again(play, [order for order in known if order.acked_us])
+    await resend(play, [order for order in known if order.acked_us])
 
 
-async def _kill_one(play: Any, rand: random.Random) -> None:
+async def _kill_core_machine(play: Any, rand: random.Random) -> None:
     async with play.loss(node=None):
         node = rand.choice(play.fleet.core())
         await play.fleet.kill(node=node, for_us=rand.choice((250_000, 2_000_000)))
 
 
 async def race_in_cut(play: Any, rand: random.Random) -> None:
-    """Two operators race under one number while a machine of the core is cut off from the
-    others; what was acknowledged is sent again, to either side, and after the cut."""
+    """Two operators race with one version number while a core machine is partitioned from the
+    others; acknowledged writes are resent, to either side, during the partition and after."""
     async with play.loss(node=None):
-        cuts = _cut_off(play, rand)
-        racing = asyncio.ensure_future(_races(play, rand))
-        await asyncio.sleep(CUT_S)
+        cuts = _isolate_core_machine(play, rand)
+        racing = asyncio.ensure_future(_race_and_resend(play, rand))
+        await asyncio.sleep(PARTITION_S)
         for cut in cuts:
             play.world.cuts -= {(cut.a, cut.b), (cut.b, cut.a)}
             cut.end_us = play.world.now_us()
         play.world.flush()
-        await send_again(play, await racing)
+        await resend(play, await racing)
 
 
-async def _races(play: Any, rand: random.Random) -> list[Order]:
+async def _race_and_resend(play: Any, rand: random.Random) -> list[Order]:
     known: list[Order] = []
     for _ in range(2):
-        orders = await contest(play, rand, is_one_number=True)
+        orders = await race_writes(play, rand, is_one_number=True)
         known += [order for order in orders if order.acked_us]
-        await send_again(play, known)
+        await resend(play, known)
     return known
 
 
-def _cut_off(play: Any, rand: random.Random) -> list[Cut]:
-    """Cut one machine of the core off from the rest of it."""
-    alone = rand.choice(play.fleet.core())
+def _isolate_core_machine(play: Any, rand: random.Random) -> list[Cut]:
+    """Partition one core machine from the rest of the core; return the cuts."""
+    isolated = rand.choice(play.fleet.core())
     cuts = []
     for other in play.fleet.core():
-        if other is alone:
+        if other is isolated:
             continue
-        play.world.cut(a=alone.name, b=other.name)
-        cut = Cut(a=alone.name, b=other.name, begin_us=play.world.now_us())
+        play.world.cut(a=isolated.name, b=other.name)
+        cut = Cut(a=isolated.name, b=other.name, begin_us=play.world.now_us())
         play.history.cuts.append(cut)
         cuts.append(cut)
     return cuts
 
 
 async def order_repeated(play: Any, rand: random.Random) -> None:
-    """Orders that were acknowledged are sent again after each later change, and after
-    every process of the core was killed."""
+    """Acknowledged writes are resent after each later write, and after all core processes were
+    killed."""
     for _ in range(ROUNDS):
         await config_change(play, rand)
-        await send_again(play, [order for order in play.history.orders if order.acked_us])
+        await resend(play, [order for order in play.history.orders if order.acked_us])
     async with play.loss(node=None):
         for node in play.fleet.core():
             play.later(play.fleet.kill(node=node, roles=("core",), for_us=0))
         await asyncio.sleep(2.0)
-    await send_again(play, [order for order in play.history.orders if order.acked_us])
+    await resend(play, [order for order in play.history.orders if order.acked_us])
