--- a/kelpstage/testbed/checkers/base.py
+++ b/kelpstage/testbed/checkers/base.py
@@ -1,6 +1,6 @@
-"""What checkers share: violations, and plain ways to look at a history.
+"""Types and functions shared by the checkers of recorded histories.
 
-Checkers examine what callers, stand-ins and operators observed. They use no code
+Checkers examine only what callers, stand-ins and operators observed. They use no code
 of the daemons.
 """
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Violation:
-    """A requirement that a history violates; `rule` names the checker's rule."""
+    """A rule that a history violates, the reason and the time of the violation."""
 
     rule: str
     why: str
@@ -26,7 +26,7 @@
 
 
 def rows_of(*, history: list[dict], event: str) -> list[dict]:
-    """The rows of one event.
+    """Return the rows of one event.
 
     >>> rows_of(history=[{"event": "call"}, {"event": "put"}], event="put")
     [{'event': 'put'}]
@@ -34,19 +34,19 @@
     return [row for row in history if row["event"] == event]
 
 
-def good_calls(*, history: list[dict]) -> list[dict]:
-    """Calls that ended in a success."""
+def successful_calls(*, history: list[dict]) -> list[dict]:
+    """Return the calls that ended in a success."""
     return [row for row in rows_of(history=history, event="call") if row.get("end") == "ok"]
 
 
-def empty(*, rule: str, what: str) -> list[Violation]:
-    """The violation of a history without the rows that a checker needs."""
-    return [Violation(rule=rule, why=f"nothing to judge: no {what}", at_us=0)]
+def no_rows_violation(*, rule: str, what: str) -> list[Violation]:
+    """Return the violation of a history that lacks the rows that a checker needs."""
+    return [Violation(rule=rule, why=f"nothing to check: no {what}", at_us=0)]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Excuse:
-    """A span in which a fault excuses something of some nodes, or of all."""
+    """A span in which a fault excuses failures at some nodes, or at all of them."""
 
     what: str
     nodes: frozenset | None
@@ -56,22 +56,22 @@
     kinds: frozenset = frozenset()
 
     def overlaps(self, *, begin_us: int, end_us: int) -> bool:
-        """Does the span share a moment with `begin_us` to `end_us`, both ends included?"""
+        """True if the span overlaps `begin_us` to `end_us`, both ends included."""
         return begin_us <= self.end_us and end_us >= self.begin_us
 
     def covers(self, *, node: str | None, begin_us: int, end_us: int) -> bool:
-        """Does it excuse something at this node, or at every node, in the span?"""
+        """True if it excuses failures at this node between `begin_us` and `end_us`."""
         is_node = self.nodes is None or node in self.nodes
         return is_node and self.overlaps(begin_us=begin_us, end_us=end_us)
 
 
 def excuses(*, history: list[dict], kinds: tuple[str, ...]) -> list[Excuse]:
-    """Spans of faults that excuse one of `kinds`: "edge" (what was at the `nodes`),
-    "line" (updates that could not travel to or from the `nodes`), "backend" (what only
-    the `backends` could have served), "machine" (late replies: other work took the
-    machine of a live test).
+    """Return the spans of faults that excuse one of `kinds`: "edge" (calls at the `nodes`),
+    "line" (updates that could not reach or leave the `nodes`), "backend" (calls that only
+    the `backends` could have served), "machine" (late replies, because other processes used
+    the machine of a live test), "away" (calls for which no node was ready).
 
-    A fault without an `end` row lasts to the end of the history.
+    A fault without a `fault_end` row lasts to the end of the history.
     """
     ends = {row["fault"]: row["at_us"] for row in history if row["event"] == "fault_end"}
     out = []
@@ -95,15 +95,15 @@
     return out
 
 
-LEASED_US = 2_000_000
-LED_US = 4_000_000
+LEASE_ACQUISITION_US = 2_000_000
+ELECTION_AND_RENEWAL_US = 4_000_000
 
 
 def blind_spans(*, history: list[dict]) -> list[Excuse]:
-    """Spans in which no node can know what was acknowledged: no two cores are up, and
-    so many edges have started since two were that those left are no majority. None
-    may serve then, until two cores have been up for as long as an election and a
-    renewal take. Worked out from starts and ends alone.
+    """Return the spans in which no node can know which configuration was acknowledged: fewer
+    than two cores are up, and edges that held a lease from a time with two cores are no
+    majority any more. No edge may serve then, until two cores have been up for as long as an
+    election and a lease renewal take. Only starts and ends of processes are used.
 
     >>> blind_spans(history=[])
     []
@@ -114,45 +114,45 @@
         if row["event"] == "core" or row["event"] in ("started", "ended") and "edge" in row
     ]
     if not any(row["event"] == "core" for row in rows):
-        return []  # the history has no rows of cores: nothing to excuse
+        return []  # without rows of cores, the state of the cores is unknown
     cores: set = set()
-    knowing: dict[str, bool] = {}  # edges that are up: have they had time for a lease?
-    led_us: int | None = None
+    leased: dict[str, bool] = {}  # running edges: could they have acquired a lease?
+    quorum_us: int | None = None
     started: dict[str, int] = {}
     spans: list[Excuse] = []
     since_us: int | None = None
     for row in rows:
         at_us = row["at_us"]
-        if led_us is not None:
+        if quorum_us is not None:
             for edge, began_us in started.items():
-                knowing[edge] |= at_us - max(led_us, began_us) >= LEASED_US
+                leased[edge] |= at_us - max(quorum_us, began_us) >= LEASE_ACQUISITION_US
         if row["event"] == "core":
             (cores.add if row["is_up"] else cores.discard)(row["core"])
-            led_us = (led_us or at_us) if len(cores) >= 2 else None
+            quorum_us = (quorum_us or at_us) if len(cores) >= 2 else None
         elif row["event"] == "started":
-            knowing[row["edge"]], started[row["edge"]] = False, at_us
+            leased[row["edge"]], started[row["edge"]] = False, at_us
         else:
-            knowing.pop(row["edge"], None)
+            leased.pop(row["edge"], None)
             started.pop(row["edge"], None)
         membership = {r["edge"] for r in rows if r["event"] == "started" and r["at_us"] <= at_us}
-        is_blind = led_us is None and sum(knowing.values()) * 2 <= len(membership)
+        is_blind = quorum_us is None and sum(leased.values()) * 2 <= len(membership)
         if is_blind and since_us is None:
             since_us = at_us
         elif not is_blind and since_us is not None:
-            spans.append(_blind(begin_us=since_us, end_us=at_us + LED_US))
+            spans.append(_blind_span(begin_us=since_us, end_us=at_us + ELECTION_AND_RENEWAL_US))
             since_us = None
     if since_us is not None:
-        spans.append(_blind(begin_us=since_us, end_us=NEVER_US))
+        spans.append(_blind_span(begin_us=since_us, end_us=NEVER_US))
     return spans
 
 
-def _blind(*, begin_us: int, end_us: int) -> Excuse:
+def _blind_span(*, begin_us: int, end_us: int) -> Excuse:
     kinds = frozenset(("edge", "away"))
     return Excuse(what="blind", nodes=None, begin_us=begin_us, end_us=end_us, kinds=kinds)
 
 
 def is_excused(*, row: dict, spans: list[Excuse]) -> bool:
-    """Does a fault excuse what became of this call?"""
+    """True if a fault excuses the outcome of this call."""
     if row.get("node") is None:  # the platform had no ready node for it
         return any(
             "away" in span.kinds and span.overlaps(begin_us=row["sent_us"], end_us=row["done_us"])
@@ -164,22 +164,22 @@
     )
 
 
-LINE_US = 60_000  # for a reply to reach its caller, in addition to the distance
+REPLY_ALLOWANCE_US = 60_000  # for a reply to reach its caller, beyond the network delay
 
 
-def line_us(*, history: list[dict]) -> int:
-    """How long a message and its reply may be under way between two machines.
+def max_round_trip_us(*, history: list[dict]) -> int:
+    """Return how long a message and its reply may be in flight between two machines.
 
-    >>> line_us(history=[{"event": "lines", "one_way_us": 5}])
+    >>> max_round_trip_us(history=[{"event": "lines", "one_way_us": 5}])
     60010
     """
-    far = [row["one_way_us"] for row in rows_of(history=history, event="lines")]
-    return LINE_US + 2 * max(far, default=0)
+    delays_us = [row["one_way_us"] for row in rows_of(history=history, event="lines")]
+    return REPLY_ALLOWANCE_US + 2 * max(delays_us, default=0)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Put:
-    """One put as its operator saw it."""
+    """One configuration write as its operator saw it."""
 
     put_id: str
     version: int
@@ -193,7 +193,7 @@
 
 
 def acknowledged(*, history: list[dict]) -> list[Put]:
-    """Puts that were acknowledged with status 200, by version."""
+    """Return the writes acknowledged with status 200, sorted by version."""
     puts = [
         Put(
             put_id=row["put_id"],
@@ -212,11 +212,13 @@
     return sorted(puts, key=lambda put: (put.version, put.acked_us))
 
 
-def in_force(*, puts: list[Put], begin_us: int, end_us: int, late_us: int = 0) -> list[Put]:
-    """Puts under which something between two moments may have been handled: the
-    newest acknowledged before (by `late_us`), and those that came after it.
+def possibly_in_force(
+    *, puts: list[Put], begin_us: int, end_us: int, late_us: int = 0
+) -> list[Put]:
+    """Return the writes that may have been in force between two times: the newest one that
+    was acknowledged at least `late_us` before `begin_us`, and all later ones sent by `end_us`.
 
-    >>> in_force(puts=[], begin_us=0, end_us=9)
+    >>> possibly_in_force(puts=[], begin_us=0, end_us=9)
     []
     """
     before = [put.version for put in puts if put.acked_us <= begin_us - late_us]
@@ -224,13 +226,13 @@
     return [put for put in puts if put.version >= floor and put.sent_us <= end_us]
 
 
-UNSETTLED = ("wait_over", "line_lost", "unresolved")
+UNRESOLVED_ENDS = ("wait_over", "line_lost", "unresolved")
 
 
-def unsettled_puts(*, history: list[dict]) -> list[dict]:
-    """Puts whose operator got no final reply: they may be in force."""
+def unresolved_writes(*, history: list[dict]) -> list[dict]:
+    """Return the rows of writes without a final reply: they may be in force."""
     return [
         row
         for row in rows_of(history=history, event="put")
-        if row.get("status") != 200 and row.get("end") in UNSETTLED
+        if row.get("status") != 200 and row.get("end") in UNRESOLVED_ENDS
     ]
--- a/kelpstage/testbed/checkers/configurations.py
+++ b/kelpstage/testbed/checkers/configurations.py
@@ -1,4 +1,4 @@
-"""Checkers of configurations: old ones, lost ones, refused ones."""
+"""Checkers for outdated, reverted, lost and refused configurations."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
     Put,
     Violation,
     acknowledged,
-    empty,
-    good_calls,
-    in_force,
-    line_us,
+    max_round_trip_us,
+    no_rows_violation,
+    possibly_in_force,
     rows_of,
-    unsettled_puts,
+    successful_calls,
+    unresolved_writes,
 )
 
-OLD_US = 3_000_000
-SLIDE_US = 250_000
+MAX_OUTDATED_US = 3_000_000
+MAX_REGRESSION_US = 250_000
 REFUSED_ENDS = (
     "version_mismatch",
     "configuration_refused",
@@ -28,23 +28,23 @@
 
 
 def old_configuration(history: list[dict]) -> list[Violation]:
-    """A request handled by an old configuration more than 3 s after the new one was
-    acknowledged: a reply or an error that names it, or a send to a backend under
-    its cut. A single fetch ends under the version that it began with."""
+    """A request is handled by an old configuration more than 3 s after a newer one was
+    acknowledged: a reply or an error names it, or a request is sent to a backend under its
+    cut. A single fetch is judged by its start, since it keeps the version it began with."""
     rule = "old configuration"
-    puts, calls = acknowledged(history=history), good_calls(history=history)
+    puts, calls = acknowledged(history=history), successful_calls(history=history)
     if not puts or not calls:
-        return empty(rule=rule, what="acknowledged puts or good calls")
-    way_us = line_us(history=history)
+        return no_rows_violation(rule=rule, what="acknowledged writes or successful calls")
+    round_trip_us = max_round_trip_us(history=history)
     out = []
     for row in rows_of(history=history, event="call"):
         version = row.get("version") or row.get("defect_version")
         newer = [put.acked_us for put in puts if version and put.version > version]
         if not newer:
             continue
-        mark_us = row["sent_us"] if row.get("single") else row["done_us"]
-        late_us = mark_us - min(newer)
-        if late_us > OLD_US + way_us:
+        handled_us = row["sent_us"] if row.get("single") else row["done_us"]
+        late_us = handled_us - min(newer)
+        if late_us > MAX_OUTDATED_US + round_trip_us:
             out.append(
                 Violation(
                     rule=rule,
@@ -52,17 +52,19 @@
                     at_us=row["done_us"],
                 )
             )
-    return out + _old_sends(history=history, puts=puts, way_us=way_us)
+    return out + _outdated_sends(history=history, puts=puts, round_trip_us=round_trip_us)
 
 
-def _old_sends(*, history: list[dict], puts: list[Put], way_us: int) -> list[Violation]:
-    unsettled = unsettled_puts(history=history)
+def _outdated_sends(*, history: list[dict], puts: list[Put], round_trip_us: int) -> list[Violation]:
+    unresolved = unresolved_writes(history=history)
     out = []
     for row in rows_of(history=history, event="receipt"):
         at_us = row["at_us"]
-        around = in_force(puts=puts, begin_us=at_us, end_us=at_us, late_us=OLD_US + way_us)
-        cuts = {put.cut for put in around}
-        cuts |= {put.get("cut") for put in unsettled if put["sent_us"] <= at_us}
+        candidates = possibly_in_force(
+            puts=puts, begin_us=at_us, end_us=at_us, late_us=MAX_OUTDATED_US + round_trip_us
+        )
+        cuts = {put.cut for put in candidates}
+        cuts |= {put.get("cut") for put in unresolved if put["sent_us"] <= at_us}
         if cuts and row["cut"] not in cuts:
             out.append(
                 Violation(
@@ -75,13 +77,13 @@
 
 
 def slide_back(history: list[dict]) -> list[Violation]:
-    """A node back at an older configuration more than 250 ms after it moved on; a restart
-    in between changes nothing."""
+    """A node uses an older configuration more than 250 ms after it used a newer one, even
+    if it restarted in between."""
     rule = "slide back"
-    calls = good_calls(history=history)
+    calls = successful_calls(history=history)
     if not calls:
-        return empty(rule=rule, what="good calls")
-    way_us = line_us(history=history)
+        return no_rows_violation(rule=rule, what="successful calls")
+    round_trip_us = max_round_trip_us(history=history)
     moved: dict[str, tuple[int, int]] = {}
     out = []
     for row in sorted(calls, key=lambda row: row["done_us"]):
@@ -90,8 +92,8 @@
         if row["version"] > version:
             moved[node] = (row["version"], row["done_us"])
             continue
-        mark_us = row["sent_us"] if row.get("single") else row["done_us"]
-        if row["version"] < version and mark_us - since_us > SLIDE_US + way_us:
+        handled_us = row["sent_us"] if row.get("single") else row["done_us"]
+        if row["version"] < version and handled_us - since_us > MAX_REGRESSION_US + round_trip_us:
             out.append(
                 Violation(
                     rule=rule,
@@ -103,13 +105,13 @@
 
 
 def lost_or_undead(history: list[dict]) -> list[Violation]:
-    """An acknowledged configuration that is lost, or a refused one that is in force: read
-    back, or served under a version that no put accounts for."""
+    """An acknowledged configuration is lost, or a refused one is in force: it is read back, or
+    calls are served under a version that no write accounts for."""
     rule = "lost or undead configuration"
     reads = [row for row in rows_of(history=history, event="read_back") if row["status"] == 200]
     puts = acknowledged(history=history)
     if not reads or not puts:
-        return empty(rule=rule, what="acknowledged puts or configurations read back")
+        return no_rows_violation(rule=rule, what="acknowledged writes or configurations read back")
     out = []
     by_version: dict[int, str] = {}
     for put in puts:
@@ -124,14 +126,14 @@
         for row in rows_of(history=history, event="put")
         if row.get("end") in REFUSED_ENDS and "digest" in row
     } - set(by_version.values())
-    if not unsettled_puts(history=history):
+    if not unresolved_writes(history=history):
         out += [
             Violation(
                 rule=rule,
-                why=f"{row['call']} was served under {row['version']}, which nobody put",
+                why=f"{row['call']} was served under {row['version']}, which no write created",
                 at_us=row["done_us"],
             )
-            for row in good_calls(history=history)
+            for row in successful_calls(history=history)
             if row["version"] not in by_version
         ]
     for read in reads:
@@ -158,7 +160,7 @@
             out.append(
                 Violation(
                     rule=rule,
-                    why=f"a refused put is in force as version {read['version']}",
+                    why=f"a refused write is in force as version {read['version']}",
                     at_us=read["at_us"],
                 )
             )
--- a/kelpstage/testbed/checkers/history.py
+++ b/kelpstage/testbed/checkers/history.py
@@ -1,4 +1,4 @@
-"""How fleets, live or simulated, write their histories."""
+"""Recording of histories by live and simulated fleets."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class HistoryWriter:
-    """A mixin that appends rows to a history in the order they happened.
+    """Mixin that appends rows to a history in the order of the events.
 
-    The class that uses it supplies the clock and keeps `history` and `serial`, the
+    The class that uses it supplies the clock and holds `history` and `serial`, the
     number of the last fault.
     """
 
@@ -16,20 +16,20 @@
     serial: int = 0
 
     def now_us(self) -> int:
-        """The clock that rows are stamped with, in microseconds; subclasses supply it."""
+        """Return the time for new rows, in microseconds; subclasses implement it."""
         raise NotImplementedError
 
     def note(self, row: dict) -> None:
-        """Append a row; without an `at_us` of its own it is stamped with the current time."""
+        """Append a row; a row without `at_us` gets the current time."""
         row.setdefault("at_us", self.now_us())
         self.history.append(row)
 
     def fault(self, *, what: str, **row: Any) -> int:
-        """Note that a fault begins; its number ends it."""
+        """Record the start of a fault and return its number, which `fault_end` takes."""
         self.serial += 1
         self.note({"event": "fault", "what": what, "fault": self.serial, **row})
         return self.serial
 
     def fault_end(self, *, fault: int) -> None:
-        """Note the end of the fault that `fault` returned this number for."""
+        """Record the end of the fault with this number."""
         self.note({"event": "fault_end", "fault": fault})
--- a/kelpstage/testbed/checkers/linearizable.py
+++ b/kelpstage/testbed/checkers/linearizable.py
@@ -1,21 +1,21 @@
-"""Linearizability of a recorded history of operators: a register that is changed by
-compare-and-set, with repeats, lost answers and reads.
-
-The register holds a version and its content; it begins at version 0 without content. An
-order (`Write`) takes the register from its base version to its own, once, at one moment
-after its first try was sent and before its first acknowledgement. An order without a
-clear answer may be taken at any later moment, or never. One that was refused is never
-taken, and one that was taken is never refused, whatever other tries of it are answered. A read
-returns what the register held at one moment while it was under way.
-
-Since versions only rise, the orders that were taken form one chain from 0, each on top
-of the one before. The orders known to be taken (acknowledged, or read) fix that chain but
-for gaps, which orders without a clear answer must fill, and for its end, which they may
-extend. Moments are then assigned from the left, each as early as it can be. Both are
-nearly linear in the length of the history.
-
-One check is weaker than it might be: a refusal sent before its base version
-need have been current counts as justified without a further look.
+"""Linearizability of a history of compare-and-set writes to one register, with reads, repeated
+writes and lost answers.
+
+The register holds a version and its content, and starts empty at version 0. A write takes
+the register from its base version to its own version, once, at one point in time after its
+first attempt was sent and before its first acknowledgement. A write without a clear answer
+may be applied at any later time, or never. A write that was refused in any attempt is never
+applied, and an applied write is never refused. A read returns the state of the register at
+one point in time between its start and its end.
+
+Since versions only rise, the applied writes form one chain from version 0, each based on
+the one before. The writes known to be applied (acknowledged, or read) determine that chain
+except for gaps, which writes without a clear answer must fill, and for its end, which such
+writes may extend. Points in time are then assigned from the start of the chain, each as
+early as possible. Both steps are nearly linear in the length of the history.
+
+One check is incomplete: a refusal that was sent before its base version must have been
+current is accepted without further checks.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from typing import Iterator
 
 NEVER_US = 1 << 62
-MOST_CHAINS = 4_096
+MAX_CHAINS = 4_096
 
 
 class Answer(Enum):
-    """What a try of an order was answered."""
+    """The answer to one attempt of a write."""
 
     ACKNOWLEDGED = "acknowledged"
     CONFLICT = "another version is current"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Try:
-    """One call with an order, from its sending to its answer, in microseconds."""
+    """One attempt of a write, from its start to its answer, in microseconds."""
 
     sent_us: int
     done_us: int
@@ -48,7 +48,7 @@
 
 @dataclass(kw_only=True)
 class Write:
-    """One order with all its tries, whoever sent them and wherever."""
+    """One configuration write with all its attempts, by any operator at any core."""
 
     key: str
     base: int
@@ -58,27 +58,27 @@
 
     @property
     def sent_us(self) -> int:
-        """When its first try was sent; raises `ValueError` if there was none."""
+        """When the first attempt was sent; raises `ValueError` if there is none."""
         return min(one.sent_us for one in self.tries)
 
     @property
     def acked_us(self) -> int:
-        """When it was first acknowledged; `NEVER_US` if it was not."""
+        """When the write was first acknowledged; `NEVER_US` if it was not."""
         return min((t.done_us for t in self.of(Answer.ACKNOWLEDGED)), default=NEVER_US)
 
     def of(self, *answers: Answer) -> list[Try]:
-        """The tries that got one of these answers, in the order they were noted."""
+        """Return the attempts with one of these answers, in the order of `tries`."""
         return [one for one in self.tries if one.answer in answers]
 
     @property
     def is_refused(self) -> bool:
-        """Was any try refused, for its base version or as invalid?"""
+        """True if any attempt was refused, for its base version or as invalid."""
         return bool(self.of(Answer.CONFLICT, Answer.INVALID))
 
 
 @dataclass(frozen=True, kw_only=True)
 class Read:
-    """What a read returned; version 0 for an empty register."""
+    """The result of a read; version 0 for an empty register."""
 
     sent_us: int
     done_us: int
@@ -95,7 +95,7 @@
 
 
 def find_anomalies(*, writes: list[Write], reads: list[Read]) -> list[Anomaly]:
-    """All that is wrong with a history by itself, else why no order of it fits.
+    """Return the contradictions in a history, or why no sequential order explains it.
 
     >>> tried = [Try(sent_us=1, done_us=4, answer=Answer.ACKNOWLEDGED)]
     >>> write = Write(key="a", base=0, version=3, content="x", tries=tried)
@@ -105,28 +105,29 @@
     'a was in force by 4, yet version 0 was read after 5'
     """
     writes = [write for write in writes if write.tries]
-    taken, out = _known_taken(writes=writes, reads=reads)
-    out += _refused_though_taken(taken=taken)
+    applied, out = _known_applied(writes=writes, reads=reads)
+    out += _conflicting_writes(applied=applied)
     if out:
         return out
     best: list[Anomaly] = []
-    chains = _chains(writes=writes, taken=taken)
+    chains = _chains(writes=writes, applied=applied)
     for count, chain in enumerate(chains):
         if isinstance(chain, Anomaly):
             best = best or [chain]
             continue
-        found = _misfits(chain=chain, writes=writes, reads=reads)
+        found = _timing_anomalies(chain=chain, writes=writes, reads=reads)
         if not found:
             return []
         best = best or found
-        if count >= MOST_CHAINS:
+        if count >= MAX_CHAINS:
             break
     return best
 
 
-def _known_taken(*, writes: list[Write], reads: list[Read]) -> tuple[list[Write], list[Anomaly]]:
-    """The orders that were acknowledged or read, by version."""
-    taken = {write.key: write for write in writes if write.acked_us < NEVER_US}
+def _known_applied(*, writes: list[Write], reads: list[Read]) -> tuple[list[Write], list[Anomaly]]:
+    """Return the writes that were acknowledged or read, by version, and the reads of content
+    that no operator sent."""
+    applied = {write.key: write for write in writes if write.acked_us < NEVER_US}
     out: list[Anomaly] = []
     by_state: dict[tuple[int, str], list[Write]] = {}
     for write in writes:
@@ -136,67 +137,69 @@
             continue
         found = by_state.get((read.version, read.content), [])
         if not found:
-            why = f"version {read.version} was read with a content that nobody sent"
+            why = f"version {read.version} was read with content that no operator sent"
             out.append(Anomaly(why=why, at_us=read.done_us))
         if len(found) == 1:
-            taken.setdefault(found[0].key, found[0])
-        elif found and not any(write.key in taken for write in found):
+            applied.setdefault(found[0].key, found[0])
+        elif found and not any(write.key in applied for write in found):
             fitting = [write for write in found if not write.is_refused] or found
-            taken[fitting[0].key] = fitting[0]
-    return sorted(taken.values(), key=lambda write: (write.version, write.acked_us)), out
+            applied[fitting[0].key] = fitting[0]
+    return sorted(applied.values(), key=lambda write: (write.version, write.acked_us)), out
 
 
-def _refused_though_taken(*, taken: list[Write]) -> list[Anomaly]:
-    """What needs no look at the order of things."""
+def _conflicting_writes(*, applied: list[Write]) -> list[Anomaly]:
+    """Return the contradictions among applied writes that do not depend on their timing."""
     out: list[Anomaly] = []
     by_base: dict[int, Write] = {}
     by_version: dict[int, Write] = {}
-    for write in taken:
+    for write in applied:
         at_us = write.acked_us if write.acked_us < NEVER_US else write.sent_us
         for one in write.of(Answer.CONFLICT, Answer.INVALID)[:1]:
-            why = f"{write.key} was taken, and refused ({one.answer.value})"
+            why = f"{write.key} was applied, and refused ({one.answer.value})"
             out.append(Anomaly(why=why, at_us=one.done_us))
         if write.version <= write.base:
-            why = f"{write.key} was taken, {write.version} on top of {write.base}"
+            why = f"{write.key} was applied, version {write.version} on base version {write.base}"
             out.append(Anomaly(why=why, at_us=at_us))
         other = by_base.setdefault(write.base, write)
         if other is not write:
-            why = f"{other.key} and {write.key} were both taken on top of {write.base}"
+            why = f"{other.key} and {write.key} were both applied on base version {write.base}"
             out.append(Anomaly(why=why, at_us=at_us))
         other = by_version.setdefault(write.version, write)
         if other is not write:
-            why = f"{other.key} and {write.key} were both taken as {write.version}"
+            why = f"{other.key} and {write.key} were both applied as version {write.version}"
             out.append(Anomaly(why=why, at_us=at_us))
     return out
 
 
-def _chains(*, writes: list[Write], taken: list[Write]) -> Iterator[list[Write] | Anomaly]:
-    """Every chain that the orders known to be taken allow, the shortest first; an anomaly
-    for one that cannot be closed."""
-    open_writes = [write for write in writes if not write.is_refused]
+def _chains(*, writes: list[Write], applied: list[Write]) -> Iterator[list[Write] | Anomaly]:
+    """Yield the chains that include all writes known to be applied, the shortest first, and an
+    anomaly for each candidate that is not such a chain."""
+    unrefused = [write for write in writes if not write.is_refused]
     by_version: dict[int, list[Write]] = {}
     by_base: dict[int, list[Write]] = {}
-    for write in open_writes:
+    for write in unrefused:
         if write.base < write.version:
             by_version.setdefault(write.version, []).append(write)
             by_base.setdefault(write.base, []).append(write)
-    known = {write.version: [write] for write in taken}
-    for chain in _closed(newest=taken[-1] if taken else None, known=known, by_version=by_version):
+    known = {write.version: [write] for write in applied}
+    for chain in _chains_back_to_empty(
+        newest=applied[-1] if applied else None, known=known, by_version=by_version
+    ):
         if isinstance(chain, Anomaly):
             yield chain
             continue
-        missing = {write.key for write in taken} - {write.key for write in chain}
+        missing = {write.key for write in applied} - {write.key for write in chain}
         if missing:
-            why = f"{min(missing)} was taken, and is left out by the changes after it"
+            why = f"{min(missing)} was applied, but later writes are not based on it"
             yield Anomaly(why=why, at_us=max(write.sent_us for write in chain))
             continue
-        yield from _extended(chain=chain, by_base=by_base)
+        yield from _extensions(chain=chain, by_base=by_base)
 
 
-def _closed(
+def _chains_back_to_empty(
     *, newest: Write | None, known: dict[int, list[Write]], by_version: dict[int, list[Write]]
 ) -> Iterator[list[Write] | Anomaly]:
-    """Chains from 0 to the newest order known to be taken, found from their end."""
+    """Yield the chains from 0 to the newest write known to be applied, built from their end."""
     stack: list[list[Write]] = [[newest] if newest else []]
     while stack:
         backward = stack.pop()
@@ -207,13 +210,13 @@
         before = known.get(base) or by_version.get(base, [])
         if not before:
             first = backward[-1]
-            why = f"{first.key} was taken on top of {base}, which never was in force"
+            why = f"{first.key} was applied on base version {base}, which was never in force"
             yield Anomaly(why=why, at_us=min(first.acked_us, first.sent_us))
         stack += [[*backward, write] for write in before]
 
 
-def _extended(*, chain: list[Write], by_base: dict[int, list[Write]]) -> Iterator[list[Write]]:
-    """The chain, and each way on over orders without a clear answer."""
+def _extensions(*, chain: list[Write], by_base: dict[int, list[Write]]) -> Iterator[list[Write]]:
+    """Yield the chain and its extensions by writes without a clear answer."""
     queue = [chain]
     for chain in queue:
         yield chain
@@ -221,50 +224,54 @@
         queue += [[*chain, write] for write in by_base.get(last, [])]
 
 
-def _misfits(*, chain: list[Write], writes: list[Write], reads: list[Read]) -> list[Anomaly]:
-    """Why no moments can be given to the orders of a chain; none if they can."""
-    place_of = {0: -1} | {write.version: place for place, write in enumerate(chain)}
+def _timing_anomalies(
+    *, chain: list[Write], writes: list[Write], reads: list[Read]
+) -> list[Anomaly]:
+    """Return why the writes of a chain cannot be ordered in time; empty if they can."""
+    index_of = {0: -1} | {write.version: index for index, write in enumerate(chain)}
     earliest = [write.sent_us for write in chain]
     latest = [write.acked_us for write in chain]
     for read in reads:
-        place = place_of.get(read.version)
-        if place is None:
-            why = f"version {read.version} was read, and never was in force"
+        index = index_of.get(read.version)
+        if index is None:
+            why = f"version {read.version} was read, but was never in force"
             return [Anomaly(why=why, at_us=read.done_us)]
-        if place >= 0:
-            latest[place] = min(latest[place], read.done_us)
-        if place + 1 < len(chain):
-            earliest[place + 1] = max(earliest[place + 1], read.sent_us)
-    for place in range(len(chain) - 2, -1, -1):
-        latest[place] = min(latest[place], latest[place + 1])
-    for place in range(1, len(chain)):
-        earliest[place] = max(earliest[place], earliest[place - 1])
+        if index >= 0:
+            latest[index] = min(latest[index], read.done_us)
+        if index + 1 < len(chain):
+            earliest[index + 1] = max(earliest[index + 1], read.sent_us)
+    for index in range(len(chain) - 2, -1, -1):
+        latest[index] = min(latest[index], latest[index + 1])
+    for index in range(1, len(chain)):
+        earliest[index] = max(earliest[index], earliest[index - 1])
     for write in writes:
         for one in write.of(Answer.CONFLICT):
-            place = place_of.get(write.base)
-            if place is None or write.version <= write.base:
+            index = index_of.get(write.base)
+            if index is None or write.version <= write.base:
                 continue
-            came_us = latest[place] if place >= 0 else 0
-            if came_us >= one.sent_us:
+            applied_us = latest[index] if index >= 0 else 0
+            if applied_us >= one.sent_us:
                 continue
-            if place + 1 >= len(chain):
+            if index + 1 >= len(chain):
                 why = f"{write.key} was refused while its base version was current"
                 return [Anomaly(why=why, at_us=one.done_us)]
-            latest[place + 1] = min(latest[place + 1], one.done_us)
-    return _late(chain=chain, earliest=earliest, latest=latest)
-
-
-def _late(*, chain: list[Write], earliest: list[int], latest: list[int]) -> list[Anomaly]:
-    moment_us = 0
-    for place, write in enumerate(chain):
-        moment_us = max(moment_us, earliest[place])
-        if moment_us > latest[place]:
-            before = chain[place - 1].version if place else 0
+            latest[index + 1] = min(latest[index + 1], one.done_us)
+    return _assignment_anomalies(chain=chain, earliest=earliest, latest=latest)
+
+
+def _assignment_anomalies(
+    *, chain: list[Write], earliest: list[int], latest: list[int]
+) -> list[Anomaly]:
+    applied_us = 0
+    for index, write in enumerate(chain):
+        applied_us = max(applied_us, earliest[index])
+        if applied_us > latest[index]:
+            before = chain[index - 1].version if index else 0
             why = (
-                f"{write.key} was in force by {latest[place]}, "
-                f"yet version {before} was read after {moment_us}"
+                f"{write.key} was in force by {latest[index]}, "
+                f"yet version {before} was read after {applied_us}"
             )
-            if moment_us == write.sent_us:
-                why = f"{write.key} was in force by {latest[place]}, before it was sent"
-            return [Anomaly(why=why, at_us=latest[place])]
+            if applied_us == write.sent_us:
+                why = f"{write.key} was in force by {latest[index]}, before it was sent"
+            return [Anomaly(why=why, at_us=latest[index])]
     return []
--- a/kelpstage/testbed/checkers/register.py
+++ b/kelpstage/testbed/checkers/register.py
@@ -1,4 +1,4 @@
-"""The register of all checkers, one for each rule that must never break."""
+"""The table of all checkers, one for each rule."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def find_violations(*, history: list[dict]) -> list[Violation]:
-    """Run every checker over a history.
+    """Run every checker on a history and return all violations.
 
     >>> len(find_violations(history=[])) >= len(CHECKERS) - 1
     True
--- a/kelpstage/testbed/checkers/sends.py
+++ b/kelpstage/testbed/checkers/sends.py
@@ -1,4 +1,4 @@
-"""Checkers of what is sent to backends: late sends and extra tries."""
+"""Checkers of requests sent to backends: late sends and extra attempts."""
 
 from __future__ import annotations
 
@@ -8,33 +8,32 @@
     NEVER_US,
     Violation,
     acknowledged,
-    empty,
     excuses,
+    no_rows_violation,
     rows_of,
 )
 
-KNOWN_US = 3_000_000
-SPAN_US = 10_000_000
-SHARE = 6
-SLACK = 15
+MAX_SEND_AFTER_KNOWN_US = 3_000_000
+WINDOW_US = 10_000_000
+FIRST_SENDS_PER_EXTRA = 6
+EXTRA_SLACK = 15
 
 
 def after_known(history: list[dict]) -> list[Violation]:
-    """A request of any sort, a probe too, to a backend more than 3 s after its
-    draining or end is known.
+    """A request or a health check is sent to a backend more than 3 s after it is known that
+    the backend is draining or gone.
 
-    Draining is known from the first sign that the backend gave, from when the
-    platform's list says that it is stopping, and from when a put that labels it is
-    acknowledged. An end is known from the first refusal that one of our nodes met,
-    or from when two calls to it ran out.
+    Draining is known once the backend signals it, the platform's list says that it is
+    stopping, or a write that labels it as draining is acknowledged. A backend is known to be
+    gone once a node's connection was refused, or two calls to it timed out.
     """
     rule = "request after known draining or gone"
     receipts = rows_of(history=history, event="receipt")
     if not receipts:
-        return empty(rule=rule, what="receipts")
+        return no_rows_violation(rule=rule, what="receipts")
     cuts = excuses(history=history, kinds=("line",))
     stopping = _stopping_spans(history=history)
-    drained = _label_spans(history=history)
+    drained = _drain_label_spans(history=history)
     out = []
     for row in receipts + rows_of(history=history, event="probe"):
         known = [row["signed_us"]] if row["is_draining"] and row["signed_us"] else []
@@ -43,7 +42,9 @@
         if not known:
             continue
         late_us = row["at_us"] - min(known)
-        if late_us > KNOWN_US and not _is_cut_off(row=row, cuts=cuts, since_us=min(known)):
+        if late_us > MAX_SEND_AFTER_KNOWN_US and not _may_have_missed_update(
+            row=row, cuts=cuts, since_us=min(known)
+        ):
             out.append(
                 Violation(
                     rule=rule,
@@ -56,8 +57,8 @@
         late_us = row["at_us"] - row["known_us"]
         if (
             row["known_us"]
-            and late_us > KNOWN_US
-            and not _is_cut_off(row=row, cuts=cuts, since_us=row["known_us"])
+            and late_us > MAX_SEND_AFTER_KNOWN_US
+            and not _may_have_missed_update(row=row, cuts=cuts, since_us=row["known_us"])
         ):
             out.append(
                 Violation(
@@ -69,8 +70,8 @@
     return out
 
 
-def _is_cut_off(*, row: dict, cuts: list, since_us: int) -> bool:
-    """Could a cut have kept the update from the sender?
+def _may_have_missed_update(*, row: dict, cuts: list, since_us: int) -> bool:
+    """True if a network partition may have kept the update from the sender.
 
     An unnamed sender may be any node: the stand-ins of a live test can't distinguish
     their callers.
@@ -85,8 +86,8 @@
 
 
 def _stopping_spans(*, history: list[dict]) -> dict[str, list[tuple[int, int]]]:
-    """When the platform's list said of a backend that it stops, until it said
-    otherwise or the backend was truly back."""
+    """Return, by backend, the spans in which the platform's list shows it as stopping, until
+    the list shows otherwise or the backend is no longer draining."""
     spans: dict[str, list[tuple[int, int]]] = defaultdict(list)
     since: dict[str, int] = {}
     for row in sorted(history, key=lambda row: row.get("at_us", 0)):
@@ -102,9 +103,9 @@
     return spans
 
 
-def _label_spans(*, history: list[dict]) -> dict[str, list[tuple[int, int]]]:
-    """When a backend bore the drain label by an acknowledged put, until the next one
-    that may have taken it off was sent."""
+def _drain_label_spans(*, history: list[dict]) -> dict[str, list[tuple[int, int]]]:
+    """Return, by backend, the spans in which it has the drain label by an acknowledged write,
+    until the next write that may have removed the label is sent."""
     spans: dict[str, list[tuple[int, int]]] = defaultdict(list)
     puts = acknowledged(history=history)
     others = [row for row in rows_of(history=history, event="put") if row.get("status") != 200]
@@ -121,39 +122,39 @@
 
 
 def extra_tries(history: list[dict]) -> list[Violation]:
-    """Extra tries to a service beyond one in six plus a small slack in any 10 s: to
-    the whole index, and to each of its shards. What a call sends under a second cut
-    is extra as well: it began again."""
+    """Extra attempts exceed one for each six first sends plus a slack of 15 in some 10 s, for
+    the whole index or for one of its shards. Requests that a call sends under a second cut
+    are extra as well, since the call was restarted."""
     rule = "extra tries"
     receipts = rows_of(history=history, event="receipt")
     if not receipts:
-        return empty(rule=rule, what="receipts")
+        return no_rows_violation(rule=rule, what="receipts")
     seen: set = set()
     cut_of: dict[str, str] = {}
-    marks: dict[str, list[tuple[int, bool]]] = defaultdict(list)
+    sends: dict[str, list[tuple[int, bool]]] = defaultdict(list)
     for row in sorted(receipts, key=lambda row: row["at_us"]):
         key = (row["call"], row["shard"])
         is_again = cut_of.setdefault(row["call"], row["cut"]) != row["cut"]
         mark = (row["at_us"], is_again or key in seen)
         seen.add(key)
-        marks["the index"].append(mark)
-        marks[f"{row['cut']}/{row['shard']}"].append(mark)
+        sends["the index"].append(mark)
+        sends[f"{row['cut']}/{row['shard']}"].append(mark)
     out: list[Violation] = []
-    for service, times in marks.items():
-        out += _over_budget(rule=rule, service=service, marks=times)[:2]
+    for service, times in sends.items():
+        out += _over_budget(rule=rule, service=service, sends=times)[:2]
     return out
 
 
-def _over_budget(*, rule: str, service: str, marks: list[tuple[int, bool]]) -> list[Violation]:
+def _over_budget(*, rule: str, service: str, sends: list[tuple[int, bool]]) -> list[Violation]:
     out = []
     count: Counter = Counter()
     first = 0
-    for at_us, is_extra in marks:
+    for at_us, is_extra in sends:
         count[is_extra] += 1
-        while marks[first][0] <= at_us - SPAN_US:
-            count[marks[first][1]] -= 1
+        while sends[first][0] <= at_us - WINDOW_US:
+            count[sends[first][1]] -= 1
             first += 1
-        if is_extra and count[True] > count[False] / SHARE + SLACK:
+        if is_extra and count[True] > count[False] / FIRST_SENDS_PER_EXTRA + EXTRA_SLACK:
             out.append(
                 Violation(
                     rule=rule,
--- a/kelpstage/testbed/checkers/writes.py
+++ b/kelpstage/testbed/checkers/writes.py
@@ -1,8 +1,8 @@
-"""Linearizability of what the operators of a simulated or live fleet recorded."""
+"""Linearizability of the writes and reads that operators of a fleet recorded."""
 
 from __future__ import annotations
 
-from kelpstage.testbed.checkers.base import Violation, empty, rows_of
+from kelpstage.testbed.checkers.base import Violation, no_rows_violation, rows_of
 from kelpstage.testbed.checkers.linearizable import Answer, Read, Try, Write, find_anomalies
 
 RULE = "linearizable orders"
@@ -11,18 +11,18 @@
 
 
 def linearizable(history: list[dict]) -> list[Violation]:
-    """Is there one order of all changes and reads that explains what every operator was
-    answered, repeats and lost answers included?"""
+    """No sequential order of all writes and reads explains the answers that operators got,
+    including those to repeated writes and those that were lost."""
     writes, reads = writes_of(history=history), reads_of(history=history)
     if not any(write.of(Answer.ACKNOWLEDGED) for write in writes) or not reads:
-        return empty(rule=RULE, what="acknowledged orders or configurations read back")
+        return no_rows_violation(rule=RULE, what="acknowledged writes or configurations read back")
     found = find_anomalies(writes=writes, reads=reads)
     return [Violation(rule=RULE, why=one.why, at_us=one.at_us) for one in found]
 
 
 def writes_of(*, history: list[dict]) -> list[Write]:
-    """Every order with its tries. The same content on the same base is the same order,
-    whoever sends it and under whatever id."""
+    """Return all writes with their attempts. The same content on the same base version is the
+    same write, regardless of its sender and its put id."""
     writes: dict[tuple[int, str], Write] = {}
     for row in rows_of(history=history, event="put"):
         content = row.get("digest", "")
@@ -51,7 +51,7 @@
 
 
 def reads_of(*, history: list[dict]) -> list[Read]:
-    """The successful reads of all operators."""
+    """Return the successful reads of all operators."""
     return [
         Read(
             sent_us=row.get("sent_us", row["at_us"]),
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -351,11 +351,11 @@
             mock.patch.object(Machine, "__init__", forgetful),
             mock.patch.object(snapshots, "SNAPSHOT_ENTRIES", 3),
         ):
-            self.assertIn("was taken, and refused", self.found())
+            self.assertIn("was applied, and refused", self.found())
 
     def test_orders_that_are_not_looked_up_are_noticed(self) -> None:
         with mock.patch.object(ConfigurationWrites, "_look_up", lambda self, **_: _soon(None)):
-            self.assertIn("was taken, and refused", self.found())
+            self.assertIn("was applied, and refused", self.found())
 
     def test_one_number_among_eight_at_five_voters(self) -> None:
         with self.subTest(seed=40):
@@ -452,7 +452,7 @@
 
         with mock.patch.object(ReplicaTask, "_take", take):
             found = [self.lead_is_lost(seed=seed)[0].lease_table.anomalies() for seed in range(3)]
-        self.assertIn("sent was taken, and refused (another version is current)", sum(found, []))
+        self.assertIn("sent was applied, and refused (another version is current)", sum(found, []))
 
 
 class TwoMembers(unittest.TestCase):
