--- a/kelpstage/testbed/checkers/answers.py
+++ b/kelpstage/testbed/checkers/answers.py
@@ -28,8 +28,8 @@
             )
         if row.get("single"):
             continue
-        wanted = cuts.get(row.get("cut"), [])
-        unreported = set(wanted) - set(named) - set(row["missing"])
+        expected = cuts.get(row.get("cut"), [])
+        unreported = set(expected) - set(named) - set(row["missing"])
         if unreported:
             out.append(
                 _call_violation(
@@ -38,7 +38,7 @@
                     why=f"shards neither included nor reported as missing: {sorted(unreported)}",
                 )
             )
-        share = len(named) / len(wanted) if wanted else 0
+        share = len(named) / len(expected) if expected else 0
         if abs(share - row["coverage"]) > 1e-6:
             out.append(
                 _call_violation(rule=rule, row=row, why=f"coverage {row['coverage']}, not {share}")
--- a/kelpstage/testbed/checkers/configurations.py
+++ b/kelpstage/testbed/checkers/configurations.py
@@ -147,8 +147,8 @@
                     at_us=read["at_us"],
                 )
             )
-        known = by_version.get(read["version"])
-        if known is not None and known != read["digest"]:
+        acknowledged_digest = by_version.get(read["version"])
+        if acknowledged_digest is not None and acknowledged_digest != read["digest"]:
             out.append(
                 Violation(
                     rule=rule,
--- a/kelpstage/testbed/checkers/linearizable.py
+++ b/kelpstage/testbed/checkers/linearizable.py
@@ -59,16 +59,16 @@
     @property
     def sent_us(self) -> int:
         """When the first attempt was sent; raises `ValueError` if there is none."""
-        return min(one.sent_us for one in self.tries)
+        return min(attempt.sent_us for attempt in self.tries)
 
     @property
     def acked_us(self) -> int:
         """When the write was first acknowledged; `NEVER_US` if it was not."""
-        return min((t.done_us for t in self.of(Answer.ACKNOWLEDGED)), default=NEVER_US)
+        return min((attempt.done_us for attempt in self.of(Answer.ACKNOWLEDGED)), default=NEVER_US)
 
     def of(self, *answers: Answer) -> list[Try]:
         """Return the attempts with one of these answers, in the order of `tries`."""
-        return [one for one in self.tries if one.answer in answers]
+        return [attempt for attempt in self.tries if attempt.answer in answers]
 
     @property
     def is_refused(self) -> bool:
@@ -154,9 +154,9 @@
     by_version: dict[int, Write] = {}
     for write in applied:
         at_us = write.acked_us if write.acked_us < NEVER_US else write.sent_us
-        for one in write.of(Answer.CONFLICT, Answer.INVALID)[:1]:
-            why = f"{write.key} was applied, and refused ({one.answer.value})"
-            out.append(Anomaly(why=why, at_us=one.done_us))
+        for attempt in write.of(Answer.CONFLICT, Answer.INVALID)[:1]:
+            why = f"{write.key} was applied, and refused ({attempt.answer.value})"
+            out.append(Anomaly(why=why, at_us=attempt.done_us))
         if write.version <= write.base:
             why = f"{write.key} was applied, version {write.version} on base version {write.base}"
             out.append(Anomaly(why=why, at_us=at_us))
@@ -245,17 +245,17 @@
     for index in range(1, len(chain)):
         earliest[index] = max(earliest[index], earliest[index - 1])
     for write in writes:
-        for one in write.of(Answer.CONFLICT):
+        for attempt in write.of(Answer.CONFLICT):
             index = index_of.get(write.base)
             if index is None or write.version <= write.base:
                 continue
             applied_us = latest[index] if index >= 0 else 0
-            if applied_us >= one.sent_us:
+            if applied_us >= attempt.sent_us:
                 continue
             if index + 1 >= len(chain):
                 why = f"{write.key} was refused while its base version was current"
-                return [Anomaly(why=why, at_us=one.done_us)]
-            latest[index + 1] = min(latest[index + 1], one.done_us)
+                return [Anomaly(why=why, at_us=attempt.done_us)]
+            latest[index + 1] = min(latest[index + 1], attempt.done_us)
     return _assignment_anomalies(chain=chain, earliest=earliest, latest=latest)
 
 
--- a/kelpstage/testbed/checkers/sends.py
+++ b/kelpstage/testbed/checkers/sends.py
@@ -36,14 +36,14 @@
     drained = _drain_label_spans(history=history)
     out = []
     for row in receipts + rows_of(history=history, event="probe"):
-        known = [row["signed_us"]] if row["is_draining"] and row["signed_us"] else []
+        known_times = [row["signed_us"]] if row["is_draining"] and row["signed_us"] else []
         for spans in (stopping, drained):
-            known += [a for a, b in spans[row["backend"]] if a <= row["at_us"] < b]
-        if not known:
+            known_times += [a for a, b in spans[row["backend"]] if a <= row["at_us"] < b]
+        if not known_times:
             continue
-        late_us = row["at_us"] - min(known)
+        late_us = row["at_us"] - min(known_times)
         if late_us > MAX_SEND_AFTER_KNOWN_US and not _may_have_missed_update(
-            row=row, cuts=cuts, since_us=min(known)
+            row=row, cuts=cuts, since_us=min(known_times)
         ):
             out.append(
                 Violation(
--- a/kelpstage/testbed/checkers/serving.py
+++ b/kelpstage/testbed/checkers/serving.py
@@ -100,13 +100,13 @@
 
 def _is_of_other_cut(*, row: dict, puts: list[Put], unresolved: list[dict]) -> bool:
     """True if the cut that the caller named may have been replaced when the call was handled."""
-    asked = row.get("asked_cut")
-    if asked is None:
+    asked_cut = row.get("asked_cut")
+    if asked_cut is None:
         return False
     candidates = possibly_in_force(puts=puts, begin_us=row["sent_us"], end_us=row["done_us"])
     cuts = {put.cut for put in candidates}
     cuts |= {put.get("cut") for put in unresolved if put["sent_us"] <= row["done_us"]}
-    return bool(cuts - {asked})
+    return bool(cuts - {asked_cut})
 
 
 def _is_unservable(*, row: dict, bad: list[Excuse], puts: list[Put]) -> bool:
@@ -216,7 +216,7 @@
         for span in excuses(history=history, kinds=("away",))
         if span.end_us < end_us  # a fault without an end excuses nothing
     ]
-    judged = 0
+    measured = 0
     out = []
     for row in rows_of(history=history, event="returned"):
         start_us = row["at_us"]
@@ -226,13 +226,13 @@
         start_us += RETURN_US
         if start_us + LOOK_US > end_us:
             continue
-        judged += 1
+        measured += 1
         rate = _rate_per_s(times_us=good, begin_us=start_us, end_us=start_us + LOOK_US)
         if rate < normal / 4:
             out.append(
                 Violation(rule=rule, why=f"{rate:.2f}/s, normal {normal:.2f}/s", at_us=start_us)
             )
-    return out if judged else no_rows_violation(rule=rule, what="return that could be measured")
+    return out if measured else no_rows_violation(rule=rule, what="return that could be measured")
 
 
 def _rate_per_s(*, times_us: list[int], begin_us: int, end_us: int) -> float:
--- a/kelpstage/testbed/checkers/writes.py
+++ b/kelpstage/testbed/checkers/writes.py
@@ -17,7 +17,7 @@
     if not any(write.of(Answer.ACKNOWLEDGED) for write in writes) or not reads:
         return no_rows_violation(rule=RULE, what="acknowledged writes or configurations read back")
     found = find_anomalies(writes=writes, reads=reads)
-    return [Violation(rule=RULE, why=one.why, at_us=one.at_us) for one in found]
+    return [Violation(rule=RULE, why=anomaly.why, at_us=anomaly.at_us) for anomaly in found]
 
 
 def writes_of(*, history: list[dict]) -> list[Write]:
--- a/kelpstage/testbed/platform_model/rules/configuration.py
+++ b/kelpstage/testbed/platform_model/rules/configuration.py
@@ -140,8 +140,8 @@
     for request in history.requests:
         instance = (request.node, request.node_incarnation)
         where = {"host": request.host, "target": request.target}
-        mine = arrivals.get(request.attempt, [])
-        for arrival in mine:
+        request_arrivals = arrivals.get(request.attempt, [])
+        for arrival in request_arrivals:
             found = orders.allowing(**where, service=arrival.service, until_us=arrival.at_us)
             if arrival.ran and found:
                 shown[instance].append((arrival.at_us, min(found)))
@@ -149,7 +149,7 @@
         if (
             request.end == "answered"
             and request.status == 404
-            and is_own_answer(request=request, arrivals=mine)
+            and is_own_answer(request=request, arrivals=request_arrivals)
         ):
             newest = max(orders.without_route(**where, until_us=request.done_us))
             acts[instance].append((request, newest, request.done_us))
@@ -214,17 +214,17 @@
         if other != order.key:
             why = f"{other} and {order.key} were both acknowledged as version {order.revision}"
             out.append(Violation(rule="CONFIG undead", why=why, at_us=order.acked_us))
-    asked = history.requests_by_attempt()
+    requests = history.requests_by_attempt()
     bad = [o for o in history.orders if o.refused_us or not o.is_valid]
     good = [o for o in history.orders if o.is_valid and not o.refused_us]
     for arrival in history.arrivals if bad else ():
-        request = asked.get(arrival.attempt)
+        request = requests.get(arrival.attempt)
         if request is None or not arrival.ran:
             continue
-        ask = {"host": request.host, "target": request.target, "service": arrival.service}
-        if any(o.sent_us <= arrival.at_us and o.allows(**ask) for o in good):
+        query = {"host": request.host, "target": request.target, "service": arrival.service}
+        if any(o.sent_us <= arrival.at_us and o.allows(**query) for o in good):
             continue
-        names = [o.key for o in bad if o.sent_us <= arrival.at_us and o.allows(**ask)]
+        names = [o.key for o in bad if o.sent_us <= arrival.at_us and o.allows(**query)]
         if names:
             why = f"{arrival.service} ran {arrival.attempt} under {names[0]}"
             out.append(Violation(rule="CONFIG undead", why=why, at_us=arrival.at_us))
--- a/kelpstage/testbed/platform_model/rules/deadlines.py
+++ b/kelpstage/testbed/platform_model/rules/deadlines.py
@@ -43,10 +43,10 @@
 def time_handed_on(history: History) -> list[Violation]:
     """More than 20, and more than a fifth, of the requests that machines in touch forward carry
     no deadline, or one over half a second later than the client's."""
-    touch, asked = Touch(history=history), history.requests_by_attempt()
+    touch, requests = Touch(history=history), history.requests_by_attempt()
     forwarded, wrong = 0, []
     for arrival in history.arrivals:
-        request = asked.get(arrival.attempt)
+        request = requests.get(arrival.attempt)
         if request is None or arrival.is_health:
             continue
         if not touch.is_in_touch(node=arrival.node, at_us=arrival.at_us):
--- a/kelpstage/testbed/platform_model/rules/draining.py
+++ b/kelpstage/testbed/platform_model/rules/draining.py
@@ -22,13 +22,15 @@
     is gone. The time also runs while the core is not settled; the limit applies to each
     machine as soon as it is in touch."""
     touch = Touch(history=history)
-    known = {leaver.instance_id: leaver.listed_us for leaver in history.leavers}
+    listed_at_us = {leaver.instance_id: leaver.listed_us for leaver in history.leavers}
     for shown in history.shown:
-        known[shown.instance_id] = min(shown.at_us, known.get(shown.instance_id, shown.at_us))
+        listed_at_us[shown.instance_id] = min(
+            shown.at_us, listed_at_us.get(shown.instance_id, shown.at_us)
+        )
     receiving_node = {request.attempt: request.node for request in history.requests}
     out = []
     for arrival in history.arrivals:
-        since_us = known.get(arrival.instance_id)
+        since_us = listed_at_us.get(arrival.instance_id)
         if since_us is None or arrival.is_health or arrival.status == 421:
             continue
         late_us = (
@@ -87,12 +89,12 @@
     for fault in history.faults:
         if fault.what != "stop":
             continue
-        mine = [row for row in history.readiness if row.machine == fault.machine]
-        if not _counts_as_ready(rows=[row for row in mine if row.at_us <= fault.begin_us]):
+        checks = [row for row in history.readiness if row.machine == fault.machine]
+        if not _counts_as_ready(rows=[row for row in checks if row.at_us <= fault.begin_us]):
             continue
         ready.append(fault.machine)
         later_us = fault.begin_us + READY_AFTER_STOP_US
-        rows = [row for row in mine if row.at_us <= later_us]
+        rows = [row for row in checks if row.at_us <= later_us]
         if fault.end_us > later_us and _counts_as_ready(rows=rows):
             still.append(fault.machine)
     if len(still) < 2 or 4 * len(still) <= len(ready):
@@ -119,12 +121,14 @@
     for request in history.requests:
         is_near_write = _is_near_write(history=history, request=request)
         (requests_near_writes if is_near_write else other_requests)[request.node] += 1
-        mine = arrivals.get(request.attempt, [])
-        if not _is_dropped(history=history, touch=touch, request=request, arrivals=mine):
+        request_arrivals = arrivals.get(request.attempt, [])
+        if not _is_dropped(
+            history=history, touch=touch, request=request, arrivals=request_arrivals
+        ):
             continue
         if _is_timed_out(orders=orders, request=request):
             continue
-        why = _planned_work(history=history, request=request, arrivals=mine)
+        why = _planned_work(history=history, request=request, arrivals=request_arrivals)
         if why:
             out.append(
                 Violation(
--- a/kelpstage/testbed/platform_model/rules/operators.py
+++ b/kelpstage/testbed/platform_model/rules/operators.py
@@ -16,9 +16,9 @@
     out = []
     for order in history.orders:
         tries = order.all_tries()
-        if not any(one.answer is Answer.ACKNOWLEDGED for one in tries):
+        if not any(attempt.answer is Answer.ACKNOWLEDGED for attempt in tries):
             continue
-        refused = [one for one in tries if one.answer in REFUSALS]
+        refused = [attempt for attempt in tries if attempt.answer in REFUSALS]
         if refused:
             why = f"{order.key} ({order.revision}) was acknowledged, and refused when sent again"
             out.append(Violation(rule="CONFIG repeat", why=why, at_us=refused[0].done_us))
@@ -28,7 +28,9 @@
 def linearizable(history: History) -> list[Violation]:
     """No sequential order of all writes and reads explains the answers that operators got."""
     found = find_anomalies(writes=_writes(history=history), reads=_reads(history=history))
-    return [Violation(rule="CONFIG order", why=one.why, at_us=one.at_us) for one in found]
+    return [
+        Violation(rule="CONFIG order", why=anomaly.why, at_us=anomaly.at_us) for anomaly in found
+    ]
 
 
 def _writes(*, history: History) -> list[Write]:
--- a/kelpstage/testbed/platform_model/rules/recovery.py
+++ b/kelpstage/testbed/platform_model/rules/recovery.py
@@ -66,16 +66,18 @@
                 why = f"{order.key} ({order.revision}) was not acknowledged within {span_us} us"
                 out.append(Violation(rule="ACKS", why=why, at_us=begin_us + span_us))
                 break
-    known: dict[str, int] = {}
+    shown_at_us: dict[str, int] = {}
     for shown in history.shown:
-        known[shown.instance_id] = min(shown.at_us, known.get(shown.instance_id, shown.at_us))
+        shown_at_us[shown.instance_id] = min(
+            shown.at_us, shown_at_us.get(shown.instance_id, shown.at_us)
+        )
     missed = []
     for leaver in history.leavers:
         end_us = leaver.listed_us + history.bounds.ack_within_us
         is_due = end_us < min(leaver.ended_us, history.end_us)
         if (
             is_due
-            and known.get(leaver.instance_id, end_us + 1) > end_us
+            and shown_at_us.get(leaver.instance_id, end_us + 1) > end_us
             and _is_undisturbed(
                 history=history, touch=touch, begin_us=leaver.listed_us, end_us=end_us
             )
@@ -99,7 +101,7 @@
         Violation(rule="FAULT", why=f"{name}: {why}", at_us=at_us)
         for at_us, name, why in history.own_ends
     ]
-    asked = [r for r in history.requests if not r.is_direct]
-    if asked and not any(r.is_success for r in asked):
+    requests = [r for r in history.requests if not r.is_direct]
+    if requests and not any(r.is_success for r in requests):
         out.append(Violation(rule="FAULT", why="no request is served", at_us=history.end_us))
     return out
--- a/kelpstage/testbed/platform_model/rules/runs.py
+++ b/kelpstage/testbed/platform_model/rules/runs.py
@@ -14,12 +14,12 @@
 
 def unasked(history: History) -> list[Violation]:
     """A backend runs a request that no client sent, or with another method, target or body."""
-    asked = history.requests_by_attempt()
+    requests = history.requests_by_attempt()
     out = []
     for arrival in history.arrivals:
         if not arrival.ran or arrival.is_health:
             continue
-        request = asked.get(arrival.attempt)
+        request = requests.get(arrival.attempt)
         if request is None:
             why = f"{arrival.instance_id} ran {arrival.attempt!r}, which no client sent"
         elif (arrival.method, arrival.target, arrival.body) != (
@@ -136,10 +136,10 @@
 
 def route(history: History) -> list[Violation]:
     """A service runs a request that no configuration sent so far routes to it."""
-    asked = history.requests_by_attempt()
+    requests = history.requests_by_attempt()
     out = []
     for arrival in history.arrivals:
-        request = asked.get(arrival.attempt)
+        request = requests.get(arrival.attempt)
         if not arrival.ran or arrival.is_health or request is None:
             continue
         if not any(
