--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -360,13 +360,13 @@
             mock.patch.object(Machine, "__init__", without_records),
             mock.patch.object(snapshots, "SNAPSHOT_ENTRIES", 3),
         ):
-            self.assertIn("was taken, and refused", self.first_anomaly())
+            self.assertIn("was applied, and refused", self.first_anomaly())
 
     def test_missing_lookups_are_detected(self) -> None:
         with mock.patch.object(
             ConfigurationWrites, "_look_up", lambda self, **_: _return_value(None)
         ):
-            self.assertIn("was taken, and refused", self.first_anomaly())
+            self.assertIn("was applied, and refused", self.first_anomaly())
 
     def test_eight_writes_of_the_same_version_with_five_voters(self) -> None:
         with self.subTest(seed=40):
@@ -467,7 +467,7 @@
 
         with mock.patch.object(ReplicaTask, "_handle_event", take):
             found = [self.lose_leadership(seed=seed)[0].history.anomalies() for seed in range(3)]
-        self.assertIn("sent was taken, and refused (another version is current)", sum(found, []))
+        self.assertIn("sent was applied, and refused (another version is current)", sum(found, []))
 
 
 class ConcurrentWrites(unittest.TestCase):
