--- a/kelpstage/testbed/platform_model/__init__.py
+++ b/kelpstage/testbed/platform_model/__init__.py
@@ -1,1 +1,1 @@
-"""A model of the users' platform, checked by its rules."""
+"""A simulated model of the platform on which the product is deployed, and its rules."""
--- a/kelpstage/testbed/platform_model/adapter_folder.py
+++ b/kelpstage/testbed/platform_model/adapter_folder.py
@@ -1,4 +1,8 @@
-"""The modules of the root folder `platform/`. It is no package, lest it hide Python's own."""
+"""Imports modules of the root folder `platform/`.
+
+The folder is not a package, because a package of that name would hide Python's own
+module `platform`.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 
 
 def load(*, name: str) -> ModuleType:
-    """A module of the folder, as its programs import it.
+    """Import a module of the folder the way the programs in it do.
 
     >>> load(name="settings").port_of(fields={"PortRange": [7280, 7295]}, place=0)
     7280
--- a/kelpstage/testbed/platform_model/backends.py
+++ b/kelpstage/testbed/platform_model/backends.py
@@ -1,4 +1,4 @@
-"""Backends as the users' page describes them: lives with slots, a queue, pauses, faults."""
+"""The platform's backends: instances with slots, a queue, regular pauses and injected faults."""
 
 from __future__ import annotations
 
@@ -9,42 +9,46 @@
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.testbed.platform_model.history import Arrival, History, Leaver, Stamped
 from kelpstage.testbed.platform_model.net import (
+    COMPLETE,
     CUT_OFF,
     GARBAGE,
     RESET,
-    WHOLE,
     HttpLine,
     HttpProcess,
     PlatformWorld,
 )
 from kelpstage.testbed.platform_model.shape import KindShape, ServiceShape
 
-ATTEMPT, DEADLINE, EXPECT = "x-attempt-id", "x-deadline-ms", "x-expect-instance"
-QUEUE = 6
-LINE_IDLE_US = 12_000_000
-COLD_US = 3_000_000
-CLOSE_SHARE = 0.005
-CRASH_LISTED_US = 4_000_000
-AFTER_DRAIN_US = 1_500_000
+ATTEMPT_HEADER, DEADLINE_HEADER, EXPECT_INSTANCE_HEADER = (
+    "x-attempt-id",
+    "x-deadline-ms",
+    "x-expect-instance",
+)
+QUEUE_LIMIT = 6
+IDLE_TIMEOUT_US = 12_000_000
+SLOW_START_US = 3_000_000
+CLOSE_PROBABILITY = 0.005
+CRASH_DELIST_DELAY_US = 4_000_000
+DRAIN_MARGIN_US = 1_500_000
 
 
 @dataclass(kw_only=True)
-class Mood:
-    """The present faults of a backend: how much slower it works, and shares of bad requests."""
+class InjectedFaults:
+    """The faults that are injected into a backend: a slowdown factor and shares of requests."""
 
     slow: float = 1.0
     fail_share: float = 0.0
     false_health: str = ""
     reset_share: float = 0.0
-    bad_share: float = 0.0  # garbled, cut off, doubled or late answers
+    bad_share: float = 0.0  # invalid, truncated, duplicate, late or missing replies
     forgets_idle: bool = False
 
 
 @dataclass(kw_only=True)
-class Work:
-    """One request that a backend has taken."""
+class BackendRequest:
+    """A request that a backend has accepted into its queue."""
 
-    line: HttpLine
+    connection: HttpLine
     call: HttpCall
     arrival: Arrival
     due_us: int
@@ -53,7 +57,7 @@
 
 @dataclass(kw_only=True)
 class Backend:
-    """One instance of a backend, from its start to its end, with its queue and slots."""
+    """One instance of a backend, with its connections, its queue and its busy slots."""
 
     instance_id: str
     service: ServiceShape
@@ -61,224 +65,235 @@
     address: str
     process: HttpProcess
     park: "Park"
-    speed: float
-    born_us: int
-    mood: Mood = field(default_factory=Mood)
+    work_factor: float
+    started_us: int
+    mood: InjectedFaults = field(default_factory=InjectedFaults)
     is_draining: bool = False
     is_ended: bool = False
-    lines: set[int] = field(default_factory=set)
-    busy: list[Work] = field(default_factory=list)
-    queue: deque[Work] = field(default_factory=deque)
-    pause_at_us: int = 0
+    connections: set[int] = field(default_factory=set)
+    busy: list[BackendRequest] = field(default_factory=list)
+    queue: deque[BackendRequest] = field(default_factory=deque)
+    pause_offset_us: int = 0
 
-    # --- connections ------------------------------------------------------------------------
+    # --- connections ----------------------------------------------------------------------
 
-    def accept(self, *, line: HttpLine) -> bool:
-        """Connections beyond `MaxConns`, from all callers, are reset."""
-        if len(self.lines) >= self.service.max_connections:
+    def accept(self, *, connection: HttpLine) -> bool:
+        """Accept a connection unless `MaxConns` from all clients are open; false resets it."""
+        if len(self.connections) >= self.service.max_connections:
             self.park.counts["lines_over"] += 1
             return False
-        self.lines.add(line.serial)
+        self.connections.add(connection.serial)
         self.park.counts["lines"] += 1
-        self._look_later(line=line)
+        self._schedule_idle_check(connection=connection)
         return True
 
-    def _look_later(self, *, line: HttpLine) -> None:
-        idle_us = 600_000 if self.mood.forgets_idle else LINE_IDLE_US
-        seen = line.requests
+    def _schedule_idle_check(self, *, connection: HttpLine) -> None:
+        idle_us = 600_000 if self.mood.forgets_idle else IDLE_TIMEOUT_US
+        seen_requests = connection.requests
 
-        def look() -> None:
-            if not line.is_served:
+        def check() -> None:
+            if not connection.is_open_at_server:
                 return
-            if line.requests == seen and line.call is None:
+            if connection.requests == seen_requests and connection.call is None:
                 if self.mood.forgets_idle:
-                    line.is_served = False  # dropped without a FIN or RST
-                    self.line_gone(line=line)
+                    connection.is_open_at_server = False  # closed without a FIN or RST
+                    self.line_gone(connection=connection)
                 else:
-                    line.server_ends(how="closed")
+                    connection.close_from_server(how="closed")
                 return
-            self._look_later(line=line)
+            self._schedule_idle_check(connection=connection)
 
-        self.park.world.at(us=self.park.world.now_us() + idle_us, callback=look)
+        self.park.world.at(us=self.park.world.now_us() + idle_us, callback=check)
 
-    def line_gone(self, *, line: HttpLine) -> None:
-        """A connection is gone: what it waited for is dropped, most of the time."""
-        self.lines.discard(line.serial)
-        for work in [*self.busy, *self.queue]:
-            if work.line is line:
-                work.arrival.released_us = self.park.world.now_us()
-                work.is_dropped = self.park.rand.random() < 0.8
+    def line_gone(self, *, connection: HttpLine) -> None:
+        """Handle the end of a connection: each of its requests is dropped with probability 0.8."""
+        self.connections.discard(connection.serial)
+        for request in [*self.busy, *self.queue]:
+            if request.connection is connection:
+                request.arrival.released_us = self.park.world.now_us()
+                request.is_dropped = self.park.rand.random() < 0.8
 
-    # --- requests -----------------------------------------------------------------------------
+    # --- requests -------------------------------------------------------------------------
 
-    def take(self, *, line: HttpLine, call: HttpCall) -> None:
-        """A request has come whole."""
+    def take(self, *, connection: HttpLine, call: HttpCall) -> None:
+        """Handle a complete request: answer a health check, queue the request or reject it."""
         if call.url.partition("?")[0] == "/health":
-            self._health(line=line)
+            self._answer_health_check(connection=connection)
             return
         arrival = Arrival(
-            attempt=call.headers.get(ATTEMPT, ""),
+            attempt=call.headers.get(ATTEMPT_HEADER, ""),
             service=self.service.name,
             instance_id=self.instance_id,
-            node=line.caller.name,
+            node=connection.caller.name,
             at_us=self.park.world.now_us(),
             host=call.headers.get("host", ""),
             method=call.method,
             target=call.url,
             body=call.body,
             ran=False,
-            given_us=int(float(call.headers.get(DEADLINE, "0")) * 1_000),
+            given_us=int(float(call.headers.get(DEADLINE_HEADER, "0")) * 1_000),
         )
         self.park.history.arrivals.append(arrival)
-        self.park.note_headers(call=call, arrival=arrival)
-        expected = call.headers.get(EXPECT)
+        self.park.check_headers(call=call, arrival=arrival)
+        expected = call.headers.get(EXPECT_INSTANCE_HEADER)
         if expected and expected != self.instance_id:
-            self._turn_away(line=line, arrival=arrival, status=421)
+            self._reject(connection=connection, arrival=arrival, status=421)
             return
         if not arrival.attempt:
-            self._turn_away(line=line, arrival=arrival, status=400)
+            self._reject(connection=connection, arrival=arrival, status=400)
             return
-        if len(self.busy) >= self.service.slots and len(self.queue) >= QUEUE:
-            self._turn_away(line=line, arrival=arrival, status=503)
+        if len(self.busy) >= self.service.slots and len(self.queue) >= QUEUE_LIMIT:
+            self._reject(connection=connection, arrival=arrival, status=503)
             return
         wait_us = arrival.given_us or 60_000_000
-        work = Work(
-            line=line, call=call, arrival=arrival, due_us=self.park.world.now_us() + wait_us
+        request = BackendRequest(
+            connection=connection,
+            call=call,
+            arrival=arrival,
+            due_us=self.park.world.now_us() + wait_us,
         )
-        self.queue.append(work)
-        self._next()
+        self.queue.append(request)
+        self._start_queued()
 
-    def _health(self, *, line: HttpLine) -> None:
+    def _answer_health_check(self, *, connection: HttpLine) -> None:
         self.park.counts["probes"] += 1
-        is_well = not self.is_draining
+        is_healthy = not self.is_draining
         if self.mood.false_health:
-            is_well = self.mood.false_health == "good"
-        if len(self.queue) >= QUEUE:
-            is_well = False
+            is_healthy = self.mood.false_health == "good"
+        if len(self.queue) >= QUEUE_LIMIT:
+            is_healthy = False
         self._send(
-            line=line,
-            status=200 if is_well else 503,
+            connection=connection,
+            status=200 if is_healthy else 503,
             headers={"x-instance-id": self.instance_id},
             body=b"",
         )
 
-    def _turn_away(self, *, line: HttpLine, arrival: Arrival, status: int) -> None:
+    def _reject(self, *, connection: HttpLine, arrival: Arrival, status: int) -> None:
         arrival.status = status
         self.park.counts[f"turned_away_{status}"] += 1
         self._send(
-            line=line,
+            connection=connection,
             status=status,
             body=b"",
-            headers={ATTEMPT: arrival.attempt, "x-not-run": "1"},
+            headers={ATTEMPT_HEADER: arrival.attempt, "x-not-run": "1"},
         )
 
-    def _next(self) -> None:
+    def _start_queued(self) -> None:
         while self.queue and len(self.busy) < self.service.slots:
-            work = self.queue.popleft()
-            if work.is_dropped:
+            request = self.queue.popleft()
+            if request.is_dropped:
                 continue
-            if self.park.world.now_us() >= work.due_us:
-                self._turn_away(line=work.line, arrival=work.arrival, status=503)
+            if self.park.world.now_us() >= request.due_us:
+                self._reject(connection=request.connection, arrival=request.arrival, status=503)
                 continue
-            self._begin(work=work)
+            self._start_work(request=request)
 
-    def _begin(self, *, work: Work) -> None:
+    def _start_work(self, *, request: BackendRequest) -> None:
         now_us = self.park.world.now_us()
-        work.arrival.ran, work.arrival.begun_us = True, now_us
-        self.busy.append(work)
-        end_us = min(now_us + self._work_us(work=work), max(now_us, work.due_us))
-        end_us = self._past_pause(begin_us=now_us, end_us=end_us)
-        work.arrival.until_us = end_us
+        request.arrival.ran, request.arrival.begun_us = True, now_us
+        self.busy.append(request)
+        end_us = min(now_us + self._service_time_us(request=request), max(now_us, request.due_us))
+        end_us = self._add_pause(begin_us=now_us, end_us=end_us)
+        request.arrival.until_us = end_us
         self.park.world.at(
-            us=end_us, callback=lambda: self.process.deliver(lambda: self._finish(work=work))
+            us=end_us, callback=lambda: self.process.deliver(lambda: self._finish(request=request))
         )
 
-    def _work_us(self, *, work: Work) -> int:
-        rand, kind = self.park.rand, self.park.kind_of(host=work.arrival.host, target=work.call.url)
-        work_us = (kind.work_us if kind else 20_000) * self.speed * self.mood.slow
+    def _service_time_us(self, *, request: BackendRequest) -> int:
+        rand, kind = (
+            self.park.rand,
+            self.park.kind_of(host=request.arrival.host, target=request.call.url),
+        )
+        work_us = (kind.work_us if kind else 20_000) * self.work_factor * self.mood.slow
         work_us *= 0.7 + 0.6 * rand.random()
-        if self.park.world.now_us() < self.born_us + COLD_US:
+        if self.park.world.now_us() < self.started_us + SLOW_START_US:
             work_us *= 2.5
         if len(self.busy) >= self.service.slots:
             work_us *= 1.25
         return int(work_us)
 
-    def _past_pause(self, *, begin_us: int, end_us: int) -> int:
-        pause_us, each_us = self.service.pause_us, self.service.pause_each_us
+    def _add_pause(self, *, begin_us: int, end_us: int) -> int:
+        pause_us, interval_us = self.service.pause_us, self.service.pause_interval_us
         if not pause_us:
             return end_us
-        offset_us = (begin_us - self.pause_at_us) % each_us
+        offset_us = (begin_us - self.pause_offset_us) % interval_us
         if offset_us < pause_us:
             return end_us + pause_us - offset_us
-        return end_us + pause_us if offset_us + end_us - begin_us > each_us else end_us
+        return end_us + pause_us if offset_us + end_us - begin_us > interval_us else end_us
 
-    def _finish(self, *, work: Work) -> None:
+    def _finish(self, *, request: BackendRequest) -> None:
         now_us = self.park.world.now_us()
-        arrival, rand = work.arrival, self.park.rand
-        if work in self.busy:
-            self.busy.remove(work)
+        arrival, rand = request.arrival, self.park.rand
+        if request in self.busy:
+            self.busy.remove(request)
         arrival.ended_us = now_us
-        if work.is_dropped or not work.line.is_served:
-            self._next()
+        if request.is_dropped or not request.connection.is_open_at_server:
+            self._start_queued()
             return
-        status = 504 if now_us >= work.due_us else 200
+        status = 504 if now_us >= request.due_us else 200
         if rand.random() < self.mood.fail_share:
             status = 500
         arrival.status = status
         if rand.random() < self.mood.reset_share:
             arrival.broke_off = True
-            work.line.server_ends(how=RESET)
-            self._next()
+            request.connection.close_from_server(how=RESET)
+            self._start_queued()
             return
-        self._answer(work=work, status=status)
-        self._next()
-
-    def _answer(self, *, work: Work, status: int) -> None:
-        rand, arrival = self.park.rand, work.arrival
-        kind = self.park.kind_of(host=arrival.host, target=work.call.url)
-        body = self.park.body_of(kind=kind) if status == 200 else b"failed"
-        seal = self.park.seal(arrival=arrival, status=status, body=body)
-        headers = {ATTEMPT: arrival.attempt, "x-answer-seal": seal}
+        self._reply(request=request, status=status)
+        self._start_queued()
+
+    def _reply(self, *, request: BackendRequest, status: int) -> None:
+        rand, arrival = self.park.rand, request.arrival
+        kind = self.park.kind_of(host=arrival.host, target=request.call.url)
+        body = self.park.make_body(kind=kind) if status == 200 else b"failed"
+        seal = self.park.issue_seal(arrival=arrival, status=status, body=body)
+        headers = {ATTEMPT_HEADER: arrival.attempt, "x-answer-seal": seal}
         if rand.random() < self.mood.bad_share:
-            self._answer_badly(work=work, headers=headers, status=status, body=body)
+            self._send_faulty_reply(request=request, headers=headers, status=status, body=body)
             return
-        self._send(line=work.line, status=status, headers=headers, body=body)
+        self._send(connection=request.connection, status=status, headers=headers, body=body)
 
-    def _answer_badly(self, *, work: Work, headers: dict, status: int, body: bytes) -> None:
-        way = self.park.rand.choice(("cut", "garbage", "extra", "late", "encoded", "silent"))
-        self.park.counts[f"bad_{way}"] += 1
-        other = HttpReply(
+    def _send_faulty_reply(
+        self, *, request: BackendRequest, headers: dict, status: int, body: bytes
+    ) -> None:
+        fault = self.park.rand.choice(("cut", "garbage", "extra", "late", "encoded", "silent"))
+        self.park.counts[f"bad_{fault}"] += 1
+        stale_reply = HttpReply(
             status=200,
             body=b"z" * 32,
             headers={
-                ATTEMPT: f"old-{self.instance_id}",
+                ATTEMPT_HEADER: f"old-{self.instance_id}",
                 "x-answer-seal": f"old.{self.instance_id}",
             },
         )
-        if way in ("cut", "garbage", "silent"):
-            work.arrival.broke_off = True
-        if way == "cut":
-            work.line.reply(pieces=[(CUT_OFF, None)])
-            work.line.server_ends(how=RESET)
-        if way == "garbage":
-            work.line.reply(pieces=[(GARBAGE, None)])
-            work.line.server_ends(how=RESET)
-        if way == "extra":
-            whole = HttpReply(status=status, headers=headers, body=body)
-            work.line.reply(pieces=[(WHOLE, whole), (WHOLE, other)])
-        if way == "late":
-            self._send(line=work.line, status=status, headers=headers, body=body)
+        if fault in ("cut", "garbage", "silent"):
+            request.arrival.broke_off = True
+        if fault == "cut":
+            request.connection.reply(pieces=[(CUT_OFF, None)])
+            request.connection.close_from_server(how=RESET)
+        if fault == "garbage":
+            request.connection.reply(pieces=[(GARBAGE, None)])
+            request.connection.close_from_server(how=RESET)
+        if fault == "extra":
+            reply = HttpReply(status=status, headers=headers, body=body)
+            request.connection.reply(pieces=[(COMPLETE, reply), (COMPLETE, stale_reply)])
+        if fault == "late":
+            self._send(connection=request.connection, status=status, headers=headers, body=body)
             late_us = int(2_000 + self.park.rand.random() * 60_000)
-            line = work.line
+            connection = request.connection
             self.park.world.at(
                 us=self.park.world.now_us() + late_us,
-                callback=lambda: line.is_served and line._answer_later(pieces=[(WHOLE, other)]),
+                callback=lambda: (
+                    connection.is_open_at_server
+                    and connection._send_reply(pieces=[(COMPLETE, stale_reply)])
+                ),
             )
-        if way == "encoded":
-            work.line.reply(
+        if fault == "encoded":
+            request.connection.reply(
                 pieces=[
                     (
-                        WHOLE,
+                        COMPLETE,
                         HttpReply(
                             status=status,
                             headers={**headers, "content-encoding": "gzip"},
@@ -288,18 +303,18 @@
                 ]
             )
 
-    def _send(self, *, line: HttpLine, status: int, headers: dict, body: bytes) -> None:
-        is_last = self.is_draining or self.park.rand.random() < CLOSE_SHARE
-        headers = {**headers, "keep-alive": f"timeout={LINE_IDLE_US // 1_000_000}"}
+    def _send(self, *, connection: HttpLine, status: int, headers: dict, body: bytes) -> None:
+        is_last = self.is_draining or self.park.rand.random() < CLOSE_PROBABILITY
+        headers = {**headers, "keep-alive": f"timeout={IDLE_TIMEOUT_US // 1_000_000}"}
         if is_last:
             headers["connection"] = "close"
-        line.reply(pieces=[(WHOLE, HttpReply(status=status, headers=headers, body=body))])
+        connection.reply(pieces=[(COMPLETE, HttpReply(status=status, headers=headers, body=body))])
         if is_last:
-            line.server_ends(how="closed")
+            connection.close_from_server(how="closed")
 
 
 class Park:
-    """All backends of a scenario, and the platform's list of them."""
+    """All backends of a scenario, and the platform's instance list."""
 
     def __init__(
         self,
@@ -323,21 +338,21 @@
         self.counts: Counter = Counter()
         self.live: dict[str, Backend] = {}
         self.zones = zones
-        self.wrong_headers: list[str] = []
+        self.headerless_attempts: list[str] = []
         self._lag_us = lag_us
         self._drain_us = drain_us
         self._reuse_us = reuse_us
         self._make_process = make_process
         self._serial = 0
-        self._seals = 0
-        self._free: list[tuple[int, str]] = []
+        self._seal_count = 0
+        self._free_addresses: list[tuple[int, str]] = []
         self._rows: dict[str, dict] = {}
         self.revision = "v1"
 
-    # --- lives -----------------------------------------------------------------------------
+    # --- instances ------------------------------------------------------------------------
 
     def start(self, *, service: ServiceShape, zone: str, is_cold: bool = True) -> Backend:
-        """Start an instance, at a new address or at one that is free for reuse."""
+        """Start an instance at a new address, or at the address of an ended instance."""
         self._serial += 1
         now_us = self.world.now_us()
         instance_id = f"i-{self._serial:05x}{self.rand.getrandbits(20):05x}"
@@ -350,22 +365,22 @@
             address=address,
             process=process,
             park=self,
-            speed=self.rand.choice((0.8, 1.0, 1.0, 1.3)),
-            born_us=now_us if is_cold else now_us - COLD_US,
-            pause_at_us=self.rand.randrange(service.pause_each_us),
+            work_factor=self.rand.choice((0.8, 1.0, 1.0, 1.3)),
+            started_us=now_us if is_cold else now_us - SLOW_START_US,
+            pause_offset_us=self.rand.randrange(service.pause_interval_us),
         )
         process._process_listener = process.ports.net._listen(
             key=f"http/{address}", kind="http", on_event=backend
         )
         self.live[instance_id] = backend
-        self._list(backend=backend, change={"Condition": "ready"})
+        self._update_row(backend=backend, change={"Condition": "ready"})
         return backend
 
     def _address(self, *, process: HttpProcess) -> str:
         now_us = self.world.now_us()
-        for place, (free_us, address) in enumerate(self._free):
+        for index, (free_us, address) in enumerate(self._free_addresses):
             if free_us <= now_us and self.rand.random() < 0.7:
-                del self._free[place]
+                del self._free_addresses[index]
                 self.world.homes[address] = process.machine
                 self.world.known_gone.pop(address, None)
                 return address
@@ -374,16 +389,17 @@
         return address
 
     def crash(self, *, backend: Backend) -> None:
-        """It ends at once; the list keeps it for some seconds."""
+        """End a backend at once; it stays listed for `CRASH_DELIST_DELAY_US` and the list's lag."""
         if not backend.is_ended:
             self.history.crashes[backend.instance_id] = self.world.now_us()
         self._end(backend=backend)
         self.world.at(
-            us=self.world.now_us() + CRASH_LISTED_US, callback=lambda: self._unlist(backend=backend)
+            us=self.world.now_us() + CRASH_DELIST_DELAY_US,
+            callback=lambda: self._remove_row(backend=backend),
         )
 
     def go_silent(self, *, backend: Backend) -> None:
-        """It says nothing any more, and takes everything."""
+        """Suspend a backend: it still accepts connections and requests but sends nothing."""
         backend.process.freeze()
 
     def wake(self, *, backend: Backend) -> None:
@@ -391,12 +407,12 @@
         backend.process.thaw()
 
     def drain(self, *, backend: Backend) -> None:
-        """It leaves in order: listed as draining, served on, then ended."""
+        """Drain a backend: it is listed as draining, keeps serving, then ends."""
         if backend.is_draining or backend.is_ended:
             return
         backend.is_draining = True
-        self._list(backend=backend, change={"Condition": "draining"})
-        end_us = self.world.now_us() + self._lag_us + self._drain_us + AFTER_DRAIN_US
+        self._update_row(backend=backend, change={"Condition": "draining"})
+        end_us = self.world.now_us() + self._lag_us + self._drain_us + DRAIN_MARGIN_US
         leaver = Leaver(
             instance_id=backend.instance_id, listed_us=self.world.now_us() + self._lag_us
         )
@@ -405,7 +421,7 @@
         def end() -> None:
             leaver.ended_us = self.world.now_us()
             self._end(backend=backend)
-            self._unlist(backend=backend)
+            self._remove_row(backend=backend)
 
         self.world.at(us=end_us, callback=end)
 
@@ -413,19 +429,19 @@
         if backend.is_ended:
             return
         backend.is_ended = True
-        for work in backend.busy:
-            work.arrival.broke_off = True
+        for request in backend.busy:
+            request.arrival.broke_off = True
         backend.process.kill()
         self.live.pop(backend.instance_id, None)
-        self._free.append((self.world.now_us() + self._reuse_us, backend.address))
+        self._free_addresses.append((self.world.now_us() + self._reuse_us, backend.address))
 
     def of(self, *, service: str) -> list[Backend]:
-        """The backends of a service that have neither ended nor begun to drain."""
+        """The backends of a service that have neither ended nor started to drain."""
         return [b for b in self.live.values() if b.service.name == service and not b.is_draining]
 
-    # --- the list -----------------------------------------------------------------------------
+    # --- the instance list ----------------------------------------------------------------
 
-    def _list(self, *, backend: Backend, change: dict) -> None:
+    def _update_row(self, *, backend: Backend, change: dict) -> None:
         row = {
             "Service": backend.service.name,
             "Address": backend.address,
@@ -433,7 +449,7 @@
             "Revision": self.revision,
             "Capacity": backend.service.slots,
             "InstanceId": backend.instance_id,
-            "cold_until_us": backend.born_us + COLD_US,
+            "cold_until_us": backend.started_us + SLOW_START_US,
             **change,
         }
         lag_us = int(self.rand.random() * self._lag_us) if self.world.now_us() else 0
@@ -442,7 +458,7 @@
             callback=lambda: self._rows.__setitem__(backend.instance_id, row),
         )
 
-    def _unlist(self, *, backend: Backend) -> None:
+    def _remove_row(self, *, backend: Backend) -> None:
         lag_us = int(self.rand.random() * self._lag_us)
         self.world.at(
             us=self.world.now_us() + lag_us,
@@ -450,7 +466,7 @@
         )
 
     def rows(self) -> list[dict]:
-        """The list as it shows itself now."""
+        """The rows that the instance list shows now."""
         now_us = self.world.now_us()
         out = []
         for row in self._rows.values():
@@ -460,24 +476,28 @@
             )
         return out
 
-    # --- answers ------------------------------------------------------------------------------
+    # --- replies --------------------------------------------------------------------------
 
-    def body_of(self, *, kind: KindShape | None) -> bytes:
-        """Records in no order, now and then with bytes that are no record behind them."""
+    def make_body(self, *, kind: KindShape | None) -> bytes:
+        """A reply body for a kind of request.
+
+        A gathered request gets unsorted records. One body in ten repeats its first record,
+        and one in ten ends with five bytes that are not a record.
+        """
         if kind is None or not kind.records:
             return self.rand.randbytes(300)
         body = self.rand.randbytes(16 * kind.records)
         if self.rand.random() < 0.1:
-            body += body[:16]  # equal records count each
+            body += body[:16]  # equal records are counted separately
         return body + self.rand.randbytes(5) if self.rand.random() < 0.1 else body
 
-    def seal(self, *, arrival: Arrival, status: int, body: bytes) -> str:
+    def issue_seal(self, *, arrival: Arrival, status: int, body: bytes) -> str:
         """Register a reply in the history and return the unique seal that identifies it.
 
-        Backends send the seal along; the rules trace a client's reply back by it.
+        Backends send the seal with the reply; the rules use it to find where a reply came from.
         """
-        self._seals += 1
-        seal = f"{self._seals:x}.{status:x}.{self.rand.getrandbits(32):08x}"
+        self._seal_count += 1
+        seal = f"{self._seal_count:x}.{status:x}.{self.rand.getrandbits(32):08x}"
         self.history.stamped[seal] = Stamped(
             seal=seal,
             attempt=arrival.attempt,
@@ -488,7 +508,7 @@
         )
         return seal
 
-    def note_headers(self, *, call: HttpCall, arrival: Arrival) -> None:
-        """The client's other headers are to go along."""
+    def check_headers(self, *, call: HttpCall, arrival: Arrival) -> None:
+        """Record a request that arrived without the additional header that the client had sent."""
         if call.headers.get("x-client-word") != f"w-{arrival.attempt}":
-            self.wrong_headers.append(arrival.attempt)
+            self.headerless_attempts.append(arrival.attempt)
--- a/kelpstage/testbed/platform_model/history.py
+++ b/kelpstage/testbed/platform_model/history.py
@@ -1,9 +1,9 @@
 """What clients, backends, the operator and the platform observed in one scenario.
 
-Nothing here comes from the code under test: a request as its client saw it, an arrival as
-a backend saw it, an order as its operator saw it, and what the platform did to machines.
-Times are whole microseconds since the scenario began; 0 stands for "not" where a time may
-be missing.
+Nothing here comes from the code under test. A request is recorded as its client saw it, an
+arrival as a backend saw it, an order (a configuration write) as its operator saw it, and a
+fault as the platform injected it. Times are whole microseconds since the start of the
+scenario; 0 means that the event did not happen.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 NEVER_US = 1 << 62
 PROMISES = frozenset((408, 421, 429, 503))
-LEFT = "left"  # how a request ends whose client closes its connection early
+LEFT = "left"  # the end of a request whose client disconnects early
 
 
 @dataclass(frozen=True, kw_only=True)
 class Bounds:
-    """The figures of the rules.
+    """The numeric bounds of the rules.
 
     >>> Bounds().retry_window_us
     10000000
@@ -42,8 +42,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RouteSpec:
-    """A route as an operator sent it: `services` of a request to one backend, or the
-    `fan_out` of a gathered one."""
+    """A route as an operator sent it.
+
+    `services` are the choices for a request to one backend; `fan_out` are the shards of a
+    gathered request.
+    """
 
     name: str
     host: str
@@ -57,13 +60,13 @@
     tries: int = 2
 
     def allows(self, *, service: str) -> bool:
-        """May a request of this route be sent to the service?"""
+        """True if a request on this route may be sent to the service."""
         return service in self.services or service in self.fan_out
 
 
 @dataclass(kw_only=True)
 class Order:
-    """One configuration and what became of it; repeats of it are the same order."""
+    """One configuration write and its outcome; repeated sends belong to the same order."""
 
     key: str
     revision: int
@@ -76,11 +79,10 @@
     refused_us: int = 0
     ended_us: int = 0
     tries: list[Try] = field(default_factory=list)
-    lost_us: list[int] = field(default_factory=list)  # when an answer to it was lost
+    lost_us: list[int] = field(default_factory=list)  # times at which a reply to it was lost
 
     def all_tries(self) -> list[Try]:
-        """Every call with this order; for one that was noted without them, what its
-        times say."""
+        """Every call with this order; derived from its times if no calls were recorded."""
         if self.tries:
             return self.tries
         refusal = Answer.CONFLICT if self.is_valid else Answer.INVALID
@@ -93,7 +95,7 @@
         return out or [Try(sent_us=self.sent_us, done_us=NEVER_US, answer=Answer.UNCLEAR)]
 
     def route_for(self, *, host: str, target: str) -> RouteSpec | None:
-        """The route of the longest prefix that begins the path.
+        """The route whose prefix is the longest one that matches the path.
 
         >>> routes = (
         ...     RouteSpec(name="r", host="h", prefix="/a/"),
@@ -104,18 +106,18 @@
         'r'
         """
         path = target.partition("?")[0]
-        fitting = [r for r in self.routes if r.host == host and path.startswith(r.prefix)]
-        return max(fitting, key=lambda route: len(route.prefix), default=None)
+        matching = [r for r in self.routes if r.host == host and path.startswith(r.prefix)]
+        return max(matching, key=lambda route: len(route.prefix), default=None)
 
     def allows(self, *, host: str, target: str, service: str) -> bool:
-        """Does the route that this configuration has for the request allow the service?"""
+        """True if this configuration's route for the request allows the service."""
         route = self.route_for(host=host, target=target)
         return route is not None and route.allows(service=service)
 
 
 @dataclass(kw_only=True)
 class Request:
-    """One try of a client, as the client saw it."""
+    """One attempt of a client, as the client saw it."""
 
     attempt: str
     first: str = ""
@@ -150,13 +152,13 @@
 
     @property
     def is_success(self) -> bool:
-        """Was the try answered with a status of 2xx?"""
+        """True if the attempt was answered with a status of 2xx."""
         return self.end == "answered" and 200 <= self.status < 300
 
 
 @dataclass(kw_only=True)
 class Arrival:
-    """A request as a backend saw it; `ran` once it began to work on it."""
+    """A request as a backend saw it; `ran` is true once the backend started to work on it."""
 
     attempt: str
     service: str
@@ -173,14 +175,14 @@
     ended_us: int = 0
     broke_off: bool = False
     is_health: bool = False
-    given_us: int = 0  # the time that it was handed; 0 for none
-    until_us: int = 0  # when the work was to end, if it began
-    released_us: int = 0  # when its caller's connection ended while it was at work
+    given_us: int = 0  # the time limit that it carried; 0 if none
+    until_us: int = 0  # when the work is due to end, if it started
+    released_us: int = 0  # when its connection ended while it was queued or running
 
 
 @dataclass(frozen=True, kw_only=True)
 class Stamped:
-    """What a backend's seal stands for."""
+    """The reply that a backend's seal identifies."""
 
     seal: str
     attempt: str
@@ -192,7 +194,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Shown:
-    """When the list first showed a machine that a backend drains or is gone."""
+    """When the instance list first showed a node that a backend is draining or gone."""
 
     instance_id: str
     node: str
@@ -201,10 +203,10 @@
 
 @dataclass(kw_only=True)
 class MachineFault:
-    """Something that the bench did to a machine: from `begin_us` to `end_us`.
+    """A fault that was injected into a machine, from `begin_us` to `end_us`.
 
-    `what`: "kill", "power", "freeze", "slow", "disk", "stop" (SIGTERM), "reread" (SIGHUP),
-    "start", "lost" (taken away for good).
+    `what` is one of "kill", "power", "freeze", "slow", "disk", "stop" (SIGTERM), "reread"
+    (SIGHUP), "start" and "lost" (removed for good).
     """
 
     machine: str
@@ -216,7 +218,7 @@
 
 @dataclass(kw_only=True)
 class Cut:
-    """No path between two machines, either way."""
+    """A network partition between two machines, in both directions."""
 
     a: str
     b: str
@@ -226,18 +228,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReadBack:
-    """What the operator got when it asked for the newest configuration."""
+    """The reply that an operator received when it read the newest configuration."""
 
     at_us: int
     revision: int = 0
     body: bytes = b""
     is_last: bool = False
-    sent_us: int = 0  # 0: no time of its own was noted
+    sent_us: int = 0  # 0 if the time was not recorded
 
 
 @dataclass(frozen=True, kw_only=True)
 class Readiness:
-    """The platform's question whether a machine is ready, and its answer."""
+    """The result of one readiness check of a machine."""
 
     machine: str
     at_us: int
@@ -246,8 +248,7 @@
 
 @dataclass(kw_only=True)
 class Leaver:
-    """A backend that said that it leaves: when the list could first show it, and when
-    it ended."""
+    """A draining backend: when the instance list could first show it, and when it ended."""
 
     instance_id: str
     listed_us: int
@@ -272,9 +273,9 @@
     cuts: list[Cut] = field(default_factory=list)
     outages: list[tuple[int, int]] = field(default_factory=list)
     read_backs: list[ReadBack] = field(default_factory=list)
-    reads: list[ReadBack] = field(default_factory=list)  # every read; revision 0 for none
+    reads: list[ReadBack] = field(default_factory=list)  # every read; revision 0 if empty
     readiness: list[Readiness] = field(default_factory=list)
-    crashes: dict[str, int] = field(default_factory=dict)  # instance -> when
+    crashes: dict[str, int] = field(default_factory=dict)  # instance -> time of the crash
     traffic_us: int = 0
     end_us: int = 0
     closing_us: int = 0
@@ -282,7 +283,7 @@
     own_ends: list[tuple[int, str, str]] = field(default_factory=list)
 
     def arrivals_of(self) -> dict[str, list[Arrival]]:
-        """Arrivals by the request that they are of, health probes apart."""
+        """The arrivals by the attempt identifier of their request, without health checks."""
         out: dict[str, list[Arrival]] = {}
         for arrival in self.arrivals:
             if not arrival.is_health:
@@ -290,5 +291,5 @@
         return out
 
     def requests_by_attempt(self) -> dict[str, Request]:
-        """The clients' tries by their attempt identifiers, which are unique."""
+        """The clients' attempts by their attempt identifiers, which are unique."""
         return {request.attempt: request for request in self.requests}
--- a/kelpstage/testbed/platform_model/machines.py
+++ b/kelpstage/testbed/platform_model/machines.py
@@ -1,4 +1,4 @@
-"""The system's machines: started through the folder `platform/`, and what is done to them."""
+"""The machines of the product, started through the folder `platform/`, and their faults."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from kelpstage.testbed.platform_model.shape import Shape
 from kelpstage.testbed.simulation.world import Machine
 
-FRONT, READY, CONTROL, FIRST, LAST = 8229, 8223, 8225, 7280, 7295
-START_US = (300_000, 700_000)
-AGAIN_US = 250_000
+FRONT_PORT, READINESS_PORT, CONTROL_PORT, FIRST_PORT, LAST_PORT = 8229, 8223, 8225, 7280, 7295
+START_DELAY_US = (300_000, 700_000)
+RESTART_DELAY_US = 250_000
 
 
-class NotStarted(Exception):
-    """A program of the system refused its settings or could not open."""
+class StartError(Exception):
+    """A program of the product rejected its settings or failed to start."""
 
 
 @dataclass(kw_only=True)
@@ -36,7 +36,7 @@
     ip: str
     machine: Machine
     has_disk: bool
-    is_there: bool = True
+    is_provisioned: bool = True
     is_stopping: bool = False
     instances: dict[str, int] = field(default_factory=dict)
     processes: dict[str, HttpProcess] = field(default_factory=dict)
@@ -50,21 +50,21 @@
     @property
     def front(self) -> str:
         """The address, `host:port`, at which clients are served."""
-        return f"{self.ip}:{FRONT}"
+        return f"{self.ip}:{FRONT_PORT}"
 
     @property
     def control(self) -> str:
         """The address, `host:port`, at which operators are served."""
-        return f"{self.ip}:{CONTROL}"
+        return f"{self.ip}:{CONTROL_PORT}"
 
     @property
     def readiness(self) -> str:
         """The address, `host:port`, of the readiness check."""
-        return f"{self.ip}:{READY}"
+        return f"{self.ip}:{READINESS_PORT}"
 
 
 class Fleet:
-    """Every machine of the system."""
+    """All machines of the product."""
 
     def __init__(
         self,
@@ -89,31 +89,31 @@
         self._cloud = cloud
         self._list_per_s = list_per_s
         self._settings = load(name="settings")
-        self._edge = load(name="edge")
-        self._lists = load(name="backend_list")
-        self._calls = load(name="operator_calls")
+        self._edge_program = load(name="edge")
+        self._backend_list = load(name="backend_list")
+        self._operator_calls = load(name="operator_calls")
         self._serial = 0
-        self._controls: list[tuple[int, list[str]]] = []
+        self._control_history: list[tuple[int, list[str]]] = []
         for zone, count in shape.machines.items():
             for number in range(count):
                 self.add(zone=zone, has_disk=number < shape.core_per_zone)
         self.seeds = [node.control for node in self.core()][:3]
-        self.note_controls()
+        self.record_control_addresses()
 
     def add(self, *, zone: str, has_disk: bool) -> Node:
         """Add a machine with a new name and address to a zone, without starting its daemons."""
         self._serial += 1
         name = f"{zone}-{self._serial}"
-        place = list(self.shape.zones).index(zone) + 1
+        zone_number = list(self.shape.zones).index(zone) + 1
         machine = self.world.add_machine(name=name, zone=zone)
         node = Node(
             name=name,
             zone=zone,
-            ip=f"10.{place}.0.{self._serial}",
+            ip=f"10.{zone_number}.0.{self._serial}",
             machine=machine,
             has_disk=has_disk,
         )
-        for port in (FRONT, READY, CONTROL, FIRST, LAST):
+        for port in (FRONT_PORT, READINESS_PORT, CONTROL_PORT, FIRST_PORT, LAST_PORT):
             self.world.homes[f"{node.ip}:{port}"] = machine
         self.nodes[name] = node
         self.history.machines |= {name}
@@ -122,32 +122,32 @@
         return node
 
     def core(self) -> list[Node]:
-        """The machines with a disk that have not been taken away."""
-        return [node for node in self.nodes.values() if node.has_disk and node.is_there]
+        """The machines with a disk that have not been removed."""
+        return [node for node in self.nodes.values() if node.has_disk and node.is_provisioned]
 
     def there(self) -> list[Node]:
-        """The machines that have not been taken away, running or not."""
-        return [node for node in self.nodes.values() if node.is_there]
+        """The machines that have not been removed, running or not."""
+        return [node for node in self.nodes.values() if node.is_provisioned]
 
-    # --- the list of nodes that serve control ---------------------------------------------
+    # --- the list of control addresses ----------------------------------------------------
 
-    def note_controls(self) -> None:
-        """Record the current control addresses; call it when the set of cores changes.
+    def record_control_addresses(self) -> None:
+        """Record the current control addresses; called when the set of core machines changes.
 
-        `controls` returns them to operators `seed_lag_us` later.
+        `control_addresses` returns them to operators `seed_lag_us` later.
         """
-        self._controls.append((self.world.now_us(), [node.control for node in self.core()]))
+        self._control_history.append((self.world.now_us(), [node.control for node in self.core()]))
 
-    def controls(self) -> list[str]:
-        """As the operator's list shows them, `SeedLagS` late."""
+    def control_addresses(self) -> list[str]:
+        """The control addresses that operators see, which lag behind by `SeedLagS`."""
         until_us = self.world.now_us() - self.shape.seed_lag_us
-        seen = [names for at_us, names in self._controls if at_us <= until_us]
-        return seen[-1] if seen else self._controls[0][1]
+        visible = [names for at_us, names in self._control_history if at_us <= until_us]
+        return visible[-1] if visible else self._control_history[0][1]
 
-    # --- settings -----------------------------------------------------------------------------
+    # --- settings -------------------------------------------------------------------------
 
-    def fields(self, *, node: Node, role: str) -> dict[str, Any]:
-        """What the platform writes into a process's settings file."""
+    def platform_settings(self, *, node: Node, role: str) -> dict[str, Any]:
+        """The fields that the platform writes into a process's settings file."""
         bounds = self.history.bounds
         return {
             "NodeName": node.name,
@@ -163,7 +163,7 @@
                 "Readiness": node.readiness,
                 "ControlAddr": node.control,
             },
-            "PortRange": [FIRST, LAST],
+            "PortRange": [FIRST_PORT, LAST_PORT],
             "SeedAddrs": list(self.seeds),
             "IsFirstStart": self.is_first_start,
             "LossCounts": node.has_disk,
@@ -176,7 +176,7 @@
             "Tolerance": {"MachineLosses": self.shape.tolerance, "Zones": 0, "RegionLosses": 0},
             "BoundTable": {
                 "SeedLagS": self.shape.seed_lag_us // 1_000_000,
-                "AddrReuseS": self.shape.reuse_us // 1_000_000,
+                "AddrReuseS": self.shape.address_reuse_us // 1_000_000,
                 "TouchMs": bounds.touch_us // 1_000,
                 "AckWithinMs": bounds.ack_within_us // 1_000,
                 "DrainMs": bounds.drain_us // 1_000,
@@ -199,21 +199,21 @@
         }
 
     def _process_settings(self, *, node: Node, role: str) -> dict:
-        fields = self.fields(node=node, role=role)
+        fields = self.platform_settings(node=node, role=role)
         if role == "core":
             raw, form = self._settings.core_settings(fields=fields), CORE_FORM
         else:
             raw, form = self._settings.edge_settings(fields=fields), EDGE_FORM
         settings = validate_settings(raw=raw, form=form)
         if isinstance(settings, KelpstageError):
-            raise NotStarted(f"{role}/{node.name}: {settings}")
+            raise StartError(f"{role}/{node.name}: {settings}")
         return settings
 
-    # --- processes ----------------------------------------------------------------------------
+    # --- processes ------------------------------------------------------------------------
 
     async def start(self, *, node: Node, role: str) -> None:
-        """Start a process with the settings current now."""
-        if not node.is_there or not node.machine.is_on or self.is_over:
+        """Start a process with the current settings, unless it runs or its machine is off."""
+        if not node.is_provisioned or not node.machine.is_on or self.is_over:
             return
         running = node.processes.get(role)
         if running is not None and running.is_alive:
@@ -226,34 +226,38 @@
             instance=node.instances[role],
         )
         process.message_us = self.message_us
-        process.on_own_end = lambda error: self._own_end(node=node, role=role, error=error)
+        process.on_unhandled_error = lambda error: self._on_unhandled_error(
+            node=node, role=role, error=error
+        )
         node.processes[role] = process
         settings = self._process_settings(node=node, role=role)
         daemon = self._build(role=role, process=process, settings=settings)
         node.daemons[role] = daemon
         error = await daemon.open()
         if isinstance(error, KelpstageError):
-            raise NotStarted(f"{role}/{node.name}: {error}")
+            raise StartError(f"{role}/{node.name}: {error}")
 
     def _build(self, *, role: str, process: HttpProcess, settings: dict) -> Any:
         if role == "core":
-            serve = self._calls.operator_calls(own=serve_operators)
+            serve = self._operator_calls.operator_calls(own=serve_operators)
             return Core(ports=process.ports, settings=settings, serve=serve)
-        lists = self._lists.BackendList(address=settings["list"]["address"])
-        return Edge(ports=process.ports, settings=settings, lists=lists, serve=self._edge.serve)
+        lists = self._backend_list.BackendList(address=settings["list"]["address"])
+        return Edge(
+            ports=process.ports, settings=settings, lists=lists, serve=self._edge_program.serve
+        )
 
-    def _own_end(self, *, node: Node, role: str, error: BaseException) -> None:
+    def _on_unhandled_error(self, *, node: Node, role: str, error: BaseException) -> None:
         why = f"{type(error).__name__}: {error}"
         self.history.own_ends.append((self.world.now_us(), f"{role}/{node.name}", why[:300]))
         self.first_error = getattr(self, "first_error", None) or error
         process = node.processes[role]
         if process.is_alive:
             process.kill()
-            self._later(us=AGAIN_US, node=node, role=role)
+            self._start_later(us=RESTART_DELAY_US, node=node, role=role)
 
-    def _later(self, *, us: int, node: Node, role: str) -> asyncio.Task:
+    def _start_later(self, *, us: int, node: Node, role: str) -> asyncio.Task:
         async def begin() -> None:
-            await asyncio.sleep((us + self.rand.randint(*START_US)) / 1_000_000)
+            await asyncio.sleep((us + self.rand.randint(*START_DELAY_US)) / 1_000_000)
             await self.start(node=node, role=role)
 
         return self.world.loop.create_task(begin())
@@ -262,15 +266,15 @@
         """Start every daemon of every machine, each after a random delay."""
         await asyncio.gather(
             *(
-                self._later(us=0, node=node, role=role)
+                self._start_later(us=0, node=node, role=role)
                 for node in self.nodes.values()
                 for role in node.roles
             )
         )
         self.is_first_start = False
 
-    def instance_of(self, name: str) -> int:
-        """How often the edge of the named machine was started; 0 for never."""
+    def incarnation_of(self, name: str) -> int:
+        """How many times the edge of the named machine was started."""
         return self.nodes[name].instances.get("edge", 0)
 
     def _begin_fault(self, *, node: Node, what: str, is_planned: bool = False) -> MachineFault:
@@ -280,17 +284,17 @@
         self.history.faults.append(fault)
         return fault
 
-    # --- what is done to machines -------------------------------------------------------------
+    # --- faults and lifecycle of machines -------------------------------------------------
 
     async def kill(
         self,
         *,
         node: Node,
         roles: tuple[str, ...] = (),
-        for_us: int = AGAIN_US,
+        for_us: int = RESTART_DELAY_US,
         is_disk: bool = False,
     ) -> None:
-        """Processes are killed and started again; with the disk gone, if so."""
+        """Kill processes and restart them after `for_us`; `is_disk` also loses the disk."""
         fault = self._begin_fault(node=node, what="kill")
         for role in roles or node.roles:
             process = node.processes.get(role)
@@ -298,12 +302,12 @@
                 process.kill()
         if is_disk:
             node.machine.platter.lose()
-        await self._back(node=node, roles=roles or node.roles, for_us=for_us, fault=fault)
+        await self._restart(node=node, roles=roles or node.roles, for_us=for_us, fault=fault)
 
-    async def _back(
+    async def _restart(
         self, *, node: Node, roles: tuple[str, ...], for_us: int, fault: MachineFault
     ) -> None:
-        starts = [self._later(us=for_us, node=node, role=role) for role in roles]
+        starts = [self._start_later(us=for_us, node=node, role=role) for role in roles]
         await asyncio.gather(*starts)
         fault.end_us = self.world.now_us()
 
@@ -320,7 +324,7 @@
         await asyncio.sleep(for_us / 1_000_000)
         node.machine.is_on = True
         self.world.flush()
-        await self._back(node=node, roles=node.roles, for_us=0, fault=fault)
+        await self._restart(node=node, roles=node.roles, for_us=0, fault=fault)
 
     async def freeze(self, *, node: Node, for_us: int) -> None:
         """Suspend the live processes of a machine for `for_us` microseconds."""
@@ -334,58 +338,58 @@
         fault.end_us = self.world.now_us()
 
     async def stop(self, *, node: Node, is_for_good: bool = False) -> None:
-        """SIGTERM, the grace, SIGKILL, and started again."""
+        """Send SIGTERM, send SIGKILL after the grace period, and restart unless `is_for_good`."""
         fault = self._begin_fault(node=node, what="stop", is_planned=True)
-        stopping = [
+        stop_tasks = [
             process.spawn(node.daemons[role].stop())
             for role, process in node.processes.items()
             if process.is_alive
         ]
         grace_us = self.history.bounds.grace_us
-        for task, (_role, process) in zip(stopping, list(node.processes.items()), strict=True):
+        for task, (_role, process) in zip(stop_tasks, list(node.processes.items()), strict=True):
             task.add_done_callback(lambda _, p=process: p.kill())
-        if stopping:
-            await asyncio.wait(stopping, timeout=grace_us / 1_000_000)
+        if stop_tasks:
+            await asyncio.wait(stop_tasks, timeout=grace_us / 1_000_000)
         for process in node.processes.values():
             process.kill()
         if is_for_good:
-            node.is_there = False
+            node.is_provisioned = False
             fault.end_us = self.world.now_us()
             return
-        await self._back(node=node, roles=node.roles, for_us=AGAIN_US, fault=fault)
+        await self._restart(node=node, roles=node.roles, for_us=RESTART_DELAY_US, fault=fault)
 
     async def replace_core(self, *, node: Node, is_told: bool) -> Node:
-        """A machine of the core is taken away; an empty one comes at another address."""
+        """Replace a core machine by an empty one at another address; `is_told` stops it first."""
         if is_told:
             await self.stop(node=node, is_for_good=True)
         self.lose(node=node)
         await asyncio.sleep(1.0 + self.rand.random() * 2)
-        fresh = self.add(zone=node.zone, has_disk=True)
-        self.history.core_since[fresh.name] = self.world.now_us()
-        start = self._begin_fault(node=fresh, what="start")
-        self.note_controls()
+        new_node = self.add(zone=node.zone, has_disk=True)
+        self.history.core_since[new_node.name] = self.world.now_us()
+        start = self._begin_fault(node=new_node, what="start")
+        self.record_control_addresses()
         self.seeds = [other.control for other in self.core()][:3]
-        await self._back(node=fresh, roles=fresh.roles, for_us=0, fault=start)
+        await self._restart(node=new_node, roles=new_node.roles, for_us=0, fault=start)
         self.reread_all()
-        return fresh
+        return new_node
 
     def lose(self, *, node: Node) -> None:
-        """A machine is gone for good, without a word."""
+        """Remove a machine for good, without a notification to its peers."""
         self._begin_fault(node=node, what="lost")
-        node.is_there = False
+        node.is_provisioned = False
         for process in node.processes.values():
             process.kill(is_power=True)
         node.machine.is_on = False
 
     async def start_new(self, *, zone: str) -> Node:
-        """A machine without a disk joins, under a new name and address."""
-        fresh = self.add(zone=zone, has_disk=False)
-        start = self._begin_fault(node=fresh, what="start")
-        await self._back(node=fresh, roles=fresh.roles, for_us=0, fault=start)
-        return fresh
+        """Start a new machine without a disk, with a new name and address."""
+        new_node = self.add(zone=zone, has_disk=False)
+        start = self._begin_fault(node=new_node, what="start")
+        await self._restart(node=new_node, roles=new_node.roles, for_us=0, fault=start)
+        return new_node
 
     def reread_all(self) -> None:
-        """Have every process reread its settings files."""
+        """Make every process reload its settings."""
         for node in self.there():
             self.reread(node=node)
 
@@ -402,7 +406,7 @@
                 )
 
     async def disturb_disk(self, *, node: Node, how: str, for_us: int) -> None:
-        """A disk runs slow, hangs, or refuses writes for a while."""
+        """Make a disk slow, stalled or full for a while; `how` is "slow", "stall" or "full"."""
         fault = self._begin_fault(node=node, what="disk")
         platter = node.machine.platter
         platter.slow = 30 if how == "slow" else 1
@@ -420,5 +424,5 @@
 
 
 def every(things: list, work: Callable) -> Any:
-    """Do the same with several things at once."""
+    """Run the same coroutine function for several items concurrently."""
     return asyncio.gather(*(work(thing) for thing in things))
--- a/kelpstage/testbed/platform_model/net.py
+++ b/kelpstage/testbed/platform_model/net.py
@@ -1,7 +1,7 @@
-"""The simulated network of the platform: places, connections that are kept, HTTP over them.
+"""The simulated network of the platform: delays, persistent connections and HTTP.
 
-Connections are modelled one by one (opened, busy, idle, closed by either side, reset), bytes
-are not: a request and an answer travel whole, or are cut off, or are no answer at all.
+Each connection is modelled (opened, busy, idle, closed by either side, reset), but bytes are
+not: a request or a reply arrives complete, truncated, or as invalid data.
 """
 
 from __future__ import annotations
@@ -16,84 +16,88 @@
 from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply, Owner
 from kelpstage.testbed.simulation.world import Listener, Machine, SimNet, SimProcess, World, _Closer
 
-SYN_AGAIN_US = 1_000_000
-IDLE_US = 20_000_000
-WHOLE, CUT_OFF, GARBAGE, CLOSED, RESET = "whole", "cut off", "garbage", "closed", "reset"
+SYN_RETRY_US = 1_000_000
+IDLE_TIMEOUT_US = 20_000_000
+COMPLETE, CUT_OFF, GARBAGE, CLOSED, RESET = "whole", "cut off", "garbage", "closed", "reset"
 
 
 @dataclass(kw_only=True)
 class PlatformWorld(World):
-    """A world whose delays are those between zones, regions and clients."""
+    """A world with delays between zones, between regions, and between clients and nodes."""
 
     regions: dict[str, str] = field(default_factory=dict)
     zone_us: int = 1_400
     region_us: int = 8_000
     client_us: int = 1_000
-    slowed: dict[str, int] = field(default_factory=dict)  # machine -> extra one way
+    extra_delay_us: dict[str, int] = field(default_factory=dict)  # machine -> extra one-way delay
 
     def delay_us(self, *, source: Machine, target: Machine) -> int:
-        """The one-way delay in microseconds: by distance, -5 % to +10 %, and what is slowed.
+        """The one-way delay in microseconds: by distance, with -5 % to +10 % jitter, plus extra.
 
         Within one machine it is 30.
         """
         if source is target:
             return 30
-        extra = self.slowed.get(source.name, 0) + self.slowed.get(target.name, 0)
-        return extra + int(self._way_us(a=source, b=target) * (0.95 + self.rand.random() * 0.15))
+        extra = self.extra_delay_us.get(source.name, 0) + self.extra_delay_us.get(target.name, 0)
+        return extra + int(
+            self._base_delay_us(a=source, b=target) * (0.95 + self.rand.random() * 0.15)
+        )
 
-    def _way_us(self, *, a: Machine, b: Machine) -> int:
+    def _base_delay_us(self, *, a: Machine, b: Machine) -> int:
         base_us = self.client_us if "clients" in (a.name[:7], b.name[:7]) else 0
         if a.zone == b.zone or not a.zone or not b.zone:
             return max(base_us, 200)
-        is_near = self.regions.get(a.zone) == self.regions.get(b.zone)
-        return base_us + (self.zone_us if is_near else self.region_us)
+        is_same_region = self.regions.get(a.zone) == self.regions.get(b.zone)
+        return base_us + (self.zone_us if is_same_region else self.region_us)
 
-    def carry(
+    def transmit(
         self, *, source: Machine, target: Machine, callback: Callable[[], None], order: "Order"
     ) -> None:
-        """Bring something across, in order; what meets a cut waits until it heals."""
+        """Run a callback at the target, in order; across a partition it waits until that heals."""
         if not self.is_open(source=source, target=target):
             self.waits.append(
-                lambda: self.carry(source=source, target=target, callback=callback, order=order)
+                lambda: self.transmit(source=source, target=target, callback=callback, order=order)
             )
             return
         delay_us = self.delay_us(source=source, target=target)
-        order.free_us = max(order.free_us + 1, self.now_us() + delay_us)
-        self.at(us=order.free_us, callback=callback)
+        order.earliest_us = max(order.earliest_us + 1, self.now_us() + delay_us)
+        self.at(us=order.earliest_us, callback=callback)
 
 
 @dataclass(kw_only=True)
 class Order:
-    """When the next thing may arrive, in one direction of a connection."""
+    """Keeps the order of delivery in one direction of a connection."""
 
-    free_us: int = 0
+    earliest_us: int = 0
 
 
 class HttpProcess(SimProcess):
-    """A process whose connections end with it."""
+    """A process that closes its connections when it ends."""
 
     def __init__(self, **fields: Any) -> None:
         super().__init__(**fields)
-        self.served: dict[int, "HttpLine"] = {}
-        self.on_own_end: Callable[[BaseException], None] = lambda error: None
-        self.message_us = 0  # of the processor's time, for whatever comes in
-        self._free_us = 0
+        self.accepted_connections: dict[int, "HttpLine"] = {}
+        self.on_unhandled_error: Callable[[BaseException], None] = lambda error: None
+        self.message_us = 0  # processor time for each incoming message
+        self._busy_until_us = 0
         self.ports.net = PlatformNet(process=self)
-        self.ports.on_broken = lambda error: self.on_own_end(error)
+        self.ports.on_broken = lambda error: self.on_unhandled_error(error)
 
     def deliver(self, callback: Callable[[], None]) -> None:
-        """Something comes in; it is taken when what came before has had its time."""
+        """Run a callback for an incoming message after the processor time of earlier messages."""
         if not self.message_us or not self.is_alive:
             super().deliver(callback)
             return
         world = self.world
-        self._free_us = max(self._free_us, world.now_us()) + self.message_us
-        world.at(us=self._free_us, callback=lambda: super(HttpProcess, self).deliver(callback))
+        self._busy_until_us = max(self._busy_until_us, world.now_us()) + self.message_us
+        world.at(
+            us=self._busy_until_us, callback=lambda: super(HttpProcess, self).deliver(callback)
+        )
 
     def _ended(self, task: asyncio.Future) -> None:
         self._tasks.pop(task, None)
         if not task.cancelled() and task.exception() is not None and self.is_alive:
-            self.on_own_end(task.exception())
+            self.on_unhandled_error(task.exception())
 
     def kill(self, *, is_power: bool = False) -> None:
         """End the process and its connections, served and opened.
@@ -103,13 +107,13 @@
         if not self.is_alive:
             return
         super().kill(is_power=is_power)
-        for line in list(self.served.values()):
-            line.server_ends(how=RESET if line.call is not None else CLOSED)
-        self.ports.net.drop_all()
+        for connection in list(self.accepted_connections.values()):
+            connection.close_from_server(how=RESET if connection.call is not None else CLOSED)
+        self.ports.net.close_all()
 
 
 class HttpLine:
-    """One connection of a caller to a listener; one exchange at a time."""
+    """One connection from a client process to a listener, with one exchange at a time."""
 
     def __init__(self, *, net: "PlatformNet", address: str, listener: Listener) -> None:
         world = net.process.world
@@ -119,22 +123,22 @@
         self.net = net
         self.address = address
         self.listener = listener
-        self.is_open = True  # as the caller knows
-        self.is_served = True  # as the server knows
+        self.is_open = True  # state at the client
+        self.is_open_at_server = True  # state at the server
         self.is_rejected = False
-        self.use_until_us = 0
+        self.reusable_until_us = 0
         self.read_us = 0
         self.call: HttpCall | None = None
         self.sent_us = 0
         self.pool: _Pool | None = None
-        self.is_fit = True
+        self.allows_reuse = True
         self.requests = 0
-        self.on_unasked: Callable[[HttpReply], None] | None = None
+        self.on_unsolicited_reply: Callable[[HttpReply], None] | None = None
         self._future: asyncio.Future | None = None
-        self._asked: HttpCall | None = None
-        self._task: asyncio.Future | None = None  # the handler of the request in work
-        self._out, self._back = Order(), Order()
-        listener.process.served[self.serial] = self
+        self._pending_call: HttpCall | None = None
+        self._task: asyncio.Future | None = None  # the handler of the current request
+        self._request_order, self._reply_order = Order(), Order()
+        listener.process.accepted_connections[self.serial] = self
 
     @property
     def caller(self) -> Machine:
@@ -146,25 +150,25 @@
         """The machine that accepted the connection."""
         return self.listener.process.machine
 
-    # --- the caller's side ---------------------------------------------------------------
+    # --- client side ----------------------------------------------------------------------
 
     def is_usable(self) -> bool:
-        """May the caller begin another exchange on this connection now?"""
-        return self.is_open and self.world.now_us() < self.use_until_us
+        """True if the client may start another exchange on this connection now."""
+        return self.is_open and self.world.now_us() < self.reusable_until_us
 
     async def exchange(self, *, call: HttpCall, deadline_us: int) -> HttpReply | KelpstageError:
         """Send a request, wait for its reply; timeout or cancellation closes the connection."""
         self._future = asyncio.get_running_loop().create_future()
-        self._asked = call
+        self._pending_call = call
         self.read_us = 0
         self.requests += 1
         self.sent_us = self.world.now_us()
-        taken = _taken_in(call=call, address=self.address)
-        self.world.carry(
+        received = _received_call(call=call, address=self.address)
+        self.world.transmit(
             source=self.caller,
             target=self.server,
-            callback=lambda: self._reach(call=taken),
-            order=self._out,
+            callback=lambda: self._on_request_arrival(call=received),
+            order=self._request_order,
         )
         clock = self.net.process.ports.clock
         try:
@@ -172,7 +176,7 @@
         except asyncio.CancelledError:
             self.close()
             raise
-        self._future = self._asked = None
+        self._future = self._pending_call = None
         if outcome is None:
             self.close()
             return ReplyTimeoutError(address=self.address, after_us=call.wait_us)
@@ -181,122 +185,124 @@
         return outcome
 
     def close(self) -> None:
-        """The caller ends the connection."""
+        """Close the connection from the client's side."""
         if not self.is_open:
             return
         self.is_open = False
         if self.pool is not None:
-            self.pool.forget(line=self)
-        self.world.carry(
+            self.pool.discard(connection=self)
+        self.world.transmit(
             source=self.caller,
             target=self.server,
-            callback=lambda: self.listener.process.deliver(self._caller_gone),
-            order=self._out,
+            callback=lambda: self.listener.process.deliver(self._on_caller_close),
+            order=self._request_order,
         )
 
-    def _caller_gone(self) -> None:
-        if not self.is_served:
+    def _on_caller_close(self) -> None:
+        if not self.is_open_at_server:
             return
-        self.is_served = False
-        self.listener.process.served.pop(self.serial, None)
+        self.is_open_at_server = False
+        self.listener.process.accepted_connections.pop(self.serial, None)
         if self.listener.is_cancelling and self._task is not None:
             self._task.cancel()
-        gone = getattr(self.listener.on_event, "line_gone", None)
-        if gone is not None:
-            gone(line=self)
+        on_close = getattr(self.listener.on_event, "line_gone", None)
+        if on_close is not None:
+            on_close(connection=self)
 
-    def take(self, *, pieces: list[tuple[str, HttpReply | None]]) -> None:
-        """What the server sent reaches the caller."""
-        self.net.process.deliver(lambda: self._take(pieces=pieces))
+    def receive(self, *, pieces: list[tuple[str, HttpReply | None]]) -> None:
+        """Receive at the client what the server sent."""
+        self.net.process.deliver(lambda: self._process_pieces(pieces=pieces))
 
-    def _take(self, *, pieces: list[tuple[str, HttpReply | None]]) -> None:
+    def _process_pieces(self, *, pieces: list[tuple[str, HttpReply | None]]) -> None:
         if not self.is_open:
             return
-        for place, (how, reply) in enumerate(pieces):
+        for index, (how, reply) in enumerate(pieces):
             if self._future is None or self._future.done():
-                if how == WHOLE and self.on_unasked is not None:
-                    self.on_unasked(reply)
-                self.close()  # bytes, or an end, that belong to no request
+                if how == COMPLETE and self.on_unsolicited_reply is not None:
+                    self.on_unsolicited_reply(reply)
+                self.close()  # data or an end that belongs to no request
                 return
-            if how != WHOLE:
+            if how != COMPLETE:
                 self._future.set_result(ConnectionLostError(address=self.address, why=how))
                 return
-            owner_of = self._asked.owner_of
+            owner_of = self._pending_call.owner_of
             owner = Owner.OURS if owner_of is None else owner_of(reply)
             if owner != Owner.OURS:
-                self.is_fit = False
+                self.allows_reuse = False
             if owner == Owner.OTHERS:
                 continue
-            is_alone = place == len(pieces) - 1
-            self._keep(reply=reply, is_alone=is_alone)
+            is_only_piece = index == len(pieces) - 1
+            self._update_reuse(reply=reply, is_only_piece=is_only_piece)
             self._future.set_result(reply)
-            if not is_alone:
+            if not is_only_piece:
                 return
 
-    def _keep(self, *, reply: HttpReply, is_alone: bool) -> None:
-        kept = reply.headers.get("keep-alive", "")
-        seconds = kept.partition("timeout=")[2].partition(",")[0]
-        span_us = max(0, int(seconds) * 1_000_000 - 1_000_000) if seconds.isdigit() else IDLE_US
-        self.use_until_us = self.world.now_us() + span_us
-        if not is_alone or reply.headers.get("connection", "").lower() == "close":
-            self.is_fit = False
+    def _update_reuse(self, *, reply: HttpReply, is_only_piece: bool) -> None:
+        keep_alive = reply.headers.get("keep-alive", "")
+        seconds = keep_alive.partition("timeout=")[2].partition(",")[0]
+        span_us = (
+            max(0, int(seconds) * 1_000_000 - 1_000_000) if seconds.isdigit() else IDLE_TIMEOUT_US
+        )
+        self.reusable_until_us = self.world.now_us() + span_us
+        if not is_only_piece or reply.headers.get("connection", "").lower() == "close":
+            self.allows_reuse = False
 
-    # --- the server's side -----------------------------------------------------------------
+    # --- server side ----------------------------------------------------------------------
 
-    def _reach(self, *, call: HttpCall) -> None:
+    def _on_request_arrival(self, *, call: HttpCall) -> None:
         process = self.listener.process
-        if not self.is_served or not process.is_alive:
-            self._answer_later(pieces=[(RESET, None)])
+        if not self.is_open_at_server or not process.is_alive:
+            self._send_reply(pieces=[(RESET, None)])
             return
-        process.deliver(lambda: self._read(call=call))
+        process.deliver(lambda: self._start_handler(call=call))
 
-    def _read(self, *, call: HttpCall) -> None:
-        if not self.is_served:
+    def _start_handler(self, *, call: HttpCall) -> None:
+        if not self.is_open_at_server:
             return
         self.call = call
         self.read_us = self.world.now_us()
         handler = getattr(self.listener.on_event, "take", None)
         if handler is not None:
-            handler(line=self, call=call)
+            handler(connection=self, call=call)
             return
         self._task = self.listener.process.spawn(self._serve(call=call))
 
     async def _serve(self, *, call: HttpCall) -> None:
         reply = await self.listener.on_event(call)
         if reply is None:
-            self.server_ends(how=CLOSED)
+            self.close_from_server(how=CLOSED)
             return
-        self.reply(pieces=[(WHOLE, _sent_out(reply=reply))])
+        self.reply(pieces=[(COMPLETE, _sent_reply(reply=reply))])
         if reply.headers.get("Connection", "").lower() == "close":
-            self.server_ends(how=CLOSED)
+            self.close_from_server(how=CLOSED)
 
     def reply(self, *, pieces: list[tuple[str, HttpReply | None]]) -> None:
-        """The server answers on this connection."""
+        """Send a reply from the server on this connection."""
         self.call = None
-        if self.is_served:
-            self._answer_later(pieces=pieces)
+        if self.is_open_at_server:
+            self._send_reply(pieces=pieces)
 
-    def _answer_later(self, *, pieces: list[tuple[str, HttpReply | None]]) -> None:
-        self.world.carry(
+    def _send_reply(self, *, pieces: list[tuple[str, HttpReply | None]]) -> None:
+        self.world.transmit(
             source=self.server,
             target=self.caller,
-            callback=lambda: self.take(pieces=pieces),
-            order=self._back,
+            callback=lambda: self.receive(pieces=pieces),
+            order=self._reply_order,
         )
 
-    def server_ends(self, *, how: str) -> None:
-        """The server's side of the connection ends."""
-        if not self.is_served:
+    def close_from_server(self, *, how: str) -> None:
+        """Close or reset the connection from the server's side."""
+        if not self.is_open_at_server:
             return
-        self.is_served = False
-        self.listener.process.served.pop(self.serial, None)
-        gone = getattr(self.listener.on_event, "line_gone", None)
-        if gone is not None:
-            gone(line=self)
-        self._answer_later(pieces=[(how, None)])
+        self.is_open_at_server = False
+        self.listener.process.accepted_connections.pop(self.serial, None)
+        on_close = getattr(self.listener.on_event, "line_gone", None)
+        if on_close is not None:
+            on_close(connection=self)
+        self._send_reply(pieces=[(how, None)])
 
 
-def _taken_in(*, call: HttpCall, address: str) -> HttpCall:
+def _received_call(*, call: HttpCall, address: str) -> HttpCall:
     target = "/" + call.url.removeprefix("http://").partition("/")[2]
     headers = {name.lower(): value for name, value in call.headers.items()}
     headers.setdefault("host", address)
@@ -312,42 +318,42 @@
     )
 
 
-def _sent_out(*, reply: HttpReply) -> HttpReply:
+def _sent_reply(*, reply: HttpReply) -> HttpReply:
     headers = {name.lower(): value for name, value in reply.headers.items()}
     return HttpReply(status=reply.status, headers=headers, body=reply.body)
 
 
 class _Pool:
-    """A caller's kept connections to one address."""
+    """A client's pool of persistent connections to one address."""
 
     def __init__(self) -> None:
         self.idle: list[HttpLine] = []
         self.count = 0
         self.waiting: deque[asyncio.Future] = deque()
 
-    def fresh(self) -> HttpLine | None:
+    def acquire_idle(self) -> HttpLine | None:
         while self.idle:
-            line = self.idle.pop()
-            if line.is_usable():
-                return line
-            line.close()
+            connection = self.idle.pop()
+            if connection.is_usable():
+                return connection
+            connection.close()
         return None
 
-    def release(self, *, line: HttpLine) -> None:
+    def release(self, *, connection: HttpLine) -> None:
         while self.waiting:
             future = self.waiting.popleft()
             if not future.done():
-                future.set_result(line)
+                future.set_result(connection)
                 return
-        self.idle.append(line)
+        self.idle.append(connection)
 
-    def forget(self, *, line: HttpLine) -> None:
-        if line in self.idle:
-            self.idle.remove(line)
-        line.pool = None
-        self.give_up_place()
+    def discard(self, *, connection: HttpLine) -> None:
+        if connection in self.idle:
+            self.idle.remove(connection)
+        connection.pool = None
+        self.release_slot()
 
-    def give_up_place(self) -> None:
+    def release_slot(self) -> None:
         while self.waiting:
             future = self.waiting.popleft()
             if not future.done():
@@ -357,7 +363,7 @@
 
 
 class PlatformNet(SimNet):
-    """A process's network: HTTP over pooled connections or new ones."""
+    """A process's network interface: HTTP over pooled or new connections."""
 
     def __init__(self, *, process: SimProcess) -> None:
         super().__init__(process=process)
@@ -386,89 +392,98 @@
 
         def close() -> None:
             outcome.close()
-            for line in list(self.process.served.values()):
-                if line.listener is listener and line.call is None:
-                    line.server_ends(how=CLOSED)  # idle ones end, busy ones are finished
+            for connection in list(self.process.accepted_connections.values()):
+                if connection.listener is listener and connection.call is None:
+                    connection.close_from_server(how=CLOSED)  # busy ones finish their exchange
 
         return _Closer(close=close)
 
-    async def open_line(self, *, address: str, deadline_us: int) -> HttpLine | KelpstageError:
-        """A new connection; a way that is cut or a machine without power hangs."""
-        world, clock, here = self.process.world, self.process.ports.clock, self.process.machine
+    async def open_connection(self, *, address: str, deadline_us: int) -> HttpLine | KelpstageError:
+        """Open a connection, or return an error after the deadline.
+
+        A SYN to a partitioned, unknown or powered-off machine gets no reply and is repeated.
+        """
+        world, clock, source = self.process.world, self.process.ports.clock, self.process.machine
         started_us = world.now_us()
-        there = world.machine_at(address=address)
-        while there is None or not world.is_round_open(a=here, b=there):
+        target = world.machine_at(address=address)
+        while target is None or not world.is_round_open(a=source, b=target):
             left_us = deadline_us - world.now_us()
             if left_us <= 0:
                 return ReplyTimeoutError(
                     address=address, after_us=world.now_us() - started_us, was_sent=False
                 )
-            await clock.sleep(us=min(left_us, SYN_AGAIN_US))
-            there = world.machine_at(address=address)
-        trip_us = 2 * world.delay_us(source=here, target=there)
+            await clock.sleep(us=min(left_us, SYN_RETRY_US))
+            target = world.machine_at(address=address)
+        round_trip_us = 2 * world.delay_us(source=source, target=target)
         left_us = deadline_us - world.now_us()
-        await clock.sleep(us=min(trip_us, max(0, left_us)))
-        if trip_us > left_us:
-            return ReplyTimeoutError(address=address, after_us=trip_us, was_sent=False)
+        await clock.sleep(us=min(round_trip_us, max(0, left_us)))
+        if round_trip_us > left_us:
+            return ReplyTimeoutError(address=address, after_us=round_trip_us, was_sent=False)
         listener = world.listeners.get(f"http/{address}")
         if listener is None or not listener.process.is_alive:
             world.known_gone.setdefault(address, world.now_us())
             return ConnectError(address=address)
         self.opened += 1
-        line = HttpLine(net=self, address=address, listener=listener)
+        connection = HttpLine(net=self, address=address, listener=listener)
         accept = getattr(listener.on_event, "accept", None)
-        if accept is not None and not accept(line=line):
-            line.server_ends(how=RESET)
-        return line
+        if accept is not None and not accept(connection=connection):
+            connection.close_from_server(how=RESET)
+        return connection
 
     async def fetch(self, *, call: HttpCall) -> HttpReply | KelpstageError:
         """Send a request within `wait_us`, on a pooled connection if the call allows any.
 
-        A connection returns to its pool only if it is open and fit for another exchange.
+        A connection returns to its pool only if it can carry another exchange.
         """
         deadline_us = self.process.world.now_us() + call.wait_us
         address = call.url.removeprefix("http://").partition("/")[0]
         if call.connection_limit <= 0:
-            line = await self.open_line(address=address, deadline_us=deadline_us)
-            if isinstance(line, KelpstageError):
-                return line
-            outcome = await line.exchange(call=call, deadline_us=deadline_us)
-            line.close()
+            connection = await self.open_connection(address=address, deadline_us=deadline_us)
+            if isinstance(connection, KelpstageError):
+                return connection
+            outcome = await connection.exchange(call=call, deadline_us=deadline_us)
+            connection.close()
             return outcome
-        line = await self._kept(call=call, address=address, deadline_us=deadline_us)
-        if isinstance(line, KelpstageError):
-            return line
-        outcome = await line.exchange(call=call, deadline_us=deadline_us)
-        if line.is_open:
-            if line.is_fit and line.is_usable() and line.pool is not None:
-                line.pool.release(line=line)
+        connection = await self._pooled_connection(
+            call=call, address=address, deadline_us=deadline_us
+        )
+        if isinstance(connection, KelpstageError):
+            return connection
+        outcome = await connection.exchange(call=call, deadline_us=deadline_us)
+        if connection.is_open:
+            if connection.allows_reuse and connection.is_usable() and connection.pool is not None:
+                connection.pool.release(connection=connection)
             else:
-                line.close()
+                connection.close()
         return outcome
 
-    async def _kept(self, *, call: HttpCall, address: str, deadline_us: int) -> Any:
+    async def _pooled_connection(self, *, call: HttpCall, address: str, deadline_us: int) -> Any:
         pool = self._pools.setdefault(address, _Pool())
-        line = pool.fresh()
-        if line is not None:
-            return line
+        connection = pool.acquire_idle()
+        if connection is not None:
+            return connection
         if pool.count < call.connection_limit:
             pool.count += 1
         else:
-            found = await self._wait(pool=pool, call=call, address=address, deadline_us=deadline_us)
+            found = await self._wait_for_connection(
+                pool=pool, call=call, address=address, deadline_us=deadline_us
+            )
             if found is not None:
                 return found
         try:
-            line = await self.open_line(address=address, deadline_us=deadline_us)
+            connection = await self.open_connection(address=address, deadline_us=deadline_us)
         except BaseException:
-            pool.give_up_place()
+            pool.release_slot()
             raise
-        if isinstance(line, KelpstageError):
-            pool.give_up_place()
-            return line
-        line.pool = pool
-        return line
-
-    async def _wait(self, *, pool: _Pool, call: HttpCall, address: str, deadline_us: int) -> Any:
+        if isinstance(connection, KelpstageError):
+            pool.release_slot()
+            return connection
+        connection.pool = pool
+        return connection
+
+    async def _wait_for_connection(
+        self, *, pool: _Pool, call: HttpCall, address: str, deadline_us: int
+    ) -> Any:
         future = asyncio.get_running_loop().create_future()
         pool.waiting.append(future)
         left_us = deadline_us - self.process.world.now_us()
@@ -476,16 +491,16 @@
         if not future.done():
             future.cancel()
             return ReplyTimeoutError(address=address, after_us=call.wait_us, was_sent=False)
-        line = future.result()
-        if line is not None and not line.is_usable():
-            line.pool = None
-            line.close()
+        connection = future.result()
+        if connection is not None and not connection.is_usable():
+            connection.pool = None
+            connection.close()
             return None
-        return line
+        return connection
 
-    def drop_all(self) -> None:
-        """The process is gone: the other sides see its connections end."""
+    def close_all(self) -> None:
+        """Close all pooled connections after the process has ended."""
         for pool in list(self._pools.values()):
-            for line in list(pool.idle):
-                line.close()
+            for connection in list(pool.idle):
+                connection.close()
         self._pools.clear()
--- a/kelpstage/testbed/platform_model/operator.py
+++ b/kelpstage/testbed/platform_model/operator.py
@@ -1,4 +1,4 @@
-"""The operator: sends whole configurations, repeats what got no clear answer, reads back."""
+"""The operator: writes configurations, retries writes without a clear answer, reads back."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from kelpstage.testbed.platform_model.history import History, Order, ReadBack, RouteSpec
 from kelpstage.testbed.platform_model.net import HttpProcess, PlatformWorld
 
-CONFLICTS = frozenset((409, 412))
-ENDS_AT_ONCE = frozenset((400, 413, 422)) | CONFLICTS
-MOVES_ON = frozenset((408, 429))
-NOTHING_YET = 404  # a read's answer before the first configuration
-REFUSALS = 3  # of another kind, until an order counts as refused
-SILENCE_US = 1_000_000
-FIRST_PAUSE_US, LAST_PAUSE_US = 100_000, 1_500_000
-REDIRECTS = 2
+CONFLICT_STATUSES = frozenset((409, 412))
+REJECTED_STATUSES = frozenset((400, 413, 422)) | CONFLICT_STATUSES
+RETRYABLE_STATUSES = frozenset((408, 429))
+NO_CONFIGURATION_STATUS = 404  # the status of a read before the first configuration
+OTHER_REJECTIONS_LIMIT = 3  # other 4xx replies until an order counts as rejected
+CALL_TIMEOUT_US = 1_000_000
+MIN_BACKOFF_US, MAX_BACKOFF_US = 100_000, 1_500_000
+MAX_REDIRECTS = 2
 
 
 class Operator:
-    """One operator; `addresses` gives the nodes that serve control, as its list shows them."""
+    """One operator; `addresses` returns the control addresses that it sees at present."""
 
     def __init__(
         self,
@@ -41,8 +41,8 @@
         self._rand = rand
         self._addresses = addresses
         self.lose_share = 0.0
-        self.revision = 0  # the newest that this operator knows to be in force
-        self.body = b""  # of the newest that it read
+        self.revision = 0  # the newest revision that this operator knows to be in force
+        self.body = b""  # of the newest configuration that it read
         self.on_acked: Callable[[Order, str], None] = lambda order, address: None
 
     def draft_order(
@@ -54,10 +54,10 @@
         routes: tuple[RouteSpec, ...],
         is_valid: bool = True,
     ) -> Order:
-        """A configuration to send, with a key from its place in the history.
+        """A configuration write, with a key from its position in the history.
 
         `base` is the revision that it replaces; `is_valid` is false for a document that
-        the product must refuse.
+        the product must reject.
         """
         return Order(
             key=f"o{len(self._history.orders)}-{revision}",
@@ -69,25 +69,25 @@
         )
 
     async def send(self, *, order: Order, give_up_us: int = 40_000_000) -> Order:
-        """Send an order until there is a clear answer; 0 for `give_up_us` means never."""
+        """Send an order until it has a clear answer or `give_up_us` is over; 0 never gives up."""
         order.sent_us = self._world.now_us()
         self._history.orders.append(order)
-        pause_us, others = FIRST_PAUSE_US, 0
+        backoff_us, other_rejections = MIN_BACKOFF_US, 0
         while not give_up_us or self._world.now_us() < order.sent_us + give_up_us:
             status = await self.send_once(order=order)
             if status == 200:
                 return order
-            others += 400 <= status < 500 and status not in MOVES_ON
-            if status in ENDS_AT_ONCE or others >= REFUSALS:
+            other_rejections += 400 <= status < 500 and status not in RETRYABLE_STATUSES
+            if status in REJECTED_STATUSES or other_rejections >= OTHER_REJECTIONS_LIMIT:
                 order.refused_us = order.ended_us = self._world.now_us()
                 return order
-            await self._process.ports.clock.sleep(us=pause_us)
-            pause_us = min(LAST_PAUSE_US, pause_us * 2)
+            await self._process.ports.clock.sleep(us=backoff_us)
+            backoff_us = min(MAX_BACKOFF_US, backoff_us * 2)
         order.ended_us = self._world.now_us()
         return order
 
     async def send_once(self, *, order: Order) -> int:
-        """One call with an order, as it is, to any node; its status, 0 for no answer."""
+        """Send an order once to a random address; the status of the reply, 0 if there is none."""
         sent_us = self._world.now_us()
         address = self._rand.choice(self._addresses())
         reply = await self._call(
@@ -99,10 +99,10 @@
         )
         status = reply.status if isinstance(reply, HttpReply) else 0
         if status and self._rand.random() < self.lose_share:
-            status = 0  # the answer was lost on its way
+            status = 0  # the reply is lost
             order.lost_us.append(self._world.now_us())
         now_us = self._world.now_us()
-        answer = _answer_of(status=status)
+        answer = _classify_status(status=status)
         order.tries.append(Try(sent_us=sent_us, done_us=now_us, answer=answer))
         if status == 200:
             order.acked_us = order.acked_us or now_us
@@ -114,11 +114,11 @@
     async def _call(
         self, *, address: str, method: str, path: str, body: bytes = b"", base: int | None = None
     ) -> HttpReply | KelpstageError | None:
-        wait_us = SILENCE_US + len(body) * 4
+        wait_us = CALL_TIMEOUT_US + len(body) * 4
         headers = {"X-Base-Version": str(base)} if base is not None else {}
         headers["Content-Type"] = "application/json"
         url = f"http://{address}{path}"
-        for _ in range(1 + REDIRECTS):
+        for _ in range(1 + MAX_REDIRECTS):
             reply = await self._process.ports.net.fetch(
                 call=HttpCall(method=method, url=url, headers=headers, body=body, wait_us=wait_us)
             )
@@ -128,26 +128,26 @@
         return reply
 
     async def read(self) -> tuple[int, bytes] | None:
-        """What one node says is the newest configuration."""
+        """Read the newest configuration from a random address; `None` if there is none."""
         sent_us = self._world.now_us()
         address = self._rand.choice(self._addresses())
         reply = await self._call(address=address, method="GET", path="/api/Config.Read")
-        if not isinstance(reply, HttpReply) or reply.status not in (200, NOTHING_YET):
+        if not isinstance(reply, HttpReply) or reply.status not in (200, NO_CONFIGURATION_STATUS):
             return None
         revision, body = 0, b""
         if reply.status == 200:
-            revision, body = _revision_of(body=reply.body), reply.body
+            revision, body = _stated_revision(body=reply.body), reply.body
         now_us = self._world.now_us()
         self._history.reads.append(
             ReadBack(at_us=now_us, sent_us=sent_us, revision=revision, body=body)
         )
-        if reply.status == NOTHING_YET:
+        if reply.status == NO_CONFIGURATION_STATUS:
             return None
         self.body = body
         return revision, body
 
     async def catch_up(self) -> None:
-        """Learn which version is in force."""
+        """Read the revision in force, with up to 20 attempts."""
         for _ in range(20):
             found = await self.read()
             if found is not None:
@@ -155,8 +155,11 @@
                 return
             await asyncio.sleep(0.3)
 
-    async def read_back(self, *, for_us: int, most_us: int = 30_000_000) -> None:
-        """Read the configuration repeatedly for `for_us`; the last answers count."""
+    async def read_back(self, *, for_us: int, max_us: int = 30_000_000) -> None:
+        """Read the configuration repeatedly for `for_us` and record the last answer as final.
+
+        Without any answer it continues until `max_us`.
+        """
         started_us = self._world.now_us()
         last: tuple[int, bytes] | None = None
         while True:
@@ -167,7 +170,7 @@
                 self._history.read_backs.append(
                     ReadBack(at_us=now_us, revision=found[0], body=found[1])
                 )
-            if now_us - started_us >= (for_us if last is not None else most_us):
+            if now_us - started_us >= (for_us if last is not None else max_us):
                 break
             await asyncio.sleep(0.3)
         if last is not None:
@@ -176,18 +179,18 @@
             )
 
 
-def _answer_of(*, status: int) -> Answer:
+def _classify_status(*, status: int) -> Answer:
     if status == 200:
         return Answer.ACKNOWLEDGED
-    if status in CONFLICTS:
+    if status in CONFLICT_STATUSES:
         return Answer.CONFLICT
-    return Answer.INVALID if status in ENDS_AT_ONCE else Answer.UNCLEAR
+    return Answer.INVALID if status in REJECTED_STATUSES else Answer.UNCLEAR
 
 
-def _revision_of(*, body: bytes) -> int:
-    """The version that a configuration states; 0 if it is none.
+def _stated_revision(*, body: bytes) -> int:
+    """The revision that a configuration states; 0 if the body is not a configuration.
 
-    >>> _revision_of(body=b'{"Revision": 7}'), _revision_of(body=b"x")
+    >>> _stated_revision(body=b'{"Revision": 7}'), _stated_revision(body=b"x")
     (7, 0)
     """
     try:
--- a/kelpstage/testbed/platform_model/scenario.py
+++ b/kelpstage/testbed/platform_model/scenario.py
@@ -1,4 +1,4 @@
-"""One scenario from a seed: the platform's model around the product, then every checker."""
+"""Runs one seeded scenario of the platform model with the product, then every checker."""
 
 from __future__ import annotations
 
@@ -10,7 +10,12 @@
 
 from kelpstage.testbed.checkers.base import Violation
 from kelpstage.testbed.platform_model.backends import Park
-from kelpstage.testbed.platform_model.clients import Clients, Front, FrontNode, Owed
+from kelpstage.testbed.platform_model.clients import (
+    Clients,
+    KindScore,
+    LoadBalancer,
+    LoadBalancerNode,
+)
 from kelpstage.testbed.platform_model.cloud import CloudList
 from kelpstage.testbed.platform_model.faults import CLOSING_FAULTS, PLATFORM_FAULTS
 from kelpstage.testbed.platform_model.history import History, Order, Readiness
@@ -19,13 +24,13 @@
 from kelpstage.testbed.platform_model.operator import Operator
 from kelpstage.testbed.platform_model.rules.register import find_violations
 from kelpstage.testbed.platform_model.shape import SHAPES, Shape, with_orders
-from kelpstage.testbed.platform_model.traffic import Drafts, RouteDraft
+from kelpstage.testbed.platform_model.traffic import RouteDraft, RouteDrafts
 from kelpstage.testbed.simulation.loop import VirtualLoop
 
-CLOUD = "10.200.0.43:8224"
-FIRST_ORDER_US = 2_000_000
-DIRECT_EACH_S = 0.7
-DIRECT_TIMES = 8
+CLOUD_ADDRESS = "10.200.0.43:8224"
+FIRST_CONFIGURATION_US = 2_000_000
+DIRECT_INTERVAL_S = 0.7
+DIRECT_ROUNDS = 8
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -39,23 +44,23 @@
     faults: tuple[str, ...] = ()
     closing: str = ""
     has_orders: bool = True
-    start_us: int = 0  # when traffic starts, if not when the deployment says
-    settle_s: int = 6  # without faults, after the last one has ended
-    message_us: int = 150  # processor time of a node for each thing that comes in
+    start_us: int = 0  # when traffic starts; 0 for the deployment's time
+    settle_s: int = 6  # time without faults after the last one has ended
+    message_us: int = 150  # processor time of a node for each incoming message
 
 
 @dataclass(kw_only=True)
 class Outcome:
-    """The result of a scenario: violations, worth by kind, counts and history."""
+    """The result of a scenario: violations, scores by kind, counts and history."""
 
     plan: Plan
     violations: list[Violation]
-    owed: dict[str, Owed]
+    scores: dict[str, KindScore]
     counts: dict[str, int]
     history: History = field(repr=False)
 
 
-class Play:
+class ScenarioRun:
     """The state of one scenario while it runs."""
 
     def __init__(self, *, plan: Plan, world: PlatformWorld, shape: Shape) -> None:
@@ -63,15 +68,15 @@
         self.world = world
         self.shape = shape
         self.history = History(bounds=shape.bounds)
-        self._work: list[asyncio.Task] = []
+        self._tasks: list[asyncio.Task] = []
         rand = lambda word: random.Random(f"{plan.seed}/{word}")  # noqa: E731
         self.rand = rand("day")
         self.changing = asyncio.Lock()  # one change of the drafts at a time
-        self._losses = asyncio.Semaphore(shape.tolerance)
-        self.drafts = Drafts(shape=shape, rand=rand("drafts"))
+        self._loss_slots = asyncio.Semaphore(shape.tolerance)
+        self.drafts = RouteDrafts(shape=shape, rand=rand("drafts"))
         self.routes_in_use: dict[str, RouteDraft] = {}
         self.kinds = {kind.name: kind for kind in shape.kinds}
-        self._kind_of: dict[tuple[str, str], str] = {}
+        self._kind_names: dict[tuple[str, str], str] = {}
         self.park = Park(
             world=world,
             history=self.history,
@@ -79,8 +84,8 @@
             kind_of=self.kind_of,
             lag_us=shape.list_lag_us,
             drain_us=shape.bounds.drain_us,
-            reuse_us=shape.reuse_us,
-            make_process=self._process,
+            reuse_us=shape.address_reuse_us,
+            make_process=self._make_process,
             zones=list(shape.zones),
         )
         self.cloud = CloudList(
@@ -91,27 +96,27 @@
             shape=shape,
             history=self.history,
             rand=rand("fleet"),
-            cloud=CLOUD,
+            cloud=CLOUD_ADDRESS,
             list_per_s=shape.list_per_s,
             message_us=plan.message_us,
         )
-        cloud = self._process(name="cloud", machine="cloud", zone="")
-        world.homes[CLOUD] = cloud.machine
-        cloud.ports.net._listen(key=f"http/{CLOUD}", kind="http", on_event=self.cloud)
-        self.front = Front(process=cloud, shape=shape)
+        cloud = self._make_process(name="cloud", machine="cloud", zone="")
+        world.homes[CLOUD_ADDRESS] = cloud.machine
+        cloud.ports.net._listen(key=f"http/{CLOUD_ADDRESS}", kind="http", on_event=self.cloud)
+        self.front = LoadBalancer(process=cloud, shape=shape)
         processes = {
-            zone: self._process(name=f"clients/{zone}", machine=f"clients-{zone}", zone=zone)
+            zone: self._make_process(name=f"clients/{zone}", machine=f"clients-{zone}", zone=zone)
             for zone in shape.zones
         }
         self.clients = Clients(
             world=world,
             shape=shape,
             history=self.history,
-            front=self.front,
+            load_balancer=self.front,
             processes=processes,
             rand=rand("clients"),
             rate=plan.rate,
-            instance_of=self.fleet.instance_of,
+            incarnation_of=self.fleet.incarnation_of,
         )
         self.clients.drafts = self.drafts_in_use
         self.front.on_poll = self._note_readiness
@@ -120,55 +125,57 @@
                 world=world,
                 history=self.history,
                 rand=rand(word),
-                addresses=self.fleet.controls,
-                process=self._process(name=word, machine=word, zone=""),
+                addresses=self.fleet.control_addresses,
+                process=self._make_process(name=word, machine=word, zone=""),
             )
             for word in ("operator", "second operator")
         )
 
-    def _process(self, *, name: str, machine: str, zone: str) -> HttpProcess:
-        there = self.world.machines.get(machine)
-        if there is None:
-            there = self.world.add_machine(name=machine, zone=zone)
-        return HttpProcess(world=self.world, name=name, machine=there, instance=1)
+    def _make_process(self, *, name: str, machine: str, zone: str) -> HttpProcess:
+        host = self.world.machines.get(machine)
+        if host is None:
+            host = self.world.add_machine(name=machine, zone=zone)
+        return HttpProcess(world=self.world, name=name, machine=host, instance=1)
 
     def later(self, work: Awaitable) -> None:
-        """Run something as a task; `run` waits up to 90 s for all such tasks before the end."""
-        self._work.append(self.world.loop.create_task(work))
+        """Start a task; `run` waits up to 90 s for all such tasks before the end."""
+        self._tasks.append(self.world.loop.create_task(work))
 
     @contextlib.asynccontextmanager
     async def loss(self, *, node: Node | None) -> AsyncIterator[None]:
-        """Hold a place among the core faults that are tolerated at the same time.
+        """Hold one of the slots for core faults that are tolerated at the same time.
 
-        A machine without a disk needs none. The place is released `catch_up_us` after the
+        A machine without a disk needs no slot. The slot is released `catch_up_us` after the
         fault has ended.
         """
         if node is not None and not node.has_disk:
             yield
             return
-        await self._losses.acquire()
+        await self._loss_slots.acquire()
         try:
             yield
         finally:
-            self.later(self._borne())
+            self.later(self._release_loss_slot())
 
-    async def _borne(self) -> None:
+    async def _release_loss_slot(self) -> None:
         await asyncio.sleep(self.shape.catch_up_us / 1_000_000)
-        self._losses.release()
+        self._loss_slots.release()
 
-    # --- what is asked for --------------------------------------------------------------------
+    # --- routes and services --------------------------------------------------------------
 
     def kind_of(self, *, host: str, target: str) -> Any:
-        """The kind of request that a host and target belong to; `None` if no route has them.
+        """The kind of request of a host and target; `None` if no route matches.
 
-        Cached by host and folder of the path. Backends shape their replies by it.
+        The result is cached by host and parent path. Backends choose work and reply by it.
         """
         path = target.partition("?")[0]
         key = (host, path.rpartition("/")[0])
-        if key not in self._kind_of:
-            found = [d for d in self._all_drafts() if d.host == host and path.startswith(d.prefix)]
-            self._kind_of[key] = found[-1].kind if found else ""
-        return self.kinds.get(self._kind_of[key])
+        if key not in self._kind_names:
+            matching = [
+                d for d in self._all_drafts() if d.host == host and path.startswith(d.prefix)
+            ]
+            self._kind_names[key] = matching[-1].kind if matching else ""
+        return self.kinds.get(self._kind_names[key])
 
     def _all_drafts(self) -> list[RouteDraft]:
         return [*self.routes_in_use.values(), *self.drafts.routes.values()]
@@ -178,12 +185,12 @@
         return [draft for draft in self.routes_in_use.values() if draft.kind == kind]
 
     def start_services(self, *, names: tuple[str, ...], is_cold: bool = True) -> None:
-        """Every backend of the services, spread over the zones."""
+        """Start every backend of the services, spread over the zones."""
         zones = list(self.shape.zones)
-        for place, name in enumerate(names):
+        for index, name in enumerate(names):
             service = self.shape.services[name]
             for number in range(service.backends):
-                zone = zones[(place + number) % len(zones)]
+                zone = zones[(index + number) % len(zones)]
                 self.park.start(service=service, zone=zone, is_cold=is_cold)
 
     def _note_readiness(self, name: str, is_ready: bool) -> None:
@@ -191,9 +198,9 @@
         self.history.readiness.append(answer)
 
     def add_front(self, *, node: Node) -> None:
-        """Announce a machine to the platform's front, with a random share of its connections."""
+        """Add a machine to the load balancer, with a random share of the connections."""
         self.front.add(
-            node=FrontNode(
+            node=LoadBalancerNode(
                 name=node.name,
                 zone=node.zone,
                 front=node.front,
@@ -202,10 +209,13 @@
             )
         )
 
-    # --- the operator's orders ----------------------------------------------------------------
+    # --- configuration writes -------------------------------------------------------------
 
     async def put(self, *, before: dict[str, RouteDraft], who: Operator | None = None) -> Order:
-        """Send the drafts as they stand; on success clients use them."""
+        """Write the drafted routes; clients use them once the write is acknowledged.
+
+        After a failed write the drafts return to `before`, unless it is in force after all.
+        """
         who = who or self.operator
         revision = who.revision + self.rand.randrange(1, 4)
         order = who.draft_order(
@@ -214,11 +224,11 @@
             base=who.revision,
             routes=self.drafts.specs(),
         )
-        self._forget(before=before)
+        self._stop_using_removed_routes(before=before)
         await who.send(order=order)
         if order.acked_us:
             self.adopt()
-            self.later(self._ask_directly(before=before))
+            self.later(self._send_direct_requests(before=before))
         else:
             await who.catch_up()
             if who.revision != order.revision:
@@ -227,26 +237,26 @@
                 self.adopt()
         return order
 
-    def _forget(self, *, before: dict[str, RouteDraft]) -> None:
-        """Nobody is to use, while it is under way, a route that goes."""
+    def _stop_using_removed_routes(self, *, before: dict[str, RouteDraft]) -> None:
+        """Stop using removed routes before the write that removes them is sent."""
         for name in set(self.routes_in_use) - set(self.drafts.routes):
             del self.routes_in_use[name]
 
     def adopt(self) -> None:
-        """What was acknowledged is what clients use, once it is due everywhere."""
+        """Let clients use the acknowledged routes, new ones only after the time to apply."""
         routes = dict(self.drafts.routes)
         due_us = self.world.now_us() + self.shape.bounds.apply_us
-        late = {name: draft for name, draft in routes.items() if name not in self.routes_in_use}
-        self.routes_in_use = {name: d for name, d in routes.items() if name not in late}
-        self.world.at(us=due_us, callback=lambda: self._adopt_late(late=late))
+        added = {name: draft for name, draft in routes.items() if name not in self.routes_in_use}
+        self.routes_in_use = {name: d for name, d in routes.items() if name not in added}
+        self.world.at(us=due_us, callback=lambda: self._adopt_late(added=added))
 
-    def _adopt_late(self, *, late: dict[str, RouteDraft]) -> None:
-        for name, draft in late.items():
+    def _adopt_late(self, *, added: dict[str, RouteDraft]) -> None:
+        for name, draft in added.items():
             if self.drafts.routes.get(name) == draft:
                 self.routes_in_use[name] = draft
 
     async def race(self, rand: random.Random) -> None:
-        """Two changes on top of one version; the loser learns what is in force."""
+        """Two operators write different changes on the same base; the drafts follow the winner."""
         await self.second.catch_up()
         base = self.second.revision = self.operator.revision
         before = dict(self.drafts.routes)
@@ -273,7 +283,7 @@
                 self.adopt()
 
     async def put_invalid(self, rand: random.Random) -> None:
-        """Each of the ways in which a configuration is invalid."""
+        """Write six configurations, each invalid in another way."""
         import json
 
         revision = self.operator.revision
@@ -307,81 +317,81 @@
             )
             await self.operator.send(order=order, give_up_us=15_000_000)
 
-    # --- requests straight to nodes -----------------------------------------------------------
+    # --- requests to chosen nodes ---------------------------------------------------------
 
-    async def _ask_directly(self, *, before: dict[str, RouteDraft]) -> None:
-        """Routes just added or removed, or that never were, at each node that takes clients."""
+    async def _send_direct_requests(self, *, before: dict[str, RouteDraft]) -> None:
+        """Request changed, removed and unknown routes from each node in rotation."""
         now = dict(self.drafts.routes)
         changed = [d for n, d in now.items() if n not in before][:2]
         changed += [d for n, d in before.items() if n not in now][:2]
         changed += [d for n, d in now.items() if n in before and before[n] != d][:2]
         kind = self.shape.kinds[0]
-        never = RouteDraft(
+        unknown_route = RouteDraft(
             name="never", kind=kind.name, host="never.example", prefix="/never/", deadline_ms=800
         )
-        for _ in range(DIRECT_TIMES):
-            await asyncio.sleep(DIRECT_EACH_S)
+        for _ in range(DIRECT_ROUNDS):
+            await asyncio.sleep(DIRECT_INTERVAL_S)
             for node in list(self.front.nodes.values()):
-                if not node.is_in:
+                if not node.is_in_rotation:
                     continue
-                draft = self.rand.choice([*changed, never])
+                draft = self.rand.choice([*changed, unknown_route])
                 self.later(
-                    self.clients.ask_node(node=node, draft=draft, kind=self.kinds[draft.kind])
+                    self.clients.send_to_node(node=node, draft=draft, kind=self.kinds[draft.kind])
                 )
 
-    # --- the scenario -------------------------------------------------------------------------
+    # --- the scenario ---------------------------------------------------------------------
 
     async def run(self) -> None:
         """Run the whole scenario: start, traffic, faults, closing fault, final reads."""
         shape = self.shape
         self.start_services(names=(*shape.index, shape.single, shape.other), is_cold=False)
         self.later(self.fleet.start_all())
-        await asyncio.sleep(FIRST_ORDER_US / 1_000_000)
+        await asyncio.sleep(FIRST_CONFIGURATION_US / 1_000_000)
         for node in self.fleet.there():
             self.add_front(node=node)
-        await self._first_order()
+        await self._send_first_configuration()
         now_us = self.world.now_us()
         start_us = self.plan.start_us or shape.start_us
         await asyncio.sleep(max(0, start_us - now_us) / 1_000_000)
         self.history.traffic_us = self.world.now_us()
         self.clients.start()
-        for place, name in enumerate(self.plan.faults):
-            self.later(self._begin_fault(name=name, place=place))
+        for index, name in enumerate(self.plan.faults):
+            self.later(self._run_fault(name=name, index=index))
         await asyncio.sleep(self.plan.seconds)
-        await self._finish_work()
+        await self._wait_for_faults()
         if self.plan.closing:
-            await self._close()
+            await self._run_closing_fault()
         await self.clients.drain()
         self.operator.lose_share = 0.0
         await self.operator.read_back(for_us=self.history.bounds.touch_us)
         self.history.end_us = self.world.now_us()
 
-    async def _first_order(self) -> None:
+    async def _send_first_configuration(self) -> None:
         order = self.operator.draft_order(
             body=self.drafts.body(revision=1), revision=1, base=0, routes=self.drafts.specs()
         )
         self.routes_in_use = dict(self.drafts.routes)
         await self.operator.send(order=order, give_up_us=60_000_000)
 
-    async def _begin_fault(self, *, name: str, place: int) -> None:
-        rand = random.Random(f"{self.plan.seed}/{name}/{place}")
-        last_s = max(1.0, self.plan.seconds * 0.5)
-        await asyncio.sleep(2 + rand.random() * last_s)
+    async def _run_fault(self, *, name: str, index: int) -> None:
+        rand = random.Random(f"{self.plan.seed}/{name}/{index}")
+        latest_s = max(1.0, self.plan.seconds * 0.5)
+        await asyncio.sleep(2 + rand.random() * latest_s)
         await PLATFORM_FAULTS[name](self, rand)
 
-    async def _finish_work(self) -> None:
+    async def _wait_for_faults(self) -> None:
         """Wait up to 90 s for the faults to end, then `settle_s` more."""
-        ends_s = self.world.loop.time() + 90
-        while any(not task.done() for task in self._work) and self.world.loop.time() < ends_s:
-            pending = [task for task in self._work if not task.done()]
+        deadline_s = self.world.loop.time() + 90
+        while any(not task.done() for task in self._tasks) and self.world.loop.time() < deadline_s:
+            pending = [task for task in self._tasks if not task.done()]
             await asyncio.wait(pending, timeout=1)
-        for task in self._work:
+        for task in self._tasks:
             if task.done() and not task.cancelled() and task.exception() is not None:
                 raise task.exception()
         await asyncio.sleep(self.plan.settle_s)
 
-    async def _close(self) -> None:
-        """A change, the closing fault right after it, traffic that goes on."""
+    async def _run_closing_fault(self) -> None:
+        """Write a change, inject the closing fault right after it, and keep the traffic running."""
         rand = random.Random(f"{self.plan.seed}/closing")
         await PLATFORM_FAULTS["config_change"](self, rand)
         self.history.closing_us = self.world.now_us()
@@ -390,7 +400,7 @@
         await asyncio.sleep(self.history.bounds.recovery_us / 1_000_000 + self.plan.settle_s)
 
 
-def play_scenario(*, plan: Plan) -> Outcome:
+def run_scenario(*, plan: Plan) -> Outcome:
     """Run a scenario and check its history; the same plan gives the same history."""
     shape = SHAPES[plan.deployment]()
     if plan.has_orders:
@@ -406,58 +416,59 @@
         client_us=shape.client_us,
     )
     try:
-        play = loop.run_until_complete(_run(plan=plan, world=world, shape=shape))
+        run = loop.run_until_complete(_run_to_end(plan=plan, world=world, shape=shape))
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
         loop.run_until_complete(asyncio.sleep(0))
         asyncio.set_event_loop(None)
         loop.close()
-    violations = find_violations(history=play.history)
-    if play.park.wrong_headers:
-        why = f"{len(play.park.wrong_headers)} requests arrived without the client's headers"
+    violations = find_violations(history=run.history)
+    if run.park.headerless_attempts:
+        why = f"{len(run.park.headerless_attempts)} requests arrived without the client's headers"
         violations.append(Violation(rule="UNASKED", why=why, at_us=0))
     counts = {
-        **dict(play.park.counts),
-        "list_calls": play.cloud.calls,
-        "list_refused": play.cloud.refused,
-        "requests": len(play.history.requests),
-        "arrivals": len(play.history.arrivals),
-        "orders": len(play.history.orders),
-        "acked": sum(bool(o.acked_us) for o in play.history.orders),
+        **dict(run.park.counts),
+        "list_calls": run.cloud.calls,
+        "list_refused": run.cloud.rejected,
+        "requests": len(run.history.requests),
+        "arrivals": len(run.history.arrivals),
+        "orders": len(run.history.orders),
+        "acked": sum(bool(o.acked_us) for o in run.history.orders),
     }
     return Outcome(
         plan=plan,
         violations=violations,
-        owed=play.clients.owed,
+        scores=run.clients.scores,
         counts=counts,
-        history=play.history,
+        history=run.history,
     )
 
 
-async def _run(*, plan: Plan, world: PlatformWorld, shape: Shape) -> Play:
-    play = Play(plan=plan, world=world, shape=shape)
+async def _run_to_end(*, plan: Plan, world: PlatformWorld, shape: Shape) -> ScenarioRun:
+    run = ScenarioRun(plan=plan, world=world, shape=shape)
     try:
-        await play.run()
+        await run.run()
     finally:
-        play.fleet.end()
+        run.fleet.end()
         await asyncio.sleep(0)
-    return play
+    return run
 
 
 def as_text(*, outcome: Outcome) -> str:
-    """A scenario's result as a few lines of text."""
+    """The result of a scenario as a few lines of text."""
     plan = outcome.plan
-    head = f"{plan.deployment} seed {plan.seed} [{', '.join(plan.faults)}"
-    head += f"; {plan.closing}]" if plan.closing else "]"
+    summary = f"{plan.deployment} seed {plan.seed} [{', '.join(plan.faults)}"
+    summary += f"; {plan.closing}]" if plan.closing else "]"
     kinds = " ".join(
-        f"{name} {owed.earned / owed.owed:.3f} ({owed.served}/{owed.asked})"
-        for name, owed in sorted(outcome.owed.items())
-        if owed.owed
+        f"{name} {score.earned_worth / score.possible_worth:.3f} "
+        f"({score.success_count}/{score.request_count})"
+        for name, score in sorted(outcome.scores.items())
+        if score.possible_worth
     )
-    earned = sum(owed.earned for owed in outcome.owed.values())
-    total = sum(owed.owed for owed in outcome.owed.values()) or 1.0
-    lines = [f"{head} worth {earned / total:.3f}: {kinds}"]
+    earned = sum(score.earned_worth for score in outcome.scores.values())
+    total = sum(score.possible_worth for score in outcome.scores.values()) or 1.0
+    lines = [f"{summary} worth {earned / total:.3f}: {kinds}"]
     for violation in outcome.violations[:8]:
         lines.append(f"  {violation.rule} at {violation.at_us / 1e6:.3f} s: {violation.why}")
     if len(outcome.violations) > 8:
--- a/kelpstage/testbed/platform_model/shape.py
+++ b/kelpstage/testbed/platform_model/shape.py
@@ -1,4 +1,4 @@
-"""The users' deployments, from their pages: places, machines, services, requests, bounds."""
+"""The deployments of the platform: zones, machines, services, kinds of requests, bounds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServiceShape:
-    """A service: how many backends, how each of them works."""
+    """A service: the number of its backends, and how each of them works."""
 
     name: str
     backends: int
@@ -17,12 +17,15 @@
     max_connections: int
     new_line_us: int = 1_000
     pause_us: int = 0
-    pause_each_us: int = 4_000_000
+    pause_interval_us: int = 4_000_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class KindShape:
-    """A kind of request; `records` in each part of a gathered one, 0 for one backend."""
+    """A kind of request; `records` is the count in each part of a gathered reply.
+
+    A request with 0 `records` goes to a single backend.
+    """
 
     name: str
     per_s: float
@@ -31,7 +34,7 @@
     deadline_us: int
     worth: float
     late_worth: float
-    further_tries: int = 1
+    retries: int = 1
     rank: int = 1
     limit: int = 0
     quorum: float = 1.0
@@ -41,7 +44,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Shape:
-    """A deployment. `zones` names the region of each; `core` machines come first."""
+    """A deployment; `zones` maps each zone to its region.
+
+    The first `core_per_zone` machines of each zone belong to the core.
+    """
 
     name: str
     zones: dict[str, str]
@@ -58,7 +64,7 @@
     region_us: int
     client_us: int
     seed_lag_us: int = 3_000_000
-    reuse_us: int = 2_000_000
+    address_reuse_us: int = 2_000_000
     catch_up_us: int = 4_000_000
     list_lag_us: int = 800_000
     list_per_s: float = 52.0
@@ -71,7 +77,7 @@
     index: int,
     recut: int,
     per_shard: int,
-    cap: int,
+    max_connections: int,
     pause_us: int,
     single: ServiceShape,
     other: ServiceShape,
@@ -81,7 +87,11 @@
         for number in range(count):
             name = f"{stem}{number:02d}"
             out[name] = ServiceShape(
-                name=name, backends=per_shard, slots=2, max_connections=cap, pause_us=pause_us
+                name=name,
+                backends=per_shard,
+                slots=2,
+                max_connections=max_connections,
+                pause_us=pause_us,
             )
     return out
 
@@ -91,7 +101,7 @@
 
 
 def senegal() -> Shape:
-    """The yearbook co-operative.
+    """The deployment of a yearbook co-operative.
 
     >>> shape = senegal(); len(shape.index), sum(shape.machines.values())
     (8, 10)
@@ -109,7 +119,7 @@
             index=8,
             recut=12,
             per_shard=2,
-            cap=80,
+            max_connections=80,
             pause_us=40_000,
             single=ServiceShape(name="proofs", backends=4, slots=2, max_connections=120),
             other=ServiceShape(name="orders", backends=3, slots=2, max_connections=120),
@@ -159,7 +169,7 @@
 
 
 def netherlands() -> Shape:
-    """The association behind online exams.
+    """The deployment of an association that runs online exams.
 
     >>> shape = netherlands(); shape.kinds[0].quorum, sum(shape.machines.values())
     (1.0, 12)
@@ -177,7 +187,7 @@
             index=8,
             recut=12,
             per_shard=2,
-            cap=88,
+            max_connections=88,
             pause_us=48_000,
             single=ServiceShape(name="results", backends=3, slots=3, max_connections=130),
             other=ServiceShape(name="portal", backends=3, slots=3, max_connections=130),
@@ -233,7 +243,7 @@
 
 
 def grown() -> Shape:
-    """A grown fleet, cut down: 24 machines in 6 zones, 30 shards of 4 backends.
+    """A reduced model of a large fleet: 24 machines in 6 zones, 30 shards of 4 backends.
 
     >>> shape = grown(); sum(shape.machines.values()), len(shape.services)
     (24, 77)
@@ -258,7 +268,7 @@
             index=30,
             recut=45,
             per_shard=4,
-            cap=390,
+            max_connections=390,
             pause_us=40_000,
             single=ServiceShape(name="proofs", backends=6, slots=2, max_connections=590),
             other=ServiceShape(name="orders", backends=6, slots=2, max_connections=590),
@@ -293,8 +303,10 @@
 
 
 def with_orders(*, shape: Shape, per_s: float = 6.0) -> Shape:
-    """The deployment with a kind of request besides that may run once only; the pages
-    name none on these sites, but the rules bind them everywhere.
+    """The deployment with an additional kind of request that may run only once.
+
+    The descriptions of these deployments have no such kind, but the rules for it apply to
+    all of them.
 
     >>> [kind.is_repeatable for kind in with_orders(shape=senegal()).kinds]
     [True, True, True, False]
@@ -318,7 +330,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Scale:
-    """How much of a deployment's traffic is played, and for how long."""
+    """The share of a deployment's traffic that is simulated, and for how long."""
 
     rate: float = 1.0
     seconds: int = 60
--- a/kelpstage/testbed/platform_model/traffic.py
+++ b/kelpstage/testbed/platform_model/traffic.py
@@ -1,4 +1,4 @@
-"""What the operator has ordered and what clients therefore ask for."""
+"""The routes that the operator configures and that clients request."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RouteDraft:
-    """A route as the operator would write it."""
+    """A route of the operator's draft configuration."""
 
     name: str
     kind: str
@@ -34,8 +34,8 @@
 
 
 @dataclass(kw_only=True)
-class Drafts:
-    """The operator's table of routes, and how it is written."""
+class RouteDrafts:
+    """The operator's draft of the route table, and its encoding."""
 
     shape: Shape
     rand: random.Random
@@ -50,7 +50,7 @@
         return "".join(self.rand.choice("abdefgiklmnoprstu") for _ in range(5))
 
     def add(self, *, kind: KindShape, is_late: bool = False) -> RouteDraft:
-        """One more route of a kind, under a host and a prefix of its own."""
+        """Add a route of a kind, with a host and a prefix of its own."""
         self.serial += 1
         is_gathered = kind.records > 0
         single = self.shape.other if not kind.is_repeatable else self.shape.single
@@ -76,37 +76,37 @@
         """The drafted routes of a kind, oldest first."""
         return [draft for draft in self.routes.values() if draft.kind == name]
 
-    # --- changes -----------------------------------------------------------------------------
+    # --- changes --------------------------------------------------------------------------
 
     def change_time_out(self) -> None:
-        """Set a random route's deadline to its kind's and 1 to 199 ms more."""
+        """Set a random route's deadline to its kind's deadline plus 1 to 199 ms."""
         draft = self.rand.choice(list(self.routes.values()))
         deadline_ms = self.kind(name=draft.kind).deadline_us // 1_000
         self.routes[draft.name] = replace(
             draft, deadline_ms=deadline_ms + self.rand.randrange(1, 200)
         )
 
-    def _single(self) -> RouteDraft:
-        found = [
+    def _single_service_route(self) -> RouteDraft:
+        matching = [
             d for d in self.routes.values() if d.services and self.kind(name=d.kind).is_repeatable
         ]
-        return self.rand.choice(found)
+        return self.rand.choice(matching)
 
     def move(self) -> None:
-        """A route to one backend goes to the other service."""
-        draft = self._single()
-        now = {name for name, _ in draft.services}
-        other = self.shape.other if now == {self.shape.single} else self.shape.single
+        """Send a random repeatable route that is not gathered to the other service."""
+        draft = self._single_service_route()
+        current = {name for name, _ in draft.services}
+        other = self.shape.other if current == {self.shape.single} else self.shape.single
         self.routes[draft.name] = replace(draft, services=((other, 1),))
 
     def split(self) -> None:
         """Divide a random repeatable route that is not gathered between the two services."""
-        draft = self._single()
+        draft = self._single_service_route()
         shares = ((self.shape.single, self.rand.randrange(1, 9)), (self.shape.other, 2))
         self.routes[draft.name] = replace(draft, services=shares)
 
     def recut(self) -> None:
-        """The index is cut again: the other set of shards, in every gathered route."""
+        """Reshard the index: every gathered route changes to the other set of shards."""
         for draft in list(self.routes.values()):
             if draft.fan_out:
                 new = self.shape.recut if draft.fan_out == self.shape.index else self.shape.index
@@ -119,10 +119,10 @@
             return None
         return self.routes.pop(self.rand.choice(late).name)
 
-    # --- how it is written --------------------------------------------------------------------
+    # --- encoding -------------------------------------------------------------------------
 
     def specs(self) -> tuple[RouteSpec, ...]:
-        """The drafted routes as the rules' checkers read them."""
+        """The drafted routes in the form that the checkers use."""
         return tuple(self._spec(draft=draft) for draft in self.routes.values())
 
     def _spec(self, *, draft: RouteDraft) -> RouteSpec:
@@ -156,12 +156,14 @@
             return row | {"FanOut": list(draft.fan_out), "TopN": kind.limit, "Quorum": kind.quorum}
         if len(draft.services) == 1:
             return row | {"Service": draft.services[0][0]}
-        return row | {"Weighted": [{"Service": n, "Share": share} for n, share in draft.services]}
+        return row | {
+            "Weighted": [{"Service": name, "Share": share} for name, share in draft.services]
+        }
 
     def body(self, *, revision: int) -> bytes:
-        """The whole configuration as it travels."""
-        named = {name for draft in self.routes.values() for name, _ in draft.services}
-        named |= {name for draft in self.routes.values() for name in draft.fan_out}
+        """The encoded configuration document."""
+        service_names = {name for draft in self.routes.values() for name, _ in draft.services}
+        service_names |= {name for draft in self.routes.values() for name in draft.fan_out}
         table = [
             {
                 "Name": name,
@@ -170,7 +172,7 @@
                 "TlsMode": False,
                 "MaxConns": self.shape.services[name].max_connections,
             }
-            for name in sorted(named)
+            for name in sorted(service_names)
         ]
         return json.dumps(
             {
