--- a/kelpstage/testbed/fleet/demo.py
+++ b/kelpstage/testbed/fleet/demo.py
@@ -1,4 +1,4 @@
-"""A few stand-in backends for a fleet that is started by hand."""
+"""Stand-in backends, and a configuration for them, for a fleet that is started by hand."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def demo_configuration(*, collection: str, cut: Cut, addresses: dict[str, str]) -> dict:
-    """A configuration for the demo's backends.
+    """Returns a configuration document for the demo's backends.
 
     >>> cut = Cut(name="c1", shards=("s1",))
     >>> document = demo_configuration(collection="d", cut=cut, addresses={"s1-a": "x"})
@@ -46,14 +46,15 @@
 
 
 async def serve_demo(*, collection: str, count: int, first_port: int, configuration: str) -> None:
-    """Open the backends, write their configuration, wait for the end."""
+    """Open two backends for each shard, write their configuration and serve until SIGTERM or
+    SIGINT."""
     cut = Cut(name="c1", shards=tuple(f"s{n + 1}" for n in range(count)))
     ports = live_ports(data_folder=None)
     ports.rand = random.Random(1)
     addresses: dict[str, str] = {}
-    for place, (shard, half) in enumerate((s, h) for s in cut.shards for h in "ab"):
-        name = f"{shard}-{half}"
-        addresses[name] = f"127.0.0.1:{first_port + place}"
+    for index, (shard, copy) in enumerate((s, c) for s in cut.shards for c in "ab"):
+        name = f"{shard}-{copy}"
+        addresses[name] = f"127.0.0.1:{first_port + index}"
         stand_in = StandIn(
             name=name,
             address=addresses[name],
@@ -63,7 +64,7 @@
         )
         await stand_in.open()
     document = demo_configuration(collection=collection, cut=cut, addresses=addresses)
-    pathlib.Path(configuration).write_text(  # noqa: ASYNC240 -- once, before anything is served
+    pathlib.Path(configuration).write_text(  # noqa: ASYNC240 -- before any request is served
         json.dumps(document, indent=1), encoding="utf-8"
     )
     print(f"{len(addresses)} backends; configuration in {configuration}", flush=True)
--- a/kelpstage/testbed/fleet/deployment.py
+++ b/kelpstage/testbed/fleet/deployment.py
@@ -1,5 +1,5 @@
-"""Deployments as data sets: nodes, zones, backends, callers; and the configurations
-that their operators would put."""
+"""Deployments read from data files (nodes, zones, backends, callers), and the configuration
+documents that their operators would write."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Node:
-    """A machine of a deployment: every one runs an edge, one with a disk also a core."""
+    """A machine of a deployment. Each runs an edge; a machine with a disk also runs a core."""
 
     name: str
     zone: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BackendSpec:
-    """A backend of a deployment: its zone and the one shard that it serves."""
+    """A backend of a deployment: its zone and the shard that it serves under the first cut."""
 
     name: str
     zone: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Deployment:
-    """One of the users' deployments.
+    """A deployment: its machines, backends, route settings and the load of its callers.
 
     >>> deployment = load(name="senegal")
     >>> len(deployment.nodes), len(deployment.backends), len(deployment.cut.shards)
@@ -54,19 +54,19 @@
     kinds: list[Kind]
 
     def recut(self) -> Cut:
-        """Another cut of the same index, into one shard fewer."""
+        """Returns another cut of the same index, with one shard fewer."""
         return Cut(name="c2", shards=tuple(f"t{n + 1}" for n in range(len(self.cut.shards) - 1)))
 
     def shards_of(self, *, backend: str) -> tuple[str, ...]:
-        """The shards that a backend serves, of both cuts."""
+        """Returns the shards that a backend serves: one of each cut."""
         spec = next(b for b in self.backends if b.name == backend)
-        place = self.cut.shards.index(spec.shard)
+        index = self.cut.shards.index(spec.shard)
         recut = self.recut().shards
-        return (spec.shard, recut[place % len(recut)])
+        return (spec.shard, recut[index % len(recut)])
 
 
 def load(*, name: str) -> Deployment:
-    """Read a deployment's data set."""
+    """Reads the data file of a deployment."""
     raw: dict[str, Any] = json.loads((DATA / f"{name}.json").read_text(encoding="utf-8"))
     [(cut_name, shards)] = raw["cuts"].items()
     return Deployment(
@@ -93,7 +93,7 @@
 
 
 def names() -> list[str]:
-    """The deployments there are.
+    """Returns the names of the available deployments.
 
     >>> names()
     ['netherlands', 'senegal', 'tiny']
@@ -111,7 +111,11 @@
     left_out: tuple[str, ...] = (),
     padding: int = 0,
 ) -> bytes:
-    """The configuration that the deployment's operators put.
+    """Returns the configuration document that the deployment's operators would write.
+
+    `cut` replaces the deployment's own; `note` is a label of the first node that makes the
+    document differ from others. Backends in `left_out` serve no shard, and `padding` is the
+    number of additional nodes, which make the document larger.
 
     >>> configuration_of(deployment=load(name="senegal"), addresses={}).startswith(b"{")
     True
@@ -172,7 +176,7 @@
 
 
 def digest_of(*, document: bytes) -> str:
-    """A document's mark in the history.
+    """Returns the digest that identifies a document in the history.
 
     >>> len(digest_of(document=b""))
     16
@@ -181,7 +185,8 @@
 
 
 def facts_of(*, document: bytes) -> dict:
-    """What checkers want to know of a put document: its cut and its quorum."""
+    """Returns the properties of a written document that checkers use: its cut, its quorum, the
+    drained backends and the backends that serve each shard. Empty if it is not valid."""
     try:
         raw = json.loads(document)
         [collection] = raw["collections"].values()
--- a/kelpstage/testbed/fleet/fleet.py
+++ b/kelpstage/testbed/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""A whole deployment as processes on loopback, and what may be done to it."""
+"""A deployment run as real processes on loopback, and the operations on it."""
 
 from __future__ import annotations
 
@@ -23,22 +23,24 @@
 from kelpstage.testbed.stand_ins.platform import Platform
 from kelpstage.testbed.stand_ins.records import Cut
 
-HOSTS = 4
-LONG_WAIT_US = 90_000_000
+HOST_COUNT = 4
+WAIT_TIMEOUT_US = 90_000_000
 
 
 class FleetTimeoutError(Exception):
-    """A condition that had to come did not come."""
+    """A condition did not become true before the timeout."""
 
 
 @dataclass(kw_only=True)
 class Fleet(HistoryWriter):
-    """Cores, edges, stand-ins; every event goes into `history`."""
+    """The cores, edges and stand-ins of a deployment; every event is recorded in `history`."""
 
     deployment: Deployment
     seed: int = 1
     pause_share: float = 0.002
-    has_observers: bool = False  # the machines without a disk; of the others one may be lost
+    has_observers: bool = (
+        False  # machines without a disk run observers; the loss of one other is tolerated
+    )
     port_range: range = PORTS
     history: list[dict] = field(default_factory=list)
 
@@ -46,22 +48,22 @@
         self.ports = live_ports(data_folder=None)
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="kelpstage-testbed-"))
         self.processes = Processes(folder=self.folder, ports=PortPool(ports=self.port_range))
-        take = self.processes.ports.take
+        allocate = self.processes.ports.allocate
         deployment = self.deployment
         self.core_nodes = [node for node in deployment.nodes if node.has_disk]
-        self.core_own = {n.name: take() for n in self.core_nodes}
-        self.core_http = {n.name: take() for n in self.core_nodes}
-        self.edge_own = {n.name: take() for n in deployment.nodes}
-        self.edge_http = {n.name: take() for n in deployment.nodes}
-        self.backend_address = {b.name: take() for b in deployment.backends}
-        self.control: dict[str, str] = {}
+        self.core_own = {n.name: allocate() for n in self.core_nodes}
+        self.core_http = {n.name: allocate() for n in self.core_nodes}
+        self.edge_own = {n.name: allocate() for n in deployment.nodes}
+        self.edge_http = {n.name: allocate() for n in deployment.nodes}
+        self.backend_address = {b.name: allocate() for b in deployment.backends}
+        self.control_addresses: dict[str, str] = {}
         self.cut_in_force = deployment.cut.name
         self.cuts = {c.name: c for c in (deployment.cut, deployment.recut())}
         self.platform = Platform(
             ports=self.ports,
             nodes={n.name: (n.zone, self.edge_http[n.name]) for n in deployment.nodes},
             backends=dict(self.backend_address),
-            address=take(),
+            address=allocate(),
             note=self.note,
         )
         self.callers = Callers(
@@ -77,14 +79,14 @@
         )
 
     def now_us(self) -> int:
-        """The live clock in microseconds; it stamps the rows of the history."""
+        """Returns the time of the live clock in microseconds, as used in rows of the history."""
         return self.ports.clock.now_us()
 
-    # --- starting --------------------------------------------------------------------
+    # --- start of processes ----------------------------------------------------------
 
     async def start(self) -> None:
-        """Start everything and wait until every edge that can be reached is known."""
-        # The test process may lag by up to the threshold at which the machine counts as noisy.
+        """Start all processes and wait until the stand-ins answer and a leader is elected."""
+        # The test process may lag by up to the threshold above which the machine counts as noisy.
         self.note({"event": "lines", "one_way_us": NOISY_LAG_US // 2})
         for cut in self.cuts.values():
             self.note({"event": "cut", "cut": cut.name, "shards": list(cut.shards)})
@@ -95,14 +97,14 @@
         for node in self.deployment.nodes:
             self.start_edge(name=node.name)
             self.note({"event": "started", "edge": node.name})
-        await self.wait_for(what="stand-ins", is_there=self._hosts_are_up)
-        await self.wait_for(what="a leader", is_there=self.has_leader)
+        await self.wait_for(what="stand-ins", condition=self._hosts_are_up)
+        await self.wait_for(what="a leader", condition=self.has_leader)
 
     def _start_hosts(self) -> None:
         backends = self.deployment.backends
-        for place in range(HOSTS):
-            mine = backends[place::HOSTS]
-            control = self.processes.ports.take()
+        for place in range(HOST_COUNT):
+            assigned = backends[place::HOST_COUNT]
+            control = self.processes.ports.allocate()
             plan = {
                 "seed": self.seed * 100 + place,
                 "control": control,
@@ -114,7 +116,7 @@
                         "address": self.backend_address[b.name],
                         "shards": self.deployment.shards_of(backend=b.name),
                     }
-                    for b in mine
+                    for b in assigned
                 ],
             }
             path = self.folder / f"host-{place}-plan.json"
@@ -125,14 +127,14 @@
                 settings=None,
                 arguments=[str(path)],
             ).start()
-            for backend in mine:
-                self.control[backend.name] = control
+            for backend in assigned:
+                self.control_addresses[backend.name] = control
 
     def _seeds(self) -> list[str]:
         return list(self.core_own.values())
 
     def start_core(self, *, name: str) -> Process:
-        """Start a core's process, or start it again on the same data folder and ports.
+        """Start a core's process, or restart it with the same data folder and ports.
 
         The name of a replacement ends in `-new`; it runs in the zone of the core it replaces.
         """
@@ -157,7 +159,7 @@
         return process
 
     def start_edge(self, *, name: str) -> Process:
-        """Start an edge's process, or start it again with the same settings and ports."""
+        """Start an edge's process, or restart it with the same settings and ports."""
         node = next(n for n in self.deployment.nodes if n.name == name)
         process = self.processes.all.get(f"edge-{name}")
         if process is None:
@@ -176,10 +178,10 @@
         process.start()
         return process
 
-    # --- asking ------------------------------------------------------------------------
+    # --- queries -----------------------------------------------------------------------
 
     async def get(self, *, address: str, path: str, wait_us: int = 2_000_000) -> Any:
-        """The JSON body of a GET; `None` on any error or a status other than 200."""
+        """Returns the JSON body of a GET; `None` on any error or a status other than 200."""
         reply = await self.ports.net.fetch(
             call=HttpCall(method="GET", url=f"http://{address}{path}", wait_us=wait_us)
         )
@@ -188,23 +190,23 @@
         return json.loads(reply.body)
 
     async def wait_for(
-        self, *, what: str, is_there: Callable[[], Awaitable[bool]], us: int = LONG_WAIT_US
+        self, *, what: str, condition: Callable[[], Awaitable[bool]], us: int = WAIT_TIMEOUT_US
     ) -> None:
-        """Wait for a condition, never for a time."""
-        until_us = self.ports.clock.now_us() + us
-        while not await is_there():
-            if self.ports.clock.now_us() > until_us:
+        """Poll a condition until it is true; raises `FleetTimeoutError` after the timeout `us`."""
+        deadline_us = self.ports.clock.now_us() + us
+        while not await condition():
+            if self.ports.clock.now_us() > deadline_us:
                 raise FleetTimeoutError(what)
             await self.ports.clock.sleep(us=100_000)
 
     async def _hosts_are_up(self) -> bool:
-        for control in set(self.control.values()):
+        for control in set(self.control_addresses.values()):
             if await self.get(address=control, path="/receipts") is None:
                 return False
         return True
 
     async def leader(self) -> str | None:
-        """The node whose core reports that it leads; `None` if none does."""
+        """Returns the node whose core reports that it is the leader; `None` if there is none."""
         for name, address in list(self.core_http.items()):
             if not self.processes.all[f"core-{name}"].is_running:
                 continue
@@ -214,15 +216,15 @@
         return None
 
     async def has_leader(self) -> bool:
-        """Does any running core report that it is the leader?"""
+        """True if a running core reports that it is the leader."""
         return await self.leader() is not None
 
     async def edge_status(self, *, name: str) -> dict | None:
-        """An edge's `/v1/status`; `None` while it doesn't answer."""
+        """Returns an edge's `/v1/status`; `None` while it does not answer."""
         return await self.get(address=self.edge_http[name], path="/v1/status")
 
-    async def all_ready(self) -> bool:
-        """Does every edge whose process runs answer `/ready` with 200?"""
+    async def are_edges_ready(self) -> bool:
+        """True if every edge whose process runs answers `/ready` with 200."""
         for name, address in self.edge_http.items():
             if not self.processes.all[f"edge-{name}"].is_running:
                 continue
@@ -230,12 +232,12 @@
                 return False
         return True
 
-    async def membership_is_whole(self) -> bool:
-        """Does the first core list as many edges as the deployment has nodes?"""
+    async def is_membership_complete(self) -> bool:
+        """True if the first core lists as many edges as the deployment has nodes."""
         view = await self.get(address=next(iter(self.core_http.values())), path="/v1/roster")
         return view is not None and len(view["edges"]) == len(self.deployment.nodes)
 
-    # --- acting ---------------------------------------------------------------------------
+    # --- operations -----------------------------------------------------------------------
 
     async def put(
         self,
@@ -246,7 +248,7 @@
         core: str | None = None,
         wait_us: int = 10_000_000,
     ) -> HttpReply | KelpstageError:
-        """Put a configuration and note the reply."""
+        """Write a configuration and record the reply."""
         address = self.core_http[core or next(iter(self.core_http))]
         sent_us = self.ports.clock.now_us()
         reply = await self.ports.net.fetch(
@@ -279,8 +281,8 @@
         self.note(row)
         return reply
 
-    async def steer(self, *, backend: str, **mode: Any) -> None:
-        """Change how a stand-in behaves; invalid replies are noted for the checkers."""
+    async def set_backend_mode(self, *, backend: str, **mode: Any) -> None:
+        """Change the mode of a stand-in backend and record what the checkers need of it."""
         if "lie" in mode:
             self.note({"event": "lie", "backend": backend, "lie": mode["lie"]})
         if {"is_listening", "is_draining"} & set(mode):
@@ -288,35 +290,35 @@
         await self.ports.net.fetch(
             call=HttpCall(
                 method="POST",
-                url=f"http://{self.control[backend]}/control",
+                url=f"http://{self.control_addresses[backend]}/control",
                 body=json.dumps({"backend": backend, **mode}).encode(),
             )
         )
 
     def signal_edge(self, *, name: str, number: int) -> None:
-        """Send a signal to an edge's process, by its id."""
+        """Send a signal to an edge's process."""
         self.processes.all[f"edge-{name}"].send(number=number)
 
     def signal_core(self, *, name: str, number: int) -> None:
-        """Send a signal to a core's process, by its id."""
+        """Send a signal to a core's process."""
         self.processes.all[f"core-{name}"].send(number=number)
 
     async def restart_edge(self, *, name: str) -> None:
-        """Stop an edge by SIGTERM, wait for its end, start it again, wait until it is ready."""
+        """Restart an edge: SIGTERM, wait for its end, start, wait until it is ready."""
         process = self.processes.all[f"edge-{name}"]
         self.signal_edge(name=name, number=signal.SIGTERM)
-        await self.wait_for(what=f"{name} to end", is_there=lambda: _is_ended(process))
+        await self.wait_for(what=f"{name} to end", condition=lambda: _is_ended(process))
         self.note({"event": "ended", "edge": name})
         self.start_edge(name=name)
         self.note({"event": "started", "edge": name})
         await self.wait_for(
             what=f"{name} to be ready",
-            is_there=lambda: self.is_ready(name=name),
+            condition=lambda: self.is_ready(name=name),
         )
         self.note({"event": "ready", "edge": name})
 
     def kill_edges(self, *, names: list[str]) -> None:
-        """End edges at once, without a warning."""
+        """End edges by SIGKILL."""
         for name in names:
             self.signal_edge(name=name, number=signal.SIGKILL)
         for name in names:
@@ -324,18 +326,18 @@
             self.note({"event": "ended", "edge": name})
 
     def kill_core(self, *, name: str) -> None:
-        """End a core at once, without a warning."""
+        """End a core by SIGKILL."""
         self.processes.all[f"core-{name}"].kill()
         self.note({"event": "core", "core": name, "is_up": False})
 
     def lose_disk(self, *, name: str) -> None:
-        """A core that has ended loses its folder; it will start empty."""
+        """Delete the data folder of a core that has ended, so that it starts empty."""
         data = self.folder / f"data-{name}"
         shutil.rmtree(data)
         data.mkdir()
 
-    async def is_made_good(self, *, name: str) -> bool:
-        """Is a core that lost its disk a voter again, as the replica that it is now?"""
+    async def is_voter_again(self, *, name: str) -> bool:
+        """True if a core that lost its disk is one of three voters again, under its new id."""
         leader = await self.leader()
         if leader is None:
             return False
@@ -345,15 +347,15 @@
         return len(voters) == 3 and (own or {}).get("replica") in voters
 
     async def replace_core(self, *, name: str) -> str:
-        """Kill a core, lose its folder, start an empty one at a new address; wait
-        until the leader counts it among its voters."""
+        """Kill a core and start an empty one at a new address; wait until it is a voter and the
+        killed one is not. Returns its name."""
         self.kill_core(name=name)
-        fresh = f"{name}-new"
-        take = self.processes.ports.take
-        self.core_own[fresh], self.core_http[fresh] = take(), take()
+        new_name = f"{name}-new"
+        allocate = self.processes.ports.allocate
+        self.core_own[new_name], self.core_http[new_name] = allocate(), allocate()
         lost = self.core_own.pop(name)
         del self.core_http[name]
-        self.start_core(name=fresh)
+        self.start_core(name=new_name)
 
         async def is_voter() -> bool:
             leader = await self.leader()
@@ -361,13 +363,13 @@
                 return False
             view = await self.get(address=self.core_http[leader], path="/v1/status")
             voters = [m["address"] for m in (view or {}).get("members", []) if m["is_voter"]]
-            return self.core_own[fresh] in voters and lost not in voters and len(voters) == 3
+            return self.core_own[new_name] in voters and lost not in voters and len(voters) == 3
 
-        await self.wait_for(what="the new core as a voter", is_there=is_voter)
-        return fresh
+        await self.wait_for(what="the new core to be a voter", condition=is_voter)
+        return new_name
 
     async def read_back(self) -> None:
-        """Read the configuration back at the end of the scenario."""
+        """Read the configuration from a core and record it, for the checkers."""
         sent_us = self.now_us()
         for address in self.core_http.values():
             reply = await self.ports.net.fetch(
@@ -388,25 +390,25 @@
                 return
 
     async def restart_core(self, *, name: str) -> None:
-        """Stop a core by SIGTERM, start it on the same data and wait until it is ready."""
+        """Restart a core by SIGTERM on the same data folder and wait until it is ready."""
         process = self.processes.all[f"core-{name}"]
         self.signal_core(name=name, number=signal.SIGTERM)
-        await self.wait_for(what=f"core {name} to end", is_there=lambda: _is_ended(process))
+        await self.wait_for(what=f"core {name} to end", condition=lambda: _is_ended(process))
         self.start_core(name=name)
-        await self.wait_for(what=f"core {name}", is_there=lambda: self.is_core_ready(name=name))
+        await self.wait_for(what=f"core {name}", condition=lambda: self.is_core_ready(name=name))
 
     async def is_ready(self, *, name: str) -> bool:
-        """Does this edge answer `/ready` with 200?"""
+        """True if this edge answers `/ready` with 200."""
         return await self.get(address=self.edge_http[name], path="/ready") is not None
 
     async def is_core_ready(self, *, name: str) -> bool:
-        """Does this core answer `/ready` with 200?"""
+        """True if this core answers `/ready` with 200."""
         return await self.get(address=self.core_http[name], path="/ready") is not None
 
     def configuration(self, *, cut: Cut | None = None, note: str = "", **more: Any) -> bytes:
-        """A configuration document for this deployment at the backends' live addresses.
+        """Returns a configuration document of this deployment with the backends' live addresses.
 
-        `cut` replaces the deployment's own; `more` goes to `configuration_of` as it is.
+        `cut` replaces the deployment's own; `more` is passed to `configuration_of`.
         """
         return configuration_of(
             deployment=self.deployment,
@@ -416,26 +418,27 @@
             **more,
         )
 
-    # --- the end ---------------------------------------------------------------------------
+    # --- shutdown --------------------------------------------------------------------------
 
     async def collect_receipts(self) -> None:
-        """Bring what the stand-ins saw into the history."""
-        for control in sorted(set(self.control.values())):
+        """Append the receipts of the stand-in backends to the history."""
+        for control in sorted(set(self.control_addresses.values())):
             rows = await self.get(address=control, path="/receipts/take", wait_us=20_000_000)
             for row in rows or []:
                 self.history.append(row)
 
     async def drain_callers(self) -> None:
-        """Stop new calls; wait up to 10 s for the replies that are due."""
+        """Start no new calls; wait up to 10 s for those in flight."""
         self.callers.is_open = False
 
         async def is_quiet() -> bool:
             return self.callers.in_flight == 0
 
-        await self.wait_for(what="open calls", is_there=is_quiet, us=10_000_000)
+        await self.wait_for(what="the calls in flight to end", condition=is_quiet, us=10_000_000)
 
     def stop(self) -> dict[str, str]:
-        """End every process and remove the folder; the logs that they wrote, by file."""
+        """End every process and delete the folder. Returns the logs of cores and edges that are
+        not empty, by file name."""
         self.platform.close()
         self.processes.stop_all()
         logs = {
@@ -452,5 +455,5 @@
 
 
 def start_callers(*, fleet: Fleet) -> list[asyncio.Future]:
-    """Let every kind of caller begin."""
+    """Starts the callers of every kind."""
     return [asyncio.ensure_future(fleet.callers.run(kind=kind)) for kind in fleet.deployment.kinds]
--- a/kelpstage/testbed/fleet/machine.py
+++ b/kelpstage/testbed/fleet/machine.py
@@ -1,4 +1,4 @@
-"""How much of the machine this run had: time stolen by others, lag of the test process."""
+"""Monitors interference by the host machine: CPU steal time and the lag of the test process."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from kelpstage.testbed.checkers.history import HistoryWriter
 
 SECOND_US = 1_000_000
-NOISY_SHARE = 0.10
+NOISY_STEAL_SHARE = 0.10
 NOISY_LAG_US = 250_000
 
 
 def read_times() -> tuple[int, int]:
-    """All processor time and the stolen part of it, in ticks since boot.
+    """Returns the total processor time and the steal time, in ticks since boot.
 
     >>> total, stolen = read_times(); total >= stolen
     True
@@ -24,10 +24,10 @@
 
 
 async def watch_machine(*, notes: HistoryWriter, clock: Any) -> None:
-    """Note each second's share of stolen time and this process's own lag.
+    """Records the share of steal time and the lag of this process for each second.
 
-    A second in which more than `NOISY_SHARE` was stolen, or the lag exceeded
-    `NOISY_LAG_US`, is noted as a fault that excuses late replies.
+    A second whose share of steal time exceeds `NOISY_STEAL_SHARE`, or whose lag exceeds
+    `NOISY_LAG_US`, is recorded as a fault that excuses late replies.
     """
     total, stolen = read_times()
     while True:
@@ -38,7 +38,7 @@
         share = (now_stolen - stolen) / max(1, now_total - total)
         total, stolen = now_total, now_stolen
         notes.note({"event": "machine", "stolen": round(share, 4), "lag_us": lag_us})
-        if share > NOISY_SHARE or lag_us > NOISY_LAG_US:
+        if share > NOISY_STEAL_SHARE or lag_us > NOISY_LAG_US:
             row = {
                 "event": "fault",
                 "what": "machine taken by others",
--- a/kelpstage/testbed/fleet/process_faults.py
+++ b/kelpstage/testbed/fleet/process_faults.py
@@ -1,7 +1,7 @@
-"""What a soak does to processes: restarts, kills, standing still, SIGHUP.
+"""Faults of processes in a soak: restart, kill, freeze and SIGHUP.
 
-Processes are named `edge-NODE` and `core-NODE`. Each function ends when it has done its part;
-whether the processes are ready again is the caller's to wait for.
+Processes are named `edge-NODE` and `core-NODE`. The functions do not wait until the processes
+are ready again; their caller does.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from kelpstage.testbed.fleet.fleet import Fleet
 
-TERM_GRACE_S = 8.0  # until a process that was told to stop counts as one that does not
+TERM_GRACE_S = 8.0  # a process that still runs so long after SIGTERM is a violation
 FREEZE_WHILE_STOPPING = "freeze while stopping"
 
 
 class ProcessFaults:
-    """Signals to the processes of a fleet; `violations` are those that don't stop."""
+    """Sends signals to the processes of a fleet; `violations` names those that do not stop."""
 
     def __init__(self, *, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -26,7 +26,7 @@
         self.violations: list[str] = []
 
     def send(self, processes: list[str], number: int) -> None:
-        """Send a signal to each of them that runs."""
+        """Send a signal to those of the processes that run."""
         for name in processes:
             self._fleet.processes.all[name].send(number=number)
 
@@ -43,13 +43,16 @@
                 self._fleet.start_core(name=node)
 
     async def restart(self, processes: list[str], rand: random.Random) -> None:
-        """SIGTERM, at times with other signals on top, and a start when all have ended."""
+        """Stop processes as `stop` does and start them again after up to two seconds."""
         await self.stop(processes, rand)
         await asyncio.sleep(rand.random() * 2)
         self.start(processes)
 
     async def stop(self, processes: list[str], rand: random.Random) -> None:
-        """SIGTERM, at times with other signals on top, until all have ended."""
+        """Send SIGTERM, sometimes followed by other signals, and wait until all have ended.
+
+        Processes that have not ended after `TERM_GRACE_S` are killed.
+        """
         self.send(processes, signal.SIGTERM)
         if rand.random() < 0.5:
             await asyncio.sleep(rand.random() * 1.5)
@@ -60,7 +63,7 @@
         self.kill_now(processes)
 
     async def _freeze_for(self, processes: list[str], *, seconds: float) -> None:
-        """Processes that are stopping stand still: trouble of its own beside a planned stop."""
+        """Freeze processes that are stopping; this is a fault in addition to the planned stop."""
         nodes = [name.partition("-")[2] for name in processes]
         number = self._fleet.fault(
             what=FREEZE_WHILE_STOPPING, excuses=["edge", "line"], nodes=nodes, after_us=0
@@ -73,23 +76,24 @@
 
     async def _wait_for_end(self, name: str) -> None:
         process = self._fleet.processes.all[name]
-        if not await asyncio.to_thread(process.is_ended_within, seconds=TERM_GRACE_S):
+        if not await asyncio.to_thread(process.has_ended_within, seconds=TERM_GRACE_S):
             self.violations.append(f"{name} still runs {TERM_GRACE_S} s after SIGTERM")
 
     def kill_now(self, processes: list[str]) -> None:
-        """SIGKILL to those that run; they have ended after it."""
+        """Send SIGKILL to those that run and wait until all have ended."""
         self.send(processes, signal.SIGKILL)
         for name in processes:
             self._fleet.processes.all[name].kill()
 
     async def kill(self, processes: list[str], rand: random.Random) -> None:
-        """SIGKILL, and a start after up to six seconds."""
+        """Send SIGKILL and start the processes again after up to six seconds."""
         self.kill_now(processes)
         await asyncio.sleep(rand.choice((0.1, 1.0, 6.0)) * rand.random())
         self.start(processes)
 
     async def freeze(self, processes: list[str], rand: random.Random) -> None:
-        """SIGSTOP for up to seven seconds, at times with a SIGTERM that waits meanwhile."""
+        """Freeze processes for up to seven seconds, sometimes with a pending SIGTERM that stops
+        them when they resume."""
         self.send(processes, signal.SIGSTOP)
         await asyncio.sleep(rand.choice((0.5, 3.0, 7.0)) * rand.random())
         is_stopped = rand.random() < 0.2
@@ -100,7 +104,7 @@
             await self.restart(processes, rand)
 
     async def hang_up(self, processes: list[str], rand: random.Random) -> None:
-        """SIGHUP, several times."""
+        """Send SIGHUP one to three times."""
         for _ in range(rand.randrange(1, 4)):
             self.send(processes, signal.SIGHUP)
             await asyncio.sleep(rand.random() * 0.3)
--- a/kelpstage/testbed/fleet/processes.py
+++ b/kelpstage/testbed/fleet/processes.py
@@ -1,6 +1,6 @@
-"""Real processes on loopback: ports, settings files, start, signal, wait.
+"""Child processes on loopback: port allocation, settings files, start, signals and wait.
 
-Only processes started here are ever signalled, by their ids.
+Signals are sent only to processes that were started here, by their ids.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 
 
 class PortPool:
-    """Free loopback ports, each free for TCP and UDP when it was given out.
+    """Allocates loopback ports that are free for TCP and UDP at the time of allocation.
 
-    Runs side by side take theirs from different ranges: a port is free while the process that
-    it was given to restarts.
+    Runs in parallel need different ranges, because a port is free while the process that it is
+    allocated to restarts.
 
-    >>> pool = PortPool(); pool.take() != pool.take()
+    >>> pool = PortPool(); pool.allocate() != pool.allocate()
     True
     """
 
     def __init__(self, *, ports: range = PORTS) -> None:
         self._ports = ports
         self._rand = random.Random(os.getpid())
-        self._given: set[int] = set()
+        self._allocated: set[int] = set()
 
-    def take(self) -> str:
-        """A loopback address, `host:port`, that this pool never returned before."""
+    def allocate(self) -> str:
+        """Returns a loopback address, `host:port`, that this pool has not returned before."""
         while True:
             port = self._rand.choice(self._ports)
-            if port in self._given or not self._is_free(port=port):
+            if port in self._allocated or not self._is_free(port=port):
                 continue
-            self._given.add(port)
+            self._allocated.add(port)
             return f"127.0.0.1:{port}"
 
     @staticmethod
@@ -55,7 +55,7 @@
 
 @dataclass(kw_only=True)
 class Process:
-    """One child process of the test, with its command and log file."""
+    """A child process of the test, with its command and log file."""
 
     name: str
     command: list[str]
@@ -71,7 +71,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Was the process started, and has it not ended since?"""
+        """True if the process has been started and has not ended."""
         return self.child is not None and self.child.poll() is None
 
     def send(self, *, number: int) -> None:
@@ -89,8 +89,8 @@
         if self.child is not None:
             self.child.wait(timeout=30)
 
-    def is_ended_within(self, *, seconds: float) -> bool:
-        """Wait for the process to end, for so long at most; did it?"""
+    def has_ended_within(self, *, seconds: float) -> bool:
+        """Wait up to `seconds` for the process to end; true if it has ended."""
         if self.child is None:
             return True
         try:
@@ -100,7 +100,7 @@
         return True
 
     def cpu_us(self) -> int:
-        """Processor time used so far, as the kernel counts it."""
+        """Returns the processor time that the process has used; 0 if it does not run."""
         if not self.is_running:
             return 0
         fields = pathlib.Path(f"/proc/{self.child.pid}/stat").read_text().rsplit(")", 1)[1].split()
@@ -109,7 +109,7 @@
 
 @dataclass(kw_only=True)
 class Processes:
-    """All children of one run, in one folder."""
+    """All child processes of a run; their files are in one folder."""
 
     folder: pathlib.Path
     ports: PortPool
@@ -120,7 +120,7 @@
     ) -> Process:
         """Register a Python module as a process under a unique name, without starting it.
 
-        `settings` are written to a file of the folder, which the command gets as `--env`.
+        `settings` are written to a file in the folder, which is passed to the command as `--env`.
         """
         command = [sys.executable, "-m", module, *arguments]
         if settings is not None:
@@ -132,7 +132,7 @@
         return process
 
     def stop_all(self) -> None:
-        """End every child that still runs."""
+        """End every process that still runs: by SIGTERM, and by SIGKILL after 10 s."""
         for process in self.all.values():
             process.send(number=signal.SIGCONT)
             process.send(number=signal.SIGTERM)
--- a/kelpstage/testbed/fleet/record.py
+++ b/kelpstage/testbed/fleet/record.py
@@ -1,4 +1,4 @@
-"""A run's history as a recording that `kelpstage-replay` can replay."""
+"""Converts the history of a run to a recording that `kelpstage-replay` can replay."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 
 
 def recording_of(*, history: list[dict]) -> list[Row]:
-    """Calls, puts and faults by their times, counted from the first of them.
+    """Returns the calls, configuration writes and faults of a history in order of time, with
+    times relative to the first.
 
     >>> rows = recording_of(history=[{"event": "call", "sent_us": 7, "ask": {"path": "/p"}}])
     >>> rows == [{"what": "call", "path": "/p", "at_us": 0}]
@@ -34,6 +35,6 @@
 
 
 def write_recording(*, path: str, history: list[dict]) -> None:
-    """Write a history as a file that `kelpstage-replay` can replay."""
+    """Writes a history to a file that `kelpstage-replay` can replay."""
     with open(path, "wb") as file:
         file.write(HEAD + b"".join(pack_row(row=row) for row in recording_of(history=history)))
--- a/kelpstage/testbed/fleet/replacement.py
+++ b/kelpstage/testbed/fleet/replacement.py
@@ -1,4 +1,4 @@
-"""Machines of a live fleet that are gone for good, and empty ones that come under new names."""
+"""Permanent removal of machines from a live fleet, and addition of empty ones under new names."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def add_node(*, fleet: Fleet, node: Node) -> None:
-    """Start the processes of an empty machine, at addresses that none had before."""
-    take = fleet.processes.ports.take
-    fleet.edge_own[node.name], fleet.edge_http[node.name] = take(), take()
+    """Adds an empty machine to the fleet and starts its processes at unused addresses."""
+    allocate = fleet.processes.ports.allocate
+    fleet.edge_own[node.name], fleet.edge_http[node.name] = allocate(), allocate()
     fleet.deployment.nodes.append(node)
     fleet.platform.nodes[node.name] = (node.zone, fleet.edge_http[node.name])
     if node.has_disk:
-        fleet.core_own[node.name], fleet.core_http[node.name] = take(), take()
+        fleet.core_own[node.name], fleet.core_http[node.name] = allocate(), allocate()
         fleet.core_nodes.append(node)
         write_seeds(fleet=fleet)
         fleet.start_core(name=node.name)
@@ -25,7 +25,7 @@
 
 
 def forget_node(*, fleet: Fleet, name: str) -> None:
-    """A machine whose processes have ended is no part of the fleet any more."""
+    """Removes a machine whose processes have ended from the fleet."""
     fleet.deployment.nodes[:] = [node for node in fleet.deployment.nodes if node.name != name]
     fleet.core_nodes[:] = [node for node in fleet.core_nodes if node.name != name]
     fleet.platform.nodes.pop(name, None)
@@ -35,21 +35,21 @@
 
 
 def write_seeds(*, fleet: Fleet) -> None:
-    """Write the cores that there are as seeds into every settings file, as the platform does
-    when its list changes; a process reads them at its next start or SIGHUP."""
+    """Writes the addresses of the current cores as seeds into every settings file, as the platform
+    does when its list changes. A process reads them at its next start or SIGHUP."""
     seeds = list(fleet.core_own.values())
     for name in fleet.processes.all:
         path = fleet.folder / f"{name}.json"
         if not path.exists():
-            continue  # a host of stand-ins has none
+            continue  # a process of stand-in backends has no settings
         settings = json.loads(path.read_text(encoding="utf-8"))
-        fresh = path.with_suffix(".fresh")
-        fresh.write_text(json.dumps(settings | {"seeds": seeds}, indent=1), encoding="utf-8")
-        os.replace(fresh, path)
+        new_path = path.with_suffix(".fresh")
+        new_path.write_text(json.dumps(settings | {"seeds": seeds}, indent=1), encoding="utf-8")
+        os.replace(new_path, path)
 
 
 async def has_voters(*, fleet: Fleet, names: list[str]) -> bool:
-    """Are the cores of these machines, and no others, the voters that the leader has?"""
+    """True if the leader reports exactly the cores of these machines as voters."""
     leader = await fleet.leader()
     if leader is None:
         return False
--- a/kelpstage/testbed/fleet/report.py
+++ b/kelpstage/testbed/fleet/report.py
@@ -1,15 +1,15 @@
-"""What a run comes to, by kind of call."""
+"""Figures of a run by kind of call."""
 
 from __future__ import annotations
 
 from collections import Counter
 from typing import Any
 
-FAIL_ENDS = ("not_ready", "overloaded", "no_node")
+REJECTED_ENDS = ("not_ready", "overloaded", "no_node")
 
 
 def quantile(*, values: list[int], share: float) -> int:
-    """The value below which `share` of the values lie.
+    """Returns the value below which `share` of the values lie; 0 if there are none.
 
     >>> quantile(values=[1, 2, 3, 4], share=0.5), quantile(values=[], share=0.5)
     (3, 0)
@@ -21,7 +21,8 @@
 
 
 def report(*, history: list[dict]) -> dict[str, Any]:
-    """Figures by kind of call, and extra rounds as the stand-ins counted them."""
+    """Returns figures by kind of call, and the number of additional attempts that the stand-in
+    backends received."""
     calls = [row for row in history if row["event"] == "call"]
     kinds: dict[str, Any] = {}
     for kind in sorted({row["kind"] for row in calls}):
@@ -35,7 +36,7 @@
 
 
 def is_unflagged(*, row: dict) -> bool:
-    """A success that leaves out a shard without saying so.
+    """True if a successful reply omits a shard without reporting it.
 
     >>> is_unflagged(row={"end": "ok", "coverage": 1.0, "missing": ["s1"], "warning": None})
     True
@@ -54,7 +55,7 @@
         "sent": len(rows),
         "complete": sum(row["coverage"] == 1 for row in good),
         "partial": sum(row["coverage"] < 1 for row in good),
-        "refused": sum(ends[end] for end in FAIL_ENDS),
+        "refused": sum(ends[end] for end in REJECTED_ENDS),
         "other_ends": dict(sorted(ends.items())),
         "wrong": sum(bool(row.get("wrong")) for row in rows),
         "coverage": round(sum(row["coverage"] for row in good) / len(good), 5) if good else None,
@@ -66,7 +67,7 @@
 
 
 def extra_rounds(*, history: list[dict]) -> dict[str, Any]:
-    """Receipts beyond the first of each call and shard."""
+    """Counts the requests that backends received beyond the first of each call and shard."""
     seen: Counter = Counter()
     for row in history:
         if row["event"] == "receipt":
--- a/kelpstage/testbed/fleet/sampler.py
+++ b/kelpstage/testbed/fleet/sampler.py
@@ -1,4 +1,4 @@
-"""The edges' own metrics, once a second while a fleet runs."""
+"""Samples the metrics of the edges once a second while a fleet runs."""
 
 from __future__ import annotations
 
@@ -9,49 +9,49 @@
 from kelpstage.common.metrics.reading import Between, Look, read_look
 from kelpstage.common.ports.interfaces import HttpCall, Ports
 
-EVERY_US = 1_000_000
-FETCH_WAIT_US = 900_000
-DURATION = "kelpstage_stage_duration_seconds"
+SAMPLE_INTERVAL_US = 1_000_000
+FETCH_TIMEOUT_US = 900_000
+DURATION_METRIC = "kelpstage_stage_duration_seconds"
 COLUMNS = ("second", "requests", "p50_ms", "p99_ms", "retries", "missing", "not_ready")
 
 
 @dataclass(kw_only=True)
 class Sampler:
-    """Fetches from the addresses that `edges` names, and keeps one row a second."""
+    """Fetches the metrics of `edges` (name to address) and keeps one row for each second."""
 
     ports: Ports
     edges: dict[str, str]
     rows: list[dict[str, float]] = field(default_factory=list)
-    _looks: dict[str, Look] = field(default_factory=dict)
+    _last_looks: dict[str, Look] = field(default_factory=dict)
 
     async def run(self) -> None:
         """Sample until cancelled."""
         clock = self.ports.clock
-        began_us = clock.now_us()
+        started_us = clock.now_us()
         while True:
-            looks = await self._look_at_all()
+            looks = await self._fetch_all()
             pairs = [
-                Between(before=self._looks[name], after=look)
+                Between(before=self._last_looks[name], after=look)
                 for name, look in looks.items()
-                if name in self._looks
+                if name in self._last_looks
             ]
             if pairs:
-                second = (clock.now_us() - began_us) / 1_000_000
+                second = (clock.now_us() - started_us) / 1_000_000
                 ready = sum(bool(look.total("kelpstage_ready")) for look in looks.values())
                 self.rows.append(
                     row_of(pairs=pairs, second=second, not_ready=len(self.edges) - ready)
                 )
-            self._looks = looks
-            await clock.sleep(us=EVERY_US)
+            self._last_looks = looks
+            await clock.sleep(us=SAMPLE_INTERVAL_US)
 
-    async def _look_at_all(self) -> dict[str, Look]:
-        found = await asyncio.gather(*(self._look_at(name) for name in self.edges))
+    async def _fetch_all(self) -> dict[str, Look]:
+        found = await asyncio.gather(*(self._fetch(name) for name in self.edges))
         return {name: look for name, look in zip(self.edges, found, strict=True) if look}
 
-    async def _look_at(self, name: str) -> Look | None:
+    async def _fetch(self, name: str) -> Look | None:
         url = f"http://{self.edges[name]}/metrics"
         reply = await self.ports.net.fetch(
-            call=HttpCall(method="GET", url=url, wait_us=FETCH_WAIT_US)
+            call=HttpCall(method="GET", url=url, wait_us=FETCH_TIMEOUT_US)
         )
         if isinstance(reply, KelpstageError) or reply.status != 200:
             return None
@@ -59,7 +59,7 @@
 
 
 def row_of(*, pairs: list[Between], second: float, not_ready: int) -> dict[str, float]:
-    """One second of all edges together; the quantiles are the worst edge's.
+    """Returns one second of all edges, summed; the quantiles are those of the slowest edge.
 
     >>> row_of(pairs=[Between(before=Look(at_s=0), after=Look(at_s=1))], second=1, not_ready=0)[
     ...     "requests"]
@@ -67,7 +67,7 @@
     """
 
     def worst_ms(share: float) -> float:
-        found = (pair.quantile_s(DURATION, share=share, stage="root") for pair in pairs)
+        found = (pair.quantile_s(DURATION_METRIC, share=share, stage="root") for pair in pairs)
         return max((s * 1000 for s in found if s is not None), default=0.0)
 
     def rate(name: str, **labels: str) -> float:
--- a/kelpstage/testbed/fleet/soak_rules.py
+++ b/kelpstage/testbed/fleet/soak_rules.py
@@ -1,4 +1,4 @@
-"""What a soak is judged by: what callers, backends and the operator saw, and the logs."""
+"""Checks the history and the logs of a soak for violations."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from kelpstage.testbed.checkers.base import Violation, excuses, is_excused
 from kelpstage.testbed.checkers.register import CHECKERS
 
-# The rules that hold at any moment, whatever the machine is busy with.
-JUDGED = (
+# Checkers of rules that hold at any load of the machine.
+SOAK_CHECKERS = (
     "silent_omission",
     "wrong_body",
     "mixed_configurations",
@@ -24,23 +24,24 @@
 
 
 def find_violations(*, history: list[dict[str, Any]], logs: dict[str, str]) -> list[str]:
-    """Every violation, as text."""
-    found = [violation for name in JUDGED for violation in CHECKERS[name](history)]
+    """Returns every violation of a soak as text."""
+    found = [violation for name in SOAK_CHECKERS for violation in CHECKERS[name](history)]
     found += lost_on_kept_connections(history=history)
     out = [f"{v.rule} at {v.at_us / 1_000_000:.3f} s: {v.why}" for v in found]
     for name, text in logs.items():
         if TRACEBACK in text:
-            place = text.index(TRACEBACK)
-            out.append(f"{name}: {text[place : place + LOG_CHARACTERS]}")
+            start = text.index(TRACEBACK)
+            out.append(f"{name}: {text[start : start + LOG_CHARACTERS]}")
     return out
 
 
 def lost_on_kept_connections(*, history: list[dict[str, Any]]) -> list[Violation]:
-    """A call on a kept connection that reached a backend and got no complete answer, or one
-    that was cut off in its answer, garbled, or never answered.
+    """Returns a violation for each call on a persistent connection that was lost.
 
-    A fault of the node excuses it, but for a planned stop: what was read is answered then. A
-    call that crosses the node's close and reaches no backend is no violation.
+    A call is lost if it reached a backend and got no complete reply, or if its reply was cut
+    off, invalid or missing. A fault of the node excuses it, except for a planned stop, because
+    a stopping node answers the requests that it has read. A call that the node's close of the
+    connection crossed, and that reached no backend, is no violation.
     """
     rule = "lost on a kept connection"
     reached = {row["call"] for row in history if row["event"] == "receipt"}
--- a/kelpstage/testbed/fleet/soak_runs.py
+++ b/kelpstage/testbed/fleet/soak_runs.py
@@ -1,4 +1,4 @@
-"""Soaks of many seeds, some of them side by side."""
+"""Soak tests of several seeds, optionally in parallel."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from kelpstage.testbed.fleet.scenario import bring_up
 from kelpstage.testbed.fleet.soak import Soak
 from kelpstage.testbed.fleet.soak_rules import find_violations
-from kelpstage.testbed.stand_ins.kept_callers import KeptCallers
+from kelpstage.testbed.stand_ins.kept_callers import KeepAliveCallers
 
-SHOWN = 8  # violations that are printed
+MAX_SHOWN_VIOLATIONS = 8  # violations printed for each soak
 
 
 @dataclass(frozen=True, kw_only=True)
 class SoakPlan:
-    """What one soak is: a deployment, a seed, and how much of everything."""
+    """Parameters of one soak."""
 
     deployment: str
     seed: int
@@ -37,8 +37,8 @@
 
 
 def run_soaks(*, plans: list[SoakPlan], jobs: int) -> Iterator[SoakResult]:
-    """Run soaks, at most `jobs` at a time, each time with ports of their own; their results
-    in the order of the plans."""
+    """Runs soaks, at most `jobs` at a time, with separate port ranges; yields their results in the
+    order of the plans."""
     if jobs == 1:
         yield from map(_run, plans)
         return
@@ -48,9 +48,9 @@
 
 
 def with_port_ranges(*, plans: list[SoakPlan], jobs: int) -> list[SoakPlan]:
-    """The plans with ranges of ports, such that those that run side by side share none.
+    """Returns the plans with port ranges that soaks in parallel do not share.
 
-    A soak may outlast several that began with it, so there are twice as many ranges as jobs.
+    A soak may outlast several that started with it, so there are twice as many ranges as jobs.
 
     >>> plan = SoakPlan(deployment="tiny", seed=1, seconds=1, callers=1, edges=0, is_quiet=True)
     >>> ranges = [p.port_range for p in with_port_ranges(plans=[plan] * 3, jobs=2)]
@@ -60,20 +60,20 @@
     size = len(PORTS) // (2 * jobs)
     out = []
     for number, plan in enumerate(plans):
-        place = number % (2 * jobs)
-        out.append(replace(plan, port_range=PORTS[place * size : (place + 1) * size]))
+        index = number % (2 * jobs)
+        out.append(replace(plan, port_range=PORTS[index * size : (index + 1) * size]))
     return out
 
 
 @dataclass(frozen=True, kw_only=True)
 class SoakResult:
-    """What a soak came to."""
+    """Result of one soak."""
 
     seed: int
     processes: int
     calls: int
     answered: int
-    orders: int
+    acknowledged_writes: int
     disturbances: dict[str, int]
     violations: list[str]
     logs: dict[str, str] = field(repr=False)
@@ -81,25 +81,25 @@
 
 
 def soak_text(*, result: SoakResult) -> str:
-    """A soak as a line of text, and one for each of its first violations.
+    """Returns a line of text about a soak, and a line for each of its first violations.
 
-    >>> soak_text(result=SoakResult(seed=1, processes=2, calls=3, answered=3, orders=4,
+    >>> soak_text(result=SoakResult(seed=1, processes=2, calls=3, answered=3, acknowledged_writes=4,
     ...     disturbances={"kill": 1}, violations=[], logs={}))
     'seed 1: 2 processes, 3 of 3 calls answered, 4 orders, kill 1: kept'
     """
     what = ", ".join(f"{name} {count}" for name, count in result.disturbances.items())
     head = (
         f"seed {result.seed}: {result.processes} processes, {result.answered} of {result.calls} "
-        f"calls answered, {result.orders} orders, {what}: "
+        f"calls answered, {result.acknowledged_writes} orders, {what}: "
     )
     if not result.violations:
         return head + "kept"
-    lines = [f"  {violation}" for violation in result.violations[:SHOWN]]
+    lines = [f"  {violation}" for violation in result.violations[:MAX_SHOWN_VIOLATIONS]]
     return "\n".join([head + f"{len(result.violations)} violations", *lines])
 
 
 def enlarged(*, deployment: Deployment, edges: int) -> Deployment:
-    """A deployment with more machines without a disk, so that it has so many in all.
+    """Returns a deployment with machines without a disk added, so that it has at least `edges`.
 
     >>> len(enlarged(deployment=load(name="tiny"), edges=8).nodes)
     8
@@ -113,7 +113,7 @@
 
 
 def write_soak_report(*, folder: Path, result: SoakResult) -> None:
-    """Write what a soak came to, its history and the log of each process."""
+    """Writes the violations of a soak, its history and the log of each process."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "result.txt").write_text("\n".join(result.violations), encoding="utf-8")
     rows = "".join(json.dumps(row, default=str) + "\n" for row in result.history)
@@ -123,17 +123,17 @@
 
 
 def _run(plan: SoakPlan) -> SoakResult:
-    started = time.monotonic()
+    started_s = time.monotonic()
 
-    def say(text: str) -> None:
+    def log_progress(text: str) -> None:
         if not plan.is_quiet:
-            print(f"[{time.monotonic() - started:6.1f} s] {text}", file=sys.stderr, flush=True)
+            print(f"[{time.monotonic() - started_s:6.1f} s] {text}", file=sys.stderr, flush=True)
 
-    return asyncio.run(run_soak(plan=plan, say=say))
+    return asyncio.run(run_soak(plan=plan, log_progress=log_progress))
 
 
-async def run_soak(*, plan: SoakPlan, say: Callable[[str], None]) -> SoakResult:
-    """One soak of a deployment, enlarged to so many machines; what it came to."""
+async def run_soak(*, plan: SoakPlan, log_progress: Callable[[str], None]) -> SoakResult:
+    """Runs one soak on a deployment, enlarged to the number of edges in the plan."""
     deployment = enlarged(deployment=load(name=plan.deployment), edges=plan.edges)
     fleet = Fleet(
         deployment=deployment,
@@ -142,15 +142,15 @@
         has_observers=True,
         port_range=plan.port_range,
     )
-    soak = Soak(fleet=fleet, seed=plan.seed, say=say)
-    kept = KeptCallers(callers=fleet.callers)
+    soak = Soak(fleet=fleet, seed=plan.seed, log_progress=log_progress)
+    keep_alive_callers = KeepAliveCallers(callers=fleet.callers)
     logs: dict[str, str] = {}
     timed_out: list[str] = []
     try:
-        await bring_up(fleet=fleet, say=say)
-        kept.start(count=plan.callers)
+        await bring_up(fleet=fleet, log_progress=log_progress)
+        keep_alive_callers.start(count=plan.callers)
         await soak.run(seconds=plan.seconds)
-        await kept.stop()
+        await keep_alive_callers.stop()
         await fleet.collect_receipts()
         await fleet.read_back()
     except* FleetTimeoutError as errors:
@@ -163,7 +163,7 @@
         processes=len(fleet.processes.all),
         calls=len(rows),
         answered=sum(row["event"] == "call" and row["end"] == "ok" for row in rows),
-        orders=soak.orders,
+        acknowledged_writes=soak.acknowledged_writes,
         disturbances=soak.disturbances,
         violations=timed_out + soak.violations + find_violations(history=fleet.history, logs=logs),
         logs=logs,
--- a/kelpstage/testbed/fleet/summary.py
+++ b/kelpstage/testbed/fleet/summary.py
@@ -1,4 +1,4 @@
-"""What a run came to: one table for people, and a folder with the figures and plots."""
+"""The result of a run as a table, and as a folder with figures and plots."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from kelpstage.cli.output import table
 from kelpstage.testbed.fleet.sampler import COLUMNS
 
-COUNTED = ["sent", "complete", "partial", "refused", "no answer"]
-HEADS = ["call", *COUNTED, "p50 ms", "p95 ms", "p99 ms"]
+COUNT_COLUMNS = ["sent", "complete", "partial", "refused", "no answer"]
+COLUMN_HEADS = ["call", *COUNT_COLUMNS, "p50 ms", "p95 ms", "p99 ms"]
 PLOTS = (
-    ("requests", "searches a second"),
-    ("p99_ms", "slowest edge's p99, ms"),
-    ("retries", "retries and hedges a second"),
-    ("missing", "shards left out a second"),
-    ("not_ready", "edges that are not ready"),
+    ("requests", "searches per second"),
+    ("p99_ms", "p99 of the slowest edge, ms"),
+    ("retries", "retries and hedged requests per second"),
+    ("missing", "shards missing per second"),
+    ("not_ready", "edges not ready"),
 )
 
 
 def summary_text(*, result: dict[str, Any]) -> str:
-    """The result as a table and a few lines.
+    """Returns the result as a table and a few lines of text.
 
     >>> print(summary_text(result={"kinds": {}, "violations": [], "rules": 3}))
     rules kept: 3 of 3
@@ -30,14 +30,14 @@
     lines = []
     if result["kinds"]:
         rows = [_row(name=name, kind=kind) for name, kind in result["kinds"].items()]
-        lines.append(table(rows=rows, heads=HEADS))
+        lines.append(table(rows=rows, heads=COLUMN_HEADS))
     causes: dict[str, int] = {}
     for kind in result["kinds"].values():
         for cause, count in kind["causes"].items():
             causes[cause] = causes.get(cause, 0) + count
     if causes:
-        told = ", ".join(f"{cause} {count}" for cause, count in sorted(causes.items()))
-        lines.append(f"shards missing by cause: {told}")
+        counts = ", ".join(f"{cause} {count}" for cause, count in sorted(causes.items()))
+        lines.append(f"shards missing by cause: {counts}")
     if result.get("extra_rounds", {}).get("share") is not None:
         lines.append(f"retries: {result['extra_rounds']['share']:.2%} of first sends")
     if result.get("left_out"):
@@ -65,8 +65,8 @@
     rows: list[dict[str, float]],
     logs: dict[str, str],
 ) -> list[str]:
-    """Write the summary, the result, the metrics of each second, the processes' logs and,
-    where matplotlib is installed, plots of the metrics; the names of the files."""
+    """Writes the summary, the result, the metrics of each second, the processes' logs and, if
+    matplotlib is installed, plots of the metrics. Returns the file names."""
     folder.mkdir(parents=True, exist_ok=True)
     for name, log in logs.items():
         (folder / name).write_text(log + "\n", encoding="utf-8")
@@ -82,7 +82,7 @@
 
 
 def _plot(*, path: pathlib.Path, rows: list[dict[str, float]]) -> bool:
-    """Draw the seconds; false where matplotlib is not installed."""
+    """Plots the metrics of each second; returns false if matplotlib is not installed."""
     try:
         import matplotlib
     except ImportError:
--- a/kelpstage/testbed/main.py
+++ b/kelpstage/testbed/main.py
@@ -1,4 +1,4 @@
-"""`kelpstage-testbed`: the test bed. It is the one program here that starts processes."""
+"""`kelpstage-testbed`: the command line of the testbed, the only program that starts processes."""
 
 from __future__ import annotations
 
@@ -82,11 +82,17 @@
         say_bad(f"no deployment {deployment!r}; there are: {', '.join(names())}")
     started = time.monotonic()
 
-    def say(text: str) -> None:
+    def log_progress(text: str) -> None:
         print(f"[{time.monotonic() - started:6.1f} s] {text}", file=sys.stderr, flush=True)
 
     outcome = asyncio.run(
-        run_scenario(name=deployment, seconds=seconds, seed=seed, has_faults=faults, say=say)
+        run_scenario(
+            name=deployment,
+            seconds=seconds,
+            seed=seed,
+            has_faults=faults,
+            log_progress=log_progress,
+        )
     )
     result = outcome.result
     if history:
@@ -95,7 +101,7 @@
         write_recording(path=record, history=outcome.history)
     if folder is not None:
         files = write_report(folder=folder, result=result, rows=outcome.metrics, logs=outcome.logs)
-        say(f"written to {folder}: {', '.join(files)}")
+        log_progress(f"written to {folder}: {', '.join(files)}")
     text = json.dumps(result, indent=1, ensure_ascii=False, default=str)
     print(text if is_json else summary_text(result=result))
     is_good = (
--- a/kelpstage/testbed/stand_ins/kept_callers.py
+++ b/kelpstage/testbed/stand_ins/kept_callers.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(kw_only=True)
-class KeptCallers:
+class KeepAliveCallers:
     """Callers with one connection each; their rows are those of `Callers`.
 
     A call that ends without a complete reply is a row `kept_call` with its `end`:
--- a/tests/test_fleet_summary.py
+++ b/tests/test_fleet_summary.py
@@ -10,14 +10,14 @@
 
 from kelpstage.testbed.checkers.register import CHECKERS
 from kelpstage.testbed.fleet import events as events_module
-from kelpstage.testbed.fleet.events import QUIET_S, Event, events_of, schedule
+from kelpstage.testbed.fleet.events import BASELINE_S, Event, events_of, schedule
 from kelpstage.testbed.fleet.fleet import Fleet
 from kelpstage.testbed.fleet.sampler import COLUMNS
 from kelpstage.testbed.fleet.scenario import RETURN_EVENT, judged
 from kelpstage.testbed.fleet.summary import summary_text, write_report
 
 
-async def nothing(scene: Any) -> None:
+async def nothing(context: Any) -> None:
     """An event that does nothing."""
 
 
@@ -34,8 +34,8 @@
         for seconds in (5, 20, 35, 60, 90, 120, 300, 3600):
             plan = schedule(events=events(), seconds=seconds)
             needs_s = sum(event.needs_s for event in plan.events)
-            whole_s = QUIET_S + needs_s + plan.pause_s * (len(plan.events) + 1)
-            self.assertLessEqual(needs_s + QUIET_S, seconds)
+            whole_s = BASELINE_S + needs_s + plan.pause_s * (len(plan.events) + 1)
+            self.assertLessEqual(needs_s + BASELINE_S, seconds)
             self.assertAlmostEqual(seconds, whole_s, places=6)
 
     def test_each_event_is_played_or_named(self) -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -19,11 +19,11 @@
         plan = SoakPlan(
             deployment="tiny", seed=7, seconds=SECONDS, callers=12, edges=0, is_quiet=True
         )
-        result = asyncio.run(run_soak(plan=plan, say=said.append))
+        result = asyncio.run(run_soak(plan=plan, log_progress=said.append))
         self.assertEqual([], result.violations, (said, result.disturbances))
         self.assertGreater(result.calls, LEAST_CALLS)
         self.assertGreater(result.answered, result.calls * 8 // 10)
-        self.assertGreater(result.orders, 5)
+        self.assertGreater(result.acknowledged_writes, 5)
         self.assertGreater(len(result.disturbances), 5)
 
 
