--- a/kelpstage/testbed/__init__.py
+++ b/kelpstage/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""The test bed: simulated and real deployments, checkers, model, measurements."""
+"""The testbed: simulated and real deployments, checkers, model checker, measurements."""
--- a/kelpstage/testbed/main.py
+++ b/kelpstage/testbed/main.py
@@ -12,7 +12,7 @@
 
 import typer
 
-from kelpstage.testbed.bench_scenarios import play_scenarios
+from kelpstage.testbed.bench_scenarios import run_bench_scenarios
 from kelpstage.testbed.fleet.demo import serve_demo
 from kelpstage.testbed.fleet.deployment import configuration_of, load, names
 from kelpstage.testbed.fleet.record import write_recording
@@ -36,25 +36,27 @@
 
 @app.callback()
 def rig() -> None:
-    """Runs fleets of real processes on loopback, and simulated ones."""
+    """Runs fleets of real processes on loopback, and simulated fleets."""
 
 
 @app.command()
 def days(
-    bench: str = typer.Option(help="The bench's program."),
-    site: list[Path] = typer.Option(help="A site file; may be given more than once."),
-    day: list[str] = typer.Option([], help="Only these days of kelpstage.testbed/days."),
-    why: str = typer.Option("Days of our own", help="A line for the bench's journal."),
-    jobs: int = typer.Option(6, min=1, help="Cores that the bench may use."),
-    cpu: bool = typer.Option(True, help="Charge processor time; without, days mostly repeat."),
-    seed: Optional[int] = typer.Option(None, help="Another seed than the days' own."),
+    bench: str = typer.Option(help="Path of the bench's program."),
+    site: list[Path] = typer.Option(help="A site file; may be repeated."),
+    day: list[str] = typer.Option([], help="Run only these scenarios of kelpstage/testbed/days."),
+    why: str = typer.Option("Days of our own", help="Text for the bench's journal."),
+    jobs: int = typer.Option(6, min=1, help="Number of processor cores that the bench may use."),
+    cpu: bool = typer.Option(
+        True, help="Charge processor time; without it, results are mostly repeatable."
+    ),
+    seed: Optional[int] = typer.Option(None, help="Seed to use instead of those in the scenarios."),
 ) -> None:
-    """Run the scenarios of kelpstage/testbed/days on the users' bench; fail if a rule breaks."""
+    """Run the scenarios of kelpstage/testbed/days on the users' bench; exit code 1 if one fails."""
     options = ["--jobs", str(jobs)]
     options += [] if cpu else ["--no-cpu"]
     options += [] if seed is None else ["--seed", str(seed)]
-    results = play_scenarios(bench=bench, sites=site, names=day, why=why, options=options)
-    kept = sum(result.is_kept for result in results)
+    results = run_bench_scenarios(bench=bench, sites=site, names=day, why=why, options=options)
+    kept = sum(result.has_passed for result in results)
     print(f"{kept} of {len(results)} kept")
     if kept < len(results):
         raise typer.Exit(code=1)
@@ -63,27 +65,31 @@
 @app.command()
 def fleet(
     deployment: str = typer.Argument(help=f"One of: {', '.join(names())}."),
-    seconds: int = typer.Option(60, min=5, max=3600, help="How long callers call."),
-    seed: int = typer.Option(1, help="Seed of the stand-ins."),
-    faults: bool = typer.Option(True, help="Change, kill and restart things on the way."),
-    history: Optional[str] = typer.Option(None, help="Write the history here (JSON lines)."),
-    record: Optional[str] = typer.Option(None, help="Write the day here, for kelpstage-replay."),
+    seconds: int = typer.Option(60, min=5, max=3600, help="Duration of the load."),
+    seed: int = typer.Option(1, help="Seed of the stand-in backends."),
+    faults: bool = typer.Option(
+        True, help="Apply configuration changes, kills and restarts during the run."
+    ),
+    history: Optional[str] = typer.Option(
+        None, help="Write the history to this file (JSON lines)."
+    ),
+    record: Optional[str] = typer.Option(None, help="Write a recording for kelpstage-replay."),
     is_json: bool = typer.Option(False, "--json", help="Print JSON instead of the table."),
     folder: Optional[Path] = typer.Option(
-        None, "--report", help="Write summary, result, metrics by second and plots here."
+        None, "--report", help="Write summary, result, metrics by second and plots to this folder."
     ),
 ) -> None:
     """Run a deployment at its full size and rates, and report by kind of call.
 
-    Events that do not fit into the time are left out, and named. Starting takes some 10 s
-    before it, closing some 10 s behind it.
+    Events that do not fit into the duration are skipped and listed. Start and shutdown take
+    about 10 s each, in addition to the duration.
     """
     if deployment not in names():
         say_bad(f"no deployment {deployment!r}; there are: {', '.join(names())}")
-    started = time.monotonic()
+    started_s = time.monotonic()
 
     def log_progress(text: str) -> None:
-        print(f"[{time.monotonic() - started:6.1f} s] {text}", file=sys.stderr, flush=True)
+        print(f"[{time.monotonic() - started_s:6.1f} s] {text}", file=sys.stderr, flush=True)
 
     outcome = asyncio.run(
         run_scenario(
@@ -116,17 +122,19 @@
 def soak(
     deployment: str = typer.Option("tiny", help=f"One of: {', '.join(names())}."),
     seeds: str = typer.Option("1", help="Seeds, one soak each: 7, 1-40 or 3,5,8-9."),
-    seconds: float = typer.Option(30.0, min=5.0, max=7200.0, help="How long things are disturbed."),
-    callers: int = typer.Option(12, min=1, max=2000, help="Callers with a connection each."),
-    edges: int = typer.Option(0, min=0, max=250, help="Machines in all, if more than it has."),
-    jobs: int = typer.Option(1, min=1, max=8, help="Soaks side by side."),
-    reports: Optional[Path] = typer.Option(None, help="Write logs of those not kept here."),
-    quiet: bool = typer.Option(False, help="Print one line a soak."),
+    seconds: float = typer.Option(30.0, min=5.0, max=7200.0, help="Duration of the faults."),
+    callers: int = typer.Option(12, min=1, max=2000, help="Callers, each with its own connection."),
+    edges: int = typer.Option(
+        0, min=0, max=250, help="Total number of machines, if more than the deployment has."
+    ),
+    jobs: int = typer.Option(1, min=1, max=8, help="Soaks that run in parallel."),
+    reports: Optional[Path] = typer.Option(None, help="Write logs of failed soaks to this folder."),
+    quiet: bool = typer.Option(False, help="Print only one line for each soak."),
 ) -> None:
-    """Real processes under signals, restarts and changes that overlap; judged at the end.
+    """Run real processes under overlapping signals, restarts and changes; check them at the end.
 
-    Callers use their connections until the process behind is gone. Exit code 1 if a rule was
-    broken. A process takes some 45 MB.
+    Callers use their connections until the process at the other end is gone. Exit code 1 if a
+    rule is violated. Each process needs about 45 MB of memory.
     """
     if deployment not in names():
         say_bad(f"no deployment {deployment!r}; there are: {', '.join(names())}")
@@ -156,8 +164,8 @@
 def configuration(
     deployment: str = typer.Argument(help=f"One of: {', '.join(names())}."),
 ) -> None:
-    """Print the configuration that a deployment's operators would put, with addresses
-    left to the platform's list."""
+    """Print the configuration that a deployment's operators would write. It has no backend
+    addresses, because these come from the platform's list."""
     if deployment not in names():
         say_bad(f"no deployment {deployment!r}; there are: {', '.join(names())}")
     print(configuration_of(deployment=load(name=deployment), addresses={}).decode())
@@ -168,7 +176,7 @@
     collection: str = typer.Option("demo", help="Name of the collection."),
     shards: int = typer.Option(4, min=1, max=64, help="Shards; each gets two backends."),
     first_port: int = typer.Option(7501, min=1024, max=60_000, help="First loopback port."),
-    configuration: str = typer.Option(..., help="Write a fitting configuration here."),
+    configuration: str = typer.Option(..., help="Write a matching configuration to this file."),
 ) -> None:
     """Serve stand-in backends in this process until SIGTERM or SIGINT."""
     asyncio.run(
@@ -184,12 +192,14 @@
     deployment: str = typer.Option("senegal", help=f"One of: {', '.join(names())}."),
     seeds: str = typer.Option("1-8", help="Seeds: 7, 1-40 or 3,5,8-9."),
     far_ms: int = typer.Option(0, min=0, max=500, help="Distance between zones, as in sim."),
-    workers: int = typer.Option(8, min=1, max=64, help="Worlds run side by side."),
+    workers: int = typer.Option(
+        8, min=1, max=64, help="Number of simulations that run in parallel."
+    ),
     calls: int = typer.Option(4_000, min=100, max=100_000, help="http: calls in each turn."),
-    turns: int = typer.Option(5, min=1, max=50, help="http: turns of each way."),
+    turns: int = typer.Option(5, min=1, max=50, help="http: turns of each transport."),
 ) -> None:
-    """Compare the variants of a choice over the same seeds, in virtual time; with
-    `http`, the cost of one HTTP call in real processor time."""
+    """Compare the variants of a design choice over the same seeds in virtual time; with `http`,
+    measure the processor time of an HTTP call."""
     if choice == "http":
         print(measure_http(calls=calls, turns=turns))
         return
@@ -202,7 +212,7 @@
     except ValueError:
         say_bad(f"seeds {seeds!r}: give 7, 1-40 or 3,5,8-9")
     with ProcessPoolExecutor(max_workers=workers) as pool:
-        waiting = [
+        futures = [
             pool.submit(
                 run_variant,
                 choice=choice,
@@ -214,7 +224,7 @@
             for seed in numbers
             for v in CHOICES[choice].variants
         ]
-        rows = [one.result() for one in waiting]
+        rows = [future.result() for future in futures]
     print(CHOICES[choice].why)
     for variant, row in summarize(rows=rows).items():
         print(f"{variant}: {json.dumps(row)}")
--- a/kelpstage/testbed/number_lists.py
+++ b/kelpstage/testbed/number_lists.py
@@ -1,10 +1,10 @@
-"""Lists of numbers as the command line gives them."""
+"""Parsing of lists of numbers on the command line."""
 
 from __future__ import annotations
 
 
 def read_seeds(*, text: str) -> list[int]:
-    """Seeds as `7`, `1-40` or `3,5,8-9`.
+    """Parses seeds such as `7`, `1-40` or `3,5,8-9`.
 
     >>> read_seeds(text="3,5,8-9")
     [3, 5, 8, 9]
--- a/kelpstage/testbed/output.py
+++ b/kelpstage/testbed/output.py
@@ -1,4 +1,4 @@
-"""What the commands of the testbed share: a fault of the command line, histories in files."""
+"""Output shared by the testbed's commands: usage errors and files of histories."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def say_bad(text: str) -> NoReturn:
-    """A fault of the command line on stderr, and exit code 2."""
+    """Prints a usage error to stderr and exits with code 2."""
     print(text, file=sys.stderr)
     raise SystemExit(BAD_INPUT)
 
 
 def write_history(*, path: str, rows: list[dict[str, Any]]) -> None:
-    """Write a history as JSON lines."""
+    """Writes a history as JSON lines."""
     with open(path, "w", encoding="utf-8") as file:
         for row in rows:
             file.write(json.dumps(row) + "\n")
--- a/kelpstage/testbed/stand_ins/__init__.py
+++ b/kelpstage/testbed/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Replacements of what surrounds the product: backends, callers, the platform."""
+"""Stand-ins for the systems around the product: backends, callers, the platform."""
--- a/kelpstage/testbed/stand_ins/backend.py
+++ b/kelpstage/testbed/stand_ins/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in index server: unordered sealed records, pauses, faults on demand."""
+"""A stand-in for an index server: replies with a stamp, random pauses, and faults on demand."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
 from kelpstage.testbed.stand_ins.records import Cut, part, seal, sealed_reply
 
-SEARCH = re.compile(r"/v1/shards/([^/]+)/search")
-RECORD = re.compile(r"/v1/shards/([^/]+)/records/([^/]+)")
+SEARCH_PATH = re.compile(r"/v1/shards/([^/]+)/search")
+RECORD_PATH = re.compile(r"/v1/shards/([^/]+)/records/([^/]+)")
 SENDER_HEADER = "kelp-rig-by"  # set by the simulator alone
 INVALID_REPLIES = (
     "stamp",
@@ -30,8 +30,8 @@
 
 
 @dataclass(kw_only=True)
-class Mode:
-    """How a stand-in behaves now."""
+class BackendMode:
+    """The current behaviour of a stand-in. `lie` is one of `INVALID_REPLIES`, or empty."""
 
     is_listening: bool = True
     is_draining: bool = False
@@ -41,7 +41,7 @@
 
 @dataclass(kw_only=True)
 class StandIn:
-    """One backend; it may serve shards of several cuts."""
+    """A stand-in backend; it may serve shards of several cuts."""
 
     name: str
     address: str
@@ -49,7 +49,7 @@
     cuts: dict[str, Cut]
     ports: Ports
     receipts: list[dict] = field(default_factory=list)
-    mode: Mode = field(default_factory=Mode)
+    mode: BackendMode = field(default_factory=BackendMode)
     pause_share: float = 0.002
     on_receipt: Callable[[dict], None] | None = None
     listener: Any = None
@@ -66,14 +66,14 @@
         self.mode.is_listening = True
 
     def close(self) -> None:
-        """Stop listening; it may be opened again."""
+        """Stop listening; `open` starts it again."""
         self.mode.is_listening = False
         if self.listener is not None:
             self.listener.close()
             self.listener = None
 
     async def set_mode(self, **fields: Any) -> None:
-        """Change the behaviour; `is_listening` opens and closes the address."""
+        """Change fields of the mode; `is_listening` opens or closes the listener."""
         listening = fields.pop("is_listening", None)
         for name, value in fields.items():
             setattr(self.mode, name, value)
@@ -85,19 +85,21 @@
             await self.open()
 
     async def answer(self, call: HttpCall) -> HttpReply | None:
-        """Answer one call; `None` breaks its connection."""
+        """Returns the reply to a call; `None` closes its connection."""
         if call.url == "/v1/health":
-            self._keep(receipt=self._receipt(event="probe", call=call))
+            self._store_receipt(receipt=self._new_receipt(event="probe", call=call))
             state = "draining" if self.mode.is_draining else "up"
             return self._json(body=json.dumps({"state": state}).encode())
-        found = SEARCH.fullmatch(call.url) or RECORD.fullmatch(call.url)
-        if found is None:
+        match = SEARCH_PATH.fullmatch(call.url) or RECORD_PATH.fullmatch(call.url)
+        if match is None:
             return HttpReply(status=404, body=b"{}")
-        shard = found.group(1)
+        shard = match.group(1)
         cut_name = call.headers.get("kelp-cut", "")
-        is_search = len(found.groups()) == 1
-        receipt = self._note(call=call, shard=shard, cut=cut_name, is_search=is_search, found=found)
-        await self._take_time()
+        is_search = len(match.groups()) == 1
+        receipt = self._record_request(
+            call=call, shard=shard, cut=cut_name, is_search=is_search, match=match
+        )
+        await self._simulate_latency()
         receipt["replied_us"] = self.ports.clock.now_us()
         if not self.mode.is_listening:
             return None
@@ -106,16 +108,18 @@
             return HttpReply(status=404, headers={"Content-Type": "application/json"}, body=b"{}")
         if is_search:
             query = json.loads(call.body)["q"]
-            return self._lie(body=sealed_reply(query=query, cut=cut, shard=shard), shard=shard)
-        number, _, _ = found.group(2).partition("~")
+            return self._reply_or_fault(
+                body=sealed_reply(query=query, cut=cut, shard=shard), shard=shard
+            )
+        number, _, _ = match.group(2).partition("~")
         rows = [
             data
             for _, data in part(query="name-00", cut=cut, shard=shard)
             if json.loads(data)["id"] == number
         ]
-        return self._lie(body=seal(shard=shard, cut=cut.name, rows=rows), shard=shard)
+        return self._reply_or_fault(body=seal(shard=shard, cut=cut.name, rows=rows), shard=shard)
 
-    def _receipt(self, *, event: str, call: HttpCall) -> dict:
+    def _new_receipt(self, *, event: str, call: HttpCall) -> dict:
         return {
             "event": event,
             "at_us": self.ports.clock.now_us(),
@@ -125,29 +129,31 @@
             "signed_us": self.signed_us if self.mode.is_draining else 0,
         }
 
-    def _keep(self, *, receipt: dict) -> None:
+    def _store_receipt(self, *, receipt: dict) -> None:
         self.receipts.append(receipt)
         if self.on_receipt is not None:
             self.on_receipt(receipt)
 
-    def _note(self, *, call: HttpCall, shard: str, cut: str, is_search: bool, found: Any) -> dict:
-        name = json.loads(call.body).get("call") if is_search else found.group(2).partition("~")[2]
-        receipt = self._receipt(event="receipt", call=call) | {
+    def _record_request(
+        self, *, call: HttpCall, shard: str, cut: str, is_search: bool, match: Any
+    ) -> dict:
+        name = json.loads(call.body).get("call") if is_search else match.group(2).partition("~")[2]
+        receipt = self._new_receipt(event="receipt", call=call) | {
             "shard": shard,
             "cut": cut,
             "call": name,
             "is_search": is_search,
             "replied_us": 0,
         }
-        self._keep(receipt=receipt)
+        self._store_receipt(receipt=receipt)
         return receipt
 
-    async def _take_time(self) -> None:
+    async def _simulate_latency(self) -> None:
         rand = self.ports.rand
-        took_us = 500 + int(rand.random() * 2_000) + self.mode.slow_us
+        delay_us = 500 + int(rand.random() * 2_000) + self.mode.slow_us
         if rand.random() < self.pause_share:
-            took_us += 30_000 + int(rand.random() * 120_000)
-        await self.ports.clock.sleep(us=took_us)
+            delay_us += 30_000 + int(rand.random() * 120_000)
+        await self.ports.clock.sleep(us=delay_us)
 
     def _json(self, *, body: bytes, status: int = 200, kind: str = "application/json") -> HttpReply:
         headers = {"Content-Type": kind}
@@ -156,7 +162,7 @@
             self.signed_us = self.signed_us or self.ports.clock.now_us()
         return HttpReply(status=status, headers=headers, body=body)
 
-    def _lie(self, *, body: bytes, shard: str) -> HttpReply | None:
+    def _reply_or_fault(self, *, body: bytes, shard: str) -> HttpReply | None:
         lie = self.mode.lie
         if not lie:
             return self._json(body=body)
@@ -170,15 +176,15 @@
 
 
 def damaged_body(*, body: bytes, lie: str, shard: str) -> bytes:
-    """A reply made invalid in one way.
+    """Returns the body of a reply, made invalid in one way.
 
     >>> damaged_body(body=b'{"shard": "s"}', lie="shard", shard="s")
     b'{"shard": "not-s"}'
     """
     if lie == "stamp":
-        place = body.index(b'"stamp": "') + 10
+        start = body.index(b'"stamp": "') + 10
         return (
-            body[:place] + (b"0" if body[place : place + 1] != b"0" else b"1") + body[place + 1 :]
+            body[:start] + (b"0" if body[start : start + 1] != b"0" else b"1") + body[start + 1 :]
         )
     if lie == "shard":
         return body.replace(f'"{shard}"'.encode(), f'"not-{shard}"'.encode(), 1)
@@ -192,9 +198,9 @@
         middle = len(body) // 2
         return body[:middle] + b"\xff\xfe" + body[middle + 2 :]
     if lie == "double":
-        place = body.index(b'"records": [') + 12
-        first = body[place : body.index(b"}", place) + 1]
-        return body[:place] + first + b", " + body[place:]
+        start = body.index(b'"records": [') + 12
+        first = body[start : body.index(b"}", start) + 1]
+        return body[:start] + first + b", " + body[start:]
     if lie == "score":
         return body.replace(b'"score":', b'"scorn":', 1)
     if lie == "swapped":
--- a/kelpstage/testbed/stand_ins/callers.py
+++ b/kelpstage/testbed/stand_ins/callers.py
@@ -1,4 +1,4 @@
-"""Stand-in callers: open-loop arrivals by kind, each reply checked on arrival."""
+"""Stand-in callers: open-loop arrivals by kind of call; each reply is checked on arrival."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from kelpstage.common.errors.transport import ConnectError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
 from kelpstage.testbed.stand_ins.platform import Platform
-from kelpstage.testbed.stand_ins.records import QUERIES, UNIVERSE, Cut, best, record
+from kelpstage.testbed.stand_ins.records import QUERIES, RECORD_COUNT, Cut, best, record
 
 
 @dataclass(frozen=True, kw_only=True)
 class Kind:
-    """One kind of call: its rate and how long its callers wait."""
+    """A kind of call: its rate, its deadline and its limit."""
 
     name: str
     per_second: float
@@ -27,12 +27,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class PreparedCall:
-    """A call that is about to be sent, and the row of the history that it becomes."""
+    """A call before it is sent, and its row of the history."""
 
     kind: Kind
     call: HttpCall
     query: str
-    single: tuple[str, int] | None  # shard and number of the record that is asked for
+    single: tuple[str, int] | None  # shard and number of the requested record
     row: dict[str, Any]
 
 
@@ -55,7 +55,7 @@
     errors: list[str] = field(default_factory=list)
 
     async def run(self, *, kind: Kind) -> None:
-        """Open-loop arrivals of one kind, by a random process that never waits for replies."""
+        """Send calls of one kind as a Poisson process (open loop: it does not wait for replies)."""
         rand, clock = self.ports.rand, self.ports.clock
         due_us = clock.now_us()
         while self.is_open:
@@ -65,11 +65,11 @@
                 self.ports.spawn(self.call(kind=kind))
 
     async def call(self, *, kind: Kind) -> None:
-        """Send one call by a ready node and note its outcome as a row of the history.
+        """Send one call to a ready node and record its outcome as a row of the history.
 
-        Without a ready node the row ends in `no_node` at once.
+        If no node is ready, the row ends with `no_node` and nothing is sent.
         """
-        node = self.platform.hand_on(zone=self.ports.rand.choice(self.zones))
+        node = self.platform.choose_node(zone=self.ports.rand.choice(self.zones))
         if node is None:
             row = self._row(kind=kind, node=None)
             row |= {"end": "no_node", "done_us": row["sent_us"], "status": 0}
@@ -80,10 +80,10 @@
         reply = await self.ports.net.fetch(call=prepared.call)
         self.in_flight -= 1
         if not isinstance(reply, KelpstageError):
-            self.note_reply(prepared=prepared, reply=reply)
+            self.record_reply(prepared=prepared, reply=reply)
             return
         if isinstance(reply, ConnectError):
-            self.platform.forget(name=node)
+            self.platform.mark_not_ready(name=node)
         done = {"done_us": self.ports.clock.now_us(), "end": reply.kind, "status": 0}
         self.note(prepared.row | done)
 
@@ -102,10 +102,10 @@
         }
 
     def prepare(self, *, kind: Kind, node: str) -> PreparedCall:
-        """A call of a kind to a node, with what its reply is compared to."""
+        """Returns a call of a kind to a node, with the data to check its reply."""
         row = self._row(kind=kind, node=node)
         query = self.ports.rand.choice(QUERIES)
-        call, expected = self._shape(kind=kind, name=row["call"], node=node, query=query)
+        call, expected = self._build_call(kind=kind, name=row["call"], node=node, query=query)
         if expected is not None:
             row |= {"shard": expected[0], "asked_cut": self.current_cut()}
         row["ask"] = {
@@ -117,19 +117,19 @@
         }
         return PreparedCall(kind=kind, call=call, query=query, single=expected, row=row)
 
-    def note_reply(self, *, prepared: PreparedCall, reply: HttpReply) -> None:
-        """Judge a reply, and note the call."""
-        judged = self.judge(
+    def record_reply(self, *, prepared: PreparedCall, reply: HttpReply) -> None:
+        """Check a reply and record the call."""
+        check_result = self.check_reply(
             kind=prepared.kind, reply=reply, query=prepared.query, single=prepared.single
         )
-        self.note(prepared.row | {"done_us": self.ports.clock.now_us()} | judged)
+        self.note(prepared.row | {"done_us": self.ports.clock.now_us()} | check_result)
 
-    def note_unanswered(self, *, prepared: PreparedCall, end: str) -> None:
-        """Note a call on a kept connection that got no complete reply."""
+    def record_unanswered(self, *, prepared: PreparedCall, end: str) -> None:
+        """Record a call on a persistent connection that got no complete reply."""
         done = {"event": "kept_call", "done_us": self.ports.clock.now_us(), "end": end}
         self.note(prepared.row | done | {"status": 0})
 
-    def _shape(
+    def _build_call(
         self, *, kind: Kind, name: str, node: str, query: str
     ) -> tuple[HttpCall, tuple[str, int] | None]:
         base = f"http://{self.platform.nodes[node][1]}/v1/collections/{self.collection}"
@@ -140,7 +140,7 @@
         wait_us = kind.time_left_us + 500_000
         if kind.is_single:
             cut = self.cuts[self.current_cut()]
-            number = self.ports.rand.randrange(UNIVERSE)
+            number = self.ports.rand.randrange(RECORD_COUNT)
             shard = cut.shard_of(number=number)
             url = f"{base}/shards/{shard}/records/{number}~{name}"
             call = HttpCall(method="GET", url=url, headers=headers, wait_us=wait_us)
@@ -152,10 +152,10 @@
         )
         return call, None
 
-    def judge(
+    def check_reply(
         self, *, kind: Kind, reply: HttpReply, query: str, single: tuple[str, int] | None
     ) -> dict[str, Any]:
-        """Compare a reply with the oracle, byte for byte; the fields for its history row."""
+        """Compare a reply with the oracle byte by byte; returns the fields for its row."""
         row: dict[str, Any] = {"status": reply.status}
         if reply.status != 200:
             row["retry_after"] = reply.headers.get("retry-after")
@@ -163,7 +163,7 @@
             row["defect_version"] = error_version(body=reply.body)
             row["detail"] = reply.body[:600].decode("utf-8", "replace")
             return row
-        head, raw = split_verdict(body=reply.body)
+        head, raw = split_reply(body=reply.body)
         row |= {
             "end": "ok",
             "version": head["configuration"],
@@ -189,19 +189,19 @@
         return row
 
 
-def split_verdict(*, body: bytes) -> tuple[dict, bytes]:
-    """A reply's head, and the exact bytes between its records' brackets.
+def split_reply(*, body: bytes) -> tuple[dict, bytes]:
+    """Returns the fields of a reply without its records, and the exact bytes of the records.
 
-    >>> split_verdict(body=b'{"a":1,"records":[{},{}]}')
+    >>> split_reply(body=b'{"a":1,"records":[{},{}]}')
     ({'a': 1}, b'{},{}')
     """
     mark = b',"records":['
-    place = body.index(mark)
-    return json.loads(body[:place] + b"}"), body[place + len(mark) : -2]
+    start = body.index(mark)
+    return json.loads(body[:start] + b"}"), body[start + len(mark) : -2]
 
 
 def error_version(*, body: bytes) -> int | None:
-    """The version of the configuration that an error names, if it names one.
+    """Returns the configuration version that an error body contains; `None` if there is none.
 
     >>> error_version(body=b'{"defect":{"kind":"k","configuration":3}}')
     3
@@ -213,7 +213,7 @@
 
 
 def error_kind(*, body: bytes) -> str:
-    """The kind that an error's body names, else `untyped`."""
+    """Returns the kind in an error body; `untyped` if there is none."""
     try:
         return json.loads(body)["defect"]["kind"]
     except (ValueError, KeyError, TypeError):
--- a/kelpstage/testbed/stand_ins/kept_callers.py
+++ b/kelpstage/testbed/stand_ins/kept_callers.py
@@ -1,7 +1,7 @@
-"""Stand-in callers that keep a connection and go on using it until it is closed.
+"""Stand-in callers that use a persistent connection until it is closed.
 
-The platform hands a caller to a ready node once; from then on the node is asked over the
-same connection, whatever it says of itself, until the node closes it or its process is gone.
+The platform chooses a ready node once. The caller then sends all calls to that node over the
+same connection, even if the node is no longer ready, until the node closes it or ends.
 """
 
 from __future__ import annotations
@@ -15,55 +15,56 @@
 from kelpstage.testbed.stand_ins.callers import Callers, Kind
 
 READ_BYTES = 65_536
-PAUSE_S = 0.05  # between two calls, at most
-AGAIN_S = 0.2  # after a connection has ended
-CONNECT_S = 1.0
+MAX_PAUSE_S = 0.05  # between two calls
+RECONNECT_PAUSE_S = 0.2  # at most, after a connection has ended
+CONNECT_TIMEOUT_S = 1.0
 
 
 class ReplyReader:
-    """Reads one reply from the bytes of a connection."""
+    """Parses one reply from the bytes of a connection."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._headers: dict[str, str] = {}
         self._body = b""
-        self.has_begun = False
+        self.has_started = False
         self.is_complete = False
 
     def feed(self, data: bytes) -> None:
-        """Take bytes; raises `httptools.HttpParserError` for what is no answer."""
-        self.has_begun = True
+        """Parse received bytes; raises `httptools.HttpParserError` if they are no HTTP reply."""
+        self.has_started = True
         self._parser.feed_data(data)
 
     def reply(self) -> HttpReply:
-        """The complete reply."""
+        """Returns the complete reply."""
         status = self._parser.get_status_code()
         return HttpReply(status=status, headers=self._headers, body=self._body)
 
     @property
-    def is_last(self) -> bool:
-        """Does the node close the connection behind this reply?"""
+    def closes_connection(self) -> bool:
+        """True if the node closes the connection after this reply."""
         return not self._parser.should_keep_alive()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header was read."""
+        """Store a parsed header."""
         self._headers[name.decode().lower()] = value.decode()
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body was read."""
+        """Append a parsed part of the body."""
         self._body += body
 
     def on_message_complete(self) -> None:
-        """The reply is complete."""
+        """Mark the reply as complete."""
         self.is_complete = True
 
 
 @dataclass(kw_only=True)
 class KeepAliveCallers:
-    """Callers with one connection each; their rows are those of `Callers`.
+    """Callers with one persistent connection each; `callers` records their rows.
 
-    A call that ends without a complete reply is a row `kept_call` with its `end`:
-    `closed` before the first byte of a reply, `cut_off` after it, `wait_over`, `garbled`.
+    A call without a complete reply is recorded as `kept_call` with one of these ends: `closed`
+    (the connection ended before the first byte of a reply), `cut_off` (it ended after that),
+    `wait_over` (timeout), `garbled` (invalid HTTP).
     """
 
     callers: Callers
@@ -71,88 +72,91 @@
     _tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     def start(self, *, count: int) -> None:
-        """Begin with so many callers, of each kind in turn."""
+        """Start `count` callers, with the kinds of calls in turn."""
         kinds = self.callers.kinds
         for number in range(count):
             kind = kinds[number % len(kinds)]
             self._tasks.append(asyncio.create_task(self._run(kind=kind)))
 
     async def stop(self) -> None:
-        """No new calls; those that are open end."""
+        """Start no new calls and wait for those in flight."""
         self.is_open = False
         await asyncio.gather(*self._tasks)
 
     async def _run(self, *, kind: Kind) -> None:
         rand = self.callers.ports.rand
         while self.is_open:
-            node = self.callers.platform.hand_on(zone=rand.choice(self.callers.zones))
+            node = self.callers.platform.choose_node(zone=rand.choice(self.callers.zones))
             if node is not None:
                 await self._use_connection(kind=kind, node=node)
-            await asyncio.sleep(AGAIN_S * rand.random())
+            await asyncio.sleep(RECONNECT_PAUSE_S * rand.random())
 
     async def _use_connection(self, *, kind: Kind, node: str) -> None:
         host, _, port = self.callers.platform.nodes[node][1].rpartition(":")
         try:
             opening = asyncio.open_connection(host, int(port))
-            reader, writer = await asyncio.wait_for(opening, CONNECT_S)
+            reader, writer = await asyncio.wait_for(opening, CONNECT_TIMEOUT_S)
         except OSError:
-            self.callers.platform.forget(name=node)
+            self.callers.platform.mark_not_ready(name=node)
             return
         try:
-            await self._call_again_and_again(kind=kind, node=node, reader=reader, writer=writer)
+            await self._send_calls(kind=kind, node=node, reader=reader, writer=writer)
         finally:
             writer.close()
 
-    async def _call_again_and_again(
+    async def _send_calls(
         self, *, kind: Kind, node: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         rand = self.callers.ports.rand
         while await self._call(kind=kind, node=node, reader=reader, writer=writer):
-            await asyncio.sleep(PAUSE_S * rand.random())
+            await asyncio.sleep(MAX_PAUSE_S * rand.random())
             if not self.is_open:
                 return
 
     async def _call(
         self, *, kind: Kind, node: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """One call; true if the connection can be used again."""
+        """Send one call; true if the connection can be used again."""
         prepared = self.callers.prepare(kind=kind, node=node)
-        answer = ReplyReader()
-        end = await _exchange(call=prepared.call, answer=answer, reader=reader, writer=writer)
+        reply_reader = ReplyReader()
+        end = await _exchange(
+            call=prepared.call, reply_reader=reply_reader, reader=reader, writer=writer
+        )
         if end:
-            self.callers.note_unanswered(prepared=prepared, end=end)
+            self.callers.record_unanswered(prepared=prepared, end=end)
             return False
-        self.callers.note_reply(prepared=prepared, reply=answer.reply())
-        return not answer.is_last
+        self.callers.record_reply(prepared=prepared, reply=reply_reader.reply())
+        return not reply_reader.closes_connection
 
 
 async def _exchange(
     *,
     call: HttpCall,
-    answer: ReplyReader,
+    reply_reader: ReplyReader,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> str:
-    """Send a request and read its reply; how it ended, empty if the reply is complete."""
+    """Sends a request and reads its reply. Returns the kind of failure, empty if the reply is
+    complete."""
     writer.write(request_bytes(call=call))
     try:
         async with asyncio.timeout(call.wait_us / 1_000_000):
-            while not answer.is_complete:
+            while not reply_reader.is_complete:
                 data = await reader.read(READ_BYTES)
                 if not data:
-                    return "cut_off" if answer.has_begun else "closed"
-                answer.feed(data)
+                    return "cut_off" if reply_reader.has_started else "closed"
+                reply_reader.feed(data)
     except TimeoutError:
         return "wait_over"
     except httptools.HttpParserError:
         return "garbled"
     except OSError:
-        return "cut_off" if answer.has_begun else "closed"
+        return "cut_off" if reply_reader.has_started else "closed"
     return ""
 
 
 def request_bytes(*, call: HttpCall) -> bytes:
-    """A request as it goes over a connection.
+    """Returns the bytes of an HTTP request.
 
     >>> request_bytes(call=HttpCall(method="GET", url="http://h:1/a", headers={"B": "c"}))
     b'GET /a HTTP/1.1\\r\\nHost: h:1\\r\\nB: c\\r\\nContent-Length: 0\\r\\n\\r\\n'
--- a/kelpstage/testbed/stand_ins/platform.py
+++ b/kelpstage/testbed/stand_ins/platform.py
@@ -1,5 +1,5 @@
-"""The stand-in platform: asks nodes whether they are ready, hands callers on,
-keeps a list of backends that lags."""
+"""The stand-in for the platform: polls the readiness of nodes, directs callers to ready nodes,
+and serves a list of backends that lags behind their state."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Listener, Ports
 
-READY_US = 500_000
-READY_WAIT_US = 400_000
-LAG_US = 1_500_000
+READINESS_POLL_INTERVAL_US = 500_000
+READINESS_TIMEOUT_US = 400_000
+LIST_LAG_US = 1_500_000
 
 
 @dataclass(kw_only=True)
 class Platform:
-    """Knows nodes by zone, hands out one that said it was ready."""
+    """Directs callers to nodes that were ready at the last poll, preferably in their own zone."""
 
     ports: Ports
     nodes: dict[str, tuple[str, str]]  # name -> zone, http address
@@ -25,7 +25,7 @@
     address: str = ""
     ready: dict[str, bool] = field(default_factory=dict)
     listed: dict[str, tuple[str, str]] = field(default_factory=dict)
-    turn: int = 0
+    choice_count: int = 0
     note: Callable[[dict], None] = lambda row: None
     _server: Listener | None = None
 
@@ -35,7 +35,7 @@
         Raises `OSError` if the address can't be opened.
         """
         self.listed = {name: (address, "running") for name, address in self.backends.items()}
-        self.ports.spawn(self._ask_all())
+        self.ports.spawn(self._poll_all())
         if self.address:
             outcome = await self.ports.net.serve_http(
                 address=self.address, on_call=self.serve, body_limit=1024
@@ -50,7 +50,7 @@
             self._server.close()
 
     async def serve(self, call: HttpCall) -> HttpReply:
-        """Answer any request with the list of backends, as JSON."""
+        """Returns the list of backends as JSON, for any request."""
         rows = [
             {"name": name, "address": address, "state": state}
             for name, (address, state) in sorted(self.listed.items())
@@ -62,46 +62,46 @@
         )
 
     def note_backend(self, *, name: str, state: str) -> None:
-        """Apply a backend's change of state to the list after `LAG_US`."""
+        """Apply a backend's change of state to the list after `LIST_LAG_US`."""
 
-        async def later() -> None:
-            await self.ports.clock.sleep(us=LAG_US)
+        async def update_list() -> None:
+            await self.ports.clock.sleep(us=LIST_LAG_US)
             if state == "absent":
                 self.listed.pop(name, None)
             else:
                 self.listed[name] = (self.backends[name], state)
             self.note({"event": "listed", "backend": name, "state": state})
 
-        self.ports.spawn(later())
+        self.ports.spawn(update_list())
 
-    async def _ask_all(self) -> None:
+    async def _poll_all(self) -> None:
         while True:
             for name, (_, address) in sorted(self.nodes.items()):
-                self.ports.spawn(self._ask(name=name, address=address))
-            await self.ports.clock.sleep(us=READY_US)
+                self.ports.spawn(self._poll(name=name, address=address))
+            await self.ports.clock.sleep(us=READINESS_POLL_INTERVAL_US)
 
-    async def _ask(self, *, name: str, address: str) -> None:
+    async def _poll(self, *, name: str, address: str) -> None:
         reply = await self.ports.net.fetch(
-            call=HttpCall(method="GET", url=f"http://{address}/ready", wait_us=READY_WAIT_US)
+            call=HttpCall(method="GET", url=f"http://{address}/ready", wait_us=READINESS_TIMEOUT_US)
         )
         self.ready[name] = not isinstance(reply, KelpstageError) and reply.status == 200
 
-    def hand_on(self, *, zone: str) -> str | None:
-        """A ready node of the caller's zone, else of any."""
-        self.turn += 1
+    def choose_node(self, *, zone: str) -> str | None:
+        """Returns a ready node of the caller's zone, or else of any zone, in round-robin order."""
+        self.choice_count += 1
         for wanted in (zone, None):
             names = sorted(
                 name
-                for name, (at, _) in self.nodes.items()
-                if self.ready.get(name) and wanted in (None, at)
+                for name, (node_zone, _) in self.nodes.items()
+                if self.ready.get(name) and wanted in (None, node_zone)
             )
             if names:
-                return names[self.turn % len(names)]
+                return names[self.choice_count % len(names)]
         return None
 
-    def forget(self, *, name: str) -> None:
+    def mark_not_ready(self, *, name: str) -> None:
         """Treat a node as not ready until its next successful poll.
 
-        Callers do so when it refuses a connection.
+        Callers call it when the node refuses a connection.
         """
         self.ready[name] = False
--- a/kelpstage/testbed/stand_ins/records.py
+++ b/kelpstage/testbed/stand_ins/records.py
@@ -1,7 +1,6 @@
-"""The made-up index that stand-in backends serve, and the oracle over it.
+"""The generated index that stand-in backends serve, and the oracle for its search results.
 
-The oracle is written apart from the code under test: it sorts the whole
-universe plainly and never merges.
+The oracle shares no code with the code under test: it sorts all records and merges nothing.
 """
 
 from __future__ import annotations
@@ -13,12 +12,12 @@
 from functools import lru_cache
 
 QUERIES = tuple(f"name-{number:02d}" for number in range(30))
-UNIVERSE = 320
+RECORD_COUNT = 320
 
 
 @dataclass(frozen=True, kw_only=True)
 class Cut:
-    """One way of cutting the index into shards.
+    """A division of the index into shards.
 
     >>> Cut(name="c1", shards=("s1", "s2")).shard_of(number=3)
     's2'
@@ -28,13 +27,15 @@
     shards: tuple[str, ...]
 
     def shard_of(self, *, number: int) -> str:
-        """The shard that holds the record of this number: numbers go round the shards."""
+        """Returns the shard of a record; numbers are assigned to shards in round-robin order."""
         return self.shards[number % len(self.shards)]
 
 
 @lru_cache(maxsize=100_000)
 def record(*, query: str, number: int) -> tuple[int, bytes]:
-    """A record's score and exact bytes; spacing varies on purpose.
+    """Returns a record's score and exact bytes.
+
+    The spacing varies on purpose, because replies are compared byte by byte.
 
     >>> record(query="name-01", number=0) == record(query="name-01", number=0)
     True
@@ -52,8 +53,8 @@
 
 @lru_cache(maxsize=20_000)
 def part(*, query: str, cut: Cut, shard: str) -> tuple[tuple[int, bytes], ...]:
-    """A shard's records for a query, in no order."""
-    numbers = [n for n in range(UNIVERSE) if cut.shard_of(number=n) == shard]
+    """Returns a shard's records for a query, not ordered by score."""
+    numbers = [n for n in range(RECORD_COUNT) if cut.shard_of(number=n) == shard]
     rows = [record(query=query, number=n) for n in numbers]
     rows.sort(key=lambda row: hashlib.md5(row[1]).digest())
     return tuple(rows)
@@ -61,7 +62,7 @@
 
 @lru_cache(maxsize=20_000)
 def sealed_reply(*, query: str, cut: Cut, shard: str) -> bytes:
-    """A shard's reply to a query, sealed with its stamp."""
+    """Returns a shard's reply to a query, with its stamp."""
     return seal(
         shard=shard,
         cut=cut.name,
@@ -70,7 +71,7 @@
 
 
 def seal(*, shard: str, cut: str, rows: list[bytes]) -> bytes:
-    """A reply with its stamp, as the backends' page describes it.
+    """Returns a backend's reply: shard, cut, count, stamp and records.
 
     >>> json.loads(seal(shard="s", cut="c", rows=[b"{}"]))["count"]
     1
@@ -82,7 +83,7 @@
 
 
 def stamp(*, rows: list[bytes]) -> str:
-    """SHA-256 in hexadecimal over each row's length, 8 bytes big-endian, and its bytes."""
+    """Returns SHA-256 in hexadecimal over each row's length (8 bytes, big-endian) and its bytes."""
     digest = hashlib.sha256()
     for row in rows:
         digest.update(struct.pack("!Q", len(row)) + row)
@@ -91,9 +92,11 @@
 
 @lru_cache(maxsize=50_000)
 def best(*, query: str, cut: Cut, shards: frozenset, limit: int | None) -> bytes:
-    """The oracle: exactly the best records of the named shards, greatest first."""
+    """The oracle: returns the best records of the given shards, by descending score."""
     rows = [
-        record(query=query, number=n) for n in range(UNIVERSE) if cut.shard_of(number=n) in shards
+        record(query=query, number=n)
+        for n in range(RECORD_COUNT)
+        if cut.shard_of(number=n) in shards
     ]
     rows.sort(key=lambda row: (-row[0], row[1]))
     if limit is not None:
--- a/tests/test_bench_days.py
+++ b/tests/test_bench_days.py
@@ -1,5 +1,5 @@
-"""The days of our own for the users' bench: each file is one day, and together they hold
-every kind of trouble that no standard day has."""
+"""The scenarios for the users' bench (which it calls days): each file holds one, and together
+they contain every kind of fault that the bench's standard scenarios lack."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from kelpstage.testbed.bench_scenarios import read_result, scenario_files
 
-TWICE = {
+REQUIRED_TWICE = {
     "clock_step",
     "disk_full",
     "disk_stall",
@@ -29,8 +29,8 @@
     "replace_core",
     "after_ack_wipe",
 }
-GREY = {"errors", "shed", "busy", "hang", "reset", "mute", "slow", "one_zone"}
-BAD = {
+GREY_VARIANTS = {"errors", "shed", "busy", "hang", "reset", "mute", "slow", "one_zone"}
+BAD_CONFIG_VARIANTS = {
     "cut_short",
     "unknown_service",
     "same_place",
@@ -41,11 +41,11 @@
     "stale_match",
     "shared_key",
 }
-WITH = {"meet", "race", "hard", "drain", "busy", "leader", "reader", "seed"}
-WITH |= {"both", "seeds", "one_way", "planned"}
+OTHER_VARIANTS = {"meet", "race", "hard", "drain", "busy", "leader", "reader", "seed"}
+OTHER_VARIANTS |= {"both", "seeds", "one_way", "planned"}
 
 
-def load_days() -> dict[str, dict[str, Any]]:
+def load_scenarios() -> dict[str, dict[str, Any]]:
     days = {}
     for path in scenario_files(names=[]):
         with path.open("rb") as file:
@@ -54,40 +54,40 @@
     return days
 
 
-class Days(unittest.TestCase):
+class BenchScenarios(unittest.TestCase):
     def setUp(self) -> None:
-        self.days = load_days()
+        self.days = load_scenarios()
         self.rows = [row for day in self.days.values() for row in day["plan"] + day["faults"]]
 
-    def words(self, *, kind: str = "") -> set[str]:
+    def variants(self, *, kind: str = "") -> set[str]:
         rows = [row for row in self.rows if kind in ("", row["kind"])]
         return {word for row in rows for word in row.get("how", "").split()}
 
-    def test_a_file_is_named_as_its_day(self) -> None:
+    def test_file_name_is_scenario_name(self) -> None:
         self.assertEqual(list(self.days), [day["name"] for day in self.days.values()])
 
-    def test_each_kind_comes_at_least_twice(self) -> None:
+    def test_each_fault_kind_occurs_at_least_twice(self) -> None:
         kinds = [row["kind"] for row in self.rows]
-        self.assertEqual(set(), {kind for kind in TWICE if kinds.count(kind) < 2})
+        self.assertEqual(set(), {kind for kind in REQUIRED_TWICE if kinds.count(kind) < 2})
 
-    def test_each_variant_comes(self) -> None:
-        self.assertEqual(set(), GREY - self.words(kind="srv_grey"))
-        self.assertEqual(set(), BAD - self.words(kind="bad_config"))
-        self.assertEqual(set(), WITH - self.words())
+    def test_each_fault_variant_occurs(self) -> None:
+        self.assertEqual(set(), GREY_VARIANTS - self.variants(kind="srv_grey"))
+        self.assertEqual(set(), BAD_CONFIG_VARIANTS - self.variants(kind="bad_config"))
+        self.assertEqual(set(), OTHER_VARIANTS - self.variants())
 
-    def test_no_trouble_lasts_past_the_close(self) -> None:
+    def test_no_fault_lasts_beyond_the_end(self) -> None:
         for day in self.days.values():
             for row in day["plan"] + day["faults"]:
                 end = row["at"] + row.get("for_s", 0)
                 self.assertLess(end, day["length_s"], row)
 
 
-class Verdicts(unittest.TestCase):
-    def test_a_day_that_was_given_up_is_not_kept(self) -> None:
+class ScenarioResults(unittest.TestCase):
+    def test_aborted_scenario_has_not_passed(self) -> None:
         for output in ("", "given up: too slow\n", "built in 1 s\nerror: no such day\n"):
-            verdict = read_result(site="s", day="wipes", output=output)
-            self.assertFalse(verdict.is_kept)
-            self.assertTrue(verdict.faults)
+            result = read_result(site="s", day="wipes", output=output)
+            self.assertFalse(result.has_passed)
+            self.assertTrue(result.faults)
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet_summary.py
+++ b/tests/test_fleet_summary.py
@@ -1,4 +1,4 @@
-"""What a live scenario plays in the time that it is given, and how it says what it came to."""
+"""The events that a live scenario selects for its duration, and the report of its result."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def events() -> list[Event]:
-    """Those of a deployment of ten edges and three cores."""
+    """Returns the events of a deployment with ten edges and three cores."""
     fleet = mock.Mock(spec=Fleet)
     fleet.deployment = mock.Mock(nodes=list(range(10)))
     fleet.core_nodes = list(range(3))
@@ -30,32 +30,32 @@
 
 
 class Scheduling(unittest.TestCase):
-    def test_any_span_is_kept_to(self) -> None:
+    def test_schedule_fills_the_duration_exactly(self) -> None:
         for seconds in (5, 20, 35, 60, 90, 120, 300, 3600):
             plan = schedule(events=events(), seconds=seconds)
             needs_s = sum(event.needs_s for event in plan.events)
-            whole_s = BASELINE_S + needs_s + plan.pause_s * (len(plan.events) + 1)
+            total_s = BASELINE_S + needs_s + plan.pause_s * (len(plan.events) + 1)
             self.assertLessEqual(needs_s + BASELINE_S, seconds)
-            self.assertAlmostEqual(seconds, whole_s, places=6)
+            self.assertAlmostEqual(seconds, total_s, places=6)
 
-    def test_each_event_is_played_or_named(self) -> None:
+    def test_each_event_is_selected_or_left_out_and_order_is_kept(self) -> None:
         for seconds in (5, 20, 60, 300):
             plan = schedule(events=events(), seconds=seconds)
             names = [event.name for event in (*plan.events, *plan.left_out)]
             self.assertEqual(sorted(event.name for event in events()), sorted(names))
             order = [event.name for event in events()]
-            played = [event.name for event in plan.events]
-            self.assertEqual(played, sorted(played, key=order.index))
+            selected = [event.name for event in plan.events]
+            self.assertEqual(selected, sorted(selected, key=order.index))
 
-    def test_five_minutes_have_room_for_all(self) -> None:
+    def test_all_events_fit_into_five_minutes(self) -> None:
         self.assertEqual((), schedule(events=events(), seconds=300).left_out)
 
-    def test_a_return_is_judged_before_the_heavy_events_are_let_in(self) -> None:
-        played = {event.name for event in schedule(events=events(), seconds=30).events}
-        self.assertIn(RETURN_EVENT, played)
-        self.assertNotIn("rolling restart", played)
+    def test_recovery_check_has_priority_over_long_events(self) -> None:
+        selected = {event.name for event in schedule(events=events(), seconds=30).events}
+        self.assertIn(RETURN_EVENT, selected)
+        self.assertNotIn("rolling restart", selected)
 
-    def test_names_and_ranks_are_unlike(self) -> None:
+    def test_names_and_ranks_are_unique(self) -> None:
         self.assertEqual(len(events()), len({event.name for event in events()}))
         self.assertEqual(len(events()), len({event.rank for event in events()}))
         self.assertIs(events_module.wait_for_return, events()[-1].run)
@@ -75,27 +75,28 @@
         }
         return {"kinds": {"search": kind}, "violations": [], "rules": 14, **more}
 
-    def test_one_table_and_what_was_left_out(self) -> None:
+    def test_summary_has_table_and_left_out_events(self) -> None:
         text = summary_text(result=self.result(left_out=["disk lost"], not_judged=["slow_return"]))
         self.assertRegex(text, r"search +100 +90 +5 +2 +3 +12 +40 +90")
         self.assertIn("shards missing by cause: budget 1, window 4", text)
         self.assertIn("left out, there was no time: disk lost", text)
         self.assertIn("rules kept: 14 of 14\nnot judged: slow_return", text)
 
-    def test_a_broken_rule_is_named(self) -> None:
+    def test_summary_names_broken_rules(self) -> None:
         text = summary_text(result=self.result(violations=["dropped: a", "dropped: b"]))
         self.assertIn("rules kept: 13 of 14", text)
         self.assertIn("broken: dropped: a", text)
 
-    def test_returns_are_judged_only_if_one_was_played(self) -> None:
-        with_it = judged(history=[], left_out=[], is_returned=True)
-        without = judged(history=[], left_out=[RETURN_EVENT], is_returned=False)
-        self.assertEqual((len(CHECKERS), []), (with_it["rules"], with_it["not_judged"]))
+    def test_recovery_is_checked_only_if_the_run_had_one(self) -> None:
+        with_recovery = judged(history=[], left_out=[], is_returned=True)
+        without_recovery = judged(history=[], left_out=[RETURN_EVENT], is_returned=False)
+        self.assertEqual((len(CHECKERS), []), (with_recovery["rules"], with_recovery["not_judged"]))
         self.assertEqual(
-            (len(CHECKERS) - 1, ["slow_return"]), (without["rules"], without["not_judged"])
+            (len(CHECKERS) - 1, ["slow_return"]),
+            (without_recovery["rules"], without_recovery["not_judged"]),
         )
 
-    def test_a_folder_with_all_of_it(self) -> None:
+    def test_report_folder_has_all_files(self) -> None:
         row = dict.fromkeys(COLUMNS, 1.0)
         with tempfile.TemporaryDirectory() as name:
             folder = pathlib.Path(name) / "report"
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -1,5 +1,6 @@
-"""A small live fleet of real processes on free loopback ports: it waits for
-conditions, never for times, and is judged by the same checkers."""
+"""A small live fleet of real processes on loopback ports: it serves calls under faults, the
+operators' tools work against it, and the checkers of the simulation find no violation. The test
+waits for conditions and not for fixed times."""
 
 from __future__ import annotations
 
@@ -15,25 +16,25 @@
 from kelpstage.testbed.fleet.record import write_recording
 from kelpstage.testbed.fleet.scenario import bring_up
 
-CALLS = 120
+CALLS_PER_STEP = 120
 
 
-async def call_until(*, fleet: Fleet, count: int) -> None:
-    """Let callers call, one of each kind after the other, until so many were answered."""
+async def send_calls(*, fleet: Fleet, count: int) -> None:
+    """Send `count` calls one after the other, with the kinds in turn."""
     for number in range(count):
         await fleet.callers.call(kind=fleet.deployment.kinds[number % 3])
 
 
-async def scenario(fleet: Fleet) -> None:
+async def run_scenario(fleet: Fleet) -> None:
     await bring_up(fleet=fleet, log_progress=lambda text: None)
-    await call_until(fleet=fleet, count=CALLS)
+    await send_calls(fleet=fleet, count=CALLS_PER_STEP)
     reply = await fleet.put(document=fleet.configuration(note="two"), expected=1, put_id="two")
     assert reply.status == 200, reply
     edge = "node-05"
     number = fleet.fault(what="edge_kill", excuses=["edge"], nodes=[edge], after_us=2_000_000)
     fleet.kill_edges(names=[edge])
-    fleet.platform.forget(name=edge)
-    await call_until(fleet=fleet, count=CALLS)
+    fleet.platform.mark_not_ready(name=edge)
+    await send_calls(fleet=fleet, count=CALLS_PER_STEP)
     fleet.start_edge(name=edge)
     await fleet.wait_for(what=edge, condition=fleet.are_edges_ready)
     fleet.fault_end(fault=number)
@@ -50,7 +51,7 @@
 
     await fleet.wait_for(what="another leader", condition=has_new_leader)
     fleet.signal_core(name=leader, number=signal.SIGCONT)
-    await call_until(fleet=fleet, count=CALLS)
+    await send_calls(fleet=fleet, count=CALLS_PER_STEP)
     reply = await fleet.put(
         document=fleet.configuration(note="three"),
         expected=2,
@@ -60,13 +61,13 @@
     )
     assert reply.status == 200, reply
     await fleet.restart_edge(name="node-02")
-    await call_until(fleet=fleet, count=CALLS)
+    await send_calls(fleet=fleet, count=CALLS_PER_STEP)
     await fleet.collect_receipts()
-    await use_tools(fleet=fleet)
+    await check_tools(fleet=fleet)
 
 
-async def tool(program: str, *arguments: str) -> tuple[int, str, str]:
-    """Run a tool as an operator does; exit code, output, errors."""
+async def run_tool(program: str, *arguments: str) -> tuple[int, str, str]:
+    """Run a command-line tool as an operator does; returns exit code, stdout and stderr."""
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -79,8 +80,8 @@
     return child.returncode or 0, out.decode(), err.decode()
 
 
-async def use_tools(*, fleet: Fleet) -> None:
-    """The operators' tools against the running fleet."""
+async def check_tools(*, fleet: Fleet) -> None:
+    """Check the operators' tools against the running fleet."""
     core = ["--core", list(fleet.core_http.values())[0]]
     edge = ["--edge", fleet.edge_http["node-04"]]
     file = str(fleet.folder / "back.json")
@@ -111,58 +112,72 @@
         (("diff", file, file), 0, "no change", ""),
     ]
     for arguments, code, out_part, err_part in expected:
-        got, out, err = await tool("cli", *arguments)
-        assert got == code and out_part in out and err_part in err, (arguments, got, out, err)
+        exit_code, out, err = await run_tool("cli", *arguments)
+        assert exit_code == code and out_part in out and err_part in err, (
+            arguments,
+            exit_code,
+            out,
+            err,
+        )
         assert "Traceback" not in err, err
-    listed = json.loads((await tool("cli", "explain", "--json", *edge))[1])["searches"]
+    listed = json.loads((await run_tool("cli", "explain", "--json", *edge))[1])["searches"]
     search = next(row["search"] for row in listed if row["part"] == "root")
-    got, out, err = await tool("cli", "explain", search, *edge)
-    assert got == 0 and "planned under configuration" in out and "first; window" in out, (out, err)
+    exit_code, out, err = await run_tool("cli", "explain", search, *edge)
+    assert exit_code == 0 and "planned under configuration" in out and "first; window" in out, (
+        out,
+        err,
+    )
     day, result = str(fleet.folder / "a.day"), str(fleet.folder / "a.result")
     write_recording(path=day, history=[r for r in fleet.history if r["event"] == "call"][-60:])
-    got, out, err = await tool("replay", "run", day, "--out", result, "--speed", "4", *edge)
-    assert got == 0 and json.loads(out)["ends"]["ok"] >= 45, (got, out, err)
-    got, out, err = await tool("replay", "diff", result, result)
-    assert got == 0, (got, out, err)
-    await lose_most_cores(fleet=fleet)
+    exit_code, out, err = await run_tool(
+        "replay", "run", day, "--out", result, "--speed", "4", *edge
+    )
+    assert exit_code == 0 and json.loads(out)["ends"]["ok"] >= 45, (exit_code, out, err)
+    exit_code, out, err = await run_tool("replay", "diff", result, result)
+    assert exit_code == 0, (exit_code, out, err)
+    await check_cluster_recovery(fleet=fleet)
 
 
-async def lose_most_cores(*, fleet: Fleet) -> None:
-    """Two cores are lost with their disks; the third is salvaged and leads again."""
-    left, *lost = list(fleet.core_http)
+async def check_cluster_recovery(*, fleet: Fleet) -> None:
+    """Two cores are lost with their disks; the cluster is recovered from the third, which leads."""
+    survivor, *lost = list(fleet.core_http)
     for name in lost:
         fleet.processes.all[f"core-{name}"].kill()
     arguments = [
         "salvage",
-        str(fleet.folder / f"data-{left}"),
+        str(fleet.folder / f"data-{survivor}"),
         "--own",
-        fleet.core_own[left],
+        fleet.core_own[survivor],
         "--http",
-        fleet.core_http[left],
+        fleet.core_http[survivor],
         "--accept",
         "the-other-cores-are-gone-for-good",
     ]
     for name in fleet.edge_own:
         arguments += ["--edge-own", fleet.edge_own[name]]
-    got, out, err = await tool("cli", *arguments)
-    assert got == 1 and "cores answer" in err, (got, out, err)
-    fleet.processes.all[f"core-{left}"].kill()
-    got, out, err = await tool("cli", *arguments)
-    assert got == 0 and "A NEW CLUSTER" in out and "configuration 6" in out, (got, out, err)
+    exit_code, out, err = await run_tool("cli", *arguments)
+    assert exit_code == 1 and "cores answer" in err, (exit_code, out, err)
+    fleet.processes.all[f"core-{survivor}"].kill()
+    exit_code, out, err = await run_tool("cli", *arguments)
+    assert exit_code == 0 and "A NEW CLUSTER" in out and "configuration 6" in out, (
+        exit_code,
+        out,
+        err,
+    )
     for name in lost:
         del fleet.core_http[name]
-    fleet.start_core(name=left)
-    await fleet.wait_for(what="the salvaged core to lead", condition=fleet.has_leader)
-    got, out, err = await tool("cli", "get", "--core", fleet.core_http[left])
-    assert got == 0 and "version 6" in err, (got, out, err)
+    fleet.start_core(name=survivor)
+    await fleet.wait_for(what="the recovered core to lead", condition=fleet.has_leader)
+    exit_code, out, err = await run_tool("cli", "get", "--core", fleet.core_http[survivor])
+    assert exit_code == 0 and "version 6" in err, (exit_code, out, err)
 
 
 class LiveFleet(unittest.TestCase):
-    def test_a_small_fleet_under_faults(self) -> None:
+    def test_small_fleet_keeps_rules_under_faults(self) -> None:
         async def run() -> Fleet:
             fleet = Fleet(deployment=load(name="tiny"), pause_share=0.0)
             try:
-                await scenario(fleet)
+                await run_scenario(fleet)
             finally:
                 for name, text in fleet.stop().items():
                     print(f"--- {name}\n{text[-3000:]}", file=sys.stderr)
@@ -184,5 +199,5 @@
                 self.assertEqual([], CHECKERS[name](fleet.history))
         calls = [row for row in fleet.history if row["event"] == "call"]
         good = [row for row in calls if row["end"] == "ok"]
-        self.assertEqual(4 * CALLS, len(calls))
-        self.assertGreater(len(good), 4 * CALLS * 9 // 10)
+        self.assertEqual(4 * CALLS_PER_STEP, len(calls))
+        self.assertGreater(len(good), 4 * CALLS_PER_STEP * 9 // 10)
