--- a/kelpstage/testbed/main.py
+++ b/kelpstage/testbed/main.py
@@ -225,7 +225,7 @@
             for v in CHOICES[choice].variants
         ]
         rows = [future.result() for future in futures]
-    print(CHOICES[choice].why)
+    print(CHOICES[choice].description)
     for variant, row in summarize(rows=rows).items():
         print(f"{variant}: {json.dumps(row)}")
 
--- a/kelpstage/testbed/measure/choices.py
+++ b/kelpstage/testbed/measure/choices.py
@@ -1,5 +1,5 @@
-"""Measured choices: each a paired run of variants over the same seeds, in virtual
-time. A variant sets constants of the daemons for one run and puts them back."""
+"""Comparison of variants of design choices in virtual time, over the same seeds. A variant sets
+constants of the processes for one run and restores them."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from kelpstage.testbed.simulation.faults import FAULTS
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 
-Numbers = dict[str, list[int]]
-SECOND = 1_000_000
+Samples = dict[str, list[int]]
+SECOND_US = 1_000_000
 
 
 @dataclass(frozen=True, kw_only=True)
 class Variant:
-    """Constants to set (`module:name`) and fields of the deployment to replace."""
+    """A variant: constants to set (`module:name`) and fields of the deployment to replace."""
 
     name: str
     constants: dict[str, Any] = field(default_factory=dict)
@@ -30,17 +30,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Choice:
-    """What is compared, by which scenario."""
+    """A design choice: its variants and the scenario that compares them."""
 
-    why: str
+    description: str
     variants: tuple[Variant, ...]
-    scenario: Callable[[SimFleet, Numbers], Awaitable[None]]
+    scenario: Callable[[SimFleet, Samples], Awaitable[None]]
     rate: float = 0.15
 
 
 @contextlib.contextmanager
 def constants_set(*, constants: dict[str, Any]) -> Iterator[None]:
-    """Set constants for a while.
+    """Sets constants within the context and restores them afterwards.
 
     >>> from kelpstage.edge.gossip import swim
     >>> with constants_set(constants={"kelpstage.edge.gossip.swim:TICK_US": 5}):
@@ -49,66 +49,66 @@
     >>> swim.TICK_US
     200000
     """
-    before = []
-    for place, value in constants.items():
-        module_name, _, path = place.partition(":")
-        *way, last = path.split(".")
+    previous_values = []
+    for target, value in constants.items():
+        module_name, _, path = target.partition(":")
+        *parents, attribute = path.split(".")
         owner: Any = importlib.import_module(module_name)
-        for step in way:
-            owner = getattr(owner, step)
-        before.append((owner, last, getattr(owner, last)))
-        setattr(owner, last, value)
+        for parent in parents:
+            owner = getattr(owner, parent)
+        previous_values.append((owner, attribute, getattr(owner, attribute)))
+        setattr(owner, attribute, value)
     try:
         yield
     finally:
-        for owner, last, value in before:
-            setattr(owner, last, value)
+        for owner, attribute, value in previous_values:
+            setattr(owner, attribute, value)
 
 
 # --- scenarios -------------------------------------------------------------------
 
 
-def _note_calls(*, fleet: SimFleet, numbers: Numbers) -> None:
+def _collect_call_samples(*, fleet: SimFleet, samples: Samples) -> None:
     calls = [row for row in fleet.history if row["event"] == "call" and not row["single"]]
     good = [row for row in calls if row["end"] == "ok"]
-    numbers["search_us"] = [row["done_us"] - row["sent_us"] for row in good]
-    numbers["partial"] = [int(row["coverage"] < 1) for row in good]
-    numbers["failed"] = [int(row["end"] != "ok") for row in calls]
+    samples["search_us"] = [row["done_us"] - row["sent_us"] for row in good]
+    samples["partial"] = [int(row["coverage"] < 1) for row in good]
+    samples["failed"] = [int(row["end"] != "ok") for row in calls]
     firsts = {(r["call"], r["shard"]) for r in fleet.history if r["event"] == "receipt"}
     receipts = sum(row["event"] == "receipt" for row in fleet.history)
-    numbers["extra"] = [1] * (receipts - len(firsts)) + [0] * len(firsts)
+    samples["extra"] = [1] * (receipts - len(firsts)) + [0] * len(firsts)
 
 
-async def pauses(fleet: SimFleet, numbers: Numbers) -> None:
-    """Ordinary traffic to backends that pause ten times as often as usual."""
+async def backend_pauses(fleet: SimFleet, samples: Samples) -> None:
+    """Normal load on backends that pause ten times as often as usual."""
     await fleet.bring_up()
     for stand_in in fleet.backends.values():
         stand_in.pause_share = 0.02
     fleet.start_callers()
-    await fleet.sleep(us=25 * SECOND)
+    await fleet.sleep(us=25 * SECOND_US)
     await fleet.drain_callers()
-    _note_calls(fleet=fleet, numbers=numbers)
+    _collect_call_samples(fleet=fleet, samples=samples)
 
 
-async def bad_day(fleet: SimFleet, numbers: Numbers) -> None:
-    """Traffic while backends send invalid replies, slow down and an edge is killed."""
+async def mixed_faults(fleet: SimFleet, samples: Samples) -> None:
+    """Load while backends send invalid replies, an edge is killed and backends slow down."""
     await fleet.bring_up()
     fleet.start_callers()
-    await fleet.sleep(us=2 * SECOND)
+    await fleet.sleep(us=2 * SECOND_US)
     rand = random.Random(fleet.world.seed)
     for name in ("backend_lies", "edge_kill", "backend_slow"):
         await FAULTS[name](fleet, rand)
     await fleet.drain_callers()
-    _note_calls(fleet=fleet, numbers=numbers)
+    _collect_call_samples(fleet=fleet, samples=samples)
 
 
-async def detection(fleet: SimFleet, numbers: Numbers) -> None:
-    """An edge goes silent: when is it suspected, when held dead, by all others?
-    And before that, in quiet: how often is somebody suspected who is well?"""
+async def failure_detection(fleet: SimFleet, samples: Samples) -> None:
+    """Measures the time until all other edges suspect a frozen edge and until they consider it
+    dead. Before that, counts false suspicions during 30 s without faults."""
     await fleet.bring_up()
-    await fleet.sleep(us=30 * SECOND)
+    await fleet.sleep(us=30 * SECOND_US)
     edges = {n.name: fleet.daemons[f"edge/{n.name}"] for n in fleet.deployment.nodes}
-    numbers["false_alarms"] = [
+    samples["false_alarms"] = [
         sum(
             e["event"] == "PeerChanged" and e["status"] == "suspect"
             for edge in edges.values()
@@ -120,65 +120,72 @@
     process.freeze()
     others = [edge for name, edge in edges.items() if name != victim]
 
-    def seen_as(least: int) -> bool:
+    def is_seen_as_by_all(least: int) -> bool:
         return all(edge.swim.status(name=victim) >= least for edge in others)
 
-    numbers["suspected_us"] = [await fleet.wait_for(what="suspicion", is_there=lambda: seen_as(1))]
-    numbers["held_dead_us"] = [
-        numbers["suspected_us"][0] + await fleet.wait_for(what="death", is_there=lambda: seen_as(2))
+    samples["suspected_us"] = [
+        await fleet.wait_for(what="all edges to suspect it", is_there=lambda: is_seen_as_by_all(1))
+    ]
+    samples["held_dead_us"] = [
+        samples["suspected_us"][0]
+        + await fleet.wait_for(
+            what="all edges to consider it dead", is_there=lambda: is_seen_as_by_all(2)
+        )
     ]
     process.thaw()
 
 
-async def election(fleet: SimFleet, numbers: Numbers) -> None:
-    """The leader is killed: when does another lead, and how long does the next
-    put take; then a put with everybody up, and its way to the last edge."""
+async def leader_election(fleet: SimFleet, samples: Samples) -> None:
+    """Measures the time until a new leader after the leader is killed, the duration of the next
+    configuration write, and of a write with all cores up until the last edge has installed it."""
     await fleet.bring_up()
     leader = fleet.leader()
     fleet.kill_core(name=leader)
-    numbers["election_us"] = [
-        await fleet.wait_for(what="a leader", is_there=lambda: fleet.leader() not in (None, leader))
+    samples["election_us"] = [
+        await fleet.wait_for(
+            what="a new leader", is_there=lambda: fleet.leader() not in (None, leader)
+        )
     ]
     row = await fleet.put_next()
-    numbers["put_after_us"] = [row["at_us"] - row["sent_us"]] if row["status"] == 200 else []
+    samples["put_after_us"] = [row["at_us"] - row["sent_us"]] if row["status"] == 200 else []
     await fleet.start_core(name=leader)
-    await fleet.sleep(us=3 * SECOND)
+    await fleet.sleep(us=3 * SECOND_US)
     row = await fleet.put_next()
-    numbers["put_us"] = [row["at_us"] - row["sent_us"]] if row["status"] == 200 else []
+    samples["put_us"] = [row["at_us"] - row["sent_us"]] if row["status"] == 200 else []
     installed = [
         fleet.daemons[f"edge/{n.name}"].lease_holder.installed_us for n in fleet.deployment.nodes
     ]
-    numbers["roll_out_us"] = [max(installed) - row["sent_us"]]
+    samples["roll_out_us"] = [max(installed) - row["sent_us"]]
 
 
-async def dead_edge_put(fleet: SimFleet, numbers: Numbers) -> None:
-    """A put right after an edge went silent has to outlast its lease; then the
-    leader stands still for 1.5 s: how long are edges without the right to serve?"""
+async def write_with_dead_edge(fleet: SimFleet, samples: Samples) -> None:
+    """Measures a configuration write right after an edge is frozen, which has to wait until the
+    edge's lease expires; then the time that edges are not ready while the leader is frozen."""
     await fleet.bring_up()
     fleet.processes["edge/node-05"].freeze()
     row = await fleet.put_next()
-    numbers["put_us"] = [row["at_us"] - row["sent_us"]] if row["status"] == 200 else []
+    samples["put_us"] = [row["at_us"] - row["sent_us"]] if row["status"] == 200 else []
     fleet.processes["edge/node-05"].thaw()
-    await fleet.sleep(us=3 * SECOND)
+    await fleet.sleep(us=3 * SECOND_US)
     process = fleet.processes[f"core/{fleet.leader()}"]
     process.freeze()
-    dark = 0
+    unready_us = 0
     for _ in range(150):
         await fleet.sleep(us=20_000)
-        dark += (len(fleet.deployment.nodes) - len(fleet.ready_edges())) * 20_000
+        unready_us += (len(fleet.deployment.nodes) - len(fleet.ready_edges())) * 20_000
     process.thaw()
-    numbers["unready_edge_us"] = [dark]
+    samples["unready_edge_us"] = [unready_us]
 
 
-async def silent_backend(fleet: SimFleet, numbers: Numbers) -> None:
-    """A backend's machine goes silent with no traffic: when do all edges know?"""
+async def silent_backend(fleet: SimFleet, samples: Samples) -> None:
+    """Measures the time until all edges detect that a backend's machine is down, without load."""
     await fleet.bring_up()
     victim = fleet.world.rand.choice(sorted(fleet.backends))
     fleet.world.machines[victim].is_on = False
     edges = [fleet.daemons[f"edge/{n.name}"] for n in fleet.deployment.nodes]
-    numbers["known_us"] = [
+    samples["known_us"] = [
         await fleet.wait_for(
-            what="darkness",
+            what="all edges to detect it",
             is_there=lambda: all(
                 e.registry.is_unreachable(name=victim, now_us=fleet.world.now_us())
                 or e.registry.is_suspected(name=victim, now_us=fleet.world.now_us())
@@ -186,17 +193,17 @@
             ),
         )
     ]
-    numbers["probes"] = [sum(e.counts.get("probes", 0) for e in edges)]
+    samples["probes"] = [sum(e.counts.get("probes", 0) for e in edges)]
 
 
-async def drains(fleet: SimFleet, numbers: Numbers) -> None:
-    """A backend says that it drains; another is drained by label: when does every
-    edge leave it out?"""
+async def drain_propagation(fleet: SimFleet, samples: Samples) -> None:
+    """Measures the time until every edge excludes a backend that reports that it is draining, and
+    one that is drained by a label of the configuration."""
     await fleet.bring_up()
     edges = [fleet.daemons[f"edge/{n.name}"] for n in fleet.deployment.nodes]
-    signed, labelled = fleet.world.rand.sample(sorted(fleet.backends), 2)
+    self_drained, labelled = fleet.world.rand.sample(sorted(fleet.backends), 2)
 
-    def is_left_out(name: str) -> bool:
+    def is_excluded(name: str) -> bool:
         return all(
             edge.registry.refusal(
                 name=name,
@@ -206,54 +213,58 @@
             for edge in edges
         )
 
-    await fleet.set_backend(name=signed, is_draining=True)
-    numbers["sign_us"] = [
-        await fleet.wait_for(what="the sign", is_there=lambda: is_left_out(signed))
+    await fleet.set_backend(name=self_drained, is_draining=True)
+    samples["sign_us"] = [
+        await fleet.wait_for(
+            what="all edges to exclude it", is_there=lambda: is_excluded(self_drained)
+        )
     ]
     row = await fleet.put_next(drained=(labelled,))
-    numbers["label_us"] = [row["at_us"] - row["sent_us"]]
-    if not is_left_out(labelled):
-        numbers["label_us"].append(10**9)
+    samples["label_us"] = [row["at_us"] - row["sent_us"]]
+    if not is_excluded(labelled):
+        samples["label_us"].append(10**9)
 
 
-async def replacement(fleet: SimFleet, numbers: Numbers) -> None:
-    """A core and its disk are lost; an empty one at a new address takes its place."""
+async def core_replacement(fleet: SimFleet, samples: Samples) -> None:
+    """Measures the time until a core that is lost with its disk is replaced by an empty one."""
     await fleet.bring_up()
     name = fleet.world.rand.choice(sorted(fleet.core_address))
     fleet.kill_core(name=name, is_disk=True)
-    fresh = await fleet.replace_core(name=name)
-    address = fleet.core_address[fresh]
+    new_name = await fleet.replace_core(name=name)
+    address = fleet.core_address[new_name]
 
-    def has_place() -> bool:
+    def is_new_core_voter() -> bool:
         leader = fleet.leader()
         rows = fleet.daemons[f"core/{leader}"].task.raft.lag() if leader else []
         return fleet.is_core_whole() and address in [r["address"] for r in rows if r["is_voter"]]
 
-    numbers["whole_again_us"] = [await fleet.wait_for(what="its place", is_there=has_place)]
+    samples["whole_again_us"] = [
+        await fleet.wait_for(what="the new core to be a voter", is_there=is_new_core_voter)
+    ]
 
 
-def _fixed(self: Any, *, name: str, least_us: int) -> int:
+def _fixed_window(self: Any, *, name: str, least_us: int) -> int:
     return least_us
 
 
-LATENCY = "kelpstage.edge.gather.latency:LatencyEstimates.window_us"
-SWIM = "kelpstage.edge.gossip"
+LATENCY_WINDOW = "kelpstage.edge.gather.latency:LatencyEstimates.window_us"
+GOSSIP_PACKAGE = "kelpstage.edge.gossip"
 CHOICES: dict[str, Choice] = {
     "window": Choice(
-        why="a fixed window, or one stretched by what was seen of the child",
+        description="a fixed window, or one extended by the measured latency of the child",
         variants=(
             Variant(name="stretched"),
-            Variant(name="fixed", constants={LATENCY: _fixed}),
+            Variant(name="fixed", constants={LATENCY_WINDOW: _fixed_window}),
         ),
-        scenario=pauses,
+        scenario=backend_pauses,
     ),
     "fan_out": Choice(
-        why="the tree's fan-out, the node itself counted",
+        description="the fan-out of the tree, including the node itself",
         variants=tuple(Variant(name=str(n), fields={"fan_out": n}) for n in (2, 3, 5, 8)),
-        scenario=pauses,
+        scenario=backend_pauses,
     ),
     "budget": Choice(
-        why="extra rounds: one in so many first sends",
+        description="retry budget: one retry in so many first attempts",
         variants=tuple(
             Variant(
                 name=f"one in {n}",
@@ -261,39 +272,39 @@
             )
             for n in (7, 10, 20)
         ),
-        scenario=bad_day,
+        scenario=mixed_faults,
         rate=0.3,
     ),
     "lease": Choice(
-        why="how long a lease lasts",
+        description="duration of a lease",
         variants=tuple(
             Variant(
                 name=f"{n} s",
                 constants={
-                    "kelpstage.core.leases.lease_table:LEASE_SPAN_US": n * SECOND,
-                    "kelpstage.core.leases.lease_service:LEASE_SPAN_US": n * SECOND,
+                    "kelpstage.core.leases.lease_table:LEASE_SPAN_US": n * SECOND_US,
+                    "kelpstage.core.leases.lease_service:LEASE_SPAN_US": n * SECOND_US,
                 },
             )
             for n in (1, 2, 4)
         ),
-        scenario=dead_edge_put,
+        scenario=write_with_dead_edge,
     ),
     "gossip": Choice(
-        why="how often a peer is probed",
+        description="interval of gossip probes",
         variants=tuple(
             Variant(
                 name=f"{n} ms",
                 constants={
-                    f"{SWIM}.swim:TICK_US": n * 1_000,
-                    f"{SWIM}.task:TICK_US": n * 1_000,
+                    f"{GOSSIP_PACKAGE}.swim:TICK_US": n * 1_000,
+                    f"{GOSSIP_PACKAGE}.task:TICK_US": n * 1_000,
                 },
             )
             for n in (100, 200, 400)
         ),
-        scenario=detection,
+        scenario=failure_detection,
     ),
     "probe": Choice(
-        why="how often a backend is probed",
+        description="interval of health checks",
         variants=tuple(
             Variant(
                 name=f"{n} ms",
@@ -304,60 +315,60 @@
         scenario=silent_backend,
     ),
     "drain": Choice(
-        why="how long until no edge chooses a drained backend",
+        description="time until no edge selects a drained backend",
         variants=(Variant(name="as is"),),
-        scenario=drains,
+        scenario=drain_propagation,
     ),
     "replacement": Choice(
-        why="how long until a replaced core is a voter",
+        description="time until a replaced core is a voter",
         variants=(Variant(name="as is"),),
-        scenario=replacement,
+        scenario=core_replacement,
     ),
     "election": Choice(
-        why="times of election and roll-out as they are",
+        description="time of a leader election and of a configuration roll-out",
         variants=(Variant(name="as is"),),
-        scenario=election,
+        scenario=leader_election,
     ),
 }
 
 
 def run_variant(
     *, choice: str, variant: str, deployment: str, seed: int, far_us: int = 0
-) -> tuple[str, int, Numbers]:
-    """One seed of one variant."""
-    chosen = CHOICES[choice]
-    shape: Deployment = load(name=deployment)
-    one = next(v for v in chosen.variants if v.name == variant)
-    numbers: Numbers = {}
+) -> tuple[str, int, Samples]:
+    """Runs one seed of one variant."""
+    selected_choice = CHOICES[choice]
+    base_deployment: Deployment = load(name=deployment)
+    selected_variant = next(v for v in selected_choice.variants if v.name == variant)
+    samples: Samples = {}
 
     async def scenario(fleet: SimFleet) -> None:
-        await chosen.scenario(fleet, numbers)
+        await selected_choice.scenario(fleet, samples)
 
-    with constants_set(constants=one.constants):
+    with constants_set(constants=selected_variant.constants):
         run_sim(
             seed=seed,
-            deployment=dataclasses.replace(shape, **one.fields),
+            deployment=dataclasses.replace(base_deployment, **selected_variant.fields),
             scenario=scenario,
-            rate=chosen.rate,
+            rate=selected_choice.rate,
             far_us=far_us,
         )
-    return variant, seed, numbers
+    return variant, seed, samples
 
 
-def summarize(*, rows: list[tuple[str, int, Numbers]]) -> dict[str, dict[str, Any]]:
-    """Figures of each variant over all seeds.
+def summarize(*, rows: list[tuple[str, int, Samples]]) -> dict[str, dict[str, Any]]:
+    """Returns the figures of each variant over all seeds.
 
     >>> summarize(rows=[("a", 1, {"partial": [0, 1], "x_us": [5]})])["a"]["partial_share"]
     0.5
     """
     out: dict[str, dict[str, Any]] = {}
-    for variant, _, numbers in rows:
-        whole = out.setdefault(variant, {})
-        for name, values in numbers.items():
-            whole.setdefault(name, []).extend(values)
-    for variant, whole in out.items():
+    for variant, _, samples in rows:
+        merged = out.setdefault(variant, {})
+        for name, values in samples.items():
+            merged.setdefault(name, []).extend(values)
+    for variant, merged in out.items():
         figures: dict[str, Any] = {}
-        for name, values in whole.items():
+        for name, values in merged.items():
             if name.endswith("_us"):
                 figures[name] = {
                     "count": len(values),
--- a/kelpstage/testbed/measure/http.py
+++ b/kelpstage/testbed/measure/http.py
@@ -1,5 +1,5 @@
-"""What one HTTP call costs in processor time: tornado's server and curl client against
-the own transport, in turns, caller and server in processes of their own on loopback."""
+"""Measures the processor time of an HTTP call: tornado's server and curl client compared with
+the product's transport, in turns; client and server are separate processes on loopback."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from kelpstage.common.ports.live import LiveNet
 from kelpstage.testbed.measure.tornado_http import TornadoHttp
 
-AT_ONCE = 16
-WARM_UP = 200
+CONCURRENCY = 16
+WARM_UP_CALLS = 200
 BODY = b"0123456789abcdef" * 20
 HEADERS = {
     "Host": "host.example",
@@ -29,33 +29,37 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Way:
-    """One way to carry a call."""
+class TransportVariant:
+    """A client and server to compare."""
 
     name: str
-    is_old: bool
+    is_tornado: bool
     connection_limit: int
 
 
-WAYS = (
-    Way(name="tornado and curl, a connection each", is_old=True, connection_limit=0),
-    Way(name="own transport, a connection each", is_old=False, connection_limit=0),
-    Way(name="own transport, kept connections", is_old=False, connection_limit=AT_ONCE),
+TRANSPORTS = (
+    TransportVariant(
+        name="tornado and curl, a connection each", is_tornado=True, connection_limit=0
+    ),
+    TransportVariant(name="own transport, a connection each", is_tornado=False, connection_limit=0),
+    TransportVariant(
+        name="own transport, kept connections", is_tornado=False, connection_limit=CONCURRENCY
+    ),
 )
 
 
 def free_address() -> str:
-    """A loopback address, `host:port`, whose port was free a moment ago."""
+    """Returns a loopback address, `host:port`, whose port was free when it was checked."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-def _net(*, is_old: bool) -> Any:
-    return TornadoHttp() if is_old else LiveNet()
+def _make_net(*, is_tornado: bool) -> Any:
+    return TornadoHttp() if is_tornado else LiveNet()
 
 
-async def _serve(address: str, is_old: bool, pipe: Any) -> None:
+async def _serve(address: str, is_tornado: bool, pipe: Any) -> None:
     stop = asyncio.Event()
 
     async def answer(call: HttpCall) -> HttpReply:
@@ -67,17 +71,21 @@
             status=200, headers={"Content-Type": "application/octet-stream"}, body=BODY
         )
 
-    await _net(is_old=is_old).serve_http(address=address, on_call=answer, body_limit=1 << 20)
+    await _make_net(is_tornado=is_tornado).serve_http(
+        address=address, on_call=answer, body_limit=1 << 20
+    )
     pipe.send("open")
     await stop.wait()
 
 
-def _server(address: str, is_old: bool, pipe: Any) -> None:
-    asyncio.run(_serve(address, is_old, pipe))
+def _run_server(address: str, is_tornado: bool, pipe: Any) -> None:
+    asyncio.run(_serve(address, is_tornado, pipe))
 
 
-async def _call(*, way: Way, address: str, calls: int) -> dict[str, float]:
-    net = _net(is_old=way.is_old)
+async def _measure_calls(
+    *, variant: TransportVariant, address: str, calls: int
+) -> dict[str, float]:
+    net = _make_net(is_tornado=variant.is_tornado)
 
     async def fetch(path: str) -> HttpReply:
         reply = await net.fetch(
@@ -87,11 +95,11 @@
                 headers=HEADERS,
                 body=b'{"q":"x"}',
                 wait_us=30_000_000,
-                connection_limit=way.connection_limit,
+                connection_limit=variant.connection_limit,
             )
         )
         if not isinstance(reply, HttpReply) or reply.status != 200:
-            raise OSError(f"{way.name}: {reply}")
+            raise OSError(f"{variant.name}: {reply}")
         return reply
 
     async def run(count: int) -> None:
@@ -99,16 +107,16 @@
             await fetch("/v1/shards/s1/search")
 
     async def run_all(count: int) -> None:
-        await asyncio.gather(*(run(count // AT_ONCE) for _ in range(AT_ONCE)))
+        await asyncio.gather(*(run(count // CONCURRENCY) for _ in range(CONCURRENCY)))
 
-    await run_all(WARM_UP)
+    await run_all(WARM_UP_CALLS)
     server = int((await fetch("/spent")).body)
     caller, wall = time.process_time_ns(), time.monotonic_ns()
     await run_all(calls)
     caller, wall = time.process_time_ns() - caller, time.monotonic_ns() - wall
     server = int((await fetch("/spent")).body) - server
     await fetch("/stop")
-    done = calls // AT_ONCE * AT_ONCE
+    done = calls // CONCURRENCY * CONCURRENCY
     return {
         name: round(value / done / 1000, 1)
         for name, value in (
@@ -120,31 +128,31 @@
     }
 
 
-def run_way(*, way: Way, calls: int) -> dict[str, float]:
-    """Processor and wall time for each call, in microseconds."""
+def measure_transport(*, variant: TransportVariant, calls: int) -> dict[str, float]:
+    """Returns processor time and wall time of a call in microseconds."""
     address = free_address()
-    mine, other = multiprocessing.Pipe()
+    parent_end, child_end = multiprocessing.Pipe()
     process = multiprocessing.get_context("spawn").Process(
-        target=_server, args=(address, way.is_old, other), daemon=True
+        target=_run_server, args=(address, variant.is_tornado, child_end), daemon=True
     )
     process.start()
     try:
-        mine.recv()
-        return asyncio.run(_call(way=way, address=address, calls=calls))
+        parent_end.recv()
+        return asyncio.run(_measure_calls(variant=variant, address=address, calls=calls))
     finally:
         process.join(timeout=5)
         process.kill()
 
 
 def measure_http(*, calls: int, turns: int) -> str:
-    """All ways, in turns; medians over the turns, and every turn."""
-    rows: dict[str, list[dict[str, float]]] = {way.name: [] for way in WAYS}
+    """Measures all transports in turns; returns the medians and the result of each turn as text."""
+    rows: dict[str, list[dict[str, float]]] = {variant.name: [] for variant in TRANSPORTS}
     for _ in range(turns):
-        for way in WAYS:
-            rows[way.name].append(run_way(way=way, calls=calls))
-    lines = [f"{calls} calls in each of {turns} turns, {AT_ONCE} at once, medians"]
-    for name, turns_of in rows.items():
-        middle = {key: statistics.median(row[key] for row in turns_of) for key in turns_of[0]}
-        lines.append(f"{name}: {json.dumps(middle)}")
-        lines.append(f"  both_us of each turn: {[row['both_us'] for row in turns_of]}")
+        for variant in TRANSPORTS:
+            rows[variant.name].append(measure_transport(variant=variant, calls=calls))
+    lines = [f"{calls} calls in each of {turns} turns, {CONCURRENCY} at once, medians"]
+    for name, results in rows.items():
+        medians = {key: statistics.median(row[key] for row in results) for key in results[0]}
+        lines.append(f"{name}: {json.dumps(medians)}")
+        lines.append(f"  both_us of each turn: {[row['both_us'] for row in results]}")
     return "\n".join(lines)
--- a/kelpstage/testbed/measure/tornado_http.py
+++ b/kelpstage/testbed/measure/tornado_http.py
@@ -1,5 +1,5 @@
-"""HTTP by tornado's server and its curl client, as it was: the baseline that the own
-transport is measured against. Nothing of the product uses it."""
+"""HTTP by tornado's server and its curl client: the baseline for measurements of the product's
+transport. The product does not use it."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class TornadoHttp:
-    """The baseline client and server; it has one error type for all failures."""
+    """The baseline client and server; all failures have one error type."""
 
     def __init__(self) -> None:
         self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=1000)
 
     async def fetch(self, *, call: HttpCall) -> HttpReply | KelpstageError:
-        """Send a request by curl on a connection of its own, within `wait_us`.
+        """Send a request by curl on a new connection, with the timeout `wait_us`.
 
-        Every failure of the transport comes back as `ConnectionLostError`.
+        Every failure of the transport is returned as `ConnectionLostError`.
         """
         request = HTTPRequest(
             call.url,
@@ -37,7 +37,7 @@
             request_timeout=call.wait_us / 1_000_000,
             follow_redirects=False,
             decompress_response=False,
-            prepare_curl_callback=_no_hidden_rounds,
+            prepare_curl_callback=_disable_connection_reuse,
             allow_nonstandard_methods=True,
         )
         try:
@@ -53,7 +53,7 @@
     async def serve_http(self, *, address: str, on_call: Callable, body_limit: int) -> Any:
         """Listen with tornado's HTTP server; `body_limit` is in bytes.
 
-        A header may have 32 KiB and a connection be idle for 120 s.
+        Headers may have up to 32 KiB; a connection is closed after 120 s without a request.
         """
         host, port = split_address(address=address)
         server = httpserver.HTTPServer(
@@ -66,7 +66,7 @@
         return server
 
 
-def _no_hidden_rounds(curl: pycurl.Curl) -> None:
+def _disable_connection_reuse(curl: pycurl.Curl) -> None:
     curl.setopt(pycurl.FRESH_CONNECT, 1)
     curl.setopt(pycurl.FORBID_REUSE, 1)
     curl.setopt(pycurl.NOSIGNAL, 1)
@@ -94,9 +94,9 @@
         self._chunks.append(chunk)
 
     def finish(self) -> None:
-        asyncio.ensure_future(self._give_verdict())
+        asyncio.ensure_future(self._send_reply())
 
-    async def _give_verdict(self) -> None:
+    async def _send_reply(self) -> None:
         reply = await self._delegate.on_call(
             HttpCall(
                 method=self._start.method,
