--- a/kelpstage/testbed/measure/choices.py
+++ b/kelpstage/testbed/measure/choices.py
@@ -124,13 +124,11 @@
         return all(edge.swim.status(name=victim) >= least for edge in others)
 
     samples["suspected_us"] = [
-        await fleet.wait_for(what="all edges to suspect it", is_there=lambda: is_seen_as_by_all(1))
+        await fleet.wait_for(what="suspicion", is_there=lambda: is_seen_as_by_all(1))
     ]
     samples["held_dead_us"] = [
         samples["suspected_us"][0]
-        + await fleet.wait_for(
-            what="all edges to consider it dead", is_there=lambda: is_seen_as_by_all(2)
-        )
+        + await fleet.wait_for(what="death", is_there=lambda: is_seen_as_by_all(2))
     ]
     process.thaw()
 
@@ -185,7 +183,7 @@
     edges = [fleet.daemons[f"edge/{n.name}"] for n in fleet.deployment.nodes]
     samples["known_us"] = [
         await fleet.wait_for(
-            what="all edges to detect it",
+            what="darkness",
             is_there=lambda: all(
                 e.registry.is_unreachable(name=victim, now_us=fleet.world.now_us())
                 or e.registry.is_suspected(name=victim, now_us=fleet.world.now_us())
