--- a/kelpstage/common/event_journal.py
+++ b/kelpstage/common/event_journal.py
@@ -48,7 +48,7 @@
         for fold in self._folds:
             fold(at_us, event)
 
-    def view(self, *, fold: Callable[[int, Event], None]) -> None:
+    def add_view(self, *, fold: Callable[[int, Event], None]) -> None:
         """Register a view: `fold` is called with the time and value of every later event."""
         self._folds.append(fold)
 
--- a/kelpstage/common/http/client_connection.py
+++ b/kelpstage/common/http/client_connection.py
@@ -253,7 +253,7 @@
 
         Replies to other calls are skipped, and a connection that carried one is not used again.
         """
-        owner_of, parser = self._call.owner_of, self._parser
+        owner_of, parser = self._call.reply_owner, self._parser
         for reply in parser.replies:
             owner = Owner.OURS if owner_of is None else owner_of(reply)
             if owner == Owner.OTHERS:
--- a/kelpstage/common/http/headers.py
+++ b/kelpstage/common/http/headers.py
@@ -23,10 +23,10 @@
 REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
-def joined(*, pairs: Iterable[tuple[str, str]]) -> dict[str, str]:
+def join_headers(*, pairs: Iterable[tuple[str, str]]) -> dict[str, str]:
     """Headers by lower-case name; the values of a repeated header are joined in order.
 
-    >>> joined(pairs=[("A", "1"), ("a", "2"), ("Cookie", "x=1"), ("Cookie", "y=2")])
+    >>> join_headers(pairs=[("A", "1"), ("a", "2"), ("Cookie", "x=1"), ("Cookie", "y=2")])
     {'a': '1, 2', 'cookie': 'x=1; y=2'}
     """
     headers: dict[str, str] = {}
--- a/kelpstage/common/http/reply_parser.py
+++ b/kelpstage/common/http/reply_parser.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-from kelpstage.common.http.headers import joined, reusable_for_s
+from kelpstage.common.http.headers import join_headers, reusable_for_s
 from kelpstage.common.ports.interfaces import HttpReply
 
 DEFAULT_IDLE_S = 20.0  # idle timeout if the server sends no `Keep-Alive` timeout
@@ -101,7 +101,7 @@
             return
         if parser.get_http_version() not in ("1.1", "1.0"):
             raise _StopParsing
-        headers = self._headers = joined(pairs=self._pairs)
+        headers = self._headers = join_headers(pairs=self._pairs)
         self.is_persistent = parser.should_keep_alive()
         keep_alive = headers.get("keep-alive")
         self.reuse_s = (
--- a/kelpstage/common/http/server.py
+++ b/kelpstage/common/http/server.py
@@ -30,15 +30,19 @@
     """Serves calls at one address until it is closed; requests in flight are still answered."""
 
     def __init__(
-        self, *, on_call: OnCall, limits: Callable[[], HttpLimits], is_cancelling: bool = False
+        self,
+        *,
+        on_call: OnCall,
+        limits: Callable[[], HttpLimits],
+        cancels_on_disconnect: bool = False,
     ) -> None:
-        """`is_cancelling`: cancel the handler of a request whose client disconnects.
+        """`cancels_on_disconnect`: cancel the handler of a request whose client disconnects.
 
         See `Net.serve_http`.
         """
         self.on_call = on_call
         self.limits = limits
-        self.is_cancelling = is_cancelling
+        self.cancels_on_disconnect = cancels_on_disconnect
         self.is_closing = False
         self._connections: set[ServerConnection] = set()
         self._sweep_timer: asyncio.TimerHandle | None = None
--- a/kelpstage/common/http/server_connection.py
+++ b/kelpstage/common/http/server_connection.py
@@ -20,13 +20,13 @@
     RequestReadTimeoutError,
 )
 from kelpstage.common.http.connection import READ_BUFFER, Connection
-from kelpstage.common.http.headers import joined
+from kelpstage.common.http.headers import join_headers
 from kelpstage.common.http.replies import error_reply
 from kelpstage.common.http.reply_bytes import reply_bytes
 from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply
 
 QUEUE_LIMIT = 16  # queued requests of one connection; above it, reading pauses
-MIN_REPORTED_WAIT_S = 0.001  # shorter queueing times are not reported in `HttpCall.waited_us`
+MIN_REPORTED_WAIT_S = 0.001  # shorter queueing times are not reported in `HttpCall.queued_us`
 BODY_TIMEOUT_FACTOR = 10  # time limit of a whole body, as a multiple of `HttpLimits.header_us`
 LINGER_S = 1.0  # how long data is still read after the write side is shut down
 LINGER_BYTES = 4 * 1024 * 1024  # and how many bytes
@@ -59,7 +59,7 @@
     on_call: OnCall
     limits: Callable[[], HttpLimits]
     is_closing: bool
-    is_cancelling: bool
+    cancels_on_disconnect: bool
 
     def forget(self, *, connection: "ServerConnection") -> None:
         """Remove a closed connection whose handler has ended."""
@@ -120,23 +120,23 @@
     def on_closed(self, error: OSError | None) -> None:
         """Handle the closed socket: drop the queued requests.
 
-        The handler in progress is cancelled if the server has `is_cancelling`, and otherwise runs
-        to its end.
+        The handler in progress is cancelled if the server has `cancels_on_disconnect`, and
+        otherwise runs to its end.
         """
         self._connection = self._parser = None
         self._queue.clear()
         if self._task is None:
             self._server.forget(connection=self)
-        elif self._server.is_cancelling:
+        elif self._server.cancels_on_disconnect:
             self._task.cancel()
 
     def on_eof(self) -> bool:
         """Handle the end of the client's stream; true if its requests are still to be answered.
 
-        With `is_cancelling` the server treats it as a disconnect.
+        With `cancels_on_disconnect` the server treats it as a disconnect.
         """
         self._is_half_closed = True
-        if self._server.is_cancelling and not self.is_idle():
+        if self._server.cancels_on_disconnect and not self.is_idle():
             return False
         return self._task is not None or bool(self._queue)
 
@@ -232,7 +232,7 @@
             size += len(name) + len(value)
         if size > limits.header_bytes:
             raise self._stop_with(error=HeadersTooLargeError(limit_bytes=limits.header_bytes))
-        headers = self._headers = joined(pairs=pairs)
+        headers = self._headers = join_headers(pairs=pairs)
         self._trailer_size = 0
         version = parser.get_http_version()
         self._is_http_1_0 = version == "1.0"
@@ -316,7 +316,7 @@
             loop = asyncio.get_running_loop()
             waited_s = loop.time() - read_s
             if waited_s > MIN_REPORTED_WAIT_S:
-                call = replace(call, waited_us=int(waited_s * 1_000_000))
+                call = replace(call, queued_us=int(waited_s * 1_000_000))
             self._task = loop.create_task(self._run_handler(call, is_persistent, is_http_1_0))
         else:
             self._write_reply(reply=item, is_head=False, is_persistent=False, is_http_1_0=False)
--- a/kelpstage/common/ports/interfaces.py
+++ b/kelpstage/common/ports/interfaces.py
@@ -35,11 +35,11 @@
     """One HTTP request, sent by the client or received by the server.
 
     In a received request, `url` is the request target as it was sent, the names in `headers` are
-    lower case, `raw_headers` has the headers in the order and case of the sender, and `waited_us`
+    lower case, `raw_headers` has the headers in the order and case of the sender, and `queued_us`
     is the time in the queue behind earlier requests of its connection.
 
     In a sent request, `connection_limit` 0 means a connection for this call alone; otherwise it
-    is the maximum number of pooled connections to the address. `owner_of` says which call a
+    is the maximum number of pooled connections to the address. `reply_owner` says which call a
     reply belongs to; without it every reply is accepted as this call's.
 
     >>> HttpCall(method="GET", url="http://127.0.0.1:1/ready").body
@@ -52,9 +52,9 @@
     body: bytes = b""
     wait_us: int = 1_000_000
     connection_limit: int = 0
-    owner_of: Callable[[HttpReply], Owner] | None = None
+    reply_owner: Callable[[HttpReply], Owner] | None = None
     raw_headers: tuple[tuple[str, str], ...] = ()
-    waited_us: int = 0
+    queued_us: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -99,7 +99,7 @@
     async def sleep(self, *, us: int) -> None:
         """Wait for `us` microseconds."""
 
-    def later(self, *, us: int, callback: Callable[[], None]) -> None:
+    def call_later(self, *, us: int, callback: Callable[[], None]) -> None:
         """Call `callback` after `us` microseconds; it cannot be cancelled."""
 
     async def within(self, awaitable: Awaitable[Any], *, us: int) -> Any:
@@ -161,7 +161,9 @@
     ) -> Listener | KelpstageError:
         """Listen for connections; `on_stream` is called with the stream and source of each."""
 
-    async def datagrams(self, *, address: str, on_datagram: Callable) -> Datagrams | KelpstageError:
+    async def bind_datagrams(
+        self, *, address: str, on_datagram: Callable
+    ) -> Datagrams | KelpstageError:
         """Bind a UDP socket; `on_datagram` is called with the bytes and source of each datagram."""
 
     async def fetch(self, *, call: HttpCall) -> HttpReply | KelpstageError:
@@ -174,13 +176,14 @@
         on_call: Callable[..., Any],
         body_limit: int,
         limits: Callable[[], HttpLimits] | None = None,
-        is_cancelling: bool = False,
+        cancels_on_disconnect: bool = False,
     ) -> Listener | KelpstageError:
         """Serve HTTP until the listener is closed; `on_call` is called with each request.
 
-        With `is_cancelling`, a client that shuts down its write side or resets the connection has
-        disconnected, and the handler of its request is cancelled. Without it, a client may shut
-        down its write side and still receive its reply, and a handler always runs to its end.
+        With `cancels_on_disconnect`, a client that shuts down its write side or resets the
+        connection has disconnected, and the handler of its request is cancelled. Without it, a
+        client may shut down its write side and still receive its reply, and a handler always runs
+        to its end.
         """
 
 
@@ -190,7 +193,7 @@
     Paths are relative; a method returns its error and raises nothing.
     """
 
-    async def names(self, *, folder: str) -> list[str] | KelpstageError:
+    async def list_names(self, *, folder: str) -> list[str] | KelpstageError:
         """The sorted names in a folder, which is created if it does not exist."""
 
     async def read(self, *, path: str) -> bytes | None | KelpstageError:
@@ -225,9 +228,9 @@
     rand: random.Random
     spawn: Callable[[Awaitable[Any]], Any]
     failpoint: Callable[[str], None] = lambda name: None
-    on_broken: Callable[[BaseException], None] = lambda error: None
+    on_critical_failure: Callable[[BaseException], None] = lambda error: None
 
-    def keep(self, work: Awaitable[Any]) -> Any:
+    def spawn_critical(self, work: Awaitable[Any]) -> Any:
         """Start a task that the daemon cannot run without: if it fails, the process exits."""
         task = self.spawn(work)
         task.add_done_callback(self._on_task_done)
@@ -235,4 +238,4 @@
 
     def _on_task_done(self, task: Any) -> None:
         if not task.cancelled() and task.exception() is not None:
-            self.on_broken(task.exception())
+            self.on_critical_failure(task.exception())
--- a/kelpstage/common/ports/live.py
+++ b/kelpstage/common/ports/live.py
@@ -49,7 +49,7 @@
         """Wait for `us` microseconds."""
         await gen.sleep(max(0, us) / 1_000_000)
 
-    def later(self, *, us: int, callback: Callable[[], None]) -> None:
+    def call_later(self, *, us: int, callback: Callable[[], None]) -> None:
         """Call `callback` after `us` microseconds."""
         ioloop.IOLoop.current().call_later(max(0, us) / 1_000_000, callback)
 
@@ -193,7 +193,7 @@
         server.add_sockets(sockets)
         return _ListenerHandle(close=server.stop)
 
-    async def datagrams(self, *, address: str, on_datagram: Callable) -> Any:
+    async def bind_datagrams(self, *, address: str, on_datagram: Callable) -> Any:
         """Bind a UDP socket; returns `AddressInUseError` if the address cannot be bound."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
@@ -215,12 +215,14 @@
         on_call: Callable,
         body_limit: int,
         limits: Callable[[], HttpLimits] | None = None,
-        is_cancelling: bool = False,
+        cancels_on_disconnect: bool = False,
     ) -> HttpServer | KelpstageError:
         """Serve until `close()`; `limits` is called for each request and overrides `body_limit`."""
         fixed = HttpLimits(body_bytes=body_limit)
         server = HttpServer(
-            on_call=on_call, limits=limits or (lambda: fixed), is_cancelling=is_cancelling
+            on_call=on_call,
+            limits=limits or (lambda: fixed),
+            cancels_on_disconnect=cancels_on_disconnect,
         )
         return await server.open(address=address) or server
 
@@ -251,7 +253,7 @@
 
         return await asyncio.get_running_loop().run_in_executor(self._thread, run)
 
-    async def names(self, *, folder: str) -> list[str] | KelpstageError:
+    async def list_names(self, *, folder: str) -> list[str] | KelpstageError:
         """The sorted names in a folder, which is created if it does not exist."""
 
         def work(path: str) -> list[str]:
--- a/kelpstage/common/process.py
+++ b/kelpstage/common/process.py
@@ -98,7 +98,7 @@
         failures.append(error)
         stop.set()
 
-    ports.on_broken = on_critical_failure
+    ports.on_critical_failure = on_critical_failure
     daemon = build(ports)
     error = await daemon.open()
     if isinstance(error, KelpstageError):
@@ -108,7 +108,7 @@
     if read_settings is not None:
         watcher = SettingsWatcher(daemon=daemon, read_settings=read_settings, path=watch)
         loop.add_signal_handler(signal.SIGHUP, watcher.reload)
-        ports.keep(watcher.run())
+        ports.spawn_critical(watcher.run())
     await stop.wait()
     if failures:
         error = failures[0]
--- a/kelpstage/common/recording/writer.py
+++ b/kelpstage/common/recording/writer.py
@@ -37,7 +37,7 @@
         self._buffered_bytes += len(data)
 
     async def _run(self) -> None:
-        await self._ports.disk.names(folder="")  # creates the folder
+        await self._ports.disk.list_names(folder="")  # creates the folder
         while True:
             await self._ports.clock.sleep(us=FLUSH_INTERVAL_US)
             await self.flush()
--- a/kelpstage/common/transport/server.py
+++ b/kelpstage/common/transport/server.py
@@ -31,7 +31,7 @@
     def __init__(self, *, ports: Ports, stream: Stream) -> None:
         self.is_done = self.is_expired = False
         self._stream = stream
-        ports.clock.later(us=PREFACE_TIMEOUT_US, callback=self._on_timeout)
+        ports.clock.call_later(us=PREFACE_TIMEOUT_US, callback=self._on_timeout)
 
     def _on_timeout(self) -> None:
         if not self.is_done:
--- a/kelpstage/core/app.py
+++ b/kelpstage/core/app.py
@@ -119,8 +119,8 @@
                 address=self.settings["metrics"],
                 collect=lambda: core_families(core=self),
             )
-        self.ports.keep(self._run_replicas())
-        self.ports.keep(send_join_requests(core=self))
+        self.ports.spawn_critical(self._run_replicas())
+        self.ports.spawn_critical(send_join_requests(core=self))
         return None
 
     async def _on_message(self, message: Any, source: str) -> Any:
--- a/kelpstage/core/replica_task.py
+++ b/kelpstage/core/replica_task.py
@@ -129,9 +129,9 @@
             write=self.disk.inbox.put_nowait,
         )
         self._tasks = [
-            ports.keep(self.disk.run()),
-            ports.keep(self._run()),
-            ports.keep(self._tick()),
+            ports.spawn_critical(self.disk.run()),
+            ports.spawn_critical(self._run()),
+            ports.spawn_critical(self._tick()),
         ]
 
     def stop(self) -> None:
--- a/kelpstage/core/store/folder.py
+++ b/kelpstage/core/store/folder.py
@@ -48,7 +48,7 @@
     async def delete_files(self, *, is_obsolete: Callable[[str], bool]) -> KelpstageError | None:
         """Delete obsolete log and snapshot files, oldest first, and sync their folders."""
         for folder in OWNED_FOLDERS:
-            names = await self._disk.names(folder=folder)
+            names = await self._disk.list_names(folder=folder)
             if isinstance(names, KelpstageError):
                 return names
             obsolete = [name for name in names if is_obsolete(name)]
@@ -64,14 +64,14 @@
     async def delete_unfinished_identity(self) -> KelpstageError | None:
         """Delete the temporary file that an interrupted write of the identity left."""
         temporary = IDENTITY_PATH + UNFINISHED_SUFFIX
-        names = await self._disk.names(folder=ROOT)
+        names = await self._disk.list_names(folder=ROOT)
         if isinstance(names, KelpstageError):
             return names
         return await self._disk.delete(path=temporary) if temporary in names else None
 
     async def file_numbers(self, *, folder: str, replica: str) -> list[int] | KelpstageError:
         """Returns the numbers of a replica's files in a folder, ascending."""
-        names = await self._disk.names(folder=folder)
+        names = await self._disk.list_names(folder=folder)
         if isinstance(names, KelpstageError):
             return names
         found = [parse_file_name(name=name) for name in names]
--- a/kelpstage/core/store/store.py
+++ b/kelpstage/core/store/store.py
@@ -72,7 +72,7 @@
     async def read_identity(self) -> DiskIdentity | None | KelpstageError:
         """Returns the identity that owns the folder; `None` if the folder is empty."""
         for folder in OWNED_FOLDERS:  # listing a folder creates it
-            names = await self._disk.names(folder=folder)
+            names = await self._disk.list_names(folder=folder)
             if isinstance(names, KelpstageError):
                 return names
         error = await self._folder.delete_unfinished_identity()
@@ -119,7 +119,7 @@
         The identity is deleted first, durably. An interruption before that leaves the replica
         complete; after it, its files belong to no replica and are never read again.
         """
-        names = await self._disk.names(folder=ROOT)
+        names = await self._disk.list_names(folder=ROOT)
         if isinstance(names, KelpstageError):
             return names
         if IDENTITY_PATH in names:
--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -90,10 +90,10 @@
         now = self.ports.clock.now_us
         self.journal = Journal(now=now)
         self.searches = SearchStatistics()
-        self.journal.view(fold=self.searches.fold)
+        self.journal.add_view(fold=self.searches.fold)
         self.timelines = Timelines()
         self.trace = Journal(now=now, limit=1)  # only its view, the timelines, is read
-        self.trace.view(fold=self.timelines.fold)
+        self.trace.add_view(fold=self.timelines.fold)
 
     def _build_transport(self) -> None:
         self.transport = Transport(ports=self.ports, counts=self.counts)
@@ -171,7 +171,7 @@
             address=self.http,
             on_call=lambda call: self._serve(edge=self, call=call),
             body_limit=MAX_BODY_BYTES,
-            is_cancelling=True,
+            cancels_on_disconnect=True,
         )
         if isinstance(outcome, KelpstageError):
             return outcome
@@ -183,7 +183,7 @@
             on_call=lambda call: serve_forwarded(edge=self, call=call),
             body_limit=MAX_BODY_BYTES,
             limits=self._caller_limits,
-            is_cancelling=True,
+            cancels_on_disconnect=True,
         )
         if isinstance(outcome, KelpstageError):
             return outcome
--- a/kelpstage/edge/backend/address_poll.py
+++ b/kelpstage/edge/backend/address_poll.py
@@ -66,7 +66,7 @@
         self._check_soon = check_soon
         self.listed: dict[str, tuple[str, str]] = {}
         self.has_read_list = False
-        ports.keep(self._run())
+        ports.spawn_critical(self._run())
 
     def addresses(self) -> dict[str, str]:
         """The addresses in the latest list, by backend name."""
--- a/kelpstage/edge/backend/discovery.py
+++ b/kelpstage/edge/backend/discovery.py
@@ -103,7 +103,7 @@
         self._distances_updated_us = 0
         self._outranked_us = -1
         self._wake: asyncio.Future[None] | None = None
-        ports.keep(self._run())
+        ports.spawn_critical(self._run())
 
     # --- schedule ---------------------------------------------------------------------
 
@@ -123,7 +123,7 @@
         """Sleep until the time has passed or `_wake` is resolved."""
         wake: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._wake = wake
-        self._ports.clock.later(us=us, callback=lambda: _wake_up(wake=wake))
+        self._ports.clock.call_later(us=us, callback=lambda: _wake_up(wake=wake))
         await wake
 
     def _refresh_registry(self, *, now_us: int) -> None:
--- a/kelpstage/edge/backend/ejected_check.py
+++ b/kelpstage/edge/backend/ejected_check.py
@@ -59,7 +59,7 @@
         self._health_path = health_path
         self._instance_header = instance_header.lower()
         self._counts = counts
-        ports.keep(self._run())
+        ports.spawn_critical(self._run())
 
     async def _run(self) -> None:
         while True:
--- a/kelpstage/edge/backend/health_check.py
+++ b/kelpstage/edge/backend/health_check.py
@@ -79,7 +79,7 @@
         self._edges = edges
         self._on_changed = on_changed
         self._counts = counts
-        ports.keep(self._run())
+        ports.spawn_critical(self._run())
 
     async def _run(self) -> None:
         while True:
--- a/kelpstage/edge/forward/sealed_answer.py
+++ b/kelpstage/edge/forward/sealed_answer.py
@@ -15,7 +15,7 @@
     InvalidReplyError,
     RequestNotRunError,
 )
-from kelpstage.common.http.headers import joined
+from kelpstage.common.http.headers import join_headers
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Owner
 from kelpstage.edge.backend.reply import ValidatedPart
 from kelpstage.edge.forward.headers import HeaderNames
@@ -77,7 +77,7 @@
         request = ask.record.request
         headers = dict(request.headers)
         if len(headers) < len(request.headers):  # some occur more than once
-            headers = joined(pairs=request.headers)
+            headers = join_headers(pairs=request.headers)
         headers[self.names.deadline_ms] = str(max(1, ask.wait_us // 1000))
         headers[self.names.expect_instance] = ask.backend
         return HttpCall(
@@ -87,7 +87,7 @@
             body=request.body,
             wait_us=ask.wait_us,
             connection_limit=ask.connection_limit,
-            owner_of=lambda reply: self._owner_of(reply=reply, request_id=request.request_id),
+            reply_owner=lambda reply: self._owner_of(reply=reply, request_id=request.request_id),
         )
 
     def _owner_of(self, *, reply: HttpReply, request_id: str) -> Owner:
--- a/kelpstage/edge/gather/task.py
+++ b/kelpstage/edge/gather/task.py
@@ -67,7 +67,7 @@
         self._queries: dict[int, list[Any]] = {}  # by request: the tasks started for it
         self._next_key = 0
         self._timer_us: int | None = None
-        self._task = ports.keep(self._run())
+        self._task = ports.spawn_critical(self._run())
 
     # --- interface for handlers ---------------------------------------------------
 
@@ -129,7 +129,7 @@
         if wake_us is None or self._timer_us is not None and self._timer_us <= wake_us:
             return
         self._timer_us = wake_us
-        self._ports.clock.later(
+        self._ports.clock.call_later(
             us=wake_us - self.context.now_us, callback=lambda: self._on_timer(timer_us=wake_us)
         )
 
--- a/kelpstage/edge/gossip/task.py
+++ b/kelpstage/edge/gossip/task.py
@@ -53,13 +53,13 @@
 
     async def open(self) -> KelpstageError | None:
         """Bind the datagram socket and start ticking; returns an error if it can't be bound."""
-        outcome = await self._ports.net.datagrams(
+        outcome = await self._ports.net.bind_datagrams(
             address=self._address, on_datagram=self._on_datagram
         )
         if isinstance(outcome, KelpstageError):
             return outcome
         self._datagrams = outcome
-        self._ports.keep(self._tick())
+        self._ports.spawn_critical(self._tick())
         return None
 
     async def _tick(self) -> None:
--- a/kelpstage/edge/lease/task.py
+++ b/kelpstage/edge/lease/task.py
@@ -91,7 +91,7 @@
             discovery.run_member_table(),
             confirmation.run(),
         ):
-            ports.keep(loop)
+            ports.spawn_critical(loop)
 
     @property
     def leader(self) -> str:
--- a/kelpstage/edge/web/forward.py
+++ b/kelpstage/edge/web/forward.py
@@ -52,7 +52,7 @@
 async def serve_forwarded(*, edge: GatheringEdge, call: HttpCall) -> HttpReply:
     """Answer a client's request under the current routes."""
     now_us = edge.ports.clock.now_us()
-    arrived_us = now_us - call.waited_us
+    arrived_us = now_us - call.queued_us
     refusal = edge.lease_holder.refusal(now_us=now_us)
     if refusal:
         return failure_reply(failure=NotReadyError(why=refusal), has_run=False, edge=edge)
--- a/kelpstage/testbed/platform_model/net.py
+++ b/kelpstage/testbed/platform_model/net.py
@@ -79,7 +79,7 @@
         self.message_us = 0  # of the processor's time, for whatever comes in
         self._free_us = 0
         self.ports.net = PlatformNet(process=self)
-        self.ports.on_broken = lambda error: self.on_own_end(error)
+        self.ports.on_critical_failure = lambda error: self.on_own_end(error)
 
     def deliver(self, callback: Callable[[], None]) -> None:
         """Something comes in; it is taken when what came before has had its time."""
@@ -199,7 +199,7 @@
             return
         self.is_served = False
         self.listener.process.served.pop(self.serial, None)
-        if self.listener.is_cancelling and self._task is not None:
+        if self.listener.cancels_on_disconnect and self._task is not None:
             self._task.cancel()
         gone = getattr(self.listener.on_event, "line_gone", None)
         if gone is not None:
@@ -221,7 +221,7 @@
             if how != WHOLE:
                 self._future.set_result(ConnectionLostError(address=self.address, why=how))
                 return
-            owner_of = self._asked.owner_of
+            owner_of = self._asked.reply_owner
             owner = Owner.OURS if owner_of is None else owner_of(reply)
             if owner != Owner.OURS:
                 self.is_fit = False
@@ -372,7 +372,7 @@
         on_call: Any,
         body_limit: int,
         limits: Callable[[], HttpLimits] | None = None,
-        is_cancelling: bool = False,
+        cancels_on_disconnect: bool = False,
     ) -> Any:
         """Listen for HTTP at an address; `body_limit` and `limits` are not modelled.
 
@@ -382,7 +382,7 @@
         if isinstance(outcome, KelpstageError):
             return outcome
         listener = self.process.world.listeners[f"http/{address}"]
-        listener.is_cancelling = is_cancelling
+        listener.cancels_on_disconnect = cancels_on_disconnect
 
         def close() -> None:
             outcome.close()
--- a/kelpstage/testbed/simulation/disk.py
+++ b/kelpstage/testbed/simulation/disk.py
@@ -266,7 +266,7 @@
             await self._clock.sleep(us=20_000)
         await self._clock.sleep(us=int(us * self._platter.slow * (0.5 + self._rand.random())))
 
-    async def names(self, *, folder: str) -> list[str] | KelpstageError:
+    async def list_names(self, *, folder: str) -> list[str] | KelpstageError:
         """List the names in a folder; a folder without files gives an empty list."""
         await self._wait_latency(us=100)
         prefix = f"{folder}/" if folder else ""
--- a/kelpstage/testbed/simulation/world.py
+++ b/kelpstage/testbed/simulation/world.py
@@ -55,7 +55,7 @@
         await asyncio.sleep(max(0, us) / 1_000_000)
         await self._process.wait_until_thawed()
 
-    def later(self, *, us: int, callback: Callable[[], None]) -> None:
+    def call_later(self, *, us: int, callback: Callable[[], None]) -> None:
         """Call `callback` after a delay."""
         self._process.world.loop.call_later(
             max(0, us) / 1_000_000, lambda: self._process.deliver(callback)
@@ -169,7 +169,7 @@
     on_event: Callable
     body_limit: int = 0
     lost_after_us: int = 0
-    is_cancelling: bool = False  # cancel a request when its client disconnects
+    cancels_on_disconnect: bool = False  # cancel a request when its client disconnects
 
 
 class _Closer:
@@ -374,7 +374,7 @@
             self._process.world.listeners[f"tcp/{address}"].lost_after_us = lost_after_us
         return outcome
 
-    async def datagrams(self, *, address: str, on_datagram: Callable) -> Any:
+    async def bind_datagrams(self, *, address: str, on_datagram: Callable) -> Any:
         """Return a UDP socket at an address, or an error if it is in use."""
         outcome = self._listen(key=f"udp/{address}", kind="udp", on_event=on_datagram)
         if isinstance(outcome, KelpstageError):
@@ -388,7 +388,7 @@
         on_call: Callable,
         body_limit: int,
         limits: Callable[[], HttpLimits] | None = None,
-        is_cancelling: bool = False,
+        cancels_on_disconnect: bool = False,
     ) -> Any:
         """Answer HTTP calls at an address; client disconnects are not modelled."""
         if limits is not None:
--- a/tests/async_case.py
+++ b/tests/async_case.py
@@ -31,7 +31,7 @@
         """Returns the loop's time in whole microseconds."""
         return round(asyncio.get_running_loop().time() * 1_000_000)
 
-    def later(self, *, us: int, callback: Callable[[], None]) -> None:
+    def call_later(self, *, us: int, callback: Callable[[], None]) -> None:
         """Calls `callback` after `us` microseconds."""
         asyncio.get_running_loop().call_later(max(0, us) / 1_000_000, callback)
 
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -37,7 +37,7 @@
 from kelpstage.edge.retries.budget import Budget
 from kelpstage.edge.web.forward import serve_forwarded
 from tests.async_case import AsyncCase, HeldTime, LoopClock, RawServer, reset
-from tests.test_http import Raw, free_address, until
+from tests.test_http import RawClient, free_address, wait_until
 
 SERVICE = "once"
 DEADLINE_US = 20_000_000
@@ -146,7 +146,7 @@
         self.sends: list[HttpCall] = []
         self.backends: list[RawBackend] = []
         self.starts = 0
-        self.raws: list[Raw] = []
+        self.raws: list[RawClient] = []
         self.tasks: list[asyncio.Task] = []
         self.before_fetch: Callable[[HttpCall], Any] = lambda call: None
         self.ports = Ports(
@@ -177,7 +177,9 @@
             is_leaving=False,
         )
         self.address = free_address()
-        self.server = HttpServer(on_call=self._on_call, limits=HttpLimits, is_cancelling=True)
+        self.server = HttpServer(
+            on_call=self._on_call, limits=HttpLimits, cancels_on_disconnect=True
+        )
         self.assertIsNone(await self.server.open(address=self.address))
 
     def _spawn(self, work: Awaitable) -> asyncio.Task:
@@ -265,7 +267,7 @@
             entry = self.context.registry.entry(name=backend.name)
             entry.distance_us = number * 10_000_000
 
-    async def ask(self, name: str, *, deadline_ms: int = 0, raw: Raw | None = None) -> tuple:
+    async def ask(self, name: str, *, deadline_ms: int = 0, raw: RawClient | None = None) -> tuple:
         """Send a client's request with this id; returns status, headers and body."""
         raw = raw or await self.connect()
         raw.send(self.request(name, deadline_ms=deadline_ms))
@@ -276,10 +278,10 @@
         head = f"POST /x HTTP/1.1\r\nHost: h\r\nKelp-Request-Id: {name}\r\n{more}"
         return f"{head}Content-Length: 2\r\n\r\nhi".encode()
 
-    async def connect(self) -> Raw:
+    async def connect(self) -> RawClient:
         host, _, port = self.address.partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        raw = Raw(reader=reader, writer=writer)
+        raw = RawClient(reader=reader, writer=writer)
         self.raws.append(raw)
         return raw
 
@@ -437,13 +439,13 @@
         first, second = await self.start(silent, GOOD)
         time = HeldTime()
         asking = asyncio.create_task(self.ask("r", deadline_ms=60))
-        await until(lambda: first.arrivals == ["r"])
+        await wait_until(lambda: first.arrivals == ["r"])
         time.advance(ms=60)
         status, headers, _ = await asking
         self.assertEqual(504, status)
         self.assertNotIn("retry-after", headers)
         self.assertEqual((1, 0), (len(first.arrivals), len(second.arrivals)))
-        await until(lambda: self.client.connections_to(address=first.address) == (0, 0))
+        await wait_until(lambda: self.client.connections_to(address=first.address) == (0, 0))
 
     async def test_answer_after_the_deadline_is_discarded(self) -> None:
         """An answer that arrives after the client got 504 must not answer its next request."""
@@ -460,7 +462,7 @@
         raw = await self.connect()
         time = HeldTime()
         asking = asyncio.create_task(self.ask("a", deadline_ms=60, raw=raw))
-        await until(lambda: backend.arrivals == ["a"])
+        await wait_until(lambda: backend.arrivals == ["a"])
         time.advance(ms=60)
         self.assertEqual(504, (await asking)[0])
         late.set()
@@ -581,7 +583,7 @@
         self.assertEqual(100, (await raw.reply())[0])
         raw.send(b"h")
         raw.close()
-        await until(lambda: not self.server.open_connections())
+        await wait_until(lambda: not self.server.open_connections())
         self.assertEqual([], backend.arrivals)
 
     async def test_time_in_the_pipeline_counts_against_the_deadline(self) -> None:
@@ -595,7 +597,7 @@
         raw = await self.connect()
         time = HeldTime()
         raw.send(self.request("a", deadline_ms=80) + self.request("b", deadline_ms=40))
-        await until(lambda: backend.arrivals == ["a"])
+        await wait_until(lambda: backend.arrivals == ["a"])
         time.advance(ms=80)
         self.assertEqual(504, (await raw.reply())[0])
         status, headers, _ = await raw.reply()
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -78,7 +78,7 @@
         self.loses_replies = False  # messages to it arrive, its replies are lost
         clock = SimpleNamespace(
             now_us=fleet.loop.now_us,
-            later=lambda *, us, callback: fleet.loop.call_later(max(0, us) / 1e6, callback),
+            call_later=lambda *, us, callback: fleet.loop.call_later(max(0, us) / 1e6, callback),
         )
         self.ports = Ports(
             clock=clock,
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -25,8 +25,8 @@
 from kelpstage.edge.gather.tree import Subtree
 from kelpstage.edge.handlers import handle
 from tests.async_case import AsyncCase, reset
-from tests.test_at_most_once import GOOD, EdgeCase, Raw, RawBackend
-from tests.test_http import free_address, get, until
+from tests.test_at_most_once import GOOD, EdgeCase, RawBackend, RawClient
+from tests.test_http import free_address, get, wait_until
 
 
 async def silent(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
@@ -36,15 +36,15 @@
     backend.arrivals.append("gone")
 
 
-def leave_by_reset(raw: Raw) -> None:
+def leave_by_reset(raw: RawClient) -> None:
     reset(raw.writer)
 
 
-def leave_by_closing(raw: Raw) -> None:
+def leave_by_closing(raw: RawClient) -> None:
     raw.close()
 
 
-def leave_by_half_close(raw: Raw) -> None:
+def leave_by_half_close(raw: RawClient) -> None:
     raw.writer.write_eof()
 
 
@@ -61,11 +61,11 @@
                 first, second = await self.start(silent, GOOD)
                 raw = await self.connect()
                 raw.send(self.request("r"))
-                await until(lambda first=first: first.arrivals == ["r"])
+                await wait_until(lambda first=first: first.arrivals == ["r"])
                 leave(raw)
-                await until(lambda first=first: first.arrivals == ["r", "gone"])
-                await until(lambda: not len(self.gather.table))
-                await until(lambda: not self.server.open_connections())
+                await wait_until(lambda first=first: first.arrivals == ["r", "gone"])
+                await wait_until(lambda: not len(self.gather.table))
+                await wait_until(lambda: not self.server.open_connections())
                 self.assertEqual([], second.arrivals)
                 self.assertEqual(0, self.context.registry.entries[first.name].in_flight)
 
@@ -73,11 +73,11 @@
         first, _ = await self.start(silent, GOOD)
         raw = await self.connect()
         raw.send(self.request("r"))
-        await until(lambda: first.arrivals == ["r"])
+        await wait_until(lambda: first.arrivals == ["r"])
         entry = self.context.registry.entries[first.name]
         before = (entry.state, entry.why)
         raw.close()
-        await until(lambda: not len(self.gather.table))
+        await wait_until(lambda: not len(self.gather.table))
         self.assertEqual(before, (entry.state, entry.why))
 
     async def test_pipelined_request_is_dropped_when_the_client_leaves(self) -> None:
@@ -85,10 +85,10 @@
         first, second = await self.start(silent, GOOD)
         raw = await self.connect()
         raw.send(self.request("a") + self.request("b"))
-        await until(lambda: first.arrivals == ["a"])
+        await wait_until(lambda: first.arrivals == ["a"])
         raw.close()
-        await until(lambda: first.arrivals == ["a", "gone"])
-        await until(lambda: not self.server.open_connections())
+        await wait_until(lambda: first.arrivals == ["a", "gone"])
+        await wait_until(lambda: not self.server.open_connections())
         self.assertEqual([], second.arrivals)
 
 
@@ -107,12 +107,12 @@
         first, second = await self.start(slow, GOOD)
         raw = await self.connect()
         raw.send(self.request("r"))
-        await until(lambda: first.arrivals == ["r"])
+        await wait_until(lambda: first.arrivals == ["r"])
         raw.close()
-        await until(lambda: not self.server.open_connections())
+        await wait_until(lambda: not self.server.open_connections())
         self.assertEqual(1, len(self.gather.table))
         may_answer.set()
-        await until(lambda: not len(self.gather.table))
+        await wait_until(lambda: not len(self.gather.table))
         self.assertEqual((["r", "answered"], []), (first.arrivals, second.arrivals))
         self.assertEqual((1, 1), self.client.connections_to(address=first.address))
 
@@ -129,16 +129,18 @@
         first, second = await self.start(rejects, GOOD)
         raw = await self.connect()
         raw.send(self.request("r"))
-        await until(lambda: first.arrivals == ["r"])
+        await wait_until(lambda: first.arrivals == ["r"])
         raw.close()
-        await until(lambda: not self.server.open_connections())
+        await wait_until(lambda: not self.server.open_connections())
         may_answer.set()
-        await until(lambda: not len(self.gather.table))
+        await wait_until(lambda: not len(self.gather.table))
         self.assertEqual([], second.arrivals)
 
 
 class ServerCancellation(AsyncCase):
-    async def serve(self, *, is_cancelling: bool) -> tuple[HttpServer, Raw, list[str]]:
+    async def serve(
+        self, *, cancels_on_disconnect: bool
+    ) -> tuple[HttpServer, RawClient, list[str]]:
         events: list[str] = []
 
         async def on_call(call: Any) -> HttpReply:
@@ -149,23 +151,25 @@
                 events.append("ended")
             return HttpReply(status=200)
 
-        server = HttpServer(on_call=on_call, limits=HttpLimits, is_cancelling=is_cancelling)
+        server = HttpServer(
+            on_call=on_call, limits=HttpLimits, cancels_on_disconnect=cancels_on_disconnect
+        )
         address = free_address()
         self.assertIsNone(await server.open(address=address))
         host, _, port = address.partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        raw = Raw(reader=reader, writer=writer)
+        raw = RawClient(reader=reader, writer=writer)
         raw.send(get("/a"))
-        await until(lambda: events == ["began"])
+        await wait_until(lambda: events == ["began"])
         return server, raw, events
 
     async def test_handler_is_cancelled_only_by_a_cancelling_server(self) -> None:
-        for is_cancelling in (True, False):
-            with self.subTest(is_cancelling=is_cancelling):
-                server, raw, events = await self.serve(is_cancelling=is_cancelling)
+        for cancels_on_disconnect in (True, False):
+            with self.subTest(cancels_on_disconnect=cancels_on_disconnect):
+                server, raw, events = await self.serve(cancels_on_disconnect=cancels_on_disconnect)
                 reset(raw.writer)
-                if is_cancelling:
-                    await until(lambda server=server: not server.open_connections())
+                if cancels_on_disconnect:
+                    await wait_until(lambda server=server: not server.open_connections())
                     self.assertEqual(["began", "ended"], events)
                 else:
                     for _ in range(50):
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -388,7 +388,7 @@
             for _ in range(200):
                 self.assertEqual(200, (await fleet.put_next())["status"])
             self.assertTrue(edge.refusal())  # it knows that it must not serve
-            edge.journal.view(
+            edge.journal.add_view(
                 fold=lambda at_us, event: (
                     installed.append(event.version) if isinstance(event, Installed) else None
                 )
--- a/tests/test_connection_walks.py
+++ b/tests/test_connection_walks.py
@@ -33,7 +33,7 @@
 from kelpstage.common.http.server import HttpServer
 from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply, Owner
 from tests.async_case import AsyncCase, RawServer, reset
-from tests.test_http import Raw, free_address, until
+from tests.test_http import RawClient, free_address, wait_until
 
 WALKS = 240
 CALLS = 10
@@ -219,7 +219,7 @@
             body=b"x" * (LARGE_BODY if rand.random() < 0.01 else rand.randrange(50)),
             wait_us=rand.choice((4_000, 30_000)),
             connection_limit=CONNECTION_LIMIT,
-            owner_of=owner_of,
+            reply_owner=owner_of,
         )
         task = asyncio.ensure_future(client.fetch(call=call))
         if rand.random() < 0.05:
@@ -414,7 +414,7 @@
         finally:
             loop.time = time_of
         self.assertEqual(("wait_over", False), (outcome.kind, outcome.was_sent))
-        await until(lambda: self.backend.open == 1)
+        await wait_until(lambda: self.backend.open == 1)
         self.assertEqual(Counter(), self.backend.begun)
         self.assertEqual((1, 1), self.client.connections_to(address=self.backend.address))
 
@@ -446,7 +446,7 @@
 
     async def asyncTearDown(self) -> None:
         self.server.abort()
-        await until(lambda: not self.server.open_connections())
+        await wait_until(lambda: not self.server.open_connections())
         self.assertEqual([], self.loop_errors)
 
     async def answer(self, call: HttpCall) -> HttpReply:
@@ -455,10 +455,10 @@
             await asyncio.sleep(0)
         return HttpReply(status=200, headers={"X-Url": call.url}, body=call.url.encode())
 
-    async def connect(self) -> Raw:
+    async def connect(self) -> RawClient:
         host, _, port = self.address.partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        return Raw(reader=reader, writer=writer)
+        return RawClient(reader=reader, writer=writer)
 
     def request_bytes(self, *, url: str, rand: random.Random) -> bytes:
         head = f"POST {url} HTTP/1.1\r\nHost: h\r\n"
@@ -486,7 +486,7 @@
                 await asyncio.sleep(0)
         if leaves:
             raw.close()
-            await until(lambda: not self.server.open_connections())
+            await wait_until(lambda: not self.server.open_connections())
         else:
             got = [(await raw.reply())[2].decode() for _ in urls]
             self.assertEqual(urls, got)
@@ -523,7 +523,7 @@
             if line.startswith(b"HTTP/1.1 "):
                 self.assertIn(int(line.split(b" ")[1]), (100, 200, 400, 408, 413, 431))
         raw.close()
-        await until(lambda: not self.server.open_connections())
+        await wait_until(lambda: not self.server.open_connections())
 
     async def test_random_bytes_are_rejected(self) -> None:
         for seed in range(WALKS // 2):
@@ -534,7 +534,7 @@
                 raw.writer.write_eof()
             await raw.rest()
             raw.close()
-        await until(lambda: not self.server.open_connections())
+        await wait_until(lambda: not self.server.open_connections())
         self.assertEqual(Counter(), self.runs)
 
 
@@ -567,7 +567,7 @@
                 url=f"http://{server.address}/",
                 connection_limit=2,
                 wait_us=10_000_000,
-                owner_of=lambda reply: Owner(reply.headers.get("x-id") == "me"),
+                reply_owner=lambda reply: Owner(reply.headers.get("x-id") == "me"),
             )
             outcome = await client.fetch(call=call)
             kinds[type(outcome).__name__] += 1
@@ -579,7 +579,7 @@
         await server.stop()
         self.assertGreater(kinds["ConnectionLostError"], 50)
         self.assertGreater(kinds["HttpReply"], 50)
-        await until(lambda: client.connections_to(address=server.address) == (0, 0))
+        await wait_until(lambda: client.connections_to(address=server.address) == (0, 0))
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet_sim.py
+++ b/tests/test_fleet_sim.py
@@ -80,7 +80,7 @@
             await fleet.bring_up()
             rand = random.Random(9)
             target = fleet.edge_own["node-04"]
-            source = await fleet.outside.ports.net.datagrams(
+            source = await fleet.outside.ports.net.bind_datagrams(
                 address="10.0.90.1:5", on_datagram=lambda data, source: None
             )
             for number in range(300):
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -105,9 +105,9 @@
             connection_limit=2,
         )
         call = self.codec.call(ask=ask)
-        self.assertEqual(Owner.OURS, call.owner_of(reply()))
-        self.assertEqual(Owner.UNNAMED, call.owner_of(HttpReply(status=200)))
-        self.assertEqual(Owner.OTHERS, call.owner_of(reply(request="r-2")))
+        self.assertEqual(Owner.OURS, call.reply_owner(reply()))
+        self.assertEqual(Owner.UNNAMED, call.reply_owner(HttpReply(status=200)))
+        self.assertEqual(Owner.OTHERS, call.reply_owner(reply(request="r-2")))
         self.assertEqual(call.headers["Kelp-Expect-Instance"], "i-1")
         self.assertEqual(call.headers["Kelp-Deadline-Ms"], "9")
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -28,7 +28,7 @@
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-async def until(is_there: Callable[[], bool]) -> None:
+async def wait_until(is_there: Callable[[], bool]) -> None:
     """Yield to the event loop until a condition is true."""
     async with asyncio.timeout(TIMEOUT_S):
         while not is_there():  # noqa: ASYNC110 -- a condition of real sockets, without an event
@@ -38,7 +38,7 @@
 # --- HttpServer, raw clients --------------------------------------------------------------
 
 
-class Raw:
+class RawClient:
     """A client that writes raw bytes and reads replies by their Content-Length."""
 
     def __init__(self, *, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -79,7 +79,7 @@
         self.calls: list[HttpCall] = []
         self.gates: dict[str, asyncio.Event] = {}
         self.answers: dict[str, Any] = {}
-        self.raws: list[Raw] = []
+        self.raws: list[RawClient] = []
         self.loop_errors: list[dict] = []
         asyncio.get_running_loop().set_exception_handler(
             lambda loop, context: self.loop_errors.append(context)
@@ -94,7 +94,7 @@
         for raw in self.raws:
             raw.close()
         self.server.abort()
-        await until(lambda: not self.server.open_connections())
+        await wait_until(lambda: not self.server.open_connections())
 
     async def answer(self, call: HttpCall) -> HttpReply | None:
         self.calls.append(call)
@@ -107,9 +107,9 @@
             return answer
         return HttpReply(status=200, headers={"X-Url": call.url}, body=call.body or b"fine")
 
-    async def raw(self, data: bytes = b"") -> Raw:
+    async def raw(self, data: bytes = b"") -> RawClient:
         host, _, port = self.address.partition(":")
-        raw = Raw(
+        raw = RawClient(
             **dict(
                 zip(
                     ("reader", "writer"),
@@ -134,7 +134,7 @@
     async def test_pipelined_requests_are_answered_in_order_one_at_a_time(self) -> None:
         self.gates["/slow"] = asyncio.Event()
         raw = await self.raw(get("/slow") + get("/b") + get("/c"))
-        await until(lambda: bool(self.calls))
+        await wait_until(lambda: bool(self.calls))
         other = await self.raw(get("/neighbour"))
         self.assertEqual("/neighbour", (await other.reply())[1]["x-url"])
         self.assertEqual(["/slow", "/neighbour"], self.urls())
@@ -145,7 +145,7 @@
     async def test_many_pipelined_requests_pause_reading_and_all_get_answers(self) -> None:
         self.gates["/0"] = asyncio.Event()
         raw = await self.raw(b"".join(get(f"/{n}") for n in range(300)))
-        await until(lambda: bool(self.calls))
+        await wait_until(lambda: bool(self.calls))
         self.gates["/0"].set()
         got = [(await raw.reply())[1]["x-url"] for _ in range(300)]
         self.assertEqual([f"/{n}" for n in range(300)], got)
@@ -218,7 +218,7 @@
         self.gates["/slow"] = asyncio.Event()
         raw = await self.raw(get("/slow"))
         raw.writer.write_eof()
-        await until(lambda: bool(self.calls))
+        await wait_until(lambda: bool(self.calls))
         self.gates["/slow"].set()
         self.assertEqual(200, (await raw.reply())[0])
 
@@ -251,12 +251,12 @@
     async def test_client_disconnect_does_not_affect_others(self) -> None:
         self.gates["/slow"] = asyncio.Event()
         raw = await self.raw(get("/slow") + get("/never"))
-        await until(lambda: bool(self.calls))
+        await wait_until(lambda: bool(self.calls))
         raw.writer.transport.abort()
         other = await self.raw(get("/x"))
         self.assertEqual(200, (await other.reply())[0])
         self.gates["/slow"].set()
-        await until(lambda: self.server.open_connections() == 1)
+        await wait_until(lambda: self.server.open_connections() == 1)
         self.assertEqual([], self.loop_errors)
 
     async def test_a_reply_cannot_smuggle_a_header(self) -> None:
@@ -278,7 +278,7 @@
     async def test_large_reply_to_a_client_that_reads_late(self) -> None:
         self.answers["/big"] = HttpReply(status=200, body=b"x" * 8_000_000)
         raw = await self.raw(get("/big") + get("/after"))
-        await until(lambda: "/big" in self.urls())
+        await wait_until(lambda: "/big" in self.urls())
         self.assertEqual(8_000_000, len((await raw.reply())[2]))
         self.assertEqual("/after", (await raw.reply())[1]["x-url"])
 
@@ -349,7 +349,7 @@
     async def test_valid_request_before_an_invalid_one_is_answered_first(self) -> None:
         self.gates["/slow"] = asyncio.Event()
         raw = await self.raw(get("/slow") + b"BAD\r\n\r\n" + get("/hidden"))
-        await until(lambda: bool(self.calls))
+        await wait_until(lambda: bool(self.calls))
         self.gates["/slow"].set()
         self.assertEqual("/slow", (await raw.reply())[1]["x-url"])
         self.assertEqual(400, (await raw.reply())[0])
@@ -426,7 +426,7 @@
         self.limits = HttpLimits(header_us=40_000, idle_us=20_000)
         self.assertEqual(b"", await raw.rest())
         self.assertEqual(b"", await fresh.rest())
-        await until(lambda: not self.server.open_connections())
+        await wait_until(lambda: not self.server.open_connections())
 
 
 class ServerShutdown(ServerCase):
@@ -435,9 +435,9 @@
         quiet = await self.raw(get("/x"))
         await quiet.reply()
         busy = await self.raw(get("/slow") + get("/waits"))
-        await until(lambda: "/slow" in self.urls())
+        await wait_until(lambda: "/slow" in self.urls())
         begun = await self.raw(b"GET /begun HTT")
-        await until(lambda: self.server.open_connections() == 3)
+        await wait_until(lambda: self.server.open_connections() == 3)
         # in the listen queue, not accepted yet
         late = socket.create_connection(tuple(self.address.split(":")))
         late.sendall(get("/late"))
@@ -593,7 +593,7 @@
 
         await self.serve(script)
         first = asyncio.ensure_future(self.fetch())
-        await until(lambda: self.connections == 1)
+        await wait_until(lambda: self.connections == 1)
         second = await self.fetch()
         gate.set()
         await first
@@ -616,7 +616,7 @@
             tasks.append(asyncio.ensure_future(self.fetch(f"/{number}", connection_limit=1)))
             await asyncio.sleep(0)
         for number in range(6):
-            await until(lambda number=number: len(self.requests) == number + 1)
+            await wait_until(lambda number=number: len(self.requests) == number + 1)
             self.assertIn(f"GET /{number} ".encode(), self.requests[number])
             gates[number].set()
         self.assertEqual([200] * 6, [(await task).status for task in tasks])
@@ -633,7 +633,7 @@
 
         await self.serve(script)
         first = asyncio.ensure_future(self.fetch("/first", connection_limit=1))
-        await until(lambda: bool(self.requests))
+        await wait_until(lambda: bool(self.requests))
         late = await self.fetch("/late", connection_limit=1, wait_us=20_000)
         self.assertEqual((ReplyTimeoutError, False), (type(late), late.was_sent))
         gone = asyncio.ensure_future(self.fetch("/gone", connection_limit=1))
@@ -657,12 +657,12 @@
         await self.serve(script)
         late = await self.fetch(connection_limit=1, wait_us=300_000)
         self.assertEqual((ReplyTimeoutError, True), (type(late), late.was_sent))
-        await until(lambda: self.ended == [1])
+        await wait_until(lambda: self.ended == [1])
         task = asyncio.ensure_future(self.fetch(connection_limit=1))
         waiting = asyncio.ensure_future(self.fetch(connection_limit=1))
-        await until(lambda: self.connections == 2 and len(self.requests) == 2)
+        await wait_until(lambda: self.connections == 2 and len(self.requests) == 2)
         task.cancel()
-        await until(lambda: self.ended == [1, 2])
+        await wait_until(lambda: self.ended == [1, 2])
         with self.assertRaises(asyncio.CancelledError):
             await task
         self.assertEqual(200, (await waiting).status)
@@ -800,7 +800,7 @@
             with self.subTest(is_received=is_received):
                 fetching = asyncio.ensure_future(self.fetch())
                 if is_received:
-                    await until(lambda: bool(self.requests))
+                    await wait_until(lambda: bool(self.requests))
                     for _ in range(50):
                         await asyncio.sleep(0)
                 may_reset.set()
@@ -870,7 +870,7 @@
         await self.serve(script)
         await self.fetch()
         idle.set()
-        await until(lambda: 1 in self.ended)
+        await wait_until(lambda: 1 in self.ended)
         self.assertEqual(b"ok", (await self.fetch()).body)
         self.assertEqual((2, (1, 1)), (self.connections, self.pool_counts()))
 
@@ -956,7 +956,7 @@
         ):
             await self.replies(OK.replace(b"\r\nC", b"\r\nKeep-Alive: max=7\r\nC"))
             await self.fetch()
-            await until(lambda: self.ended == [1])
+            await wait_until(lambda: self.ended == [1])
             self.assertEqual((0, 0), self.pool_counts())
 
     async def test_late_reply_to_another_call_is_skipped(self) -> None:
@@ -964,10 +964,10 @@
             return f"HTTP/1.1 200 OK\r\nX-Id: {name}\r\nContent-Length: 1\r\n\r\n{name}".encode()
 
         await self.replies(reply("a") + reply("b"), reply("a") + b"junk", reply("a") + b"!")
-        got = await self.fetch(owner_of=lambda reply: Owner(reply.headers["x-id"] == "b"))
+        got = await self.fetch(reply_owner=lambda reply: Owner(reply.headers["x-id"] == "b"))
         self.assertEqual((b"b", (0, 0)), (got.body, self.pool_counts()))
         for why in ("invalid HTTP reply", "closed"):
-            got = await self.fetch(owner_of=lambda reply: Owner(reply.headers["x-id"] == "b"))
+            got = await self.fetch(reply_owner=lambda reply: Owner(reply.headers["x-id"] == "b"))
             self.assertEqual((ConnectionLostError, why, True), (type(got), got.why, got.was_sent))
         self.assertEqual(3, len(self.requests))
 
@@ -988,8 +988,8 @@
             seen.append(reply.body)
             return Owner(reply.headers["x-id"] == "b")
 
-        task = asyncio.ensure_future(self.fetch(owner_of=owner_of))
-        await until(lambda: seen == [b"a"])
+        task = asyncio.ensure_future(self.fetch(reply_owner=owner_of))
+        await wait_until(lambda: seen == [b"a"])
         more.set()
         self.assertEqual(b"b", (await task).body)
         self.assertEqual((0, 0), self.pool_counts())
--- a/tests/test_rules_upheld.py
+++ b/tests/test_rules_upheld.py
@@ -21,7 +21,7 @@
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
 from tests.async_case import AsyncCase, HeldTime
 from tests.test_at_most_once import EdgeCase, RawBackend, answer
-from tests.test_http import Raw, free_address, get, until
+from tests.test_http import RawClient, free_address, get, wait_until
 
 
 class WithoutConfiguration(EdgeCase):
@@ -87,7 +87,7 @@
         time = HeldTime()
         asking = asyncio.create_task(self.ask("r", deadline_ms=3_000))
         self.addAsyncCleanup(self.drop, asking)
-        await until(lambda: bool(first.arrivals))
+        await wait_until(lambda: bool(first.arrivals))
         time.advance(ms=self.deadline_us // 1_000)
         for _ in range(2_000):
             await asyncio.sleep(0)
@@ -140,17 +140,17 @@
                 await gate.wait()
             return HttpReply(status=200, body=call.url.encode())
 
-        server = HttpServer(on_call=on_call, limits=HttpLimits, is_cancelling=True)
+        server = HttpServer(on_call=on_call, limits=HttpLimits, cancels_on_disconnect=True)
         address = free_address()
         self.assertIsNone(await server.open(address=address))
         host, _, port = address.partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        raw = Raw(reader=reader, writer=writer)
+        raw = RawClient(reader=reader, writer=writer)
         self.addAsyncCleanup(self.end, raw, server)
         raw.send(get("/first"))
         self.assertEqual(200, (await raw.reply())[0])
         raw.send(get("/second"))
-        await until(lambda: began == ["/first", "/second"])
+        await wait_until(lambda: began == ["/first", "/second"])
         server.close()
         for _ in range(20):
             await asyncio.sleep(0)
@@ -158,10 +158,10 @@
         status, headers, body = await raw.reply()
         self.assertEqual((200, "close", b"/second"), (status, headers["connection"], body))
 
-    async def end(self, raw: Raw, server: HttpServer) -> None:
+    async def end(self, raw: RawClient, server: HttpServer) -> None:
         raw.close()
         server.abort()
-        await until(lambda: not server.open_connections())
+        await wait_until(lambda: not server.open_connections())
 
 
 class Stopping(unittest.TestCase):
