--- a/kelpstage/common/log/ring.py
+++ b/kelpstage/common/log/ring.py
@@ -9,11 +9,11 @@
 RING_SIZE = 500
 
 
-def install_ring(*, program: str, stream: object = None) -> logbook.FingersCrossedHandler:
+def ring_buffer_handler(*, program: str, stream: object = None) -> logbook.FingersCrossedHandler:
     """Return a handler that buffers the newest records; an ERROR writes out and clears the buffer.
 
     >>> import io; out = io.StringIO()
-    >>> handler = install_ring(program="t", stream=out)
+    >>> handler = ring_buffer_handler(program="t", stream=out)
     >>> with handler.applicationbound():
     ...     logger(name="x").info("before"); quiet = out.getvalue()
     ...     logger(name="x").error("wrong")
--- a/kelpstage/common/process.py
+++ b/kelpstage/common/process.py
@@ -9,7 +9,7 @@
 from typing import Any, Callable
 
 from kelpstage.common.errors.base import KelpstageError
-from kelpstage.common.log.ring import install_ring, logger
+from kelpstage.common.log.ring import logger, ring_buffer_handler
 from kelpstage.common.ports.interfaces import Ports
 from kelpstage.common.ports.live import live_ports
 
@@ -33,7 +33,7 @@
     the daemon's `reload_settings` applies those that may change at run time. Invalid settings
     are ignored.
     """
-    with install_ring(program=program).applicationbound():
+    with ring_buffer_handler(program=program).applicationbound():
         code = asyncio.run(
             _main(
                 program=program,
--- a/kelpstage/common/recording/format.py
+++ b/kelpstage/common/recording/format.py
@@ -16,41 +16,41 @@
 
 FORMAT = 1
 MAGIC = b"KDAY"
-HEAD = MAGIC + struct.pack("!H", FORMAT)
+FILE_HEADER = MAGIC + struct.pack("!H", FORMAT)
 KINDS = ("begin", "call", "put", "fault", "listed", "result")
 
 Row = dict[str, Any]
 
 
-def pack_row(*, row: Row) -> bytes:
+def encode_row(*, row: Row) -> bytes:
     """Encode a row as a checksummed record.
 
-    >>> read_day(path="p", data=HEAD + pack_row(row={"what": "call", "at_us": 1}))
+    >>> read_recording(path="p", data=FILE_HEADER + encode_row(row={"what": "call", "at_us": 1}))
     [{'what': 'call', 'at_us': 1}]
     """
     return encode_record(body=json.dumps(row, separators=(",", ":"), ensure_ascii=False).encode())
 
 
-def read_day(
-    *, path: str, data: bytes, is_torn_tail_fine: bool = False
+def read_recording(
+    *, path: str, data: bytes, allows_truncated_tail: bool = False
 ) -> list[Row] | TruncatedRecordingError | InvalidRecordingError:
     """Decode all rows of a recording. A record that is cut off at the end of the file is an error,
-    unless `is_torn_tail_fine`.
+    unless `allows_truncated_tail`.
 
-    >>> whole = HEAD + pack_row(row={"what": "call", "at_us": 1})
-    >>> read_day(path="p", data=whole + b"torn").offset == len(whole)
+    >>> whole = FILE_HEADER + encode_row(row={"what": "call", "at_us": 1})
+    >>> read_recording(path="p", data=whole + b"torn").offset == len(whole)
     True
-    >>> len(read_day(path="p", data=whole + b"torn", is_torn_tail_fine=True))
+    >>> len(read_recording(path="p", data=whole + b"torn", allows_truncated_tail=True))
     1
-    >>> read_day(path="p", data=b"something else").why
+    >>> read_recording(path="p", data=b"something else").why
     'not a recording'
     """
     if not data.startswith(MAGIC):
         return InvalidRecordingError(path=path, offset=0, why="not a recording")
-    if not data.startswith(HEAD):
+    if not data.startswith(FILE_HEADER):
         return InvalidRecordingError(path=path, offset=len(MAGIC), why="unsupported format version")
     rows: list[Row] = []
-    offset = len(HEAD)
+    offset = len(FILE_HEADER)
     while offset < len(data):
         found = decode_record(data=data, offset=offset)
         if found is None:
@@ -58,7 +58,9 @@
                 return InvalidRecordingError(
                     path=path, offset=offset, why="record fails its checksum"
                 )
-            return rows if is_torn_tail_fine else TruncatedRecordingError(path=path, offset=offset)
+            return (
+                rows if allows_truncated_tail else TruncatedRecordingError(path=path, offset=offset)
+            )
         row = _read_row(body=found[0])
         if row is None:
             return InvalidRecordingError(path=path, offset=offset, why="invalid JSON, kind or time")
--- a/kelpstage/common/recording/writer.py
+++ b/kelpstage/common/recording/writer.py
@@ -7,29 +7,29 @@
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.common.recording.format import HEAD, Row, pack_row
+from kelpstage.common.recording.format import FILE_HEADER, Row, encode_row
 
 FLUSH_INTERVAL_US = 500_000
 MAX_BUFFERED_BYTES = 4 * 1024 * 1024
 
 
-class DayWriter:
+class RecordingWriter:
     """Appends rows to the file of one recording through the disk port."""
 
     def __init__(self, *, ports: Ports, path: str, counts: Counter[str]) -> None:
         self._ports = ports
         self._path = path
         self._counts = counts
-        self._buffer: list[bytes] = [HEAD]
-        self._buffered_bytes = len(HEAD)
+        self._buffer: list[bytes] = [FILE_HEADER]
+        self._buffered_bytes = len(FILE_HEADER)
         self._offset = 0
         self._started_us = ports.clock.now_us()
         self._task = ports.spawn(self._run())
-        self.note(row={"what": "begin", "wall_us": ports.clock.wall_us()})
+        self.add(row={"what": "begin", "wall_us": ports.clock.wall_us()})
 
-    def note(self, *, row: Row) -> None:
+    def add(self, *, row: Row) -> None:
         """Buffer a row, with the current time as its `at_us`."""
-        data = pack_row(row={**row, "at_us": self._ports.clock.now_us() - self._started_us})
+        data = encode_row(row={**row, "at_us": self._ports.clock.now_us() - self._started_us})
         if self._buffered_bytes + len(data) > MAX_BUFFERED_BYTES:
             self._counts["day_rows_dropped"] += 1
             return
--- a/kelpstage/common/transport/chunks.py
+++ b/kelpstage/common/transport/chunks.py
@@ -9,8 +9,8 @@
 log index or a state's epoch).
 
 Invariants: all chunks of one transfer are of the same value; the oldest transfer in progress
-is never dropped before `PIN_LONGEST_US`, so that transfers complete one after another; at
-most `PINS_LIMIT` values and, beyond the first, `PINNED_BYTES_LIMIT` bytes are pinned.
+is never dropped before `MAX_TRANSFER_US`, so that transfers complete one after another; at
+most `MAX_PINS` values and, beyond the first, `MAX_PINNED_BYTES` bytes are pinned.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 BACKOFF_INITIAL_US = 100_000
 BACKOFF_MAX_US = 2_000_000
 
-PINS_LIMIT = 4
-PINNED_BYTES_LIMIT = 8 * 1024 * 1024
+MAX_PINS = 4
+MAX_PINNED_BYTES = 8 * 1024 * 1024
 PIN_IDLE_US = 10_000_000  # a transfer without requests for this long has ended
-PIN_LONGEST_US = 120_000_000  # a transfer that takes longer is abandoned
+MAX_TRANSFER_US = 120_000_000  # a transfer that takes longer is abandoned
 
 
 def backoff_us(*, failures: int) -> int:
@@ -61,7 +61,7 @@
     def is_in_transfer(self, *, now_us: int) -> bool:
         is_started = self.last_request_us > 0
         is_idle = now_us - self.last_request_us > PIN_IDLE_US
-        return is_started and not is_idle and now_us - self.transfer_start_us <= PIN_LONGEST_US
+        return is_started and not is_idle and now_us - self.transfer_start_us <= MAX_TRANSFER_US
 
 
 class ChunkSource:
@@ -69,12 +69,12 @@
 
     >>> source = ChunkSource()
     >>> source.publish(mark=1, data=b"a" * (CHUNK_BYTES + 1), now_us=1)
-    >>> source.chunk(least=1, pinned=0, offset=0, now_us=2).mark
+    >>> source.chunk(min_mark=1, pinned=0, offset=0, now_us=2).mark
     1
     >>> source.publish(mark=2, data=b"b", now_us=3)
-    >>> source.chunk(least=1, pinned=1, offset=CHUNK_BYTES, now_us=4).data
+    >>> source.chunk(min_mark=1, pinned=1, offset=CHUNK_BYTES, now_us=4).data
     b'a'
-    >>> source.chunk(least=1, pinned=0, offset=0, now_us=4).mark
+    >>> source.chunk(min_mark=1, pinned=0, offset=0, now_us=4).mark
     2
     """
 
@@ -111,11 +111,11 @@
         is_newest = self._newest is not None and self._newest.is_in_transfer(now_us=now_us)
         return is_newest or bool(self._pinned)
 
-    def chunk(self, *, least: int, pinned: int, offset: int, now_us: int) -> Chunk:
+    def chunk(self, *, min_mark: int, pinned: int, offset: int, now_us: int) -> Chunk:
         """Return a chunk of the value with the mark `pinned` or, if `pinned` is 0, of the newest
-        value, provided that its mark is at least `least`; `is_found` is false otherwise."""
+        value, provided that its mark is at least `min_mark`; `is_found` is false otherwise."""
         self._drop_ended_pins(now_us=now_us)
-        value = self._find(least=least, pinned=pinned)
+        value = self._find(min_mark=min_mark, pinned=pinned)
         if value is None or offset > len(value.data):
             self.counts["not_found"] += 1
             return Chunk(is_found=False)
@@ -131,10 +131,10 @@
             digest=value.digest,
         )
 
-    def _find(self, *, least: int, pinned: int) -> _PublishedValue | None:
+    def _find(self, *, min_mark: int, pinned: int) -> _PublishedValue | None:
         newest = self._newest
         if newest is not None and pinned in (0, newest.mark):
-            return newest if newest.mark >= least else None
+            return newest if newest.mark >= min_mark else None
         return self._pinned.get(pinned)
 
     def _drop_ended_pins(self, *, now_us: int) -> None:
@@ -150,7 +150,7 @@
         pinned_bytes = 0
         for rank, value in enumerate(oldest_first):
             pinned_bytes += len(value.data)
-            if rank and (rank >= PINS_LIMIT or pinned_bytes > PINNED_BYTES_LIMIT):
+            if rank and (rank >= MAX_PINS or pinned_bytes > MAX_PINNED_BYTES):
                 del self._pinned[value.mark]
                 self.counts["pin_refused"] += 1
 
@@ -190,12 +190,12 @@
     transport: Transport,
     clock: Clock,
     address: str,
-    ask: Callable[[int, int], FetchSnapshot | FetchState],
+    make_request: Callable[[int, int], FetchSnapshot | FetchState],
     is_wanted: Callable[[], bool] = lambda: True,
 ) -> bytes | None:
     """Fetch a value chunk by chunk; returns `None` if the transfer fails.
 
-    `ask(pinned, offset)` builds a request. The first request is sent once. Later requests
+    `make_request(pinned, offset)` builds a request. The first request is sent once. Later requests
     without a reply are retried with backoff while `is_wanted` returns true; the transfer fails
     after `MAX_CHUNK_FAILURES` consecutive failures.
     """
@@ -204,7 +204,7 @@
     while not transfer.is_complete:
         chunk = await transport.call(
             address=address,
-            message=ask(transfer.mark, len(transfer.data)),
+            message=make_request(transfer.mark, len(transfer.data)),
             wait_us=CHUNK_TIMEOUT_US,
             channel=frames.BULK,
         )
--- a/kelpstage/common/transport/connections.py
+++ b/kelpstage/common/transport/connections.py
@@ -28,8 +28,8 @@
 SILENCE_LIMIT_US = 2_000_000  # after a timeout, a connection silent for longer is retired
 LOST_AFTER_US = 2_000_000  # a connection with data unacknowledged for this long is lost
 BACKLOG_LIMIT_BYTES = 64 * 1024 * 1024  # unsent bytes beyond which one-way messages are dropped
-IDLE_US = 30_000_000
-IDLE_CHECK_US = 10_000_000
+IDLE_TIMEOUT_US = 30_000_000
+IDLE_CHECK_INTERVAL_US = 10_000_000
 
 
 class _Connection:
@@ -167,11 +167,11 @@
         return connection
 
     async def _close_idle(self) -> None:
-        """Close connections that are idle for `IDLE_US`, so that in a large fleet a node does not
-        keep a connection to every other node."""
+        """Close connections that are idle for `IDLE_TIMEOUT_US`, so that in a large fleet a node
+        does not keep a connection to every other node."""
         while self._connections:
-            await self._ports.clock.sleep(us=IDLE_CHECK_US)
-            idle_since_us = self._ports.clock.now_us() - IDLE_US
+            await self._ports.clock.sleep(us=IDLE_CHECK_INTERVAL_US)
+            idle_since_us = self._ports.clock.now_us() - IDLE_TIMEOUT_US
             for connection in list(self._connections.values()):
                 is_idle = max(connection.last_used_us, connection.last_received_us) < idle_since_us
                 if is_idle and not connection.pending_replies:
--- a/kelpstage/core/chunk_server.py
+++ b/kelpstage/core/chunk_server.py
@@ -34,7 +34,7 @@
         if request.cluster != self._cluster:
             return Chunk(is_found=False)
         return self.snapshots.chunk(
-            least=request.index,
+            min_mark=request.index,
             pinned=request.pinned,
             offset=request.offset,
             now_us=self._clock.now_us(),
@@ -48,5 +48,5 @@
             packed = pack_delta(base=b"", target=bytes(machine.doc()))
             self._states.publish(mark=epoch, data=packed, now_us=now_us)
         return self._states.chunk(
-            least=request.epoch, pinned=request.pinned, offset=request.offset, now_us=now_us
+            min_mark=request.epoch, pinned=request.pinned, offset=request.offset, now_us=now_us
         )
--- a/kelpstage/core/cluster_recovery.py
+++ b/kelpstage/core/cluster_recovery.py
@@ -233,7 +233,7 @@
         transport=transport,
         clock=clock,
         address=address,
-        ask=lambda pinned, offset: FetchState(epoch=epoch, offset=offset, pinned=pinned),
+        make_request=lambda pinned, offset: FetchState(epoch=epoch, offset=offset, pinned=pinned),
     )
     data = None if packed is None else apply_delta(base=b"", delta=packed)
     if data is None:
--- a/kelpstage/core/snapshots.py
+++ b/kelpstage/core/snapshots.py
@@ -113,7 +113,7 @@
             transport=self._transport,
             clock=self._clock,
             address=offer.leader_address,
-            ask=lambda pinned, offset: FetchSnapshot(
+            make_request=lambda pinned, offset: FetchSnapshot(
                 cluster=self._cluster, index=offer.index, offset=offset, pinned=pinned
             ),
             is_wanted=lambda: self._is_offered_by(address=offer.leader_address),
--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -9,7 +9,7 @@
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.metrics.web import open_metrics_listener
 from kelpstage.common.ports.interfaces import HttpLimits, Listener, Ports
-from kelpstage.common.recording.writer import DayWriter
+from kelpstage.common.recording.writer import RecordingWriter
 from kelpstage.common.transport.connections import Transport
 from kelpstage.common.transport.server import TransportServer
 from kelpstage.edge.backend.address_poll import AddressPollTask
@@ -79,7 +79,7 @@
         self._listeners: list[Listener] = []
         self.address_poll: AddressPollTask | None = None
         self.discovery: DiscoveryTask | None = None
-        self.day: DayWriter | None = None
+        self.day: RecordingWriter | None = None
         self._build_journals()
         self._build_transport()
         self._build_state()
@@ -193,7 +193,7 @@
     def _start_recording(self) -> None:
         if self.settings.get("record"):
             name = f"{self.name}-{self.incarnation}.day"
-            self.day = DayWriter(ports=self.ports, path=name, counts=self.counts)
+            self.day = RecordingWriter(ports=self.ports, path=name, counts=self.counts)
 
     async def _start_metrics(self) -> None:
         """Serve metrics at a separate address, where one is set."""
--- a/kelpstage/edge/lease/state_sync.py
+++ b/kelpstage/edge/lease/state_sync.py
@@ -99,7 +99,9 @@
             transport=self._transport,
             clock=self._ports.clock,
             address=address,
-            ask=lambda pinned, offset: FetchState(epoch=wanted_epoch, offset=offset, pinned=pinned),
+            make_request=lambda pinned, offset: FetchState(
+                epoch=wanted_epoch, offset=offset, pinned=pinned
+            ),
             is_wanted=lambda: lease_holder.epoch < wanted_epoch,
         )
         data = None if packed is None else apply_delta(base=b"", delta=packed)
@@ -116,7 +118,7 @@
         if chunks.mark != lease_holder.epoch:
             packed = pack_delta(base=b"", target=lease_holder.state_bytes)
             chunks.publish(mark=lease_holder.epoch, data=packed, now_us=now_us)
-        return chunks.chunk(least=ask.epoch, pinned=ask.pinned, offset=ask.offset, now_us=now_us)
+        return chunks.chunk(min_mark=ask.epoch, pinned=ask.pinned, offset=ask.offset, now_us=now_us)
 
     def on_announced(self, *, announce: Announce) -> None:
         """Install a state that came with its announcement.
--- a/kelpstage/edge/web/callers.py
+++ b/kelpstage/edge/web/callers.py
@@ -163,7 +163,7 @@
     if in_flight >= MAX_IN_FLIGHT:
         return error_reply(error=OverloadedError(in_flight=in_flight))
     if edge.day is not None:
-        edge.day.note(row=recording_row(call=call, time_left_us=time_left_us))
+        edge.day.add(row=recording_row(call=call, time_left_us=time_left_us))
     now_us = edge.ports.clock.now_us()
     key = edge.gather.next_key()
     search = f"{edge.name}-{edge.incarnation:x}-{key}"
--- a/kelpstage/edge/web/interfaces.py
+++ b/kelpstage/edge/web/interfaces.py
@@ -7,7 +7,7 @@
 
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply, Ports
-from kelpstage.common.recording.writer import DayWriter
+from kelpstage.common.recording.writer import RecordingWriter
 from kelpstage.common.transport.connections import Transport
 from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.forward.headers import HeaderNames
@@ -58,7 +58,7 @@
 class CallerEdge(ReportingEdge, Protocol):
     """The attributes for answering callers' requests."""
 
-    day: DayWriter | None
+    day: RecordingWriter | None
 
 
 class ServeCall(Protocol):
--- a/kelpstage/replay/files.py
+++ b/kelpstage/replay/files.py
@@ -9,7 +9,7 @@
 from kelpstage.cli.files import write_whole
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.errors.storage import InvalidRecordingError
-from kelpstage.common.recording.format import HEAD, Row, pack_row, read_day
+from kelpstage.common.recording.format import FILE_HEADER, Row, encode_row, read_recording
 
 BAD_INPUT = 2
 TORN_TAIL_HINT = "the file ends within a record; --torn-tail reads the records before it"
@@ -21,13 +21,13 @@
     raise SystemExit(BAD_INPUT)
 
 
-def load(*, path: str, is_torn_tail_fine: bool) -> list[Row]:
+def load(*, path: str, allows_truncated_tail: bool) -> list[Row]:
     """Returns the rows of a file; if it is invalid, exits with the error and its offset."""
     try:
         data = pathlib.Path(path).read_bytes()
     except OSError as error:
         exit_bad_input(f"unreadable: {path}: {error.strerror}")
-    rows = read_day(path=path, data=data, is_torn_tail_fine=is_torn_tail_fine)
+    rows = read_recording(path=path, data=data, allows_truncated_tail=allows_truncated_tail)
     if isinstance(rows, KelpstageError):
         why = rows.why if isinstance(rows, InvalidRecordingError) else TORN_TAIL_HINT
         exit_bad_input(f"{rows.kind}: {path} at offset {rows.offset}: {why}")
@@ -36,4 +36,4 @@
 
 def save(*, path: str, rows: list[Row]) -> None:
     """Writes the rows atomically: to a temporary file that is then renamed."""
-    write_whole(path=path, data=HEAD + b"".join(pack_row(row=row) for row in rows))
+    write_whole(path=path, data=FILE_HEADER + b"".join(encode_row(row=row) for row in rows))
--- a/kelpstage/replay/main.py
+++ b/kelpstage/replay/main.py
@@ -43,7 +43,7 @@
     torn_tail: bool = TORN_TAIL_OPTION,
 ) -> None:
     """Show a summary of a recording or a result."""
-    rows = load(path=day, is_torn_tail_fine=torn_tail)
+    rows = load(path=day, allows_truncated_tail=torn_tail)
     results = read_results(rows=rows)
     _print_json(summary_of_results(results=results) if results else summary_of(rows=rows))
 
@@ -68,7 +68,7 @@
     torn_tail: bool = TORN_TAIL_OPTION,
 ) -> None:
     """Send the recorded requests and puts again at their recorded times; write the result."""
-    rows = load(path=day, is_torn_tail_fine=torn_tail)
+    rows = load(path=day, allows_truncated_tail=torn_tail)
     if sim is not None:
         results, skipped = _run_simulated(rows=rows, deployment=sim, seed=seed, speed=speed)
     else:
@@ -121,8 +121,8 @@
     b: str = typer.Argument(help="File of another result."),
 ) -> None:
     """Compare outcomes, coverage and durations. Exit code 1 if an outcome or coverage differs."""
-    first = read_results(rows=load(path=a, is_torn_tail_fine=False))
-    second = read_results(rows=load(path=b, is_torn_tail_fine=False))
+    first = read_results(rows=load(path=a, allows_truncated_tail=False))
+    second = read_results(rows=load(path=b, allows_truncated_tail=False))
     if not first or not second:
         exit_bad_input(f"no results in {a if not first else b}; kelpstage-replay run writes them")
     body = diff_results(a=first, b=second)
--- a/kelpstage/testbed/fleet/record.py
+++ b/kelpstage/testbed/fleet/record.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from kelpstage.common.recording.format import HEAD, Row, pack_row
+from kelpstage.common.recording.format import FILE_HEADER, Row, encode_row
 
 
 def recording_of(*, history: list[dict]) -> list[Row]:
@@ -36,4 +36,6 @@
 def write_recording(*, path: str, history: list[dict]) -> None:
     """Write a history as a file that `kelpstage-replay` can replay."""
     with open(path, "wb") as file:
-        file.write(HEAD + b"".join(pack_row(row=row) for row in recording_of(history=history)))
+        file.write(
+            FILE_HEADER + b"".join(encode_row(row=row) for row in recording_of(history=history))
+        )
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -43,7 +43,7 @@
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.retries.budget import Budget
 from kelpstage.testbed.simulation.loop import VirtualLoop
-from tests.test_wire import made_up
+from tests.test_wire import random_message
 
 SHARDS = tuple(f"s{n}" for n in range(8))
 BACKENDS_OF_SHARD = 4
@@ -422,7 +422,7 @@
 
     def random_message(self, *, rand: random.Random) -> Gather:
         """Return a message of which parts are valid, so that it passes the first checks."""
-        message = made_up(kind=Gather, rand=rand)
+        message = random_message(kind=Gather, rand=rand)
         message.is_resumed = rand.random() < 0.2
         message.wait_us = min(message.wait_us, 200_000)
         message.due_us = min(message.due_us, 200_000)
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -11,10 +11,10 @@
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.transport.chunks import (
     CHUNK_BYTES,
+    MAX_PINNED_BYTES,
+    MAX_PINS,
+    MAX_TRANSFER_US,
     PIN_IDLE_US,
-    PIN_LONGEST_US,
-    PINNED_BYTES_LIMIT,
-    PINS_LIMIT,
     ChunkSource,
 )
 from kelpstage.common.transport.delta import apply_delta, pack_delta
@@ -43,61 +43,61 @@
     def source(self, *, size: int = 3 * CHUNK_BYTES) -> ChunkSource:
         source = ChunkSource()
         source.publish(mark=1, data=bytes(size), now_us=1)
-        self.assertTrue(source.chunk(least=1, pinned=0, offset=0, now_us=1).is_found)
+        self.assertTrue(source.chunk(min_mark=1, pinned=0, offset=0, now_us=1).is_found)
         return source
 
     def test_value_in_transfer_stays_available_after_newer_ones(self) -> None:
         source = self.source()
         for mark in range(2, 12):
             source.publish(mark=mark, data=b"new", now_us=mark)
-        chunk = source.chunk(least=1, pinned=1, offset=CHUNK_BYTES, now_us=20)
+        chunk = source.chunk(min_mark=1, pinned=1, offset=CHUNK_BYTES, now_us=20)
         self.assertEqual((True, 1, 3 * CHUNK_BYTES), (chunk.is_found, chunk.mark, chunk.total))
-        self.assertEqual(11, source.chunk(least=1, pinned=0, offset=0, now_us=20).mark)
+        self.assertEqual(11, source.chunk(min_mark=1, pinned=0, offset=0, now_us=20).mark)
 
     def test_value_not_in_transfer_is_dropped(self) -> None:
         source = ChunkSource()
         source.publish(mark=1, data=b"old", now_us=1)
         source.publish(mark=2, data=b"new", now_us=2)
-        self.assertFalse(source.chunk(least=1, pinned=1, offset=0, now_us=3).is_found)
+        self.assertFalse(source.chunk(min_mark=1, pinned=1, offset=0, now_us=3).is_found)
 
     def test_value_older_than_requested_is_not_served(self) -> None:
-        self.assertFalse(self.source().chunk(least=2, pinned=0, offset=0, now_us=2).is_found)
+        self.assertFalse(self.source().chunk(min_mark=2, pinned=0, offset=0, now_us=2).is_found)
 
     def test_idle_transfer_expires(self) -> None:
         source = self.source()
         source.publish(mark=2, data=b"new", now_us=2)
         self.assertTrue(source.is_in_transfer(now_us=PIN_IDLE_US))
         self.assertFalse(source.is_in_transfer(now_us=PIN_IDLE_US + 2))
-        late = source.chunk(least=1, pinned=1, offset=CHUNK_BYTES, now_us=PIN_IDLE_US + 2)
+        late = source.chunk(min_mark=1, pinned=1, offset=CHUNK_BYTES, now_us=PIN_IDLE_US + 2)
         self.assertFalse(late.is_found)
 
     def test_endless_transfer_expires(self) -> None:
         source = self.source()
         source.publish(mark=2, data=b"new", now_us=2)
         asked = []
-        for now_us in range(SECOND, PIN_LONGEST_US + 3 * SECOND, SECOND):
-            asked.append(source.chunk(least=1, pinned=1, offset=1, now_us=now_us).is_found)
-        self.assertTrue(asked[PIN_LONGEST_US // SECOND - 1])
+        for now_us in range(SECOND, MAX_TRANSFER_US + 3 * SECOND, SECOND):
+            asked.append(source.chunk(min_mark=1, pinned=1, offset=1, now_us=now_us).is_found)
+        self.assertTrue(asked[MAX_TRANSFER_US // SECOND - 1])
         self.assertFalse(asked[-1])
 
     def test_pins_are_bounded_and_the_oldest_stay(self) -> None:
-        for size in (2 * CHUNK_BYTES, PINNED_BYTES_LIMIT // 2):
+        for size in (2 * CHUNK_BYTES, MAX_PINNED_BYTES // 2):
             source = ChunkSource()
             for mark in range(1, 20):
                 source.publish(mark=mark, data=bytes(size), now_us=mark)
-                source.chunk(least=1, pinned=0, offset=0, now_us=mark)
+                source.chunk(min_mark=1, pinned=0, offset=0, now_us=mark)
             found = [
                 mark
                 for mark in range(1, 19)
-                if source.chunk(least=1, pinned=mark, offset=1, now_us=30).is_found
+                if source.chunk(min_mark=1, pinned=mark, offset=1, now_us=30).is_found
             ]
-            most = min(PINS_LIMIT, PINNED_BYTES_LIMIT // size)
+            most = min(MAX_PINS, MAX_PINNED_BYTES // size)
             self.assertEqual(list(range(1, most + 1)), found)
             self.assertEqual(18 - most, source.counts["pin_refused"])
 
     def test_offset_beyond_the_end_finds_nothing(self) -> None:
         source = self.source()
-        self.assertFalse(source.chunk(least=1, pinned=1, offset=2**60, now_us=2).is_found)
+        self.assertFalse(source.chunk(min_mark=1, pinned=1, offset=2**60, now_us=2).is_found)
 
 
 def edited(*, document: bytes, rand: random.Random) -> bytes:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -34,8 +34,8 @@
 from kelpstage.common.http.replies import error_reply as error_reply
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.common.ports.live import live_ports
-from kelpstage.common.recording.format import HEAD as DAY_HEAD
-from kelpstage.common.recording.format import pack_row, read_day
+from kelpstage.common.recording.format import FILE_HEADER as DAY_HEAD
+from kelpstage.common.recording.format import encode_row, read_recording
 from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, read_settings_file
 from kelpstage.common.transport import frames
 from kelpstage.common.transport.delta import apply_delta, pack_delta
@@ -350,13 +350,15 @@
         rows = load_json(name="day.expected.json")["rows"]
         kinds = {"begin", "call", "put", "fault", "listed", "result"}
         self.assertEqual(kinds, {row["what"] for row in rows})
-        self.assertEqual(rows, read_day(path="day", data=self.data))
-        self.assertEqual(self.data, DAY_HEAD + b"".join(pack_row(row=row) for row in rows))
+        self.assertEqual(rows, read_recording(path="day", data=self.data))
+        self.assertEqual(self.data, DAY_HEAD + b"".join(encode_row(row=row) for row in rows))
 
     def test_a_truncated_recording_is_read_up_to_its_last_complete_row(self) -> None:
         rows = load_json(name="day.expected.json")["rows"]
         truncated = self.data[:-1]
-        self.assertEqual(rows[:-1], read_day(path="day", data=truncated, is_torn_tail_fine=True))
+        self.assertEqual(
+            rows[:-1], read_recording(path="day", data=truncated, allows_truncated_tail=True)
+        )
 
     def test_the_output_of_show_is_unchanged(self) -> None:
         for name in ("day.kday", "results.kday"):
--- a/tests/test_many_edges.py
+++ b/tests/test_many_edges.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from typing import Awaitable, Callable
 
-from kelpstage.common.transport.connections import IDLE_CHECK_US, IDLE_US
+from kelpstage.common.transport.connections import IDLE_CHECK_INTERVAL_US, IDLE_TIMEOUT_US
 from kelpstage.common.transport.delta import apply_delta, pack_delta
 from kelpstage.common.transport.messages import EdgeContact, MemberMsg
 from kelpstage.core.leases.lease_table import LeaseTable
@@ -308,7 +308,7 @@
                 self.assertLess(fleet.world.now_us() - began_us, 500_000)
                 await fleet.sleep(us=SECOND)
             await self.check_detection_of_a_killed_edge(fleet, edges=edges)
-            await fleet.sleep(us=IDLE_US + IDLE_CHECK_US)
+            await fleet.sleep(us=IDLE_TIMEOUT_US + IDLE_CHECK_INTERVAL_US)
             living = [edge for name, edge in edges.items() if name != "n25"]
             kept = max(len(edge.transport._connections) for edge in living)
             self.assertLessEqual(kept, 6, "unused connections must be closed")
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -10,7 +10,7 @@
 import unittest
 
 from kelpstage.common.errors.storage import InvalidRecordingError, TruncatedRecordingError
-from kelpstage.common.recording.format import HEAD, pack_row, read_day
+from kelpstage.common.recording.format import FILE_HEADER, encode_row, read_recording
 from kelpstage.replay.main import diff, load, run_day, save, show
 from kelpstage.testbed.fleet.deployment import load as load_deployment
 from kelpstage.testbed.fleet.record import recording_of
@@ -54,18 +54,18 @@
 
     def test_truncated_damaged_and_foreign_files_are_reported_with_the_offset(self) -> None:
         rows = [{"what": "call", "at_us": n, "path": "/p"} for n in range(5)]
-        data = HEAD + b"".join(pack_row(row=row) for row in rows)
-        for size in range(len(HEAD), len(data)):
-            outcome = read_day(path="p", data=data[:size])
+        data = FILE_HEADER + b"".join(encode_row(row=row) for row in rows)
+        for size in range(len(FILE_HEADER), len(data)):
+            outcome = read_recording(path="p", data=data[:size])
             if isinstance(outcome, list):
                 continue
             self.assertIsInstance(outcome, TruncatedRecordingError)
-            whole = read_day(path="p", data=data[:size], is_torn_tail_fine=True)
+            whole = read_recording(path="p", data=data[:size], allows_truncated_tail=True)
             self.assertEqual(rows[: len(whole)], whole)
         damaged_data = bytearray(data)
-        damaged_data[len(HEAD) + 20] ^= 1
-        damaged = read_day(path="p", data=bytes(damaged_data), is_torn_tail_fine=True)
-        self.assertEqual((InvalidRecordingError, len(HEAD)), (type(damaged), damaged.offset))
+        damaged_data[len(FILE_HEADER) + 20] ^= 1
+        damaged = read_recording(path="p", data=bytes(damaged_data), allows_truncated_tail=True)
+        self.assertEqual((InvalidRecordingError, len(FILE_HEADER)), (type(damaged), damaged.offset))
         (self.folder / "x").write_bytes(b"junk")
         code, out, err = run_command(show, day=self.path("x"), torn_tail=False)
         self.assertEqual((2, ""), (code, out))
@@ -76,7 +76,7 @@
     def test_replays_are_deterministic_and_a_fault_changes_the_result(self) -> None:
         rows = record_requests(seed=3)
         save(path=self.path("day"), rows=rows)
-        self.assertEqual(rows, load(path=self.path("day"), is_torn_tail_fine=False))
+        self.assertEqual(rows, load(path=self.path("day"), allows_truncated_tail=False))
         common = {"edge": None, "core": None, "sim": "tiny", "speed": 1.0, "torn_tail": False}
         for name, seed in (("a", 1), ("b", 1)):
             code, out, err = run_command(
@@ -117,9 +117,9 @@
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             edge = fleet.daemons["edge/node-04"]
-            from kelpstage.common.recording.writer import DayWriter
+            from kelpstage.common.recording.writer import RecordingWriter
 
-            edge.day = DayWriter(ports=edge.ports, path="d.day", counts=edge.counts)
+            edge.day = RecordingWriter(ports=edge.ports, path="d.day", counts=edge.counts)
             platter = fleet.world.machines["node-04"].platter
             platter.is_full = True
             fleet.start_callers()
@@ -129,7 +129,7 @@
             await fleet.sleep(us=2_000_000)
             await fleet.drain_callers()
             await edge.day.flush()
-            rows = read_day(path="d", data=platter.files["d.day"].data)
+            rows = read_recording(path="d", data=platter.files["d.day"].data)
             calls = [r for r in fleet.history if r["event"] == "call" and r["node"] == "node-04"]
             self.assertEqual(len(calls), sum(r["what"] == "call" for r in rows))
             self.assertTrue(all(r["end"] == "ok" for r in calls))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -284,7 +284,7 @@
         self.run_scenario(scenario)
 
 
-def made_up(*, kind: type, rand: random.Random, depth: int = 0) -> Message:
+def random_message(*, kind: type, rand: random.Random, depth: int = 0) -> Message:
     """Return a message with some of its fields set; integers have all varint lengths."""
     values: dict[str, Any] = {}
     for field in field_table(message_class=kind).fields:
@@ -294,7 +294,7 @@
         items: list[Any] = []
         for _ in range(count):
             if field.message is not None:
-                one = made_up(kind=field.message, rand=rand, depth=depth + 1)
+                one = random_message(kind=field.message, rand=rand, depth=depth + 1)
                 if not field.is_list or bytes(one):
                     items.append(one)
             elif field.proto_type == bp.TYPE_STRING:
@@ -321,7 +321,7 @@
         for kind in [*TYPES.values(), GossipMsg]:
             for _ in range(25):
                 with self.subTest(kind=kind.__name__):
-                    message = made_up(kind=kind, rand=rand)
+                    message = random_message(kind=kind, rand=rand)
                     data = bytes(message)
                     self.assertEqual(bp.Message.__bytes__(message), data)
                     self.assertEqual(message, kind().parse(data))
@@ -351,7 +351,7 @@
         rand = random.Random(5)
         rejected = 0
         for _ in range(400):
-            data = bytearray(bytes(made_up(kind=GossipMsg, rand=rand)) + b"\x0a\x7f")
+            data = bytearray(bytes(random_message(kind=GossipMsg, rand=rand)) + b"\x0a\x7f")
             data[rand.randrange(len(data))] ^= 1 << rand.randrange(8)
             try:
                 GossipMsg().parse(bytes(data[: rand.randrange(1, len(data) + 1)]))
