--- a/kelpstage/edge/app.py
+++ b/kelpstage/edge/app.py
@@ -58,16 +58,16 @@
         *,
         ports: Ports,
         settings: dict[str, Any],
-        lists: Any = None,
+        list_adapter: Any = None,
         serve: ServeCall = serve_callers,
     ) -> None:
-        """`lists` reads pages of the endpoint list; `serve` handles calls at the HTTP
+        """`list_adapter` reads pages of the endpoint list; `serve` handles calls at the HTTP
         interface, so that a deployment can add paths of its own to it."""
         self.ports = ports
         self.settings = settings
-        self.lists = lists
+        self.list_adapter = list_adapter
         self._serve = serve
-        self.names = HeaderNames(**settings.get("header_names", {}))
+        self.header_names = HeaderNames(**settings.get("header_names", {}))
         self.name: str = settings["name"]
         self.zone: str = settings["domain"]
         self.own_address: str = settings["own"]
@@ -79,7 +79,7 @@
         self._listeners: list[Listener] = []
         self.address_poll: AddressPollTask | None = None
         self.discovery: DiscoveryTask | None = None
-        self.day: RecordingWriter | None = None
+        self.recording_writer: RecordingWriter | None = None
         self._build_journals()
         self._build_transport()
         self._build_state()
@@ -162,7 +162,7 @@
             context=self.gather_context,
             on_fetch_configuration=self._on_fetch_configuration,
             on_backend_changed=self._on_backend_changed,
-            sealed=SealedCodec(names=self.names),
+            sealed=SealedCodec(names=self.header_names),
         )
 
     async def _open_http(self) -> KelpstageError | None:
@@ -193,7 +193,7 @@
     def _start_recording(self) -> None:
         if self.settings.get("record"):
             name = f"{self.name}-{self.incarnation}.day"
-            self.day = RecordingWriter(ports=self.ports, path=name, counts=self.counts)
+            self.recording_writer = RecordingWriter(ports=self.ports, path=name, counts=self.counts)
 
     async def _start_metrics(self) -> None:
         """Serve metrics at a separate address, where one is set."""
@@ -251,10 +251,10 @@
             transport=self.transport,
             swim=self.swim,
             registry=self.registry,
-            adapter=self.lists,
+            adapter=self.list_adapter,
             own=self.own_address,
             counts=self.counts,
-            is_ready=lambda: not self.refusal(),
+            is_ready=lambda: not self.not_ready_reason(),
             on_changed=self._on_instances_changed,
             calls_per_s=self.settings["list"].get("calls_per_s", 0.0),
         )
@@ -264,7 +264,7 @@
             me=self.name,
             edges=self._edges_by_zone,
             health_path=self._health_path,
-            instance_header=self.names.instance,
+            instance_header=self.header_names.instance,
             counts=self.counts,
         )
 
@@ -291,7 +291,7 @@
 
     # --- callbacks between the tasks -----------------------------------------------
 
-    def refusal(self) -> str:
+    def not_ready_reason(self) -> str:
         """The reason why this edge is not ready; empty if it is."""
         if self.is_leaving:
             return "leaving"
@@ -301,7 +301,7 @@
         return refusal
 
     def _refresh_status(self) -> None:
-        refusal = self.refusal()
+        refusal = self.not_ready_reason()
         me = self.swim.me
         me.load = len(self.gather.table)
         me.is_ready = not refusal
@@ -401,8 +401,8 @@
         await self._wait_for_in_flight(until_us=started_us + SHUTDOWN_GRACE_US)
         await self.leases.leave()
         await self._wait_for_in_flight(until_us=started_us + SHUTDOWN_GRACE_US)
-        if self.day is not None:
-            await self.day.flush()
+        if self.recording_writer is not None:
+            await self.recording_writer.flush()
         self.server.close()
         self.gossip.close()
         self.transport.close()
--- a/kelpstage/edge/forward/sealed_answer.py
+++ b/kelpstage/edge/forward/sealed_answer.py
@@ -24,7 +24,7 @@
 NOT_RUN_STATUS = 421
 # Statuses that promise a client that the request has not run and never will (PROTOCOL,
 # "Answers"). From a backend they promise that only together with its `not run` header.
-PROMISES = frozenset((408, NOT_RUN_STATUS, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, NOT_RUN_STATUS, 429, 503))
 HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class WholeReply:
+class ForwardedReply:
     """A backend's reply that is returned to the client unchanged."""
 
     status: int
@@ -144,9 +144,9 @@
         records = [body[at : at + RECORD_SIZE] for at in range(0, size, RECORD_SIZE)]
         return ValidatedPart(shard=shard, cut="", stamp=seal, count=len(records), records=records)
 
-    def read_whole(
+    def read_forwarded(
         self, *, reply: HttpReply, backend: str, request_id: str
-    ) -> WholeReply | RequestNotRunError | InvalidReplyError | BackendFailedError:
+    ) -> ForwardedReply | RequestNotRunError | InvalidReplyError | BackendFailedError:
         """Read the reply to a request to one backend, or return an error.
 
         A status that promises "not run" is not returned to the client without the backend's
@@ -157,10 +157,10 @@
             return error
         if 200 <= reply.status < 300 and not is_seal(text=reply.headers.get(self._seal, "")):
             return InvalidReplyError(backend=backend, part="seal", why="none")
-        if reply.status in PROMISES:
+        if reply.status in NOT_RUN_STATUSES:
             return BackendFailedError(backend=backend, answer=reply.status)
         headers = tuple(pair for pair in reply.headers.items() if pair[0] not in HOP_BY_HOP_HEADERS)
-        return WholeReply(status=reply.status, headers=headers, body=reply.body)
+        return ForwardedReply(status=reply.status, headers=headers, body=reply.body)
 
 
 def is_seal(*, text: str) -> bool:
--- a/kelpstage/edge/gather/backend_queries.py
+++ b/kelpstage/edge/gather/backend_queries.py
@@ -85,7 +85,7 @@
         if record.request is not None:
             names = {"backend": ask.backend, "request_id": record.request.request_id}
             if record.kind is SINGLE:
-                return self._sealed.read_whole(reply=reply, **names)
+                return self._sealed.read_forwarded(reply=reply, **names)
             return self._sealed.read_part(reply=reply, shard=ask.shard, **names)
         return read_reply(
             backend=ask.backend,
--- a/kelpstage/edge/gather/observation.py
+++ b/kelpstage/edge/gather/observation.py
@@ -12,7 +12,7 @@
 from kelpstage.edge.backend import outlier_detection
 from kelpstage.edge.backend.backend_state import BackendState
 from kelpstage.edge.backend.reply import ValidatedPart
-from kelpstage.edge.forward.sealed_answer import WholeReply
+from kelpstage.edge.forward.sealed_answer import ForwardedReply
 from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.messages import BackendReplied, ChildReplied
 
@@ -77,7 +77,7 @@
         took_us = now_us - event.sent_us
         if (
             isinstance(outcome, ValidatedPart)
-            or isinstance(outcome, WholeReply)
+            or isinstance(outcome, ForwardedReply)
             and outcome.status < 500
         ):
             registry.note_answer(name=name, took_us=took_us, now_us=now_us)
--- a/kelpstage/edge/gather/stages/merge.py
+++ b/kelpstage/edge/gather/stages/merge.py
@@ -11,7 +11,7 @@
 from kelpstage.common.transport.messages import Gathered, PartMsg
 from kelpstage.edge.backend.reply import ValidatedPart
 from kelpstage.edge.events import AttemptEnded, BadPart, ChildEnded
-from kelpstage.edge.forward.sealed_answer import WholeReply
+from kelpstage.edge.forward.sealed_answer import ForwardedReply
 from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.messages import (
     BackendReplied,
@@ -86,13 +86,15 @@
             records=outcome.records, limit=leaf_limit(limit=record.limit)
         )
         return
-    if isinstance(outcome, WholeReply):
+    if isinstance(outcome, ForwardedReply):
         _take_whole_reply(reply=outcome, shard_state=shard_state, record=record)
         return
     _backend_failed(event=event, shard_state=shard_state, record=record, context=context)
 
 
-def _take_whole_reply(*, reply: WholeReply, shard_state: ShardState, record: RequestState) -> None:
+def _take_whole_reply(
+    *, reply: ForwardedReply, shard_state: ShardState, record: RequestState
+) -> None:
     """Take an answer that is returned unchanged.
 
     A server error of a repeatable request is retried on another backend, and returned if no
--- a/kelpstage/edge/metrics.py
+++ b/kelpstage/edge/metrics.py
@@ -151,7 +151,9 @@
 def _configuration_families(*, edge: ReportingEdge) -> Iterator[MetricFamily]:
     holder, now_us = edge.lease_holder, edge.ports.clock.now_us()
     yield MetricFamily.gauge(
-        "kelpstage_ready", "Does this node take requests (1) or not (0)?", not edge.refusal()
+        "kelpstage_ready",
+        "Does this node take requests (1) or not (0)?",
+        not edge.not_ready_reason(),
     )
     yield MetricFamily.gauge(
         "kelpstage_configuration_version",
--- a/kelpstage/edge/web/callers.py
+++ b/kelpstage/edge/web/callers.py
@@ -162,8 +162,8 @@
     in_flight = len(edge.gather.table)
     if in_flight >= MAX_IN_FLIGHT:
         return error_reply(error=OverloadedError(in_flight=in_flight))
-    if edge.day is not None:
-        edge.day.add(row=recording_row(call=call, time_left_us=time_left_us))
+    if edge.recording_writer is not None:
+        edge.recording_writer.add(row=recording_row(call=call, time_left_us=time_left_us))
     now_us = edge.ports.clock.now_us()
     key = edge.gather.next_key()
     search = f"{edge.name}-{edge.incarnation:x}-{key}"
@@ -254,7 +254,7 @@
 
 
 def _ready(edge: CallerEdge) -> HttpReply:
-    refusal = edge.refusal()
+    refusal = edge.not_ready_reason()
     if refusal:
         return error_reply(error=NotReadyError(why=refusal))
     return json_reply(body={"is_ready": True, "version": edge.lease_holder.configuration.version})
--- a/kelpstage/edge/web/explain.py
+++ b/kelpstage/edge/web/explain.py
@@ -162,7 +162,7 @@
     """The state of this edge: lease, peers, backends, retry budget, recent events."""
     now_us = edge.ports.clock.now_us()
     lease_holder = edge.lease_holder
-    refusal = edge.refusal()
+    refusal = edge.not_ready_reason()
     return {
         "program": "kelpstage-edge",
         "name": edge.name,
--- a/kelpstage/edge/web/forward.py
+++ b/kelpstage/edge/web/forward.py
@@ -63,15 +63,15 @@
     if route is None:
         failure = UnknownRouteError(host=host[:200], path=path[:200])
         return failure_reply(failure=failure, has_run=False, edge=edge)
-    request = read_request(call=call, names=edge.names)
+    request = read_request(call=call, names=edge.header_names)
     if not request.request_id:
-        failure = MissingRequestIdError(header=edge.names.request_id)
+        failure = MissingRequestIdError(header=edge.header_names.request_id)
         return failure_reply(failure=failure, has_run=False, edge=edge)
     in_flight = len(edge.gather.table)
     if not is_admitted(in_flight=in_flight, rank=route.rank):
         failure = OverloadedError(in_flight=in_flight)
         return failure_reply(failure=failure, has_run=False, edge=edge)
-    left_us = deadline_us(headers=call.headers, names=edge.names, route=route)
+    left_us = deadline_us(headers=call.headers, names=edge.header_names, route=route)
     key = edge.gather.next_key()
     record = RequestState(
         key=key,
@@ -99,11 +99,11 @@
         )
     headers = {
         "Content-Type": BODY_TYPE,
-        edge.names.part_seals: ", ".join(result.seals),
+        edge.header_names.part_seals: ", ".join(result.seals),
         **close_header,
     }
     if result.missing:
-        headers[edge.names.missing_parts] = str(result.missing)
+        headers[edge.header_names.missing_parts] = str(result.missing)
     return HttpReply(status=200, headers=headers, body=result.body)
 
 
--- a/kelpstage/edge/web/interfaces.py
+++ b/kelpstage/edge/web/interfaces.py
@@ -23,7 +23,7 @@
 class ReplyingEdge(Protocol):
     """The attributes for replies to forwarded requests."""
 
-    names: HeaderNames
+    header_names: HeaderNames
     counts: Counter[str]
     is_leaving: bool
 
@@ -51,14 +51,14 @@
     searches: SearchStatistics
     timelines: Timelines
 
-    def refusal(self) -> str:
+    def not_ready_reason(self) -> str:
         """The reason why this edge is not ready; empty if it is."""
 
 
 class CallerEdge(ReportingEdge, Protocol):
     """The attributes for answering callers' requests."""
 
-    day: RecordingWriter | None
+    recording_writer: RecordingWriter | None
 
 
 class ServeCall(Protocol):
--- a/kelpstage/testbed/platform_model/machines.py
+++ b/kelpstage/testbed/platform_model/machines.py
@@ -240,7 +240,9 @@
             serve = self._calls.operator_calls(own=serve_operators)
             return Core(ports=process.ports, settings=settings, serve=serve)
         lists = self._lists.BackendList(address=settings["list"]["address"])
-        return Edge(ports=process.ports, settings=settings, lists=lists, serve=self._edge.serve)
+        return Edge(
+            ports=process.ports, settings=settings, list_adapter=lists, serve=self._edge.serve
+        )
 
     def _own_end(self, *, node: Node, role: str, error: BaseException) -> None:
         why = f"{type(error).__name__}: {error}"
--- a/kelpstage/testbed/simulation/fleet.py
+++ b/kelpstage/testbed/simulation/fleet.py
@@ -254,7 +254,7 @@
             for node in self.deployment.nodes
             if self.processes[f"edge/{node.name}"].is_alive
             and not self.processes[f"edge/{node.name}"].is_frozen
-            and not self.daemons[f"edge/{node.name}"].refusal()
+            and not self.daemons[f"edge/{node.name}"].not_ready_reason()
         ]
 
     def is_membership_whole(self) -> bool:
--- a/tests/membership_scenarios.py
+++ b/tests/membership_scenarios.py
@@ -99,7 +99,7 @@
         now_us = edge.ports.clock.now_us()
         if version < newest and edge.lease_holder.has_lease(now_us=now_us):
             self.violations.append(f"{name}: a lease at {version}, acknowledged {newest}")
-        if version < settled and not edge.refusal():
+        if version < settled and not edge.not_ready_reason():
             self.violations.append(f"{name}: serves {version}, acknowledged {settled}")
 
     # --- configuration writes ------------------------------------------------------------
--- a/tests/rules_upheld.py
+++ b/tests/rules_upheld.py
@@ -111,7 +111,7 @@
         rule="MIXED",
         source="RULES",
         text="a successful reply carries its backend's seal",
-        code=f"{EDGE}/forward/sealed_answer.py:SealedCodec.read_whole",
+        code=f"{EDGE}/forward/sealed_answer.py:SealedCodec.read_forwarded",
         test=MAY_HAVE_RUN,
         mutation=Mutation(target=f"{SEALED}:is_seal", replacement=returning(True)),
         faults="`garble`",
@@ -240,9 +240,11 @@
         rule="DRAIN",
         source="NEWS-22",
         text="a machine that is asked to stop reports at once that it is not ready",
-        code=f"{EDGE}/app.py:Edge.refusal",
+        code=f"{EDGE}/app.py:Edge.not_ready_reason",
         test="tests.test_rules_upheld.Stopping.test_it_is_not_ready_and_serves_what_it_has",
-        mutation=Mutation(target="kelpstage.edge.app:Edge.refusal", replacement=returning("")),
+        mutation=Mutation(
+            target="kelpstage.edge.app:Edge.not_ready_reason", replacement=returning("")
+        ),
         faults="`roll_term`",
     ),
     Requirement(
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -28,7 +28,7 @@
 from kelpstage.edge.backend.instance import Instance
 from kelpstage.edge.backend.registry import BackendRegistry
 from kelpstage.edge.forward.headers import HeaderNames
-from kelpstage.edge.forward.sealed_answer import PROMISES, SealedCodec
+from kelpstage.edge.forward.sealed_answer import NOT_RUN_STATUSES, SealedCodec
 from kelpstage.edge.gather.context import GatherContext
 from kelpstage.edge.gather.latency import LatencyEstimates
 from kelpstage.edge.gather.task import GatherTask
@@ -169,7 +169,7 @@
         self.edge = SimpleNamespace(
             ports=self.ports,
             lease_holder=self.context.lease_holder,
-            names=self.names,
+            header_names=self.names,
             gather=self.gather,
             counts=Counter(),
             name="e",
@@ -526,7 +526,7 @@
                 status, _, _ = await self.ask("r")
                 self.assertEqual(2 if is_again else 1, len(self.sends))
                 self.assertEqual(is_again, status == 200)
-                self.assertNotIn(status, PROMISES)
+                self.assertNotIn(status, NOT_RUN_STATUSES)
 
     async def test_repeated_request_id_header_is_joined(self) -> None:
         [backend] = await self.start(GOOD)
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -767,11 +767,11 @@
             ports=SimpleNamespace(clock=SimpleNamespace(now_us=lambda: 5)),
             discovery=SimpleNamespace(endpoints=endpoints),
         )
-        self.assertEqual("the list of backends is not known yet", Edge.refusal(edge))
+        self.assertEqual("the list of backends is not known yet", Edge.not_ready_reason(edge))
         endpoints.apply_listing(instances=[instance("i1")], read_us=1, now_us=2)
-        self.assertEqual("", Edge.refusal(edge))
+        self.assertEqual("", Edge.not_ready_reason(edge))
         edge.discovery = None  # a deployment without an endpoint list
-        self.assertEqual("", Edge.refusal(edge))
+        self.assertEqual("", Edge.not_ready_reason(edge))
 
 
 class EjectedCheckTest(EndpointListScenario):
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -387,7 +387,7 @@
                     fleet.world.cut(a=away, b=other)
             for _ in range(200):
                 self.assertEqual(200, (await fleet.put_next())["status"])
-            self.assertTrue(edge.refusal())  # it knows that it must not serve
+            self.assertTrue(edge.not_ready_reason())  # it knows that it must not serve
             edge.journal.add_view(
                 fold=lambda at_us, event: (
                     installed.append(event.version) if isinstance(event, Installed) else None
@@ -397,7 +397,8 @@
             took_us = await fleet.wait_for(
                 what="the edge to serve the newest",
                 is_there=lambda: (
-                    edge.lease_holder.configuration.version == fleet.version and not edge.refusal()
+                    edge.lease_holder.configuration.version == fleet.version
+                    and not edge.not_ready_reason()
                 ),
             )
             self.assertLess(took_us, 5 * SECOND)
--- a/tests/test_cluster_recovery.py
+++ b/tests/test_cluster_recovery.py
@@ -69,7 +69,7 @@
                 await fleet.start_edge(name=name, seeds=list(fleet.core_address.values()))
                 edge = fleet.daemons[f"edge/{name}"]
                 await fleet.wait_for(
-                    what=f"{name} to serve", is_there=lambda e=edge: not e.refusal()
+                    what=f"{name} to serve", is_there=lambda e=edge: not e.not_ready_reason()
                 )
             self.assertEqual(200, (await fleet.put_next())["status"])
             await fleet.sleep(us=4_000_000)
--- a/tests/test_fleet_sim.py
+++ b/tests/test_fleet_sim.py
@@ -230,11 +230,13 @@
             row = await fleet.put_next()
             self.assertEqual(200, row["status"])
             self.assertEqual(1, edge.lease_holder.configuration.version)
-            self.assertTrue(edge.refusal())
+            self.assertTrue(edge.not_ready_reason())
             self.assertNotIn("node-05", fleet.ready_edges())
             fleet.world.heal()
             await fleet.wait_for(
-                what="the edge to serve again", is_there=lambda: not edge.refusal(), us=5_000_000
+                what="the edge to serve again",
+                is_there=lambda: not edge.not_ready_reason(),
+                us=5_000_000,
             )
             self.assertEqual(2, edge.lease_holder.configuration.version)
 
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -91,7 +91,7 @@
         self.assertEqual(self.part(reply(body=b"x" * 47)).records, [b"x" * 16] * 2)
 
     def test_a_503_without_the_not_run_header_may_have_run(self):
-        whole = self.codec.read_whole(reply=reply(status=503), backend="i-1", request_id="r-1")
+        whole = self.codec.read_forwarded(reply=reply(status=503), backend="i-1", request_id="r-1")
         self.assertIsInstance(whole, BackendFailedError)
         self.assertFalse(surely_not_run(outcome=whole))
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -89,7 +89,7 @@
                 self._add_violation(
                     name=node.name, what=f"a lease at {version}, acknowledged {newest}"
                 )
-            if edge.refusal():
+            if edge.not_ready_reason():
                 self.unready_us[node.name] = self.unready_us.get(node.name, 0) + POLL_INTERVAL_US
             elif version < settled:
                 self._add_violation(
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -119,7 +119,9 @@
             edge = fleet.daemons["edge/node-04"]
             from kelpstage.common.recording.writer import RecordingWriter
 
-            edge.day = RecordingWriter(ports=edge.ports, path="d.day", counts=edge.counts)
+            edge.recording_writer = RecordingWriter(
+                ports=edge.ports, path="d.day", counts=edge.counts
+            )
             platter = fleet.world.machines["node-04"].platter
             platter.is_full = True
             fleet.start_callers()
@@ -128,7 +130,7 @@
             platter.is_full = False
             await fleet.sleep(us=2_000_000)
             await fleet.drain_callers()
-            await edge.day.flush()
+            await edge.recording_writer.flush()
             rows = read_recording(path="d", data=platter.files["d.day"].data)
             calls = [r for r in fleet.history if r["event"] == "call" and r["node"] == "node-04"]
             self.assertEqual(len(calls), sum(r["what"] == "call" for r in rows))
