--- a/kelpstage/edge/gather/child_queries.py
+++ b/kelpstage/edge/gather/child_queries.py
@@ -60,7 +60,7 @@
             if is_at_work and address:
                 message = Gather(
                     root=self._context.me,
-                    query_id=child.ask_id,
+                    query_id=child.query_id,
                     cluster=self._context.lease_holder.cluster,
                     is_resumed=True,
                     is_cancelled=True,
@@ -87,7 +87,7 @@
         margin_us = context.reply_margin_us(name=ask.node)
         return Gather(
             root=context.me,
-            query_id=ask.ask_id,
+            query_id=ask.query_id,
             collection=record.collection,
             version=record.version,
             has_limit=record.limit is not None,
--- a/kelpstage/edge/gather/conversion.py
+++ b/kelpstage/edge/gather/conversion.py
@@ -73,7 +73,7 @@
         content_type=ask.content_type,
         limit=ask.limit if ask.has_limit else None,
         root=ask.root,
-        ask_id=ask.query_id,
+        query_id=ask.query_id,
         version=ask.version,
         subtree=subtree,
         addresses=addresses,
--- a/kelpstage/edge/gather/messages.py
+++ b/kelpstage/edge/gather/messages.py
@@ -99,7 +99,7 @@
     node: str
     address: str
     wait_us: int
-    ask_id: int
+    query_id: int
     is_resumed: bool
 
 
--- a/kelpstage/edge/gather/request_state.py
+++ b/kelpstage/edge/gather/request_state.py
@@ -98,7 +98,7 @@
     window_end_us: int = 0
     was_late: bool = False
     is_regathered: bool = False
-    ask_id: int = 0
+    query_id: int = 0
     is_open: bool = False
     is_resumed: bool = False
     has_sent_nothing: bool = False  # it was not reached, or reports that it sent no attempt
@@ -123,7 +123,7 @@
     subtree: Subtree | None = None
     addresses: dict[str, str] = field(default_factory=dict)
     is_extra: bool = False
-    ask_id: int = 0
+    query_id: int = 0
     search: str = ""  # the id that the root assigned
     request: ClientRequest | None = None  # the forwarded request; none in the edge's own API
     is_repeatable: bool = True
--- a/kelpstage/edge/gather/stages/merge.py
+++ b/kelpstage/edge/gather/stages/merge.py
@@ -41,18 +41,20 @@
     while record.inbox and record.phase is GATHERING:
         event = record.inbox.popleft()
         if event.generation == record.generation:
-            take(event, record, context)
+            apply_reply(event, record, context)
     record.inbox.clear()
 
 
 @singledispatch
-def take(event: Any, record: RequestState, context: GatherContext) -> None:
+def apply_reply(event: Any, record: RequestState, context: GatherContext) -> None:
     """Apply one reply to the request's state."""
     raise TypeError(type(event))
 
 
-@take.register
-def take_backend_reply(event: BackendReplied, record: RequestState, context: GatherContext) -> None:
+@apply_reply.register
+def apply_backend_reply(
+    event: BackendReplied, record: RequestState, context: GatherContext
+) -> None:
     """Apply a backend's reply: its part, or the failure of the attempt."""
     context.trace.add(
         AttemptEnded(
@@ -183,8 +185,8 @@
     shard_state.wants_attempt = True
 
 
-@take.register
-def take_child_reply(event: ChildReplied, record: RequestState, context: GatherContext) -> None:
+@apply_reply.register
+def apply_child_reply(event: ChildReplied, record: RequestState, context: GatherContext) -> None:
     """Apply a child's reply: its parts, or the loss of the child."""
     child = record.children[event.slot]
     outcome = event.outcome
@@ -228,7 +230,9 @@
     wanted = set(child.subtree.all_shards())
     allowed = wanted
     if child.is_resumed:
-        first = next(c for c in record.children if c.ask_id == child.ask_id and not c.is_resumed)
+        first = next(
+            c for c in record.children if c.query_id == child.query_id and not c.is_resumed
+        )
         allowed = set(first.subtree.all_shards())
     if len(set(named)) != len(named) or not wanted <= set(named) <= allowed:
         return False
--- a/kelpstage/edge/gather/stages/send.py
+++ b/kelpstage/edge/gather/stages/send.py
@@ -55,7 +55,7 @@
         child.window_end_us = until_us = record.due_us
     else:
         context.next_attempt += 1
-        child.ask_id = context.next_attempt
+        child.query_id = context.next_attempt
         record.delegate_attempts(child=child, keeps_one=context.is_late(name=child.subtree.node))
     record.sent_shards |= set(child.subtree.all_shards())
     context.trace.add(
@@ -78,7 +78,7 @@
             node=child.subtree.node,
             address=record.addresses.get(child.subtree.node, ""),
             wait_us=wait_us,
-            ask_id=child.ask_id,
+            query_id=child.query_id,
             is_resumed=child.is_resumed,
         )
     )
@@ -178,7 +178,7 @@
         rest = Child(
             slot=len(record.children),
             subtree=Subtree(node=child.subtree.node, shards=shards),
-            ask_id=child.ask_id,
+            query_id=child.query_id,
             is_resumed=True,
             attempts=child.attempts,
             unreported=child.unreported,
--- a/kelpstage/edge/gather/task.py
+++ b/kelpstage/edge/gather/task.py
@@ -82,7 +82,7 @@
         Cancellation abandons the request; `CallerGone` describes what happens to its attempts.
         """
         if record.kind is CHILD:
-            self._child_keys[(record.root, record.ask_id)] = record.key
+            self._child_keys[(record.root, record.query_id)] = record.key
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self._futures[record.key] = future
         self.inbox.put_nowait(RequestArrived(record=record))
@@ -92,15 +92,15 @@
             self.inbox.put_nowait(CallerGone(key=record.key))
             raise
 
-    def cancel(self, *, root: str, ask_id: int) -> None:
+    def cancel(self, *, root: str, query_id: int) -> None:
         """Abandon a subtree query whose parent no longer waits for it."""
-        key = self._child_keys.get((root, ask_id))
+        key = self._child_keys.get((root, query_id))
         if key is not None:
             self.inbox.put_nowait(CallerGone(key=key))
 
-    async def resume(self, *, root: str, ask_id: int) -> Any:
+    async def resume(self, *, root: str, query_id: int) -> Any:
         """Wait for the rest of a partly answered subtree query; `None` if it no longer exists."""
-        key = self._child_keys.get((root, ask_id))
+        key = self._child_keys.get((root, query_id))
         if key is None or key in self._futures:
             return None
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
@@ -205,7 +205,7 @@
         self.context.trace.add(ended_event(record=effect.record))
         self.context.statistics.note_settled(record=effect.record, now_us=self.context.now_us)
         self._resolve(key=effect.record.key, outcome=effect.record.outcome)
-        self._child_keys.pop((effect.record.root, effect.record.ask_id), None)
+        self._child_keys.pop((effect.record.root, effect.record.query_id), None)
         queries = self._queries.pop(effect.record.key, ())
         if effect.record.is_abandoned:
             self._child_queries.cancel(record=effect.record)
--- a/kelpstage/edge/handlers.py
+++ b/kelpstage/edge/handlers.py
@@ -67,7 +67,7 @@
 async def handle_gather(message: Gather, edge: MessageContext, source: str) -> Gathered:
     """Gather a subtree for the parent, resume an earlier query of it, or cancel one."""
     if message.is_resumed and message.is_cancelled:
-        edge.gather.cancel(root=message.root, ask_id=message.query_id)
+        edge.gather.cancel(root=message.root, query_id=message.query_id)
         return _all_missing_reply(message=message)
     lease_holder = edge.lease_holder
     if lease_holder.cluster and message.cluster != lease_holder.cluster:
@@ -75,7 +75,7 @@
     message.wait_us = min(message.wait_us, MAX_GATHER_US)
     message.due_us = min(message.due_us, MAX_GATHER_US)
     if message.is_resumed:
-        outcome = await edge.gather.resume(root=message.root, ask_id=message.query_id)
+        outcome = await edge.gather.resume(root=message.root, query_id=message.query_id)
         return gathered_reply(outcome=outcome) if outcome else _all_missing_reply(message=message)
     record = child_state(key=edge.gather.next_key(), ask=message, now_us=edge.ports.clock.now_us())
     outcome = await edge.gather.settle(record=record)
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -203,7 +203,7 @@
         ):
             subtree = Subtree(node=name, shards=("s",))
             record.children.append(
-                Child(slot=number, subtree=subtree, ask_id=10 + number, **fields)
+                Child(slot=number, subtree=subtree, query_id=10 + number, **fields)
             )
         queries.cancel(record=record)
         self.assertEqual(["waits:1", "open:1"], [address for address, _ in sent])
@@ -213,7 +213,7 @@
 
     def test_cancelled_child_drops_its_part_and_starts_nothing(self) -> None:
         dropped: list[tuple[str, int]] = []
-        gather = SimpleNamespace(cancel=lambda *, root, ask_id: dropped.append((root, ask_id)))
+        gather = SimpleNamespace(cancel=lambda *, root, query_id: dropped.append((root, query_id)))
         message = Gather(root="root", query_id=7, is_resumed=True, is_cancelled=True)
         reply = asyncio.run(handle(message, SimpleNamespace(gather=gather), "a:1"))
         self.assertEqual(([], 0), (reply.parts, reply.version))
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -26,7 +26,7 @@
 from kelpstage.edge.gather.messages import BackendReplied, ChildReplied
 from kelpstage.edge.gather.record_order import pack_records
 from kelpstage.edge.gather.request_state import GATHERING, ROOT, Child, RequestState, ShardState
-from kelpstage.edge.gather.stages.merge import take
+from kelpstage.edge.gather.stages.merge import apply_reply
 from kelpstage.edge.gather.tree import Subtree
 from kelpstage.edge.gossip.swim import Swim
 from kelpstage.edge.lease.lease_holder import LeaseHolder
@@ -158,7 +158,7 @@
             shard_states={"s1": ShardState(shard="s1", is_extra=True)},
         )
         own = ValidatedPart(shard="s1", cut="c1", stamp="x", count=1, records=[(-5, b"own")])
-        take(
+        apply_reply(
             BackendReplied(
                 key=1, generation=0, shard="s1", number=1, backend="b", sent_us=0, outcome=own
             ),
@@ -170,7 +170,7 @@
         reply = Gathered(
             version=1, parts=parts, records=pack_records(records=[(-7, b"two"), (-5, b"own")])
         )
-        take(
+        apply_reply(
             ChildReplied(key=1, generation=0, slot=0, node="k", sent_us=0, outcome=reply),
             record,
             context,
