--- a/kelpstage/cli/commands/configurations.py
+++ b/kelpstage/cli/commands/configurations.py
@@ -9,7 +9,7 @@
 import typer
 
 from kelpstage.cli.client import json_or_fail, require_addresses, send_request
-from kelpstage.cli.files import read_configuration_file, read_file, write_whole
+from kelpstage.cli.files import read_configuration_file, read_file, write_file_atomically
 from kelpstage.cli.offline.diff import diff_of
 from kelpstage.cli.offline.warnings import warnings_of
 from kelpstage.cli.options import AS_JSON, CORES
@@ -79,7 +79,7 @@
     if is_source:
         data = json.loads(data).get("source", "").encode()
     if out:
-        write_whole(path=out, data=data)
+        write_file_atomically(path=out, data=data)
     else:
         typer.echo(data.decode("utf-8"))
     typer.echo(f"version {version}", err=True)
--- a/kelpstage/cli/commands/imports.py
+++ b/kelpstage/cli/commands/imports.py
@@ -6,7 +6,7 @@
 
 import typer
 
-from kelpstage.cli.files import read_configuration_file, read_file, write_whole
+from kelpstage.cli.files import read_configuration_file, read_file, write_file_atomically
 from kelpstage.cli.offline.routes import ImportedRoutes, read_openapi, routes_of
 from kelpstage.cli.options import AS_JSON
 from kelpstage.cli.output import BAD_INPUT, REJECTED, fail, show
@@ -31,7 +31,7 @@
     outcome = read_configuration(data=data, version=0)
     if isinstance(outcome, InvalidConfigurationError):
         fail(error=outcome, code=REJECTED, is_json=is_json)
-    write_whole(path=out, data=data)
+    write_file_atomically(path=out, data=data)
     unsupported = [{"path": field.path, "why": field.why} for field in imported.unsupported]
     lines = [f"not imported: {row['path']}: {row['why']}" for row in unsupported]
     lines.append(f"{len(imported.routes)} routes in {out}; kelpctl diff {into} {out} shows them")
--- a/kelpstage/cli/commands/top.py
+++ b/kelpstage/cli/commands/top.py
@@ -13,7 +13,7 @@
 from kelpstage.cli.output import UNREACHABLE
 from kelpstage.cli.views.top import core_row, edge_row, top_text
 from kelpstage.common.errors.base import KelpstageError
-from kelpstage.common.metrics.reading import Between, Look, read_look
+from kelpstage.common.metrics.reading import Scrape, ScrapePair, parse_scrape
 from kelpstage.common.ports.interfaces import HttpCall
 from kelpstage.common.ports.live import LiveNet
 
@@ -47,10 +47,10 @@
 
 
 def _page(
-    *, before: dict[str, Look], after: dict[str, Look], cores: list[str], edges: list[str]
+    *, before: dict[str, Scrape], after: dict[str, Scrape], cores: list[str], edges: list[str]
 ) -> str:
     pairs = {
-        address: Between(before=before[address], after=scrape)
+        address: ScrapePair(before=before[address], after=scrape)
         for address, scrape in after.items()
         if address in before
     }
@@ -61,16 +61,16 @@
     )
 
 
-async def _scrape_all(*, addresses: list[str]) -> dict[str, Look]:
+async def _scrape_all(*, addresses: list[str]) -> dict[str, Scrape]:
     """Scrapes all processes concurrently; returns a scrape of each that replies."""
     net = LiveNet()
 
-    async def scrape(address: str) -> tuple[str, Look | None]:
+    async def scrape(address: str) -> tuple[str, Scrape | None]:
         call = HttpCall(method="GET", url=f"http://{address}/metrics", wait_us=SCRAPE_TIMEOUT_US)
         reply = await net.fetch(call=call)
         if isinstance(reply, KelpstageError) or reply.status != 200:
             return address, None
-        return address, read_look(text=reply.body.decode(), at_s=time.monotonic())
+        return address, parse_scrape(text=reply.body.decode(), at_s=time.monotonic())
 
     results = await asyncio.gather(*(scrape(address) for address in addresses))
     return {address: result for address, result in results if result is not None}
--- a/kelpstage/cli/files.py
+++ b/kelpstage/cli/files.py
@@ -18,7 +18,7 @@
         fail(error=InvalidField(path=path, why=error.strerror or "unreadable"), code=BAD_INPUT)
 
 
-def write_whole(*, path: str, data: bytes) -> None:
+def write_file_atomically(*, path: str, data: bytes) -> None:
     """Writes a file atomically: writes a temporary file beside it and renames that."""
     temporary = pathlib.Path(f"{path}.new")
     try:
--- a/kelpstage/cli/offline/plan.py
+++ b/kelpstage/cli/offline/plan.py
@@ -144,8 +144,8 @@
 def default_root(*, configuration: Configuration, rand: random.Random | None = None) -> str:
     """Returns the default root of a plan: the first node by name.
 
-    >>> from kelpstage.common.configuration.types import EMPTY
-    >>> default_root(configuration=EMPTY)
+    >>> from kelpstage.common.configuration.types import EMPTY_CONFIGURATION
+    >>> default_root(configuration=EMPTY_CONFIGURATION)
     'root'
     """
     return min(configuration.nodes, default="root")
--- a/kelpstage/cli/views/top.py
+++ b/kelpstage/cli/views/top.py
@@ -6,7 +6,7 @@
 from typing import Any, Iterable
 
 from kelpstage.cli.output import table
-from kelpstage.common.metrics.reading import Between
+from kelpstage.common.metrics.reading import ScrapePair
 
 EDGE_HEADS = [
     "edge",
@@ -45,7 +45,7 @@
     return ">10000" if math.isinf(seconds) else f"{seconds * 1000:.3g}"
 
 
-def edge_row(*, address: str, between: Between) -> list[Any]:
+def edge_row(*, address: str, between: ScrapePair) -> list[Any]:
     """Returns a row of the table of edges."""
     latest = between.after
     attempts = between.rate("kelpstage_attempts_total")
@@ -70,7 +70,7 @@
     ]
 
 
-def core_row(*, address: str, between: Between) -> list[Any]:
+def core_row(*, address: str, between: ScrapePair) -> list[Any]:
     """Returns a row of the table of cores."""
     latest = between.after
     roles = latest.samples.get("kelpstage_raft_role", {})
--- a/kelpstage/common/configuration/types.py
+++ b/kelpstage/common/configuration/types.py
@@ -170,7 +170,7 @@
 class Configuration:
     """A complete configuration with its version.
 
-    >>> EMPTY.version, EMPTY.route(collection="x")
+    >>> EMPTY_CONFIGURATION.version, EMPTY_CONFIGURATION.route(collection="x")
     (0, None)
     """
 
@@ -212,4 +212,4 @@
         return is_match(selector=self.collections[collection].gatherers, labels=labels)
 
 
-EMPTY = Configuration(version=0, document=b"")
+EMPTY_CONFIGURATION = Configuration(version=0, document=b"")
--- a/kelpstage/common/metrics/reading.py
+++ b/kelpstage/common/metrics/reading.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(kw_only=True)
-class Look:
+class Scrape:
     """One scrape of a process: its samples by name and labels."""
 
     at_s: float
@@ -20,7 +20,7 @@
     def total(self, name: str, **labels: str) -> float:
         """Returns the sum of all samples of this name that have these labels.
 
-        >>> Look(at_s=0, samples={"a": {(("b", "1"),): 2, (("b", "2"),): 3}}).total("a", b="2")
+        >>> Scrape(at_s=0, samples={"a": {(("b", "1"),): 2, (("b", "2"),): 3}}).total("a", b="2")
         3
         """
         wanted = set(labels.items())
@@ -37,11 +37,11 @@
 
 
 @dataclass(kw_only=True)
-class Between:
+class ScrapePair:
     """Two scrapes of one process, the older one first."""
 
-    before: Look
-    after: Look
+    before: Scrape
+    after: Scrape
 
     def rate(self, name: str, **labels: str) -> float:
         """Returns the increase of a counter per second; 0 if the process restarted meanwhile."""
@@ -71,13 +71,13 @@
     return next(bound for bound in sorted(counts) if counts[bound] >= share * total)
 
 
-def read_look(*, text: str, at_s: float) -> Look:
+def parse_scrape(*, text: str, at_s: float) -> Scrape:
     """Parses a text in the Prometheus format.
 
-    >>> read_look(text='a{b="1"} 2\\n', at_s=0.0).total("a", b="1")
+    >>> parse_scrape(text='a{b="1"} 2\\n', at_s=0.0).total("a", b="1")
     2
     """
-    scrape = Look(at_s=at_s)
+    scrape = Scrape(at_s=at_s)
     for family in text_string_to_metric_families(text):
         for sample in family.samples:
             labels = tuple(sorted(sample.labels.items()))
--- a/kelpstage/common/settings/loading.py
+++ b/kelpstage/common/settings/loading.py
@@ -62,7 +62,7 @@
         t.Key("lag_us", optional=True): MICROSECONDS,
     }
 )
-EDGE_FORM = t.Dict(
+EDGE_SCHEMA = t.Dict(
     {
         t.Key("name"): NAME,
         t.Key("domain"): NAME,
@@ -79,7 +79,7 @@
         t.Key("bounds", optional=True): BOUNDS,
     }
 )
-CORE_FORM = t.Dict(
+CORE_SCHEMA = t.Dict(
     {
         t.Key("domain"): NAME,
         t.Key("own"): ADDRESS,
@@ -93,14 +93,14 @@
 )
 
 
-def validate_settings(*, raw: Any, form: t.Trafaret) -> dict | InvalidSettingsError:
+def validate_settings(*, raw: Any, schema: t.Trafaret) -> dict | InvalidSettingsError:
     """Validates settings and reports every error with its path.
 
-    >>> validate_settings(raw={"name": "n"}, form=EDGE_FORM).faults[0].path
+    >>> validate_settings(raw={"name": "n"}, schema=EDGE_SCHEMA).faults[0].path
     'domain'
     """
     try:
-        settings = form.check(raw)
+        settings = schema.check(raw)
     except t.DataError as error:
         return InvalidSettingsError(faults=flatten_errors(error=error))
     faults = validate_bounds(settings=settings)
@@ -108,11 +108,11 @@
 
 
 def read_settings_file(
-    *, file: str | None, flags: dict, form: t.Trafaret
+    *, file: str | None, flags: dict, schema: t.Trafaret
 ) -> dict | InvalidSettingsError:
     """Reads settings from a file; flags that are given override it.
 
-    >>> read_settings_file(file="/nowhere", flags={}, form=CORE_FORM).faults[0].path
+    >>> read_settings_file(file="/nowhere", flags={}, schema=CORE_SCHEMA).faults[0].path
     '/nowhere'
     """
     raw: Any = {}
@@ -129,7 +129,7 @@
         if not isinstance(raw, dict):
             return InvalidSettingsError(faults=[InvalidField(path=file, why="not a JSON object")])
     given = {name: value for name, value in flags.items() if value not in (None, [], ())}
-    return validate_settings(raw={**raw, **given}, form=form)
+    return validate_settings(raw={**raw, **given}, schema=schema)
 
 
 def settings_or_exit(*, outcome: dict | InvalidSettingsError) -> dict:
--- a/kelpstage/core/main.py
+++ b/kelpstage/core/main.py
@@ -7,7 +7,7 @@
 import typer
 
 from kelpstage.common.process import run_daemon
-from kelpstage.common.settings.loading import CORE_FORM, read_settings_file, settings_or_exit
+from kelpstage.common.settings.loading import CORE_SCHEMA, read_settings_file, settings_or_exit
 from kelpstage.core.app import Core
 
 app = typer.Typer(add_completion=False, help=__doc__, pretty_exceptions_enable=False)
@@ -45,7 +45,7 @@
                     "data": data,
                     "metrics": metrics,
                 },
-                form=CORE_FORM,
+                schema=CORE_SCHEMA,
             )
         )
 
--- a/kelpstage/edge/lease/lease_holder.py
+++ b/kelpstage/edge/lease/lease_holder.py
@@ -16,7 +16,7 @@
 
 from dataclasses import dataclass, field
 
-from kelpstage.common.configuration.types import EMPTY, Configuration
+from kelpstage.common.configuration.types import EMPTY_CONFIGURATION, Configuration
 from kelpstage.common.edge_membership import EdgeMembership
 from kelpstage.common.lease_timing import CONFIRMS_AFTER_LEASE_US
 from kelpstage.common.transport.messages import ConfirmEpochReply, LeaseReply, StateDoc
@@ -58,7 +58,7 @@
     cluster: str = ""
     epoch: int = 0
     membership: EdgeMembership = EdgeMembership()
-    configuration: Configuration = EMPTY
+    configuration: Configuration = EMPTY_CONFIGURATION
     previous: Configuration | None = None
     installed_us: int = 0
     state_bytes: bytes = b""
--- a/kelpstage/edge/main.py
+++ b/kelpstage/edge/main.py
@@ -7,7 +7,7 @@
 import typer
 
 from kelpstage.common.process import run_daemon
-from kelpstage.common.settings.loading import EDGE_FORM, read_settings_file, settings_or_exit
+from kelpstage.common.settings.loading import EDGE_SCHEMA, read_settings_file, settings_or_exit
 from kelpstage.edge.app import Edge
 
 app = typer.Typer(add_completion=False, help=__doc__, pretty_exceptions_enable=False)
@@ -58,7 +58,7 @@
                     "record": record,
                     "observer": observer,
                 },
-                form=EDGE_FORM,
+                schema=EDGE_SCHEMA,
             )
         )
 
--- a/kelpstage/replay/files.py
+++ b/kelpstage/replay/files.py
@@ -6,7 +6,7 @@
 import sys
 from typing import NoReturn
 
-from kelpstage.cli.files import write_whole
+from kelpstage.cli.files import write_file_atomically
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.errors.storage import InvalidRecordingError
 from kelpstage.common.recording.format import FILE_HEADER, Row, encode_row, read_recording
@@ -36,4 +36,6 @@
 
 def save(*, path: str, rows: list[Row]) -> None:
     """Writes the rows atomically: to a temporary file that is then renamed."""
-    write_whole(path=path, data=FILE_HEADER + b"".join(encode_row(row=row) for row in rows))
+    write_file_atomically(
+        path=path, data=FILE_HEADER + b"".join(encode_row(row=row) for row in rows)
+    )
--- a/kelpstage/testbed/fleet/sampler.py
+++ b/kelpstage/testbed/fleet/sampler.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from kelpstage.common.errors.base import KelpstageError
-from kelpstage.common.metrics.reading import Between, Look, read_look
+from kelpstage.common.metrics.reading import Scrape, ScrapePair, parse_scrape
 from kelpstage.common.ports.interfaces import HttpCall, Ports
 
 EVERY_US = 1_000_000
@@ -22,7 +22,7 @@
     ports: Ports
     edges: dict[str, str]
     rows: list[dict[str, float]] = field(default_factory=list)
-    _looks: dict[str, Look] = field(default_factory=dict)
+    _looks: dict[str, Scrape] = field(default_factory=dict)
 
     async def run(self) -> None:
         """Sample until cancelled."""
@@ -31,7 +31,7 @@
         while True:
             looks = await self._look_at_all()
             pairs = [
-                Between(before=self._looks[name], after=look)
+                ScrapePair(before=self._looks[name], after=look)
                 for name, look in looks.items()
                 if name in self._looks
             ]
@@ -44,25 +44,25 @@
             self._looks = looks
             await clock.sleep(us=EVERY_US)
 
-    async def _look_at_all(self) -> dict[str, Look]:
+    async def _look_at_all(self) -> dict[str, Scrape]:
         found = await asyncio.gather(*(self._look_at(name) for name in self.edges))
         return {name: look for name, look in zip(self.edges, found, strict=True) if look}
 
-    async def _look_at(self, name: str) -> Look | None:
+    async def _look_at(self, name: str) -> Scrape | None:
         url = f"http://{self.edges[name]}/metrics"
         reply = await self.ports.net.fetch(
             call=HttpCall(method="GET", url=url, wait_us=FETCH_WAIT_US)
         )
         if isinstance(reply, KelpstageError) or reply.status != 200:
             return None
-        return read_look(text=reply.body.decode(), at_s=self.ports.clock.now_us() / 1_000_000)
+        return parse_scrape(text=reply.body.decode(), at_s=self.ports.clock.now_us() / 1_000_000)
 
 
-def row_of(*, pairs: list[Between], second: float, not_ready: int) -> dict[str, float]:
+def row_of(*, pairs: list[ScrapePair], second: float, not_ready: int) -> dict[str, float]:
     """One second of all edges together; the quantiles are the worst edge's.
 
-    >>> row_of(pairs=[Between(before=Look(at_s=0), after=Look(at_s=1))], second=1, not_ready=0)[
-    ...     "requests"]
+    >>> row_of(pairs=[ScrapePair(before=Scrape(at_s=0), after=Scrape(at_s=1))], second=1,
+    ...     not_ready=0)["requests"]
     0.0
     """
 
--- a/kelpstage/testbed/model/edge_adapter.py
+++ b/kelpstage/testbed/model/edge_adapter.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from kelpstage.common.configuration.types import EMPTY
+from kelpstage.common.configuration.types import EMPTY_CONFIGURATION
 from kelpstage.common.lease_timing import LEASE_SPAN_US
 from kelpstage.common.transport.messages import LeaseReply, StateDoc
 from kelpstage.core.leases.epoch_settlement import is_epoch_settled
@@ -32,7 +32,7 @@
 
 def install(lease_holder: LeaseHolder, *, doc: StateDoc, now_us: int) -> None:
     """Install a cluster state on an edge."""
-    lease_holder.install(doc=doc, configuration=EMPTY, now_us=now_us)
+    lease_holder.install(doc=doc, configuration=EMPTY_CONFIGURATION, now_us=now_us)
 
 
 def take_lease(lease_holder: LeaseHolder, *, reply: LeaseReply, sent_us: int) -> None:
--- a/kelpstage/testbed/platform_model/machines.py
+++ b/kelpstage/testbed/platform_model/machines.py
@@ -8,7 +8,7 @@
 from typing import Any, Callable
 
 from kelpstage.common.errors.base import KelpstageError
-from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, validate_settings
+from kelpstage.common.settings.loading import CORE_SCHEMA, EDGE_SCHEMA, validate_settings
 from kelpstage.core.app import Core
 from kelpstage.core.web.operators import serve_operators
 from kelpstage.edge.app import Edge
@@ -201,10 +201,10 @@
     def _process_settings(self, *, node: Node, role: str) -> dict:
         fields = self.fields(node=node, role=role)
         if role == "core":
-            raw, form = self._settings.core_settings(fields=fields), CORE_FORM
+            raw, form = self._settings.core_settings(fields=fields), CORE_SCHEMA
         else:
-            raw, form = self._settings.edge_settings(fields=fields), EDGE_FORM
-        settings = validate_settings(raw=raw, form=form)
+            raw, form = self._settings.edge_settings(fields=fields), EDGE_SCHEMA
+        settings = validate_settings(raw=raw, schema=form)
         if isinstance(settings, KelpstageError):
             raise NotStarted(f"{role}/{node.name}: {settings}")
         return settings
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -12,7 +12,7 @@
 from types import SimpleNamespace
 from typing import Any, Awaitable, Callable
 
-from kelpstage.common.configuration.types import EMPTY
+from kelpstage.common.configuration.types import EMPTY_CONFIGURATION
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.common.transport.connections import Transport
@@ -535,7 +535,7 @@
 
     def choose(self, registry: BackendRegistry, now_us: int, rand: Any = None) -> list[Candidate]:
         return options(
-            configuration=EMPTY,
+            configuration=EMPTY_CONFIGURATION,
             registry=registry,
             latencies=LatencyEstimates(),
             collection="c",
@@ -888,7 +888,7 @@
     @staticmethod
     def by_selection(*, registry: BackendRegistry, now_us: int, rand: random.Random) -> str:
         return options(
-            configuration=EMPTY,
+            configuration=EMPTY_CONFIGURATION,
             registry=registry,
             latencies=LatencyEstimates(),
             collection="c",
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -36,7 +36,7 @@
 from kelpstage.common.ports.live import live_ports
 from kelpstage.common.recording.format import FILE_HEADER as DAY_HEAD
 from kelpstage.common.recording.format import encode_row, read_recording
-from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, read_settings_file
+from kelpstage.common.settings.loading import CORE_SCHEMA, EDGE_SCHEMA, read_settings_file
 from kelpstage.common.transport import frames
 from kelpstage.common.transport.delta import apply_delta, pack_delta
 from kelpstage.common.transport.messages import TYPES, GossipMsg, MemberMsg, StateDoc
@@ -76,7 +76,7 @@
     "kelpctl": operator_cli,
     "kelprep": replay_cli,
 }
-SETTINGS_FORMS = {"edge": EDGE_FORM, "core": CORE_FORM}
+SETTINGS_FORMS = {"edge": EDGE_SCHEMA, "core": CORE_SCHEMA}
 ENCODED_MESSAGES = {"state": StateDoc, "snapshot": DiskSnapshot}
 OUTCOMES = {
     PutApplied: "applied",
@@ -517,14 +517,14 @@
             for extent in ("full", "minimal"):
                 with self.subTest(program=program, extent=extent):
                     name = f"settings-{program}-{extent}.json"
-                    settings = read_settings_file(file=str(FIXTURES / name), flags={}, form=form)
+                    settings = read_settings_file(file=str(FIXTURES / name), flags={}, schema=form)
                     self.assertEqual(load_json(name=name), settings_row(settings=settings))
 
     def test_an_unknown_key_is_rejected_with_its_path(self) -> None:
         for program, form in SETTINGS_FORMS.items():
             with self.subTest(program=program):
                 name = FIXTURES / f"settings-{program}-minimal.json"
-                rejected = read_settings_file(file=str(name), flags={"no_such_key": 1}, form=form)
+                rejected = read_settings_file(file=str(name), flags={"no_such_key": 1}, schema=form)
                 self.assertEqual(["no_such_key"], [fault.path for fault in rejected.faults])
 
     def test_keys_and_defaults_of_header_names_are_unchanged(self) -> None:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -14,13 +14,18 @@
 from kelpstage.cli.main import app
 from kelpstage.cli.offline.diff import diff_of
 from kelpstage.cli.offline.warnings import warnings_of
-from kelpstage.common.configuration.types import EMPTY, CallerLimits, Configuration, Service
+from kelpstage.common.configuration.types import (
+    EMPTY_CONFIGURATION,
+    CallerLimits,
+    Configuration,
+    Service,
+)
 from kelpstage.common.configuration.validation import read_configuration
 from kelpstage.common.edge_membership import EdgeMembership
 from kelpstage.common.errors.validation import InvalidSettingsError
 from kelpstage.common.lease_timing import LEASE_SPAN_US
 from kelpstage.common.ports.interfaces import HttpCall
-from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, validate_settings
+from kelpstage.common.settings.loading import CORE_SCHEMA, EDGE_SCHEMA, validate_settings
 from kelpstage.core.leases.lease_table import LeaseTable
 from kelpstage.core.state.commands import AddEdge, Command, PutConfiguration
 from kelpstage.core.state.machine import REFUSALS_KEPT, Machine
@@ -148,7 +153,7 @@
         self.assertEqual("r-plain", name_of("jeba49.example", "/file492/wu78/2f"))
         self.assertIsNone(name_of("jeba49.example", "/file49/"))
         self.assertIsNone(name_of("other.example", "/leno121/ny90/2f"))
-        self.assertIsNone(EMPTY.forward_for(host="mide43.example", path="/"))
+        self.assertIsNone(EMPTY_CONFIGURATION.forward_for(host="mide43.example", path="/"))
 
     def test_each_error_is_reported_with_its_path(self) -> None:
         gather, plain = "forward/r-gather", "forward/r-plain"
@@ -662,7 +667,7 @@
     }
 
     def faults(self, **more: object) -> list[str]:
-        outcome = validate_settings(raw=self.CORE_SETTINGS | more, form=CORE_FORM)
+        outcome = validate_settings(raw=self.CORE_SETTINGS | more, schema=CORE_SCHEMA)
         return [f.path for f in outcome.faults] if isinstance(outcome, InvalidSettingsError) else []
 
     def test_core_settings(self) -> None:
@@ -688,7 +693,7 @@
     def test_edge_settings(self) -> None:
         edge = {name: value for name, value in self.CORE_SETTINGS.items() if name != "data"}
         clash = edge | {"name": "e", "front": "10.0.0.1:2"}
-        self.assertEqual("front", validate_settings(raw=clash, form=EDGE_FORM).faults[0].path)
+        self.assertEqual("front", validate_settings(raw=clash, schema=EDGE_SCHEMA).faults[0].path)
 
 
 if __name__ == "__main__":
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -10,7 +10,7 @@
 
 from kelpstage.common import errors
 from kelpstage.common.errors.base import KelpstageError
-from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM
+from kelpstage.common.settings.loading import CORE_SCHEMA, EDGE_SCHEMA
 from kelpstage.testbed.checkers.register import CHECKERS
 from kelpstage.testbed.platform_model.rules.register import RULES
 from kelpstage.testbed.platform_model.scenario import CLOSING_FAULTS, PLATFORM_FAULTS
@@ -40,7 +40,7 @@
 
     def test_every_setting_is_documented(self) -> None:
         text = page(name="operate/settings.md")
-        names = {key.name for form in (CORE_FORM, EDGE_FORM) for key in form.keys}
+        names = {key.name for form in (CORE_SCHEMA, EDGE_SCHEMA) for key in form.keys}
         self.assertGreater(len(names), 6)
         self.assertEqual([], sorted(name for name in names if f"`{name}`" not in text))
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -20,7 +20,7 @@
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.common.ports.live import live_ports
-from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, validate_settings
+from kelpstage.common.settings.loading import CORE_SCHEMA, EDGE_SCHEMA, validate_settings
 from tests.async_case import AsyncCase
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -127,8 +127,8 @@
 class SettingsTest(unittest.TestCase):
     def test_settings_of_both_daemons_are_translated(self):
         settings = load("settings")
-        edge = validate_settings(raw=settings.edge_settings(fields=FIELDS), form=EDGE_FORM)
-        core = validate_settings(raw=settings.core_settings(fields=FIELDS), form=CORE_FORM)
+        edge = validate_settings(raw=settings.edge_settings(fields=FIELDS), schema=EDGE_SCHEMA)
+        core = validate_settings(raw=settings.core_settings(fields=FIELDS), schema=CORE_SCHEMA)
         self.assertNotIsInstance(edge, KelpstageError)
         self.assertNotIsInstance(core, KelpstageError)
         self.assertEqual((edge["own"], core["own"]), ("10.1.0.6:7295", "10.1.0.6:7280"))
--- a/tests/test_top.py
+++ b/tests/test_top.py
@@ -9,7 +9,7 @@
 from kelpstage.cli.commands.top import _page
 from kelpstage.cli.main import app
 from kelpstage.cli.views.top import EDGE_HEADS, edge_row
-from kelpstage.common.metrics.reading import Between, read_look
+from kelpstage.common.metrics.reading import ScrapePair, parse_scrape
 
 
 def edge_metrics(*, requests: int, slow: int, retries: int) -> str:
@@ -42,8 +42,8 @@
 
 class TopPageTest(unittest.TestCase):
     def row(self, before: str, after: str) -> dict[str, object]:
-        between = Between(
-            before=read_look(text=before, at_s=10.0), after=read_look(text=after, at_s=12.0)
+        between = ScrapePair(
+            before=parse_scrape(text=before, at_s=10.0), after=parse_scrape(text=after, at_s=12.0)
         )
         return dict(zip(EDGE_HEADS, edge_row(address="a:1", between=between), strict=True))
 
@@ -66,8 +66,8 @@
 
     def test_page_shows_cores_edges_and_unreachable_addresses(self) -> None:
         scrapes = {
-            "e:1": read_look(text=edge_metrics(requests=1, slow=0, retries=0), at_s=1.0),
-            "c:1": read_look(text=CORE_METRICS, at_s=1.0),
+            "e:1": parse_scrape(text=edge_metrics(requests=1, slow=0, retries=0), at_s=1.0),
+            "c:1": parse_scrape(text=CORE_METRICS, at_s=1.0),
         }
         text = _page(before=scrapes, after=scrapes, cores=["c:1"], edges=["e:1", "e:2"])
         self.assertRegex(text, r"c:1 +leader +3 ")
