--- a/kelpstage/testbed/fleet/sampler.py
+++ b/kelpstage/testbed/fleet/sampler.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from kelpstage.common.errors.base import KelpstageError
-from kelpstage.common.metrics.reading import Between, Look, read_look
+from kelpstage.common.metrics.reading import Scrape, ScrapePair, parse_scrape
 from kelpstage.common.ports.interfaces import HttpCall, Ports
 
 SAMPLE_INTERVAL_US = 1_000_000
@@ -22,7 +22,7 @@
     ports: Ports
     edges: dict[str, str]
     rows: list[dict[str, float]] = field(default_factory=list)
-    _last_looks: dict[str, Look] = field(default_factory=dict)
+    _last_looks: dict[str, Scrape] = field(default_factory=dict)
 
     async def run(self) -> None:
         """Sample until cancelled."""
@@ -31,7 +31,7 @@
         while True:
             looks = await self._fetch_all()
             pairs = [
-                Between(before=self._last_looks[name], after=look)
+                ScrapePair(before=self._last_looks[name], after=look)
                 for name, look in looks.items()
                 if name in self._last_looks
             ]
@@ -44,25 +44,25 @@
             self._last_looks = looks
             await clock.sleep(us=SAMPLE_INTERVAL_US)
 
-    async def _fetch_all(self) -> dict[str, Look]:
+    async def _fetch_all(self) -> dict[str, Scrape]:
         found = await asyncio.gather(*(self._fetch(name) for name in self.edges))
         return {name: look for name, look in zip(self.edges, found, strict=True) if look}
 
-    async def _fetch(self, name: str) -> Look | None:
+    async def _fetch(self, name: str) -> Scrape | None:
         url = f"http://{self.edges[name]}/metrics"
         reply = await self.ports.net.fetch(
             call=HttpCall(method="GET", url=url, wait_us=FETCH_TIMEOUT_US)
         )
         if isinstance(reply, KelpstageError) or reply.status != 200:
             return None
-        return read_look(text=reply.body.decode(), at_s=self.ports.clock.now_us() / 1_000_000)
+        return parse_scrape(text=reply.body.decode(), at_s=self.ports.clock.now_us() / 1_000_000)
 
 
-def row_of(*, pairs: list[Between], second: float, not_ready: int) -> dict[str, float]:
+def row_of(*, pairs: list[ScrapePair], second: float, not_ready: int) -> dict[str, float]:
     """Returns one second of all edges, summed; the quantiles are those of the slowest edge.
 
-    >>> row_of(pairs=[Between(before=Look(at_s=0), after=Look(at_s=1))], second=1, not_ready=0)[
-    ...     "requests"]
+    >>> row_of(pairs=[ScrapePair(before=Scrape(at_s=0), after=Scrape(at_s=1))], second=1,
+    ...     not_ready=0)["requests"]
     0.0
     """
 
--- a/kelpstage/testbed/platform_model/machines.py
+++ b/kelpstage/testbed/platform_model/machines.py
@@ -8,7 +8,7 @@
 from typing import Any, Callable
 
 from kelpstage.common.errors.base import KelpstageError
-from kelpstage.common.settings.loading import CORE_FORM, EDGE_FORM, validate_settings
+from kelpstage.common.settings.loading import CORE_SCHEMA, EDGE_SCHEMA, validate_settings
 from kelpstage.core.app import Core
 from kelpstage.core.web.operators import serve_operators
 from kelpstage.edge.app import Edge
@@ -201,10 +201,10 @@
     def _process_settings(self, *, node: Node, role: str) -> dict:
         fields = self.platform_settings(node=node, role=role)
         if role == "core":
-            raw, form = self._settings.core_settings(fields=fields), CORE_FORM
+            raw, form = self._settings.core_settings(fields=fields), CORE_SCHEMA
         else:
-            raw, form = self._settings.edge_settings(fields=fields), EDGE_FORM
-        settings = validate_settings(raw=raw, form=form)
+            raw, form = self._settings.edge_settings(fields=fields), EDGE_SCHEMA
+        settings = validate_settings(raw=raw, schema=form)
         if isinstance(settings, KelpstageError):
             raise StartError(f"{role}/{node.name}: {settings}")
         return settings
@@ -243,7 +243,10 @@
             return Core(ports=process.ports, settings=settings, serve=serve)
         lists = self._backend_list.BackendList(address=settings["list"]["address"])
         return Edge(
-            ports=process.ports, settings=settings, lists=lists, serve=self._edge_program.serve
+            ports=process.ports,
+            settings=settings,
+            list_adapter=lists,
+            serve=self._edge_program.serve,
         )
 
     def _on_unhandled_error(self, *, node: Node, role: str, error: BaseException) -> None:
--- a/kelpstage/testbed/platform_model/net.py
+++ b/kelpstage/testbed/platform_model/net.py
@@ -81,7 +81,7 @@
         self.message_us = 0  # processor time for each incoming message
         self._busy_until_us = 0
         self.ports.net = PlatformNet(process=self)
-        self.ports.on_broken = lambda error: self.on_unhandled_error(error)
+        self.ports.on_critical_failure = lambda error: self.on_unhandled_error(error)
 
     def deliver(self, callback: Callable[[], None]) -> None:
         """Run a callback for an incoming message after the processor time of earlier messages."""
@@ -203,7 +203,7 @@
             return
         self.is_open_at_server = False
         self.listener.process.accepted_connections.pop(self.serial, None)
-        if self.listener.is_cancelling and self._task is not None:
+        if self.listener.cancels_on_disconnect and self._task is not None:
             self._task.cancel()
         on_close = getattr(self.listener.on_event, "line_gone", None)
         if on_close is not None:
@@ -378,7 +378,7 @@
         on_call: Any,
         body_limit: int,
         limits: Callable[[], HttpLimits] | None = None,
-        is_cancelling: bool = False,
+        cancels_on_disconnect: bool = False,
     ) -> Any:
         """Listen for HTTP at an address; `body_limit` and `limits` are not modelled.
 
@@ -388,7 +388,7 @@
         if isinstance(outcome, KelpstageError):
             return outcome
         listener = self.process.world.listeners[f"http/{address}"]
-        listener.is_cancelling = is_cancelling
+        listener.cancels_on_disconnect = cancels_on_disconnect
 
         def close() -> None:
             outcome.close()
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -12,7 +12,7 @@
 from types import SimpleNamespace
 from typing import Any, Awaitable, Callable
 
-from kelpstage.common.configuration.types import EMPTY
+from kelpstage.common.configuration.types import EMPTY_CONFIGURATION
 from kelpstage.common.event_journal import Journal
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
 from kelpstage.common.transport.connections import Transport
@@ -535,7 +535,7 @@
 
     def choose(self, registry: BackendRegistry, now_us: int, rand: Any = None) -> list[Candidate]:
         return options(
-            configuration=EMPTY,
+            configuration=EMPTY_CONFIGURATION,
             registry=registry,
             latencies=LatencyEstimates(),
             collection="c",
@@ -767,11 +767,11 @@
             ports=SimpleNamespace(clock=SimpleNamespace(now_us=lambda: 5)),
             discovery=SimpleNamespace(endpoints=endpoints),
         )
-        self.assertEqual("the list of backends is not known yet", Edge.refusal(edge))
+        self.assertEqual("the list of backends is not known yet", Edge.not_ready_reason(edge))
         endpoints.apply_listing(instances=[instance("i1")], read_us=1, now_us=2)
-        self.assertEqual("", Edge.refusal(edge))
+        self.assertEqual("", Edge.not_ready_reason(edge))
         edge.discovery = None  # a deployment without an endpoint list
-        self.assertEqual("", Edge.refusal(edge))
+        self.assertEqual("", Edge.not_ready_reason(edge))
 
 
 class EjectedCheckTest(EndpointListScenario):
@@ -888,7 +888,7 @@
     @staticmethod
     def by_selection(*, registry: BackendRegistry, now_us: int, rand: random.Random) -> str:
         return options(
-            configuration=EMPTY,
+            configuration=EMPTY_CONFIGURATION,
             registry=registry,
             latencies=LatencyEstimates(),
             collection="c",
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -91,7 +91,7 @@
         self.assertEqual(self.part(reply(body=b"x" * 47)).records, [b"x" * 16] * 2)
 
     def test_a_503_without_the_not_run_header_may_have_run(self):
-        whole = self.codec.read_whole(reply=reply(status=503), backend="i-1", request_id="r-1")
+        whole = self.codec.read_forwarded(reply=reply(status=503), backend="i-1", request_id="r-1")
         self.assertIsInstance(whole, BackendFailedError)
         self.assertFalse(surely_not_run(outcome=whole))
 
@@ -105,9 +105,9 @@
             connection_limit=2,
         )
         call = self.codec.call(ask=ask)
-        self.assertEqual(Owner.OURS, call.owner_of(reply()))
-        self.assertEqual(Owner.UNNAMED, call.owner_of(HttpReply(status=200)))
-        self.assertEqual(Owner.OTHERS, call.owner_of(reply(request="r-2")))
+        self.assertEqual(Owner.OURS, call.reply_owner(reply()))
+        self.assertEqual(Owner.UNNAMED, call.reply_owner(HttpReply(status=200)))
+        self.assertEqual(Owner.OTHERS, call.reply_owner(reply(request="r-2")))
         self.assertEqual(call.headers["Kelp-Expect-Instance"], "i-1")
         self.assertEqual(call.headers["Kelp-Deadline-Ms"], "9")
 
