--- a/kelpstage/testbed/fleet/events.py
+++ b/kelpstage/testbed/fleet/events.py
@@ -147,7 +147,7 @@
     await scene.sleep(s=AWAY_S)
     fleet.start_edge(name=name)
     fleet.note({"event": "started", "edge": name})
-    await fleet.wait_for(what="the killed edge", is_there=fleet.all_ready)
+    await fleet.wait_for(what="the killed edge", condition=fleet.all_ready)
     fleet.fault_end(fault=number)
     scene.say(f"edge {name} is back")
 
@@ -213,7 +213,7 @@
     for name in names:
         fleet.start_edge(name=name)
         fleet.note({"event": "started", "edge": name})
-    await fleet.wait_for(what="the herd", is_there=fleet.all_ready)
+    await fleet.wait_for(what="the herd", condition=fleet.all_ready)
     fleet.fault_end(fault=number)
     fleet.note({"event": "returned", "what": "edge herd"})
     scene.say(f"{len(names)} edges killed at once, all are back")
@@ -229,7 +229,7 @@
     await scene.sleep(s=CORES_AWAY_S)
     for name in names:
         fleet.start_core(name=name)
-    await fleet.wait_for(what="a leader again", is_there=fleet.has_leader)
+    await fleet.wait_for(what="a leader again", condition=fleet.has_leader)
     fleet.fault_end(fault=number)
     scene.say("all cores killed at once, a leader is there again")
 
@@ -246,7 +246,7 @@
     fleet.lose_disk(name=leader)
     fleet.start_core(name=leader)
     await fleet.wait_for(
-        what="the lost core as a voter", is_there=lambda: fleet.is_made_good(name=leader)
+        what="the lost core as a voter", condition=lambda: fleet.is_made_good(name=leader)
     )
     fleet.fault_end(fault=number)
     scene.say(f"leader {leader} lost its disk after an acknowledgement, three voters again")
@@ -267,5 +267,5 @@
     fleet.fault(what="leader killed at the close", excuses=[])
     fleet.kill_core(name=leader)
     del fleet.core_http[leader]
-    await fleet.wait_for(what="another leader", is_there=fleet.has_leader)
+    await fleet.wait_for(what="another leader", condition=fleet.has_leader)
     scene.say(f"leader {leader} killed at the close")
--- a/kelpstage/testbed/fleet/fleet.py
+++ b/kelpstage/testbed/fleet/fleet.py
@@ -95,8 +95,8 @@
         for node in self.deployment.nodes:
             self.start_edge(name=node.name)
             self.note({"event": "started", "edge": node.name})
-        await self.wait_for(what="stand-ins", is_there=self._hosts_are_up)
-        await self.wait_for(what="a leader", is_there=self.has_leader)
+        await self.wait_for(what="stand-ins", condition=self._hosts_are_up)
+        await self.wait_for(what="a leader", condition=self.has_leader)
 
     def _start_hosts(self) -> None:
         backends = self.deployment.backends
@@ -188,11 +188,11 @@
         return json.loads(reply.body)
 
     async def wait_for(
-        self, *, what: str, is_there: Callable[[], Awaitable[bool]], us: int = LONG_WAIT_US
+        self, *, what: str, condition: Callable[[], Awaitable[bool]], us: int = LONG_WAIT_US
     ) -> None:
         """Wait for a condition, never for a time."""
         until_us = self.ports.clock.now_us() + us
-        while not await is_there():
+        while not await condition():
             if self.ports.clock.now_us() > until_us:
                 raise FleetTimeoutError(what)
             await self.ports.clock.sleep(us=100_000)
@@ -305,13 +305,13 @@
         """Stop an edge by SIGTERM, wait for its end, start it again, wait until it is ready."""
         process = self.processes.all[f"edge-{name}"]
         self.signal_edge(name=name, number=signal.SIGTERM)
-        await self.wait_for(what=f"{name} to end", is_there=lambda: _is_ended(process))
+        await self.wait_for(what=f"{name} to end", condition=lambda: _is_ended(process))
         self.note({"event": "ended", "edge": name})
         self.start_edge(name=name)
         self.note({"event": "started", "edge": name})
         await self.wait_for(
             what=f"{name} to be ready",
-            is_there=lambda: self.is_ready(name=name),
+            condition=lambda: self.is_ready(name=name),
         )
         self.note({"event": "ready", "edge": name})
 
@@ -363,7 +363,7 @@
             voters = [m["address"] for m in (view or {}).get("members", []) if m["is_voter"]]
             return self.core_own[fresh] in voters and lost not in voters and len(voters) == 3
 
-        await self.wait_for(what="the new core as a voter", is_there=is_voter)
+        await self.wait_for(what="the new core as a voter", condition=is_voter)
         return fresh
 
     async def read_back(self) -> None:
@@ -391,9 +391,9 @@
         """Stop a core by SIGTERM, start it on the same data and wait until it is ready."""
         process = self.processes.all[f"core-{name}"]
         self.signal_core(name=name, number=signal.SIGTERM)
-        await self.wait_for(what=f"core {name} to end", is_there=lambda: _is_ended(process))
+        await self.wait_for(what=f"core {name} to end", condition=lambda: _is_ended(process))
         self.start_core(name=name)
-        await self.wait_for(what=f"core {name}", is_there=lambda: self.is_core_ready(name=name))
+        await self.wait_for(what=f"core {name}", condition=lambda: self.is_core_ready(name=name))
 
     async def is_ready(self, *, name: str) -> bool:
         """Does this edge answer `/ready` with 200?"""
@@ -432,7 +432,7 @@
         async def is_quiet() -> bool:
             return self.callers.in_flight == 0
 
-        await self.wait_for(what="open calls", is_there=is_quiet, us=10_000_000)
+        await self.wait_for(what="open calls", condition=is_quiet, us=10_000_000)
 
     def stop(self) -> dict[str, str]:
         """End every process and remove the folder; the logs that they wrote, by file."""
--- a/kelpstage/testbed/fleet/scenario.py
+++ b/kelpstage/testbed/fleet/scenario.py
@@ -55,17 +55,17 @@
     """Start a fleet, put its configuration, wait until every edge is ready."""
     await fleet.start()
     say("a leader is there")
-    await fleet.wait_for(what="the whole membership", is_there=fleet.membership_is_whole)
+    await fleet.wait_for(what="the whole membership", condition=fleet.membership_is_whole)
     say("every edge is on the membership")
     reply = await fleet.put(document=fleet.configuration(), expected=0, put_id="first")
     if getattr(reply, "status", 0) != 200:
         raise RuntimeError(f"the first put: {reply}")
-    await fleet.wait_for(what="ready edges", is_there=fleet.all_ready)
+    await fleet.wait_for(what="ready edges", condition=fleet.all_ready)
 
     async def is_handed_on() -> bool:
         return all(fleet.platform.ready.get(n.name) for n in fleet.deployment.nodes)
 
-    await fleet.wait_for(what="the platform to see them ready", is_there=is_handed_on)
+    await fleet.wait_for(what="the platform to see them ready", condition=is_handed_on)
     say("every edge is ready")
 
 
--- a/kelpstage/testbed/fleet/soak.py
+++ b/kelpstage/testbed/fleet/soak.py
@@ -138,7 +138,7 @@
             if name in self._fleet.edge_http:  # it may be gone for good
                 await self._fleet.wait_for(
                     what=f"{name} to be ready",
-                    is_there=partial(self._fleet.is_ready, name=name),
+                    condition=partial(self._fleet.is_ready, name=name),
                 )
 
     # --- machines that are gone for good --------------------------------------------------
@@ -213,12 +213,12 @@
         names = [node.name for node in self._fleet.core_nodes]
         await self._fleet.wait_for(
             what=f"the cores of {', '.join(names)}",
-            is_there=partial(has_voters, fleet=self._fleet, names=names),
+            condition=partial(has_voters, fleet=self._fleet, names=names),
         )
         for name in names:
             await self._fleet.wait_for(
                 what=f"the core of {name}",
-                is_there=partial(self._fleet.is_core_ready, name=name),
+                condition=partial(self._fleet.is_core_ready, name=name),
             )
 
     # --- the operator -----------------------------------------------------------------------
--- a/kelpstage/testbed/measure/choices.py
+++ b/kelpstage/testbed/measure/choices.py
@@ -123,9 +123,10 @@
     def seen_as(least: int) -> bool:
         return all(edge.swim.status(name=victim) >= least for edge in others)
 
-    numbers["suspected_us"] = [await fleet.wait_for(what="suspicion", is_there=lambda: seen_as(1))]
+    numbers["suspected_us"] = [await fleet.wait_for(what="suspicion", condition=lambda: seen_as(1))]
     numbers["held_dead_us"] = [
-        numbers["suspected_us"][0] + await fleet.wait_for(what="death", is_there=lambda: seen_as(2))
+        numbers["suspected_us"][0]
+        + await fleet.wait_for(what="death", condition=lambda: seen_as(2))
     ]
     process.thaw()
 
@@ -137,7 +138,9 @@
     leader = fleet.leader()
     fleet.kill_core(name=leader)
     numbers["election_us"] = [
-        await fleet.wait_for(what="a leader", is_there=lambda: fleet.leader() not in (None, leader))
+        await fleet.wait_for(
+            what="a leader", condition=lambda: fleet.leader() not in (None, leader)
+        )
     ]
     row = await fleet.put_next()
     numbers["put_after_us"] = [row["at_us"] - row["sent_us"]] if row["status"] == 200 else []
@@ -179,7 +182,7 @@
     numbers["known_us"] = [
         await fleet.wait_for(
             what="darkness",
-            is_there=lambda: all(
+            condition=lambda: all(
                 e.registry.is_unreachable(name=victim, now_us=fleet.world.now_us())
                 or e.registry.is_suspected(name=victim, now_us=fleet.world.now_us())
                 for e in edges
@@ -208,7 +211,7 @@
 
     await fleet.set_backend(name=signed, is_draining=True)
     numbers["sign_us"] = [
-        await fleet.wait_for(what="the sign", is_there=lambda: is_left_out(signed))
+        await fleet.wait_for(what="the sign", condition=lambda: is_left_out(signed))
     ]
     row = await fleet.put_next(drained=(labelled,))
     numbers["label_us"] = [row["at_us"] - row["sent_us"]]
@@ -227,9 +230,11 @@
     def has_place() -> bool:
         leader = fleet.leader()
         rows = fleet.daemons[f"core/{leader}"].task.raft.replication_progress() if leader else []
-        return fleet.is_core_whole() and address in [r["address"] for r in rows if r["is_voter"]]
+        return fleet.are_cores_healthy() and address in [
+            r["address"] for r in rows if r["is_voter"]
+        ]
 
-    numbers["whole_again_us"] = [await fleet.wait_for(what="its place", is_there=has_place)]
+    numbers["whole_again_us"] = [await fleet.wait_for(what="its place", condition=has_place)]
 
 
 def _fixed(self: Any, *, name: str, least_us: int) -> int:
--- a/kelpstage/testbed/platform_model/backends.py
+++ b/kelpstage/testbed/platform_model/backends.py
@@ -381,11 +381,11 @@
         for index, (free_us, address) in enumerate(self._free_addresses):
             if free_us <= now_us and self.rand.random() < 0.7:
                 del self._free_addresses[index]
-                self.world.homes[address] = process.machine
-                self.world.known_gone.pop(address, None)
+                self.world.machine_by_address[address] = process.machine
+                self.world.gone_since_us.pop(address, None)
                 return address
         address = f"10.128.{self._serial // 200}.{self._serial % 200 + 1}:8080"
-        self.world.homes[address] = process.machine
+        self.world.machine_by_address[address] = process.machine
         return address
 
     def crash(self, *, backend: Backend) -> None:
--- a/kelpstage/testbed/platform_model/faults/network.py
+++ b/kelpstage/testbed/platform_model/faults/network.py
@@ -24,7 +24,7 @@
     cuts = []
     for a in left:
         for b in (node for node in core if node not in left):
-            play.world.cut(a=a.name, b=b.name)
+            play.world.block_path(a=a.name, b=b.name)
             cuts.append(Cut(a=a.name, b=b.name, begin_us=play.world.now_us()))
     play.history.cuts += cuts
     play.later(config_change(play, rand))
@@ -32,9 +32,9 @@
         await play.second.read()
         await sleep(s=0.3)
     for cut in cuts:
-        play.world.cuts -= {(cut.a, cut.b), (cut.b, cut.a)}
+        play.world.blocked_paths -= {(cut.a, cut.b), (cut.b, cut.a)}
         cut.end_us = play.world.now_us()
-    play.world.flush()
+    play.world.send_waiting()
 
 
 async def _partition_core_machine(play: Any, rand: random.Random) -> None:
@@ -44,7 +44,7 @@
     others = [n for n in play.fleet.there() if n is not node and (is_all or n.has_disk)]
     cuts = []
     for other in others:
-        play.world.cut(a=node.name, b=other.name)
+        play.world.block_path(a=node.name, b=other.name)
         cut = Cut(a=node.name, b=other.name, begin_us=play.world.now_us())
         play.history.cuts.append(cut)
         cuts.append(cut)
@@ -52,6 +52,6 @@
     play.later(config_change(play, rand))
     await sleep(s=6)
     for cut in cuts:
-        play.world.cuts -= {(cut.a, cut.b), (cut.b, cut.a)}
+        play.world.blocked_paths -= {(cut.a, cut.b), (cut.b, cut.a)}
         cut.end_us = play.world.now_us()
-    play.world.flush()
+    play.world.send_waiting()
--- a/kelpstage/testbed/platform_model/faults/write_races.py
+++ b/kelpstage/testbed/platform_model/faults/write_races.py
@@ -96,9 +96,9 @@
         racing = asyncio.ensure_future(_race_and_resend(play, rand))
         await asyncio.sleep(PARTITION_S)
         for cut in cuts:
-            play.world.cuts -= {(cut.a, cut.b), (cut.b, cut.a)}
+            play.world.blocked_paths -= {(cut.a, cut.b), (cut.b, cut.a)}
             cut.end_us = play.world.now_us()
-        play.world.flush()
+        play.world.send_waiting()
         await resend(play, await racing)
 
 
@@ -118,7 +118,7 @@
     for other in play.fleet.core():
         if other is isolated:
             continue
-        play.world.cut(a=isolated.name, b=other.name)
+        play.world.block_path(a=isolated.name, b=other.name)
         cut = Cut(a=isolated.name, b=other.name, begin_us=play.world.now_us())
         play.history.cuts.append(cut)
         cuts.append(cut)
--- a/kelpstage/testbed/platform_model/machines.py
+++ b/kelpstage/testbed/platform_model/machines.py
@@ -114,7 +114,7 @@
             has_disk=has_disk,
         )
         for port in (FRONT_PORT, READINESS_PORT, CONTROL_PORT, FIRST_PORT, LAST_PORT):
-            self.world.homes[f"{node.ip}:{port}"] = machine
+            self.world.machine_by_address[f"{node.ip}:{port}"] = machine
         self.nodes[name] = node
         self.history.machines |= {name}
         if has_disk:
@@ -301,7 +301,7 @@
             if process is not None:
                 process.kill()
         if is_disk:
-            node.machine.platter.lose()
+            node.machine.disk_image.replace_with_empty()
         await self._restart(node=node, roles=roles or node.roles, for_us=for_us, fault=fault)
 
     async def _restart(
@@ -318,12 +318,12 @@
         for process in node.processes.values():
             process.kill(is_power=True)
         if is_disk:
-            node.machine.platter.lose()
+            node.machine.disk_image.replace_with_empty()
         else:
-            node.machine.platter.cut_power()
+            node.machine.disk_image.lose_power()
         await asyncio.sleep(for_us / 1_000_000)
         node.machine.is_on = True
-        self.world.flush()
+        self.world.send_waiting()
         await self._restart(node=node, roles=node.roles, for_us=0, fault=fault)
 
     async def freeze(self, *, node: Node, for_us: int) -> None:
@@ -410,7 +410,7 @@
     async def disturb_disk(self, *, node: Node, how: str, for_us: int) -> None:
         """Make a disk slow, stalled or full for a while; `how` is "slow", "stall" or "full"."""
         fault = self._begin_fault(node=node, what="disk")
-        platter = node.machine.platter
+        platter = node.machine.disk_image
         platter.slow = 30 if how == "slow" else 1
         platter.is_stalled, platter.is_full = how == "stall", how == "full"
         await asyncio.sleep(for_us / 1_000_000)
--- a/kelpstage/testbed/platform_model/net.py
+++ b/kelpstage/testbed/platform_model/net.py
@@ -14,7 +14,14 @@
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.errors.transport import ConnectError, ConnectionLostError, ReplyTimeoutError
 from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply, Owner
-from kelpstage.testbed.simulation.world import Listener, Machine, SimNet, SimProcess, World, _Closer
+from kelpstage.testbed.simulation.world import (
+    CloseHandle,
+    Listener,
+    Machine,
+    SimNet,
+    SimProcess,
+    World,
+)
 
 SYN_RETRY_US = 1_000_000
 IDLE_TIMEOUT_US = 20_000_000
@@ -54,8 +61,8 @@
         self, *, source: Machine, target: Machine, callback: Callable[[], None], order: "Order"
     ) -> None:
         """Run a callback at the target, in order; across a partition it waits until that heals."""
-        if not self.is_open(source=source, target=target):
-            self.waits.append(
+        if not self.is_path_open(source=source, target=target):
+            self.waiting_messages.append(
                 lambda: self.transmit(source=source, target=target, callback=callback, order=order)
             )
             return
@@ -94,7 +101,7 @@
             us=self._busy_until_us, callback=lambda: super(HttpProcess, self).deliver(callback)
         )
 
-    def _ended(self, task: asyncio.Future) -> None:
+    def _on_task_done(self, task: asyncio.Future) -> None:
         self._tasks.pop(task, None)
         if not task.cancelled() and task.exception() is not None and self.is_alive:
             self.on_unhandled_error(task.exception())
@@ -396,7 +403,7 @@
                 if connection.listener is listener and connection.call is None:
                     connection.close_from_server(how=CLOSED)  # busy ones finish their exchange
 
-        return _Closer(close=close)
+        return CloseHandle(close=close)
 
     async def open_connection(self, *, address: str, deadline_us: int) -> HttpLine | KelpstageError:
         """Open a connection, or return an error after the deadline.
@@ -421,7 +428,7 @@
             return ReplyTimeoutError(address=address, after_us=round_trip_us, was_sent=False)
         listener = world.listeners.get(f"http/{address}")
         if listener is None or not listener.process.is_alive:
-            world.known_gone.setdefault(address, world.now_us())
+            world.gone_since_us.setdefault(address, world.now_us())
             return ConnectError(address=address)
         self.opened += 1
         connection = HttpLine(net=self, address=address, listener=listener)
--- a/kelpstage/testbed/platform_model/scenario.py
+++ b/kelpstage/testbed/platform_model/scenario.py
@@ -101,7 +101,7 @@
             message_us=plan.message_us,
         )
         cloud = self._make_process(name="cloud", machine="cloud", zone="")
-        world.homes[CLOUD_ADDRESS] = cloud.machine
+        world.machine_by_address[CLOUD_ADDRESS] = cloud.machine
         cloud.ports.net._listen(key=f"http/{CLOUD_ADDRESS}", kind="http", on_event=self.cloud)
         self.front = LoadBalancer(process=cloud, shape=shape)
         processes = {
--- a/kelpstage/testbed/simulation/disk.py
+++ b/kelpstage/testbed/simulation/disk.py
@@ -45,7 +45,7 @@
 
 
 class PowerLost(Exception):
-    """Raised by a test from `Platter.on_step`: the machine has lost power."""
+    """Raised by a test from `DiskImage.before_change`: the machine has lost power."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -191,16 +191,16 @@
 
 
 @dataclass(kw_only=True)
-class Platter:
+class DiskImage:
     """One machine's disk. Its content survives processes, and power losses where synced.
 
     `files` are the names and files that processes see. `kept` are the names as of the last
     sync of each folder. `changed` has, for each name that changed since, every file that it
-    has referred to (`None`: no file), beginning with the kept one. `on_step` is called
+    has referred to (`None`: no file), beginning with the kept one. `before_change` is called
     before each single change.
 
-    >>> platter = Platter(rand=random.Random(1))
-    >>> platter.files["a"] = SimFile(data=b"xyz"); platter.cut_power(); platter.files
+    >>> disk_image = DiskImage(rand=random.Random(1))
+    >>> disk_image.files["a"] = SimFile(data=b"xyz"); disk_image.lose_power(); disk_image.files
     {}
     """
 
@@ -212,7 +212,7 @@
     is_full: bool = False
     is_stalled: bool = False
     is_sync_failing: bool = False
-    on_step: Callable[[str], None] = lambda step: None
+    before_change: Callable[[str], None] = lambda step: None
 
     def set_name(self, *, path: str, file: SimFile | None) -> None:
         """Make a name refer to another file, or to none; not durable until a folder sync."""
@@ -232,7 +232,7 @@
             if path in self.files:
                 self.kept[path] = self.files[path]
 
-    def cut_power(self, *, choose: Choose | None = None) -> None:
+    def lose_power(self, *, choose: Choose | None = None) -> None:
         """Lose power; `choose(n)` decides the outcomes by a number below n, random by default."""
         choose = choose or self.rand.randrange
         is_all_lost = choose(ALL_LOST_ONE_IN) == 0
@@ -246,7 +246,7 @@
             file.lose_power(choose=choose, rand=self.rand, is_all_lost=is_all_lost)
         self.kept, self.changed = dict(self.files), {}
 
-    def lose(self) -> None:
+    def replace_with_empty(self) -> None:
         """Replace the disk with an empty one without faults."""
         self.files, self.kept, self.changed = {}, {}, {}
         self.is_full = self.is_stalled = self.is_sync_failing = False
@@ -256,28 +256,28 @@
 class SimDisk:
     """The disk interface of a process, with random latency, on its machine's disk."""
 
-    def __init__(self, *, clock: Any, platter: Platter, rand: random.Random) -> None:
+    def __init__(self, *, clock: Any, disk_image: DiskImage, rand: random.Random) -> None:
         self._clock = clock
-        self._platter = platter
+        self._disk_image = disk_image
         self._rand = rand
 
     async def _wait_latency(self, *, us: int) -> None:
-        while self._platter.is_stalled:
+        while self._disk_image.is_stalled:
             await self._clock.sleep(us=20_000)
-        await self._clock.sleep(us=int(us * self._platter.slow * (0.5 + self._rand.random())))
+        await self._clock.sleep(us=int(us * self._disk_image.slow * (0.5 + self._rand.random())))
 
     async def names(self, *, folder: str) -> list[str] | KelpstageError:
         """List the names in a folder; a folder without files gives an empty list."""
         await self._wait_latency(us=100)
         prefix = f"{folder}/" if folder else ""
         return sorted(
-            {p[len(prefix) :].split("/")[0] for p in self._platter.files if p.startswith(prefix)}
+            {p[len(prefix) :].split("/")[0] for p in self._disk_image.files if p.startswith(prefix)}
         )
 
     async def read(self, *, path: str) -> bytes | None | KelpstageError:
         """Return the content of a file, `None` if it does not exist."""
         await self._wait_latency(us=200)
-        file = self._platter.files.get(path)
+        file = self._disk_image.files.get(path)
         return None if file is None else file.data
 
     async def append(self, *, path: str, data: bytes, at: int) -> KelpstageError | None:
@@ -285,23 +285,23 @@
         await self._wait_latency(us=100)
         file = self._open_or_create(path=path)
         if data:
-            if self._platter.is_full:
+            if self._disk_image.is_full:
                 return DiskError(path=path, op="append", why="ENOSPC")
-            self._platter.on_step(f"write {path}")
+            self._disk_image.before_change(f"write {path}")
             file.write(at=at, data=data)
         if len(file.data) != at + len(data):
-            self._platter.on_step(f"set length {path}")
+            self._disk_image.before_change(f"set length {path}")
             file.set_length(size=at + len(data))
         return None
 
     async def sync(self, *, path: str) -> KelpstageError | None:
         """Make a file's content durable."""
         await self._wait_latency(us=1_000)
-        file = self._platter.files.get(path)
+        file = self._disk_image.files.get(path)
         if file is None:
             return DiskError(path=path, op="sync", why="ENOENT")
-        self._platter.on_step(f"sync {path}")
-        if self._platter.is_sync_failing:
+        self._disk_image.before_change(f"sync {path}")
+        if self._disk_image.is_sync_failing:
             file.fail_sync()
             return DiskError(path=path, op="sync", why="EIO")
         file.sync()
@@ -311,8 +311,8 @@
     async def sync_folder(self, *, folder: str) -> KelpstageError | None:
         """Make a folder's names durable."""
         await self._wait_latency(us=1_000)
-        self._platter.on_step(f"sync folder {folder}")
-        self._platter.sync_names(prefix=f"{folder}/" if folder else "")
+        self._disk_image.before_change(f"sync folder {folder}")
+        self._disk_image.sync_names(prefix=f"{folder}/" if folder else "")
         return None
 
     async def write(self, *, path: str, data: bytes) -> KelpstageError | None:
@@ -320,40 +320,40 @@
         await self._wait_latency(us=200)
         file = self._open_or_create(path=path)
         if file.data:
-            self._platter.on_step(f"set length {path}")
+            self._disk_image.before_change(f"set length {path}")
             file.set_length(size=0)
-        if self._platter.is_full:
+        if self._disk_image.is_full:
             return DiskError(path=path, op="write", why="ENOSPC")
-        self._platter.on_step(f"write {path}")
+        self._disk_image.before_change(f"write {path}")
         file.write(at=0, data=data)
         return None
 
     async def rename(self, *, path: str, to: str) -> KelpstageError | None:
         """Rename a file, replacing any file with the new name."""
         await self._wait_latency(us=100)
-        file = self._platter.files.get(path)
+        file = self._disk_image.files.get(path)
         if file is None:
             return DiskError(path=path, op="rename", why="ENOENT")
-        self._platter.on_step(f"rename {path}")
-        self._platter.set_name(path=to, file=file)
-        self._platter.set_name(path=path, file=None)
+        self._disk_image.before_change(f"rename {path}")
+        self._disk_image.set_name(path=to, file=file)
+        self._disk_image.set_name(path=path, file=None)
         return None
 
     async def delete(self, *, path: str) -> KelpstageError | None:
         """Remove a file's name."""
         await self._wait_latency(us=100)
-        if path not in self._platter.files:
+        if path not in self._disk_image.files:
             return DiskError(path=path, op="delete", why="ENOENT")
-        self._platter.on_step(f"delete {path}")
-        self._platter.set_name(path=path, file=None)
+        self._disk_image.before_change(f"delete {path}")
+        self._disk_image.set_name(path=path, file=None)
         return None
 
     def _open_or_create(self, *, path: str) -> SimFile:
-        file = self._platter.files.get(path)
+        file = self._disk_image.files.get(path)
         if file is None:
-            self._platter.on_step(f"make {path}")
+            self._disk_image.before_change(f"make {path}")
             file = SimFile()
-            self._platter.set_name(path=path, file=file)
+            self._disk_image.set_name(path=path, file=file)
         return file
 
 
--- a/kelpstage/testbed/simulation/faults/combined.py
+++ b/kelpstage/testbed/simulation/faults/combined.py
@@ -54,7 +54,7 @@
     """A configuration write is sent while an edge is frozen; then the leader loses its disk,
     and the edge is thawed."""
     up = running_edges(fleet=fleet)
-    if len(up) < 6 or not fleet.is_core_whole():
+    if len(up) < 6 or not fleet.are_cores_healthy():
         return
     name, leader = rand.choice(up), fleet.leader()
     process = fleet.processes[f"edge/{name}"]
@@ -68,7 +68,7 @@
     )
     process.freeze()
     await fleet.put_next()
-    if fleet.is_core_whole():
+    if fleet.are_cores_healthy():
         fleet.kill_core(name=leader, is_disk=True)
         await fleet.sleep(us=span_us(rand=rand, low_s=0.1, high_s=1))
         await fleet.start_core(name=leader)
@@ -88,7 +88,7 @@
 
 async def zone_lost(fleet: SimFleet, rand: random.Random) -> None:
     """Every machine of one zone loses power and is started again."""
-    if not fleet.is_core_whole():
+    if not fleet.are_cores_healthy():
         return
     zone = rand.choice(fleet.deployment.zones)
     names = [n.name for n in fleet.deployment.nodes if n.zone == zone]
--- a/kelpstage/testbed/simulation/faults/disks.py
+++ b/kelpstage/testbed/simulation/faults/disks.py
@@ -15,7 +15,7 @@
     name = core_to_lose(fleet=fleet, rand=rand)
     if name is None:
         return
-    platter = fleet.world.machines[name].platter
+    platter = fleet.world.machines[name].disk_image
     number = fleet.fault(what=what, core=name, excuses=[])
     previous = getattr(platter, field)
     setattr(platter, field, value)
--- a/kelpstage/testbed/simulation/faults/edges.py
+++ b/kelpstage/testbed/simulation/faults/edges.py
@@ -63,7 +63,7 @@
         await fleet.start_edge(name=node.name)
         edge = fleet.daemons[f"edge/{node.name}"]
         await fleet.wait_for(
-            what=f"{node.name} after its restart", is_there=lambda e=edge: not e.refusal()
+            what=f"{node.name} after its restart", condition=lambda e=edge: not e.refusal()
         )
     fleet.fault_end(fault=number)
 
--- a/kelpstage/testbed/simulation/faults/network.py
+++ b/kelpstage/testbed/simulation/faults/network.py
@@ -19,11 +19,11 @@
     )
     others = [m for m in fleet.world.machines if m != name]
     for other in others:
-        fleet.world.cut(a=name, b=other)
+        fleet.world.block_path(a=name, b=other)
     await fleet.sleep(us=span_us(rand=rand, low_s=1, high_s=8))
     for other in others:
-        fleet.world.cuts -= {(name, other), (other, name)}
-    fleet.world.flush()
+        fleet.world.blocked_paths -= {(name, other), (other, name)}
+    fleet.world.send_waiting()
     fleet.fault_end(fault=number)
 
 
@@ -31,10 +31,10 @@
     """The path from one edge to another is blocked, the opposite direction is open."""
     a, b = rand.sample(running_edges(fleet=fleet), 2)
     number = fleet.fault(what="edges_one_way", excuses=["line"], nodes=[a, b], after_us=2 * SECOND)
-    fleet.world.cut(a=a, b=b, is_one_way=True)
+    fleet.world.block_path(a=a, b=b, is_one_way=True)
     await fleet.sleep(us=span_us(rand=rand, low_s=2, high_s=8))
-    fleet.world.cuts.discard((a, b))
-    fleet.world.flush()
+    fleet.world.blocked_paths.discard((a, b))
+    fleet.world.send_waiting()
     fleet.fault_end(fault=number)
 
 
@@ -49,10 +49,10 @@
     """Block paths, given as sender and receiver, for a while; failed calls are not excused."""
     number = fleet.fault(what=what, excuses=["line"], nodes=nodes, after_us=3 * SECOND)
     for a, b in pairs:
-        fleet.world.cut(a=a, b=b, is_one_way=True)
+        fleet.world.block_path(a=a, b=b, is_one_way=True)
     await fleet.sleep(us=hold_us)
-    fleet.world.cuts -= set(pairs)
-    fleet.world.flush()
+    fleet.world.blocked_paths -= set(pairs)
+    fleet.world.send_waiting()
     fleet.fault_end(fault=number)
 
 
@@ -116,7 +116,7 @@
     """The leader is partitioned from the other cores for 20 seconds, then its successor."""
     for _ in range(2):
         leader = fleet.leader()
-        if leader is not None and fleet.is_core_whole():
+        if leader is not None and fleet.are_cores_healthy():
             await _partition_core(fleet=fleet, rand=rand, what="leaders_cut_in_turn", name=leader)
         await fleet.sleep(us=SECOND)
 
@@ -135,10 +135,10 @@
         after_us=4 * SECOND,
     )
     pairs = {p for a in inside for b in outside for p in both_ways(a=a, b=b)}
-    fleet.world.cuts |= pairs
+    fleet.world.blocked_paths |= pairs
     await fleet.sleep(us=span_us(rand=rand, low_s=3, high_s=9))
-    fleet.world.cuts -= pairs
-    fleet.world.flush()
+    fleet.world.blocked_paths -= pairs
+    fleet.world.send_waiting()
     fleet.fault_end(fault=number)
     fleet.note({"event": "returned", "what": "zone_cut"})
 
--- a/kelpstage/testbed/simulation/faults/targets.py
+++ b/kelpstage/testbed/simulation/faults/targets.py
@@ -28,7 +28,7 @@
     """Return a core to take down, in half of the cases the leader; None if none may be lost."""
     up = sorted(n for n in fleet.core_address if fleet.processes[f"core/{n}"].is_alive)
     leader = fleet.leader()
-    if not fleet.is_core_whole():
+    if not fleet.are_cores_healthy():
         return None  # the deployments tolerate the loss of one core at a time
     if leader in up and rand.random() < 0.5:
         return leader
--- a/kelpstage/testbed/simulation/fleet.py
+++ b/kelpstage/testbed/simulation/fleet.py
@@ -60,23 +60,27 @@
         self.cuts = {c.name: c for c in (deployment.cut, deployment.recut())}
         for index, node in enumerate(deployment.nodes):
             machine = world.add_machine(name=node.name, zone=node.zone)
-            self.edge_own[node.name] = self._home(machine=machine, host=index + 1, port=7000)
-            self.edge_http[node.name] = self._home(machine=machine, host=index + 1, port=8000)
+            self.edge_own[node.name] = self._assign_address(
+                machine=machine, host=index + 1, port=7000
+            )
+            self.edge_http[node.name] = self._assign_address(
+                machine=machine, host=index + 1, port=8000
+            )
             if node.has_disk:
-                self.core_address[node.name] = self._home(
+                self.core_address[node.name] = self._assign_address(
                     machine=machine, host=index + 1, port=7100
                 )
-                self._home(machine=machine, host=index + 1, port=8100)
+                self._assign_address(machine=machine, host=index + 1, port=8100)
         self.backend_address: dict[str, str] = {}
         self.backends: dict[str, StandIn] = {}
         world.on_dead_send = self._note_dead_send
         for index, spec in enumerate(deployment.backends):
             machine = world.add_machine(name=spec.name, zone=spec.zone)
-            address = self._home(machine=machine, host=100 + index, port=9000)
+            address = self._assign_address(machine=machine, host=100 + index, port=9000)
             self.backend_address[spec.name] = address
         outside = world.add_machine(name="outside", zone="outside")
         self.outside = self._process(name="outside", machine=outside)
-        platform_address = self._home(machine=outside, host=90, port=9500)
+        platform_address = self._assign_address(machine=outside, host=90, port=9500)
         self.platform = Platform(
             ports=self.outside.ports,
             nodes={n.name: (n.zone, self.edge_http[n.name]) for n in deployment.nodes},
@@ -105,9 +109,9 @@
             quorum=deployment.quorum,
         )
 
-    def _home(self, *, machine: Machine, host: int, port: int) -> str:
+    def _assign_address(self, *, machine: Machine, host: int, port: int) -> str:
         address = f"10.0.{host // 250}.{host % 250 + 1}:{port}"
-        self.world.homes[address] = machine
+        self.world.machine_by_address[address] = machine
         return address
 
     def _process(self, *, name: str, machine: Machine) -> SimProcess:
@@ -219,11 +223,11 @@
         await asyncio.sleep(us / 1_000_000)
 
     async def wait_for(
-        self, *, what: str, is_there: Callable[[], bool], us: int = 60_000_000
+        self, *, what: str, condition: Callable[[], bool], us: int = 60_000_000
     ) -> int:
         """Wait until a condition holds; return how long it took, in microseconds."""
         started_us = self.world.now_us()
-        while not is_there():
+        while not condition():
             if self.world.now_us() - started_us > us:
                 raise SimulationTimeoutError(what)
             await self.sleep(us=20_000)
@@ -238,7 +242,7 @@
                 return name
         return None
 
-    def is_core_whole(self) -> bool:
+    def are_cores_healthy(self) -> bool:
         """True if the leader has three voters, all with a contact in the last 500 ms."""
         name = self.leader()
         if name is None:
@@ -257,7 +261,7 @@
             and not self.daemons[f"edge/{node.name}"].refusal()
         ]
 
-    def is_membership_whole(self) -> bool:
+    def is_membership_complete(self) -> bool:
         """True if the leader's membership has as many edges as the deployment has nodes."""
         name = self.leader()
         if name is None:
@@ -281,7 +285,7 @@
         wait_us: int = 10_000_000,
     ) -> dict:
         """Write a configuration through a core, by default a random one, and note the outcome."""
-        name = core or self.some_core()
+        name = core or self.random_core()
         row: dict[str, Any] = {
             "event": "put",
             "put_id": put_id,
@@ -331,7 +335,7 @@
             wait_us=wait_us,
         )
 
-    def some_core(self) -> str:
+    def random_core(self) -> str:
         """Return a random core that runs, or any core if none does."""
         up = [n for n in self.core_address if self.processes[f"core/{n}"].is_alive]
         return self.world.rand.choice(up or list(self.core_address))
@@ -343,7 +347,7 @@
             reply = await self.outside.ports.net.fetch(
                 call=HttpCall(
                     method="GET",
-                    url=f"http://{self.core_http(name=self.some_core())}/v1/configuration",
+                    url=f"http://{self.core_http(name=self.random_core())}/v1/configuration",
                     wait_us=3_000_000,
                 )
             )
@@ -367,11 +371,11 @@
         """Kill a core; a power loss drops unsynced writes, a lost disk all data."""
         self.processes[f"core/{name}"].kill()
         self.note({"event": "core", "core": name, "is_up": False})
-        platter = self.world.machines[name].platter
+        platter = self.world.machines[name].disk_image
         if is_disk:
-            platter.lose()
+            platter.replace_with_empty()
         elif is_power:
-            platter.cut_power()
+            platter.lose_power()
 
     def power_off_zone(self, *, zone: str) -> list[str]:
         """Power off every machine of a zone; return the processes that ended."""
@@ -386,14 +390,14 @@
                     ended.append(process.name)
                     if process.name.startswith("core/"):
                         self.note({"event": "core", "core": name, "is_up": False})
-            machine.platter.cut_power()
+            machine.disk_image.lose_power()
         return ended
 
     async def power_on_zone(self, *, ended_processes: list[str]) -> None:
         """Power the machines on and start their processes again."""
         for name in ended_processes:
             self.processes[name].machine.is_on = True
-        self.world.flush()  # breaks connections to the former processes
+        self.world.send_waiting()  # breaks connections to the former processes
         for name in ended_processes:
             kind, _, machine = name.partition("/")
             if kind == "core":
@@ -402,17 +406,19 @@
             elif kind == "edge":
                 await self.start_edge(name=machine)
             else:
-                self.world.known_gone.pop(self.backend_address[machine], None)
+                self.world.gone_since_us.pop(self.backend_address[machine], None)
                 self.world.timeouts.pop(self.backend_address[machine], None)
                 await self.start_backend(name=machine)
 
     async def replace_core(self, *, name: str) -> str:
         """Start a core on an empty machine at a new address in place of a dead one; return it."""
-        index = len(self.world.homes) + 1
+        index = len(self.world.machine_by_address) + 1
         fresh = f"{name}-new{index}"
         machine = self.world.add_machine(name=fresh, zone=self.world.machines[name].zone)
-        self.core_address[fresh] = self._home(machine=machine, host=60 + index % 30, port=7100)
-        self._home(machine=machine, host=60 + index % 30, port=8100)
+        self.core_address[fresh] = self._assign_address(
+            machine=machine, host=60 + index % 30, port=7100
+        )
+        self._assign_address(machine=machine, host=60 + index % 30, port=8100)
         del self.core_address[name]
         await self.start_core(name=fresh)
         return fresh
@@ -435,17 +441,17 @@
     async def bring_up(self) -> None:
         """Start everything, write the first configuration, wait until every edge serves."""
         await self.start()
-        await self.wait_for(what="a complete membership", is_there=self.is_membership_whole)
+        await self.wait_for(what="a complete membership", condition=self.is_membership_complete)
         row = await self.put(document=self.configuration(), expected=0, put_id="first")
         if row["status"] != 200:
             raise SimulationTimeoutError(f"first put: {row}")
         await self.wait_for(
             what="every edge to be ready",
-            is_there=lambda: len(self.ready_edges()) == len(self.deployment.nodes),
+            condition=lambda: len(self.ready_edges()) == len(self.deployment.nodes),
         )
         await self.wait_for(
             what="the platform to see every edge ready",
-            is_there=lambda: sum(self.platform.ready.values()) == len(self.deployment.nodes),
+            condition=lambda: sum(self.platform.ready.values()) == len(self.deployment.nodes),
         )
 
     def start_callers(self) -> list[asyncio.Future]:
@@ -457,7 +463,7 @@
         self.callers.is_open = False
         await self.wait_for(
             what="calls in flight to end",
-            is_there=lambda: self.callers.in_flight == 0,
+            condition=lambda: self.callers.in_flight == 0,
             us=15_000_000,
         )
 
@@ -468,7 +474,7 @@
         if {"is_listening", "is_draining"} & set(mode):
             self.note({"event": "backend", "backend": name, **mode})
         if mode.get("is_listening") is True:
-            self.world.known_gone.pop(self.backend_address[name], None)
+            self.world.gone_since_us.pop(self.backend_address[name], None)
         await self.backends[name].set_mode(**mode)
 
     def end(self) -> None:
--- a/kelpstage/testbed/simulation/scenario.py
+++ b/kelpstage/testbed/simulation/scenario.py
@@ -119,7 +119,7 @@
     violations = find_violations(history=fleet.history)
     violations += [
         Violation(rule="broken task", why=f"{name}: {type(error).__name__}: {error}", at_us=0)
-        for name, error in fleet.world.broken
+        for name, error in fleet.world.failed_tasks
     ]
     calls = [row for row in fleet.history if row["event"] == "call"]
     outcome = Outcome(
--- a/kelpstage/testbed/simulation/world.py
+++ b/kelpstage/testbed/simulation/world.py
@@ -18,7 +18,7 @@
 from kelpstage.common.http.replies import error_reply
 from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply, Ports
 from kelpstage.common.ports.waiting import run_within
-from kelpstage.testbed.simulation.disk import Platter, SimDisk
+from kelpstage.testbed.simulation.disk import DiskImage, SimDisk
 from kelpstage.testbed.simulation.loop import VirtualLoop
 from kelpstage.testbed.stand_ins.backend import SENDER_HEADER
 
@@ -32,7 +32,7 @@
 
     name: str
     zone: str
-    platter: Platter
+    disk_image: DiskImage
     is_on: bool = True
 
 
@@ -99,19 +99,19 @@
             spawn=self.spawn,
             failpoint=lambda failpoint: world.at_failpoint(process=self, failpoint=failpoint),
         )
-        self.ports.disk = SimDisk(clock=self.ports.clock, platter=machine.platter, rand=rand)
+        self.ports.disk = SimDisk(clock=self.ports.clock, disk_image=machine.disk_image, rand=rand)
 
     def spawn(self, work: Awaitable) -> asyncio.Future:
-        """Start a task that ends with the process; `World.broken` gets its exception."""
+        """Start a task that ends with the process; `World.failed_tasks` gets its exception."""
         task = asyncio.ensure_future(work)
         self._tasks[task] = None
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _ended(self, task: asyncio.Future) -> None:
+    def _on_task_done(self, task: asyncio.Future) -> None:
         self._tasks.pop(task, None)
         if not task.cancelled() and task.exception() is not None and self.is_alive:
-            self.world.broken.append((self.name, task.exception()))
+            self.world.failed_tasks.append((self.name, task.exception()))
 
     def deliver(self, callback: Callable[[], None]) -> None:
         """Run a callback for an event from outside; defer it while frozen, drop it once dead."""
@@ -172,7 +172,9 @@
     is_cancelling: bool = False  # cancel a request when its client disconnects
 
 
-class _Closer:
+class CloseHandle:
+    """A handle that `listen` and `serve_http` return; `close` ends the listening."""
+
     def __init__(self, *, close: Callable[[], None]) -> None:
         self.close = close
 
@@ -189,7 +191,7 @@
     def __init__(self, *, process: SimProcess, address: str, lost_after_us: int = 0) -> None:
         self.process = process
         self.address = address
-        self.other: "SimStream" = self
+        self.peer: "SimStream" = self
         self.is_closed = False
         self.is_gone = False  # this end has dropped the connection without notifying the peer
         self._lost_after_us = lost_after_us
@@ -239,8 +241,8 @@
         self._stalled.clear()
 
     def _is_path_open(self) -> bool:
-        here, there = self.process.machine, self.other.process.machine
-        return self.process.world.is_open(source=here, target=there)
+        here, there = self.process.machine, self.peer.process.machine
+        return self.process.world.is_path_open(source=here, target=there)
 
     def _send(self, *, item: bytes | None) -> None:
         if self.is_gone:
@@ -257,16 +259,16 @@
 
     def _transmit(self, *, item: bytes | None) -> None:
         world = self.process.world
-        here, there = self.process.machine, self.other.process.machine
+        here, there = self.process.machine, self.peer.process.machine
         delay_us = world.delay_us(source=here, target=there)
-        if self.other.is_gone:
+        if self.peer.is_gone:
             world.at(us=world.now_us() + 2 * delay_us, callback=self._reset)
             return
         transfer_us = world.transfer_us(source=here, target=there, size=len(item or b""))
         self._last_arrival_us = (
             max(self._last_arrival_us + 1, world.now_us() + delay_us) + transfer_us
         )
-        other = self.other
+        other = self.peer
         world.at(
             us=self._last_arrival_us,
             callback=lambda: other.process.deliver(lambda: other._on_item(item)),
@@ -332,7 +334,7 @@
         if target is None:
             return
         here, there = self._process.machine, target.process.machine
-        if not world.is_open(source=here, target=there) or world.rand.random() < world.loss:
+        if not world.is_path_open(source=here, target=there) or world.rand.random() < world.loss:
             return
         source = self._address
         world.at(
@@ -365,7 +367,7 @@
             if world.listeners.get(key) is listener:
                 del world.listeners[key]
 
-        return _Closer(close=close)
+        return CloseHandle(close=close)
 
     async def listen(self, *, address: str, on_stream: Callable, lost_after_us: int = 0) -> Any:
         """Accept TCP connections at an address; return a handle that closes, or an error."""
@@ -410,7 +412,7 @@
             return ReplyTimeoutError(address=address, after_us=wait_us)
         await self._process.ports.clock.sleep(us=2 * world.delay_us(source=here, target=there))
         if f"http/{address}" in world.listeners:
-            return _Closer(close=lambda: None)  # a connect check sends nothing
+            return CloseHandle(close=lambda: None)  # a connect check sends nothing
         listener = world.listeners.get(f"tcp/{address}")
         if listener is None:
             return ConnectError(address=address)
@@ -420,7 +422,7 @@
             address=self._process.name,
             lost_after_us=listener.lost_after_us,
         )
-        mine.other, other.other = other, mine
+        mine.peer, other.peer = other, mine
         listener.process.deliver(
             lambda: listener.process.spawn(listener.on_event(other, self._process.name))
         )
@@ -455,11 +457,11 @@
 class World:
     """All machines, the network and the event loop; every random choice derives from the seed.
 
-    `cuts` are the blocked paths between machines, as pairs of sender and receiver. `broken`
-    are the exceptions of tasks, by process. `known_gone` are the times since when the
-    process at an address is known to be gone, by a refused connection or by two timeouts
-    of a machine without power. `waits` are callbacks for messages that meet a network
-    partition.
+    `blocked_paths` are the blocked paths between machines, as pairs of sender and receiver.
+    `failed_tasks` are the exceptions of tasks, by process. `gone_since_us` are the times since
+    when the process at an address is known to be gone, by a refused connection or by two
+    timeouts of a machine without power. `waiting_messages` are callbacks for messages that meet
+    a network partition.
     """
 
     seed: int
@@ -470,14 +472,14 @@
     far_bytes_per_us: float = 0.0  # bandwidth of a connection between zones; 0: unlimited
     machines: dict[str, Machine] = field(default_factory=dict)
     listeners: dict[str, Listener] = field(default_factory=dict)
-    homes: dict[str, Machine] = field(default_factory=dict)
-    cuts: set[tuple[str, str]] = field(default_factory=set)
-    broken: list = field(default_factory=list)
+    machine_by_address: dict[str, Machine] = field(default_factory=dict)
+    blocked_paths: set[tuple[str, str]] = field(default_factory=set)
+    failed_tasks: list = field(default_factory=list)
     serial: int = 0
-    waits: list = field(default_factory=list)
-    armed: dict[str, Callable[[SimProcess], bool]] = field(default_factory=dict)
+    waiting_messages: list = field(default_factory=list)
+    armed_failpoints: dict[str, Callable[[SimProcess], bool]] = field(default_factory=dict)
     failpoint_visits: dict[str, int] = field(default_factory=dict)
-    known_gone: dict[str, int] = field(default_factory=dict)
+    gone_since_us: dict[str, int] = field(default_factory=dict)
     timeouts: dict[str, int] = field(default_factory=dict)
     on_dead_send: Callable[[str, str, int], None] = lambda address, by, known_us: None
 
@@ -499,24 +501,26 @@
         machine = Machine(
             name=name,
             zone=zone,
-            platter=Platter(rand=random.Random(f"{self.seed}/disk/{name}")),
+            disk_image=DiskImage(rand=random.Random(f"{self.seed}/disk/{name}")),
         )
         self.machines[name] = machine
         return machine
 
     def machine_at(self, *, address: str) -> Machine | None:
         """Return the machine that has an address, or None."""
-        return self.homes.get(address)
+        return self.machine_by_address.get(address)
 
-    def is_open(self, *, source: Machine, target: Machine) -> bool:
+    def is_path_open(self, *, source: Machine, target: Machine) -> bool:
         """True if both machines have power and the path between them is open in this direction."""
         if source is target:
             return source.is_on
-        return source.is_on and target.is_on and (source.name, target.name) not in self.cuts
+        return (
+            source.is_on and target.is_on and (source.name, target.name) not in self.blocked_paths
+        )
 
     def is_round_open(self, *, a: Machine, b: Machine) -> bool:
         """True if the path is open in both directions."""
-        return self.is_open(source=a, target=b) and self.is_open(source=b, target=a)
+        return self.is_path_open(source=a, target=b) and self.is_path_open(source=b, target=a)
 
     def delay_us(self, *, source: Machine, target: Machine) -> int:
         """Return a random one-way delay."""
@@ -532,23 +536,23 @@
             return 0
         return int(size / self.far_bytes_per_us)
 
-    def cut(self, *, a: str, b: str, is_one_way: bool = False) -> None:
+    def block_path(self, *, a: str, b: str, is_one_way: bool = False) -> None:
         """Block the path between two machines, or only from `a` to `b`."""
-        self.cuts.add((a, b))
+        self.blocked_paths.add((a, b))
         if not is_one_way:
-            self.cuts.add((b, a))
+            self.blocked_paths.add((b, a))
 
     def heal(self) -> None:
         """Open all network paths again.
 
         Bytes of streams are sent at the next retransmission, waiting calls at once.
         """
-        self.cuts.clear()
-        self.flush()
+        self.blocked_paths.clear()
+        self.send_waiting()
 
-    def flush(self) -> None:
+    def send_waiting(self) -> None:
         """Send the waiting calls; those whose path is still blocked wait again."""
-        calls, self.waits = self.waits, []
+        calls, self.waiting_messages = self.waiting_messages, []
         for callback in calls:
             callback()
 
@@ -559,7 +563,7 @@
             return
         self.timeouts[address] = self.timeouts.get(address, 0) + 1
         if self.timeouts[address] >= 2:
-            self.known_gone.setdefault(address, self.now_us())
+            self.gone_since_us.setdefault(address, self.now_us())
 
     # --- HTTP ------------------------------------------------------------------------
 
@@ -576,9 +580,9 @@
         here = caller.machine
         there = self.machine_at(address=address)
         if not is_resumed and "/shards/" in call.url and f"http/{address}" not in self.listeners:
-            self.on_dead_send(address, caller.name, self.known_gone.get(address, 0))
+            self.on_dead_send(address, caller.name, self.gone_since_us.get(address, 0))
         if there is None or not self.is_round_open(a=here, b=there):
-            self.waits.append(
+            self.waiting_messages.append(
                 lambda: (
                     None
                     if future.done() or not caller.is_alive
@@ -592,7 +596,7 @@
         def arrive() -> None:
             listener = self.listeners.get(f"http/{address}")
             if listener is None:
-                self.known_gone.setdefault(address, self.now_us())
+                self.gone_since_us.setdefault(address, self.now_us())
                 self._deliver_reply(
                     there=there,
                     caller=caller,
@@ -639,8 +643,8 @@
     def _deliver_reply(
         self, *, there: Machine, caller: SimProcess, future: asyncio.Future, outcome: Any
     ) -> None:
-        if not self.is_open(source=there, target=caller.machine):
-            self.waits.append(
+        if not self.is_path_open(source=there, target=caller.machine):
+            self.waiting_messages.append(
                 lambda: self._deliver_reply(
                     there=there, caller=caller, future=future, outcome=outcome
                 )
@@ -661,6 +665,6 @@
         If that fault ends the process, the task that passed is cancelled.
         """
         self.failpoint_visits[failpoint] = self.failpoint_visits.get(failpoint, 0) + 1
-        armed = self.armed.get(failpoint)
+        armed = self.armed_failpoints.get(failpoint)
         if armed is not None and process.is_alive and armed(process):
             raise asyncio.CancelledError()
--- a/tests/drawn_membership.py
+++ b/tests/drawn_membership.py
@@ -111,13 +111,13 @@
         voters = self.run.voters()
         names = self.pick_observers()
         self.cuts |= {pair for a in names for b in voters for pair in ((a, b), (b, a))}
-        self.run.fleet.world.cuts |= self.cuts
+        self.run.fleet.world.blocked_paths |= self.cuts
 
     async def heal(self) -> None:
         """All partitions heal."""
-        self.run.fleet.world.cuts -= self.cuts
+        self.run.fleet.world.blocked_paths -= self.cuts
         self.cuts.clear()
-        self.run.fleet.world.flush()
+        self.run.fleet.world.send_waiting()
 
     async def replace_voter(self) -> None:
         """A voter leaves or is lost permanently, and an empty machine replaces it."""
@@ -176,11 +176,11 @@
         wiped = self.run.rand.choice(self.run.voters()) if kind == "wipe one" else ""
         for name in self.run.names():
             self.run.kill(name=name)
-            platter = self.run.fleet.world.machines[name].platter
+            platter = self.run.fleet.world.machines[name].disk_image
             if name == wiped:
-                platter.lose()
+                platter.replace_with_empty()
             elif kind != "kill all":
-                platter.cut_power()
+                platter.lose_power()
         await self.run.fleet.sleep(us=DOWN_US)
         for name in self.run.names():
             await self.run.start(name=name)
--- a/tests/membership_scenarios.py
+++ b/tests/membership_scenarios.py
@@ -121,7 +121,7 @@
         row = {"status": 0, "end": "not attempted"}
         excluded: list[tuple[int, int]] = []  # attempts at unreachable cores: start, end
         while row["status"] != 200 and fleet.now_us() - began_us < WRITE_GIVE_UP_US:
-            core, attempt_us = fleet.some_core(), fleet.now_us()
+            core, attempt_us = fleet.random_core(), fleet.now_us()
             row = await fleet.put(
                 document=document,
                 expected=expected,
@@ -161,11 +161,13 @@
         place = len(fleet.world.machines) + 1
         name = f"node-{place}"
         machine = fleet.world.add_machine(name=name, zone=zone)
-        fleet.edge_own[name] = fleet._home(machine=machine, host=place + 200, port=7000)
-        fleet.edge_http[name] = fleet._home(machine=machine, host=place + 200, port=8000)
+        fleet.edge_own[name] = fleet._assign_address(machine=machine, host=place + 200, port=7000)
+        fleet.edge_http[name] = fleet._assign_address(machine=machine, host=place + 200, port=8000)
         if has_core:
-            fleet.core_address[name] = fleet._home(machine=machine, host=place + 200, port=7100)
-            fleet._home(machine=machine, host=place + 200, port=8100)
+            fleet.core_address[name] = fleet._assign_address(
+                machine=machine, host=place + 200, port=7100
+            )
+            fleet._assign_address(machine=machine, host=place + 200, port=8100)
             await fleet.start_core(name=name)
         fleet.deployment.nodes.append(Node(name=name, zone=zone, has_disk=has_core))
         await fleet.start_edge(name=name)
@@ -224,7 +226,7 @@
 
     async def wait_for_cores(self) -> None:
         """Wait until the leader has three voters that have all replied to it recently."""
-        await self.fleet.wait_for(what="three cores", is_there=self.fleet.is_core_whole)
+        await self.fleet.wait_for(what="three cores", condition=self.fleet.are_cores_healthy)
 
     def transfer_leadership(self) -> None:
         """Make the leader, if there is one, transfer its leadership."""
--- a/tests/power_loss.py
+++ b/tests/power_loss.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from kelpstage.common.ports.interfaces import Ports
-from kelpstage.testbed.simulation.disk import Platter, PowerLost, SimDisk, SimFile
+from kelpstage.testbed.simulation.disk import DiskImage, PowerLost, SimDisk, SimFile
 
 
 class InstantClock:
@@ -34,8 +34,8 @@
     raise AssertionError("the coroutine waits for something other than the disk")
 
 
-def copy_platter(*, platter: Platter, seed: int) -> Platter:
-    """Copy a platter with its content, names and unsynced changes."""
+def copy_disk_image(*, disk_image: DiskImage, seed: int) -> DiskImage:
+    """Copy a disk image with its content, names and unsynced changes."""
     copies: dict[int, SimFile] = {}
 
     def copied(file: SimFile | None) -> SimFile | None:
@@ -45,20 +45,20 @@
             copies[id(file)] = file.copy()
         return copies[id(file)]
 
-    return Platter(
+    return DiskImage(
         rand=random.Random(seed),
-        files={path: copied(file) for path, file in platter.files.items()},
-        kept={path: copied(file) for path, file in platter.kept.items()},
-        changed={path: [copied(f) for f in states] for path, states in platter.changed.items()},
+        files={path: copied(file) for path, file in disk_image.files.items()},
+        kept={path: copied(file) for path, file in disk_image.kept.items()},
+        changed={path: [copied(f) for f in states] for path, states in disk_image.changed.items()},
     )
 
 
 class Machine:
-    """A machine with a platter, and ports that access it."""
+    """A machine with a disk image, and ports that access it."""
 
     def __init__(self, *, seed: int = 1) -> None:
         self.clock = InstantClock()
-        self.platter = Platter(rand=random.Random(f"{seed}/platter"))
+        self.disk_image = DiskImage(rand=random.Random(f"{seed}/platter"))
         self.ports = Ports(
             clock=self.clock,  # type: ignore[arg-type]
             net=None,  # type: ignore[arg-type]
@@ -66,12 +66,12 @@
             rand=random.Random(f"{seed}/process"),
             spawn=lambda work: None,
         )
-        self.attach(platter=self.platter)
+        self.attach(disk_image=self.disk_image)
 
-    def attach(self, *, platter: Platter) -> None:
+    def attach(self, *, disk_image: DiskImage) -> None:
         """Replace the disk."""
-        self.platter = platter
-        self.ports.disk = SimDisk(clock=self.clock, platter=platter, rand=random.Random(1))
+        self.disk_image = disk_image
+        self.ports.disk = SimDisk(clock=self.clock, disk_image=disk_image, rand=random.Random(1))
 
     def run_until(
         self,
@@ -94,13 +94,13 @@
                 raise PowerLost(name)
             made[0] += 1
 
-        self.platter.on_step = count
+        self.disk_image.before_change = count
         try:
             return True, finish(work)
         except PowerLost:
             return False, None
         finally:
-            self.platter.on_step = lambda name: None
+            self.disk_image.before_change = lambda name: None
 
 
 class ChoiceSequences:
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -123,7 +123,7 @@
         self.world, self.name, self.zone = world, name, zone
         self.own = f"10.{turn // 200}.{turn % 200}.1:7000"
         self.machine = world.add_machine(name=name, zone=zone)
-        world.homes[self.own] = self.machine
+        world.machine_by_address[self.own] = self.machine
         self.incarnation_number = 0
 
     async def start(self, *, seeds: list["Node"], adapter: Any) -> None:
@@ -205,7 +205,7 @@
     async def _with_fleet(self, *, loop: Any, scenario: Callable, seed: int) -> None:
         self.world = World(seed=seed, loop=loop, far_us=(8_000, 9_000))
         outside = self.world.add_machine(name="outside", zone="out")
-        self.world.homes[LIST] = outside
+        self.world.machine_by_address[LIST] = outside
         self.list = EndpointListServer(world=self.world)
         for n in range(10):
             self.list.add(one=instance(f"i{n}", service=f"s{n // 2}", zone=self.zones[n % 3]))
@@ -221,7 +221,7 @@
             await self.start(node)
         try:
             await scenario()
-            self.assertEqual([], self.world.broken)
+            self.assertEqual([], self.world.failed_tasks)
         finally:
             for one in [process, *(node.process for node in self.nodes)]:
                 one.kill()
@@ -240,10 +240,10 @@
     def readers(self) -> list[Node]:
         return [node for node in self.running_nodes() if node.discovery.is_reader]
 
-    async def wait_for(self, is_there: Callable[[], bool], within_us: int) -> int:
+    async def wait_for(self, condition: Callable[[], bool], within_us: int) -> int:
         """Return how long it took; fails after `within_us`."""
         started_us = self.world.now_us()
-        while not is_there():
+        while not condition():
             if self.world.now_us() - started_us > within_us:
                 self.fail(f"condition not met within {within_us} us")
             await self.wait(10_000)
@@ -346,7 +346,7 @@
         async def scenario() -> None:
             await self.wait(8 * SECOND)
             reader = self.readers()[0]
-            self.world.cut(a=reader.machine.name, b="outside")
+            self.world.block_path(a=reader.machine.name, b="outside")
             self.list.drop("i9")
             await self.wait_for(lambda: self.all_have({f"i{n}" for n in range(9)}), 4 * SECOND)
             await self.wait(4 * SECOND)
@@ -362,7 +362,7 @@
             there = [node for node in self.nodes if node.zone != "a1"]
             for a in here:
                 for b in there:
-                    self.world.cut(a=a.machine.name, b=b.machine.name)
+                    self.world.block_path(a=a.machine.name, b=b.machine.name)
             await self.wait(8 * SECOND)
             self.list.drop("i9")
             await self.wait_for(lambda: self.all_have({f"i{n}" for n in range(9)}), 3 * SECOND)
@@ -806,7 +806,7 @@
             nonlocal reply
             machine = self.world.add_machine(name="backend", zone="b1")
             address = self.list.row("i1")["address"]
-            self.world.homes[address] = machine
+            self.world.machine_by_address[address] = machine
             process = SimProcess(world=self.world, name="backend", machine=machine, instance=1)
             await process.ports.net.serve_http(address=address, on_call=answer, body_limit=9)
             await self.wait(8 * SECOND)
--- a/tests/test_beyond_tolerance.py
+++ b/tests/test_beyond_tolerance.py
@@ -44,10 +44,10 @@
     for _ in range(2):
         left, right = halves(rand=rand, names=cores.names)
         pairs = {(a, b) for a in left for b in right} | {(b, a) for a in left for b in right}
-        cores.world.cuts |= pairs
+        cores.world.blocked_paths |= pairs
         await cores.sleep(CUT_US)
-        cores.world.cuts -= pairs
-        cores.world.flush()
+        cores.world.blocked_paths -= pairs
+        cores.world.send_waiting()
         healed_us = cores.world.now_us()
         count = len(result.history.acknowledged)
         await cores.wait_for(
@@ -122,7 +122,7 @@
 
 def fill(cores: SimulatedCores, *, names: list[str], is_full: bool) -> None:
     for name in names:
-        cores.world.machines[name].platter.is_full = is_full
+        cores.world.machines[name].disk_image.is_full = is_full
 
 
 class FullDisks(unittest.TestCase):
@@ -205,7 +205,7 @@
         async def scenario(fleet: SimFleet) -> None:
             await fleet.bring_up()
             for name in fleet.core_address:
-                fleet.processes[f"core/{name}"].machine.platter.is_full = True
+                fleet.processes[f"core/{name}"].machine.disk_image.is_full = True
             await fleet.put_next(wait_us=1_000_000)
             for _ in range(20):
                 await fleet.sleep(us=500_000)
@@ -231,10 +231,10 @@
         leader = cores.leader()
         pairs = {(leader, other) for other in cores.names if other != leader}
         pairs |= {(b, a) for a, b in pairs}
-        cores.world.cuts |= pairs
+        cores.world.blocked_paths |= pairs
         await cores.sleep(5_000_000)
-        cores.world.cuts -= pairs
-        cores.world.flush()
+        cores.world.blocked_paths -= pairs
+        cores.world.send_waiting()
         await cores.sleep(3_000_000)
 
 
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -230,7 +230,7 @@
             cores.kill(away)
             await write_steadily(cores, until=lambda: False, size=600_000, limit=40)
             for name in cores.names:
-                cores.world.machines[name].platter.slow = SLOW_DISK
+                cores.world.machines[name].disk_image.slow = SLOW_DISK
             await cores.start(away)
             began_us = cores.world.now_us()
             await write_steadily(
@@ -281,14 +281,14 @@
             task.snapshot_now()
             await cores.wait_for(lambda: task.raft.log.base_index == task.applied)
             await write_steadily(cores, until=lambda: False, limit=3)
-            cores.world.machines[leader].platter.is_stalled = True
+            cores.world.machines[leader].disk_image.is_stalled = True
             task.snapshot_now()
             await cores.sleep(500_000)
             offered = task.raft.log.base_index
             self.assertLess(offered, task.applied)
             chunk = task.snapshot_chunk(request=FetchSnapshot(cluster=task.cluster, index=offered))
             self.assertEqual((True, offered), (chunk.is_found, chunk.mark))
-            cores.world.machines[leader].platter.is_stalled = False
+            cores.world.machines[leader].disk_image.is_stalled = False
             await cores.wait_for(lambda: task.raft.log.base_index > offered)
             self.assertEqual(task.raft.log.base_index, task.snapshots.mark)
 
@@ -315,7 +315,7 @@
             cores.world.far_us = (50_000, 60_000)
             await cores.start(away)
             await cores.wait_for(lambda: len(asked) >= 4)
-            cores.world.cut(a=leader, b=away)
+            cores.world.block_path(a=leader, b=away)
             await cores.sleep(3 * SECOND)
             cores.world.heal()
             await cores.wait_for(lambda: is_caught_up(cores, away))
@@ -342,7 +342,7 @@
             process.freeze()
 
             def note(stream: SimStream, *, data: bytes) -> None:
-                if stream.other.process is process:
+                if stream.peer.process is process:
                     sent.append(len(data))
                 write(stream, data=data)
 
@@ -384,7 +384,7 @@
             edge = fleet.daemons[f"edge/{away}"]
             for other in fleet.world.machines:
                 if other != away:
-                    fleet.world.cut(a=away, b=other)
+                    fleet.world.block_path(a=away, b=other)
             for _ in range(200):
                 self.assertEqual(200, (await fleet.put_next())["status"])
             self.assertTrue(edge.refusal())  # it knows that it must not serve
@@ -396,7 +396,7 @@
             fleet.world.heal()
             took_us = await fleet.wait_for(
                 what="the edge to serve the newest",
-                is_there=lambda: (
+                condition=lambda: (
                     edge.lease_holder.configuration.version == fleet.version and not edge.refusal()
                 ),
             )
@@ -511,7 +511,7 @@
     await cores.start(is_first=True)
     await cores.wait_for(lambda: len(cores.voters()) == voters)
     for name in cores.names:
-        cores.world.machines[name].platter.slow = SLOW_DISK
+        cores.world.machines[name].disk_image.slow = SLOW_DISK
     monitor = ConsistencyMonitor(cores=cores)
     returned = cores.names[0]
     for place, missed in enumerate(MISSED_WRITES):
@@ -538,7 +538,7 @@
         least = cores.version
         version, _ = await cores.read()
         assert version >= least, (version, least)
-        cores.world.machines[lost].platter.slow = SLOW_DISK
+        cores.world.machines[lost].disk_image.slow = SLOW_DISK
         await cores.start(lost)
         await cores.wait_for(lambda: len(cores.voters()) == voters)
         await write(cores, monitor)
--- a/tests/test_cluster_recovery.py
+++ b/tests/test_cluster_recovery.py
@@ -54,22 +54,22 @@
             await fleet.start_core(
                 name=left, seeds=[fleet.core_address[left], "10.9.9.8:1", "10.9.9.9:1"]
             )
-            await fleet.wait_for(what="a leader", is_there=lambda: fleet.leader() == left)
+            await fleet.wait_for(what="a leader", condition=lambda: fleet.leader() == left)
             for name in others:
                 machine = fleet.world.machines[name]
                 fleet.core_address[name] = f"10.0.{1 + others.index(name)}.250:7100"
-                fleet.world.homes[fleet.core_address[name]] = machine
-                fleet.world.homes[fleet.core_http(name=name)] = machine
+                fleet.world.machine_by_address[fleet.core_address[name]] = machine
+                fleet.world.machine_by_address[fleet.core_http(name=name)] = machine
                 await fleet.start_core(
                     name=name, seeds=[fleet.core_address[left], "10.9.9.8:1", "10.9.9.9:1"]
                 )
-            await fleet.wait_for(what="three voters", is_there=fleet.is_core_whole)
+            await fleet.wait_for(what="three voters", condition=fleet.are_cores_healthy)
             for name in edges:
                 await fleet.stop_edge(name=name)
                 await fleet.start_edge(name=name, seeds=list(fleet.core_address.values()))
                 edge = fleet.daemons[f"edge/{name}"]
                 await fleet.wait_for(
-                    what=f"{name} to serve", is_there=lambda e=edge: not e.refusal()
+                    what=f"{name} to serve", condition=lambda e=edge: not e.refusal()
                 )
             self.assertEqual(200, (await fleet.put_next())["status"])
             await fleet.sleep(us=4_000_000)
--- a/tests/test_core_cuts.py
+++ b/tests/test_core_cuts.py
@@ -240,15 +240,15 @@
     """Partition a member for twenty seconds and heal; measure acknowledgement and catch-up."""
     pairs = partition(cores=cores, name=name)
     began_us = cores.world.now_us()
-    cores.world.cuts |= set(pairs)
+    cores.world.blocked_paths |= set(pairs)
     await cores.sleep(PARTITION_US)
     acknowledged = [when for when, _ in operators.history.acknowledged if when > began_us + 50_000]
     result.acknowledged_after_us.append(
         min(acknowledged, default=began_us + PARTITION_US) - began_us
     )
     term = max(cores.daemons[other].task.raft.term for other in cores.names if other != name)
-    cores.world.cuts -= set(pairs)
-    cores.world.flush()
+    cores.world.blocked_paths -= set(pairs)
+    cores.world.send_waiting()
 
     def is_caught_up() -> bool:
         leader = cores.leader()
@@ -575,7 +575,7 @@
             await cores.put()
             voters = cores.voters()
             learner = next(n for n in cores.names if cores.address(n) not in voters)
-            cores.world.cuts |= set(both_directions(cores=cores, name=learner))
+            cores.world.blocked_paths |= set(both_directions(cores=cores, name=learner))
             await cores.sleep(4_000_000)
             task = cores.daemons[learner].task
             self.assertEqual(task.leader_address, "")  # it reports no leader any longer
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -43,7 +43,7 @@
         machine = self.world.add_machine(name=name, zone=zone)
         self.names.append(name)
         for port in (7100, 8100):
-            self.world.homes[self.address(name, port)] = machine
+            self.world.machine_by_address[self.address(name, port)] = machine
 
     def address(self, name: str, port: int = 7100) -> str:
         return f"10.0.0.{int(name[1:]) + 1}:{port}"
@@ -77,11 +77,11 @@
             is_dark = is_power or is_disk
             self.processes[name].kill(is_power=is_dark)
             self.world.machines[name].is_on = not is_dark
-            platter = self.world.machines[name].platter
+            platter = self.world.machines[name].disk_image
             if is_disk:
-                platter.lose()
+                platter.replace_with_empty()
             elif is_power:
-                platter.cut_power()
+                platter.lose_power()
 
     def up(self) -> list[str]:
         return [n for n in self.names if n in self.processes and self.processes[n].is_alive]
@@ -108,9 +108,9 @@
     async def sleep(self, us: int) -> None:
         await asyncio.sleep(us / 1_000_000)
 
-    async def wait_for(self, is_there: Callable[[], bool], *, us: int = 20_000_000) -> int:
+    async def wait_for(self, condition: Callable[[], bool], *, us: int = 20_000_000) -> int:
         began_us = self.world.now_us()
-        while not is_there():
+        while not condition():
             if self.world.now_us() - began_us > us:
                 raise AssertionError(f"not within {us} us; leader {self.leader()}")
             await self.sleep(10_000)
@@ -196,7 +196,7 @@
 
     try:
         loop.run_until_complete(run())
-        assert not world.broken, world.broken
+        assert not world.failed_tasks, world.failed_tasks
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
@@ -393,7 +393,7 @@
                 cores.kill(moved)
                 cores.world.machines[moved].is_on = False
                 cores.add(name=fresh, zone=f"d{turn}")
-                cores.world.machines[fresh].platter = cores.world.machines[moved].platter
+                cores.world.machines[fresh].disk_image = cores.world.machines[moved].disk_image
                 await cores.start(fresh, seeds=cores.names[:2])
                 await cores.wait_for(lambda fresh=fresh: cores.address(fresh) in cores.voters())
                 self.assertEqual(replica, cores.daemons[fresh].identity.replica)
@@ -428,7 +428,7 @@
             self.assertGreater(cores.world.now_us(), 5_000_000, "it waits for a third core first")
             cores.kill("c0", is_disk=True)
             cores.kill("c1")
-            held = cores.world.machines["c1"].platter.files
+            held = cores.world.machines["c1"].disk_image.files
             self.assertTrue(any(b"put 1" in file.data for file in held.values()))
 
         async def three(cores: SimulatedCores) -> None:
@@ -563,15 +563,15 @@
     elif kind == "cut":
         side = rand.sample(cores.names, rand.randrange(1, len(cores.names)))
         for a, b in itertools.product(side, set(cores.names) - set(side)):
-            cores.world.cut(a=a, b=b, is_one_way=rand.random() < 0.2)
+            cores.world.block_path(a=a, b=b, is_one_way=rand.random() < 0.2)
         await cores.sleep(span_us)
         cores.world.heal()
     elif kind == "stall":
         for name in lost:
-            cores.world.machines[name].platter.is_stalled = True
+            cores.world.machines[name].disk_image.is_stalled = True
         await cores.sleep(span_us)
         for name in lost:
-            cores.world.machines[name].platter.is_stalled = False
+            cores.world.machines[name].disk_image.is_stalled = False
     else:
         cores.kill(*cores.names, is_power=kind == "all power")
         await cores.sleep(300_000)
@@ -584,7 +584,7 @@
     async def scenario(cores: SimulatedCores) -> None:
         rand = random.Random(f"{seed}/day")
         for name in cores.names:
-            cores.world.machines[name].platter.slow = rand.choice((1, 1, 10, 30))
+            cores.world.machines[name].disk_image.slow = rand.choice((1, 1, 10, 30))
         await cores.start(is_first=True)
         await cores.wait_for(lambda: len(cores.voters()) == 2 * cores.tolerance + 1)
         register = Register(cores)
--- a/tests/test_cores_power_loss.py
+++ b/tests/test_cores_power_loss.py
@@ -29,7 +29,7 @@
         self.changes = 0
         self._left = -1
         for name in cores.names:
-            cores.world.machines[name].platter.on_step = self._step
+            cores.world.machines[name].disk_image.before_change = self._step
 
     def arm(self, *, after: int) -> None:
         """Cut the power after this many further disk changes."""
--- a/tests/test_fleet_sim.py
+++ b/tests/test_fleet_sim.py
@@ -226,7 +226,7 @@
             edge = fleet.daemons["edge/node-05"]
             for other in fleet.world.machines:
                 if other not in ("node-05", "outside"):
-                    fleet.world.cut(a="node-05", b=other)
+                    fleet.world.block_path(a="node-05", b=other)
             row = await fleet.put_next()
             self.assertEqual(200, row["status"])
             self.assertEqual(1, edge.lease_holder.configuration.version)
@@ -234,7 +234,7 @@
             self.assertNotIn("node-05", fleet.ready_edges())
             fleet.world.heal()
             await fleet.wait_for(
-                what="the edge to serve again", is_there=lambda: not edge.refusal(), us=5_000_000
+                what="the edge to serve again", condition=lambda: not edge.refusal(), us=5_000_000
             )
             self.assertEqual(2, edge.lease_holder.configuration.version)
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -127,18 +127,18 @@
     """Apply a network partition for 20 s, heal it, and wait until every edge serves."""
     began_us = fleet.now_us()
     before = dict(result.monitor.unready_us)
-    fleet.world.cuts |= set(pairs)
+    fleet.world.blocked_paths |= set(pairs)
     await fleet.sleep(us=PARTITION_US)
     result.unready_us = {
         name: us - before.get(name, 0) for name, us in result.monitor.unready_us.items()
     }
     after = [when for when, _ in result.history.acknowledged if when > began_us + 50_000]
     result.acknowledged_after_us = min(after, default=began_us + PARTITION_US) - began_us
-    fleet.world.cuts -= set(pairs)
-    fleet.world.flush()
+    fleet.world.blocked_paths -= set(pairs)
+    fleet.world.send_waiting()
     result.ready_after_us = await fleet.wait_for(
         what="all edges ready",
-        is_there=lambda: len(fleet.ready_edges()) == len(machines(fleet=fleet)),
+        condition=lambda: len(fleet.ready_edges()) == len(machines(fleet=fleet)),
     )
 
 
@@ -148,12 +148,12 @@
 
     async def play(fleet: SimFleet) -> None:
         await fleet.start()
-        await fleet.wait_for(what="a complete membership", is_there=fleet.is_membership_whole)
+        await fleet.wait_for(what="a complete membership", condition=fleet.is_membership_complete)
         operators = Operators(cores=FleetCores(fleet=fleet), call_us=CALL_US)
         await operators.write()
         await fleet.wait_for(
             what="all ready",
-            is_there=lambda: len(fleet.ready_edges()) == len(machines(fleet=fleet)),
+            condition=lambda: len(fleet.ready_edges()) == len(machines(fleet=fleet)),
         )
         monitor = EdgeMonitor(fleet=fleet, history=operators.history)
         result = ScenarioResult(history=operators.history, monitor=monitor)
@@ -215,12 +215,12 @@
     while the edge holds a lease from the previous one."""
     others = [n for n in machines(fleet=fleet) if n != "node-04"]
     for _ in range(4):
-        fleet.world.cuts |= set(links_between(left=["node-04"], right=others))
+        fleet.world.blocked_paths |= set(links_between(left=["node-04"], right=others))
         leader = fleet.leader()
         fleet.daemons[f"core/{leader}"].task.inbox.put_nowait(TransferLeadership())
         await fleet.sleep(us=4_000_000)
-        fleet.world.cuts.clear()
-        fleet.world.flush()
+        fleet.world.blocked_paths.clear()
+        fleet.world.send_waiting()
         await fleet.sleep(us=1_100_000)
 
 
@@ -318,10 +318,10 @@
     others = [n for n in machines(fleet=fleet) if n != "node-04"]
     for _ in range(8):
         pairs = links_between(left=["node-04"], right=others)
-        fleet.world.cuts |= set(pairs)
+        fleet.world.blocked_paths |= set(pairs)
         await fleet.sleep(us=3_500_000)
-        fleet.world.cuts -= set(pairs)
-        fleet.world.flush()
+        fleet.world.blocked_paths -= set(pairs)
+        fleet.world.send_waiting()
         await fleet.sleep(us=565_000)
 
 
@@ -368,7 +368,7 @@
                     await fleet.start_edge(name=name)
             await fleet.wait_for(
                 what="all edges ready",
-                is_there=lambda: len(fleet.ready_edges()) == len(machines(fleet=fleet)),
+                condition=lambda: len(fleet.ready_edges()) == len(machines(fleet=fleet)),
                 us=5_000_000,
             )
             row = await fleet.put_next(wait_us=ACKNOWLEDGED_WITHIN_US)
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -35,7 +35,7 @@
     fleet.platform.forget(name=edge)
     await call_until(fleet=fleet, count=CALLS)
     fleet.start_edge(name=edge)
-    await fleet.wait_for(what=edge, is_there=fleet.all_ready)
+    await fleet.wait_for(what=edge, condition=fleet.all_ready)
     fleet.fault_end(fault=number)
     leader = await fleet.leader()
     fleet.signal_core(name=leader, number=signal.SIGSTOP)
@@ -48,7 +48,7 @@
                 return True
         return False
 
-    await fleet.wait_for(what="another leader", is_there=has_new_leader)
+    await fleet.wait_for(what="another leader", condition=has_new_leader)
     fleet.signal_core(name=leader, number=signal.SIGCONT)
     await call_until(fleet=fleet, count=CALLS)
     reply = await fleet.put(
@@ -152,7 +152,7 @@
     for name in lost:
         del fleet.core_http[name]
     fleet.start_core(name=left)
-    await fleet.wait_for(what="the salvaged core to lead", is_there=fleet.has_leader)
+    await fleet.wait_for(what="the salvaged core to lead", condition=fleet.has_leader)
     got, out, err = await tool("cli", "get", "--core", fleet.core_http[left])
     assert got == 0 and "version 6" in err, (got, out, err)
 
--- a/tests/test_many_edges.py
+++ b/tests/test_many_edges.py
@@ -386,8 +386,8 @@
             inside = {n.name for n in fleet.deployment.nodes if ZONES[n.zone] == "r2"}
             outside = self.names(fleet) - inside
             far = {m for m in machines if ZONES.get(machines[m].zone) == "r2"}
-            fleet.world.cuts |= {(a, b) for a in far for b in set(machines) - far}
-            fleet.world.cuts |= {(b, a) for a in far for b in set(machines) - far}
+            fleet.world.blocked_paths |= {(a, b) for a in far for b in set(machines) - far}
+            fleet.world.blocked_paths |= {(b, a) for a in far for b in set(machines) - far}
             await fleet.sleep(us=75 * SECOND)
             for name in self.names(fleet):
                 others = outside if name in inside else inside
@@ -395,11 +395,11 @@
                 self.assertFalse(others & known)
             self.assertEqual(outside, set(fleet.ready_edges()), "an isolated region must not serve")
             self.assertEqual(200, (await fleet.put_next())["status"])
-            fleet.world.cuts.clear()
-            fleet.world.flush()
+            fleet.world.blocked_paths.clear()
+            fleet.world.send_waiting()
             await fleet.wait_for(
                 what="all edges to know each other again",
-                is_there=lambda: all(
+                condition=lambda: all(
                     len(fleet.daemons[f"edge/{name}"].swim.live()) == 24
                     for name in self.names(fleet)
                 ),
--- a/tests/test_membership_scenarios.py
+++ b/tests/test_membership_scenarios.py
@@ -97,14 +97,14 @@
     await run.fleet.sleep(us=run.rand.randrange(0, 6) * 1_000_000)
     await run.write_configuration(why="observers frozen")
     pairs = {pair for a in names for b in run.voters() for pair in ((a, b), (b, a))}
-    run.fleet.world.cuts |= pairs
+    run.fleet.world.blocked_paths |= pairs
     for name in names:
         run.fleet.processes[f"edge/{name}"].thaw()
     await run.fleet.sleep(us=1_000_000)
     await run.write_configuration(why="observers thawed in a partition")
     await run.fleet.sleep(us=6_000_000)
-    run.fleet.world.cuts -= pairs
-    run.fleet.world.flush()
+    run.fleet.world.blocked_paths -= pairs
+    run.fleet.world.send_waiting()
     await run.wait_until_ready(us=CATCH_UP_US, why="healed")
     await run.write_configuration(why="healed")
 
@@ -114,15 +114,15 @@
     reaches both sides and relays their renewals, so that they install the write."""
     names = run.observers()
     pairs = {pair for a in names for b in run.voters() for pair in ((a, b), (b, a))}
-    run.fleet.world.cuts |= pairs
+    run.fleet.world.blocked_paths |= pairs
     await run.write_configuration(why="all observers partitioned")
     await run.fleet.sleep(us=run.rand.randrange(0, 6) * 1_000_000)
     await run.add_machine(zone=run.rand.choice(run.fleet.deployment.zones), has_core=False)
     await run.wait_until_ready(us=RECOVERY_US, why="a new edge relays renewals")
     await run.write_configuration(why="a new edge relays renewals")
     await run.wait_until_ready(us=APPLIED_WITHIN_US, why="acknowledged")
-    run.fleet.world.cuts -= pairs
-    run.fleet.world.flush()
+    run.fleet.world.blocked_paths -= pairs
+    run.fleet.world.send_waiting()
     await run.wait_until_ready(us=CATCH_UP_US, why="healed")
 
 
@@ -135,14 +135,14 @@
     behind = [*run.observers(), cut_off]
     left = [name for name in voters if name not in behind]
     pairs = {pair for a in behind for b in left for pair in ((a, b), (b, a))}
-    run.fleet.world.cuts |= pairs
+    run.fleet.world.blocked_paths |= pairs
     run.unreachable_cores = frozenset({cut_off})
     await run.write_configuration(why="most edges partitioned")
     await run.fleet.sleep(us=run.rand.randrange(1, 40) * 1_000_000)
     await run.write_configuration(why="most edges partitioned")
-    run.fleet.world.cuts -= pairs
+    run.fleet.world.blocked_paths -= pairs
     run.unreachable_cores = frozenset()
-    run.fleet.world.flush()
+    run.fleet.world.send_waiting()
     await run.wait_until_ready(us=CATCH_UP_US, why="healed")
     await run.write_configuration(why="healed")
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -398,7 +398,7 @@
             while log.last_index == before:
                 await site.sleep(500)
             for other in others:
-                site.world.cut(a=other, b=leader, is_one_way=True)
+                site.world.block_path(a=other, b=leader, is_one_way=True)
             answer = await call
             await site.wait_for(lambda: site.leader() in others)
             await asyncio.gather(
@@ -556,7 +556,7 @@
             self.assertEqual(4, outcome.version)
             seeds = [fleet.core_address[left], "10.9.9.8:1", "10.9.9.9:1"]
             await fleet.start_core(name=left, seeds=seeds)
-            await fleet.wait_for(what="a leader", is_there=lambda: fleet.leader() == left)
+            await fleet.wait_for(what="a leader", condition=lambda: fleet.leader() == left)
             for name in fleet.edge_own:
                 await fleet.stop_edge(name=name)
                 await fleet.start_edge(name=name, seeds=seeds[:1])
--- a/tests/test_points.py
+++ b/tests/test_points.py
@@ -55,13 +55,13 @@
             nodes=killed_nodes,
             after_us=1_000_000,
         )
-        world.armed[failpoint] = kill_on_visit
+        world.armed_failpoints[failpoint] = kill_on_visit
         for _ in range(4):
             await fleet.put_next(wait_us=6_000_000)
             if killed:
                 break
             await force_snapshot(fleet=fleet)
-        del world.armed[failpoint]
+        del world.armed_failpoints[failpoint]
         await fleet.sleep(us=1_500_000)
         for process_name in killed:
             kind, _, name = process_name.partition("/")
@@ -100,7 +100,7 @@
         killed = [row["names"] for row in fleet.history if row["event"] == "hits"]
         self.assertTrue(killed and killed[0], "no process reached the failpoint")
         self.assertEqual([], find_violations(history=fleet.history))
-        self.assertEqual([], fleet.world.broken)
+        self.assertEqual([], fleet.world.failed_tasks)
 
 
 def _add(number: int, failpoint: str) -> None:
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -442,7 +442,7 @@
         await asyncio.sleep(0.1)
         self.assertEqual([], failures)
         process.kill()
-        machine.platter.cut_power()
+        machine.disk_image.lose_power()
         store = Store(ports=SimProcess(world=world, name="p", machine=machine, instance=2).ports)
         return await store.recover(identity=await store.read_identity())
 
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -189,7 +189,7 @@
             old = fleet.leader()
             fleet.kill_core(name=old)
             await fleet.wait_for(
-                what="a leader", is_there=lambda: fleet.leader() not in (None, old)
+                what="a leader", condition=lambda: fleet.leader() not in (None, old)
             )
             row = await fleet.put(
                 document=fleet.configuration(note="x"), expected=1, put_id="x", core=fleet.leader()
@@ -206,13 +206,13 @@
             name = next(n for n in fleet.core_address if n != fleet.leader())
             before = fleet.daemons[f"core/{name}"].task.me
             fleet.kill_core(name=name)
-            files = fleet.world.machines[name].platter.files
+            files = fleet.world.machines[name].disk_image.files
             path = max(p for p in files if p.endswith(".seg"))
             data = files[path].data
             files[path].data = data[:30] + b"\x00\x00" + data[32:]
             await fleet.sleep(us=6_000_000)
             await fleet.start_core(name=name)
-            await fleet.wait_for(what="three voters", is_there=fleet.is_core_whole)
+            await fleet.wait_for(what="three voters", condition=fleet.are_cores_healthy)
             core = fleet.daemons[f"core/{name}"]
             self.assertNotEqual(before, core.task.me)
             self.assertEqual(1, core.journal.counts["SetAside"])
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -120,7 +120,7 @@
             from kelpstage.common.recording.writer import DayWriter
 
             edge.day = DayWriter(ports=edge.ports, path="d.day", counts=edge.counts)
-            platter = fleet.world.machines["node-04"].platter
+            platter = fleet.world.machines["node-04"].disk_image
             platter.is_full = True
             fleet.start_callers()
             await fleet.sleep(us=2_000_000)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -33,7 +33,7 @@
     async def _with_disk(self, loop, scenario, seed: int) -> None:
         world = World(seed=seed, loop=loop)
         machine = world.add_machine(name="m", zone="d")
-        self.platter = machine.platter
+        self.disk_image = machine.disk_image
         self.process = SimProcess(world=world, name="p", machine=machine, instance=1)
         await scenario()
 
@@ -68,7 +68,7 @@
                     await asyncio.sleep(rand.random() * 0.004)
                     unfinished.cancel()
                     await asyncio.sleep(0)
-                    self.platter.cut_power()
+                    self.disk_image.lose_power()
                     found = await self.recover_again()
                     self.assertNotIsInstance(found, LogDamagedError)
                     self.assertIn(found.log.last_index, (written, written + 1))
@@ -80,7 +80,7 @@
             store = await self.new_store()
             for index in (1, 2, 3):
                 await store.append(steps=[DiskStep(entries=[entry(index)])])
-            file = self.platter.files["log/r-00000001.seg"]
+            file = self.disk_image.files["log/r-00000001.seg"]
             middle = len(file.data) // 2
             file.data = file.data[:middle] + b"\x00" + file.data[middle + 1 :]
             found = await self.recover_again()
@@ -98,10 +98,10 @@
             )
             found = await self.recover_again()
             self.assertEqual((2, 3, "v"), (found.log.base_index, found.term, found.vote))
-            name = next(p for p in self.platter.files if p.endswith(".snap"))
-            self.platter.files[name].data = self.platter.files[name].data[:-1]
+            name = next(p for p in self.disk_image.files if p.endswith(".snap"))
+            self.disk_image.files[name].data = self.disk_image.files[name].data[:-1]
             self.assertIsInstance(await self.recover_again(), LogDamagedError)
-            self.platter.files["identity"].data = b"junk"
+            self.disk_image.files["identity"].data = b"junk"
             self.assertIsInstance(
                 await Store(ports=self.process.ports).read_identity(), LogDamagedError
             )
@@ -112,7 +112,7 @@
         async def scenario() -> None:
             store = await self.new_store()
             await store.append(steps=[DiskStep(entries=[entry(1)])])
-            file = self.platter.files["log/r-00000001.seg"]
+            file = self.disk_image.files["log/r-00000001.seg"]
             file.data = b"KLOG\x00\x07" + file.data[6:]
             found = await self.recover_again()
             self.assertEqual(("format_mismatch", 7), (found.kind, found.theirs))
@@ -123,11 +123,11 @@
         async def scenario() -> None:
             store = await self.new_store()
             await store.append(steps=[DiskStep(entries=[entry(1)])])
-            self.platter.is_full = True
+            self.disk_image.is_full = True
             outcome = await store.append(steps=[DiskStep(entries=[entry(2)])])
             self.assertIsInstance(outcome, DiskError)
             self.assertEqual("ENOSPC", outcome.why)
-            self.platter.is_full = False
+            self.disk_image.is_full = False
             found = await self.recover_again()
             self.assertEqual(1, found.log.last_index)
 
@@ -160,7 +160,7 @@
                     await asyncio.sleep(delay_ms * 0.001)
                     saving.cancel()
                     await asyncio.sleep(0)
-                    self.platter.cut_power()
+                    self.disk_image.lose_power()
                     found = await self.recover_again()
                     self.assertNotIsInstance(found, LogDamagedError)
                     self.assertEqual((3, 1, "r"), (found.log.last_index, found.term, found.vote))
--- a/tests/test_store_power_loss.py
+++ b/tests/test_store_power_loss.py
@@ -26,8 +26,8 @@
 from kelpstage.core.store.records import DiskIdentity, DiskSnapshot, DiskStep
 from kelpstage.core.store.store import Store
 from kelpstage.core.store.task import DiskTask, SnapshotWriteRequest
-from kelpstage.testbed.simulation.disk import Platter, SimFile
-from tests.power_loss import Machine, copy_platter, finish, power_loss_outcomes
+from kelpstage.testbed.simulation.disk import DiskImage, SimFile
+from tests.power_loss import Machine, copy_disk_image, finish, power_loss_outcomes
 
 REPLICA, CLUSTER = "r1", "c1"
 EMPTY = DiskIdentity(replica=REPLICA)
@@ -261,9 +261,9 @@
     def _note(self, *, failure: KelpstageError) -> None:
         """Count a failure; a sync fails only once, a full disk gets space after some failures."""
         self.failures.append(failure)
-        self.machine.platter.is_sync_failing = False
+        self.machine.disk_image.is_sync_failing = False
         if len(self.failures) % FAILURES_UNTIL_SPACE == 0:
-            self.machine.platter.is_full = False
+            self.machine.disk_image.is_full = False
 
     async def become_member(
         self, *, empty: DiskIdentity, member: DiskIdentity, snapshot: DiskSnapshot | None = None
@@ -290,9 +290,9 @@
 ) -> ReplicaWriter:
     """Returns a copy of the machine after a power loss."""
     machine = Machine()
-    platter = copy_platter(platter=writer.machine.platter, seed=seed)
-    platter.cut_power(choose=choose)
-    machine.attach(platter=platter)
+    platter = copy_disk_image(disk_image=writer.machine.disk_image, seed=seed)
+    platter.lose_power(choose=choose)
+    machine.attach(disk_image=platter)
     again = ReplicaWriter(machine=machine)
     again.acknowledged, again.pending = writer.acknowledged, writer.pending
     return again
@@ -352,7 +352,7 @@
         for seed in range(150):
             rand = random.Random(seed)
             writer = new_member()
-            platter = writer.machine.platter
+            platter = writer.machine.disk_image
             full = rand.randrange(90)
             faults = {full: partial(setattr, platter, "is_full", True)}
             step = full + rand.randrange(40)
@@ -375,7 +375,7 @@
         failed = 0
         for step in range(110):
             writer = new_member()
-            fail = partial(setattr, writer.machine.platter, "is_sync_failing", True)
+            fail = partial(setattr, writer.machine.disk_image, "is_sync_failing", True)
             writer.machine.run_until(step=step + 25, work=writer.play(), faults={step: fail})
             failed += bool(writer.failures)
             with self.subTest(step=step, under_way=writer.pending):
@@ -384,7 +384,7 @@
 
     def test_fully_marked_log_recovers_on_a_full_disk(self) -> None:
         writer = populated_member()
-        writer.machine.platter.is_full = True
+        writer.machine.disk_image.is_full = True
         self.assertEqual(writer.acknowledged, finish(ReplicaWriter(machine=writer.machine).open()))
         refused = finish(writer.store.append(steps=[DiskStep(has_vote=True, term=9)]))
         self.assertIsInstance(refused, DiskError)
@@ -392,10 +392,10 @@
     def test_a_disk_stall_only_delays_the_writes(self) -> None:
         for step in range(100):
             writer = new_member()
-            platter = writer.machine.platter
+            platter = writer.machine.disk_image
             waits = []
 
-            def wait(platter: Platter = platter, waits: list[int] = waits) -> None:
+            def wait(platter: DiskImage = platter, waits: list[int] = waits) -> None:
                 if platter.is_stalled:
                     waits.append(1)
                 platter.is_stalled = platter.is_stalled and len(waits) < 5
@@ -440,11 +440,13 @@
                 step=step, work=writer.play(operations=operations)
             )
             step += 1
-            if sum(path.startswith("log/") for path in writer.machine.platter.changed) < 4:
+            if sum(path.startswith("log/") for path in writer.machine.disk_image.changed) < 4:
                 continue
             for choose in power_loss_outcomes(limit=200, seed=step):
                 again = after_power_loss(writer=writer, choose=choose)
-                survivals.add(tuple(p for p in again.machine.platter.files if p.endswith(".seg")))
+                survivals.add(
+                    tuple(p for p in again.machine.disk_image.files if p.endswith(".seg"))
+                )
                 self.assert_acknowledged_kept(again, where=f"step {step}")
         self.assertGreaterEqual(len(survivals), 16)
 
@@ -574,16 +576,16 @@
             self.assertEqual(DurableState(), finish(self.join_as_other(left)))
             again = after_power_loss(writer=left, choose=lambda limit: limit - 1)
             self.assertEqual(DurableState(), finish(again.open(identity=OTHER)))
-            self.assertFalse([p for p in again.machine.platter.files if REPLICA in p])
+            self.assertFalse([p for p in again.machine.disk_image.files if REPLICA in p])
         self.assertEqual({True, False}, seen)
 
     def test_files_of_other_kinds_stay(self) -> None:
         writer = populated_member()
         for path in ("log/notes", "snapshots/r1-1.other", "other"):
-            writer.machine.platter.files[path] = SimFile(data=b"x")
+            writer.machine.disk_image.files[path] = SimFile(data=b"x")
         self.assertEqual(writer.acknowledged, finish(writer.open()))
         finish(writer.store.discard_replica())
-        left = sorted(writer.machine.platter.files)
+        left = sorted(writer.machine.disk_image.files)
         self.assertEqual(["log/notes", "other", "snapshots/r1-1.other"], left)
 
     def join_as_other(self, writer: ReplicaWriter) -> Coroutine[Any, Any, Any]:
@@ -614,7 +616,7 @@
 
     def recover_damaged(self, *, path: str, data: bytes) -> DurableState | KelpstageError:
         writer = populated_member()
-        writer.machine.platter.files[path].data = data
+        writer.machine.disk_image.files[path].data = data
         return finish(writer.open())
 
     def assert_detected(
@@ -653,7 +655,7 @@
             if not path.endswith((".seg", ".snap")):
                 continue
             writer = populated_member()
-            del writer.machine.platter.files[path]
+            del writer.machine.disk_image.files[path]
             self.assertIsInstance(finish(writer.open()), LogDamagedError, path)
 
     def test_without_the_mark_damage_before_the_last_record_is_detected(self) -> None:
@@ -663,10 +665,10 @@
         start = files[last].rindex(RECORD_MARKER)
         for place in range(start):
             writer = populated_member()
-            del writer.machine.platter.files[mark_path(replica=REPLICA)]
+            del writer.machine.disk_image.files[mark_path(replica=REPLICA)]
             data = files[last]
             flipped = data[:place] + bytes([data[place] ^ 0xFF]) + data[place + 1 :]
-            writer.machine.platter.files[last].data = flipped
+            writer.machine.disk_image.files[last].data = flipped
             self.assert_detected(finish(writer.open()), path=last, where=str(place))
 
 
@@ -681,7 +683,7 @@
 def populated_member_state() -> tuple[DurableState, dict[str, bytes]]:
     """Returns the acknowledged state of a populated member, and its files."""
     writer = populated_member()
-    files = {path: file.data for path, file in writer.machine.platter.files.items()}
+    files = {path: file.data for path, file in writer.machine.disk_image.files.items()}
     assert sum(path.endswith(".seg") for path in files) > 2
     return writer.acknowledged, files
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -55,7 +55,7 @@
         world = World(seed=1, loop=loop)
         here = world.add_machine(name="here", zone="d")
         there = world.add_machine(name="there", zone="d")
-        world.homes[ADDRESS] = there
+        world.machine_by_address[ADDRESS] = there
         self.world = world
         self.server_process = SimProcess(world=world, name="server", machine=there, instance=1)
         self.client = SimProcess(world=world, name="client", machine=here, instance=1)
@@ -175,7 +175,7 @@
                 await self.sleep_for_a_minute()
 
             address = "10.0.0.1:7001"
-            self.world.homes[address] = self.world.machines["there"]
+            self.world.machine_by_address[address] = self.world.machines["there"]
             await self.server_process.ports.net.listen(address=address, on_stream=serve)
             timed_out = await self.transport.call(
                 address=address, message=RegisterEdge(edge="a"), wait_us=4_000_000
@@ -212,7 +212,7 @@
             for flag in (frames.REQUEST, frames.ONEWAY):
                 with self.subTest(flag=flag):
                     address = f"10.0.0.1:71{flag}"
-                    self.world.homes[address] = self.world.machines["there"]
+                    self.world.machine_by_address[address] = self.world.machines["there"]
                     serve = partial(self.serve_without_reply, flag=flag)
                     await self.server_process.ports.net.listen(address=address, on_stream=serve)
                     got = await self.transport.call(
@@ -263,7 +263,7 @@
 
     def test_a_message_on_a_connection_that_never_opened_was_not_sent(self) -> None:
         async def scenario() -> None:
-            self.world.cuts |= {("here", "there"), ("there", "here")}
+            self.world.blocked_paths |= {("here", "there"), ("there", "here")}
             for wait_us in (300_000, 3_000_000):  # below and above the connect timeout
                 got = await self.transport.call(
                     address=ADDRESS, message=RegisterEdge(edge="x"), wait_us=wait_us
--- a/tests/test_worst_days.py
+++ b/tests/test_worst_days.py
@@ -287,7 +287,7 @@
             others = [name for name in cores.names if name != away]
             if is_partition:
                 for other in others:
-                    cores.world.cut(a=away, b=other)
+                    cores.world.block_path(a=away, b=other)
                 await cores.sleep(away_us)
                 cores.world.heal()
             else:
