--- a/kelpstage/testbed/checkers/linearizable.py
+++ b/kelpstage/testbed/checkers/linearizable.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Try:
+class Attempt:
     """One attempt of a write, from its start to its answer, in microseconds."""
 
     sent_us: int
@@ -54,7 +54,7 @@
     base: int
     version: int
     content: str
-    tries: list[Try] = field(default_factory=list)
+    tries: list[Attempt] = field(default_factory=list)
 
     @property
     def sent_us(self) -> int:
@@ -64,16 +64,19 @@
     @property
     def acked_us(self) -> int:
         """When the write was first acknowledged; `NEVER_US` if it was not."""
-        return min((attempt.done_us for attempt in self.of(Answer.ACKNOWLEDGED)), default=NEVER_US)
+        return min(
+            (attempt.done_us for attempt in self.attempts_with(Answer.ACKNOWLEDGED)),
+            default=NEVER_US,
+        )
 
-    def of(self, *answers: Answer) -> list[Try]:
+    def attempts_with(self, *answers: Answer) -> list[Attempt]:
         """Return the attempts with one of these answers, in the order of `tries`."""
         return [attempt for attempt in self.tries if attempt.answer in answers]
 
     @property
     def is_refused(self) -> bool:
         """True if any attempt was refused, for its base version or as invalid."""
-        return bool(self.of(Answer.CONFLICT, Answer.INVALID))
+        return bool(self.attempts_with(Answer.CONFLICT, Answer.INVALID))
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -97,7 +100,7 @@
 def find_anomalies(*, writes: list[Write], reads: list[Read]) -> list[Anomaly]:
     """Return the contradictions in a history, or why no sequential order explains it.
 
-    >>> tried = [Try(sent_us=1, done_us=4, answer=Answer.ACKNOWLEDGED)]
+    >>> tried = [Attempt(sent_us=1, done_us=4, answer=Answer.ACKNOWLEDGED)]
     >>> write = Write(key="a", base=0, version=3, content="x", tries=tried)
     >>> find_anomalies(writes=[write], reads=[Read(sent_us=2, done_us=3, version=0)])
     []
@@ -154,7 +157,7 @@
     by_version: dict[int, Write] = {}
     for write in applied:
         at_us = write.acked_us if write.acked_us < NEVER_US else write.sent_us
-        for attempt in write.of(Answer.CONFLICT, Answer.INVALID)[:1]:
+        for attempt in write.attempts_with(Answer.CONFLICT, Answer.INVALID)[:1]:
             why = f"{write.key} was applied, and refused ({attempt.answer.value})"
             out.append(Anomaly(why=why, at_us=attempt.done_us))
         if write.version <= write.base:
@@ -245,7 +248,7 @@
     for index in range(1, len(chain)):
         earliest[index] = max(earliest[index], earliest[index - 1])
     for write in writes:
-        for attempt in write.of(Answer.CONFLICT):
+        for attempt in write.attempts_with(Answer.CONFLICT):
             index = index_of.get(write.base)
             if index is None or write.version <= write.base:
                 continue
--- a/kelpstage/testbed/checkers/serving.py
+++ b/kelpstage/testbed/checkers/serving.py
@@ -33,8 +33,8 @@
 BACKEND_ENDS = ("quorum_not_met", "backend_lost", "bad_reply")
 UNSERVED_ENDS = ("quorum_not_met", "time_left_spent", "no_backend", "backend_lost", "bad_reply")
 MAX_REFUSAL_DELAY_US = 300_000
-RETURN_US = 12_000_000
-LOOK_US = 3_000_000
+RECOVERY_LIMIT_US = 12_000_000
+RATE_WINDOW_US = 3_000_000
 
 
 def dropped(history: list[dict]) -> list[Violation]:
@@ -208,7 +208,7 @@
         if not row["what"].startswith("machine")
     ]
     quiet_end = min(faults, default=end_us)
-    if quiet_end - begin_us < LOOK_US or not good:
+    if quiet_end - begin_us < RATE_WINDOW_US or not good:
         return no_rows_violation(rule=rule, what="fault-free time before the first fault")
     normal = _rate_per_s(times_us=good, begin_us=begin_us, end_us=quiet_end)
     outages = [
@@ -221,13 +221,16 @@
     for row in rows_of(history=history, event="returned"):
         start_us = row["at_us"]
         for span in sorted(outages, key=lambda span: span.begin_us):
-            if span.begin_us <= start_us + RETURN_US + LOOK_US and span.end_us > start_us:
+            if (
+                span.begin_us <= start_us + RECOVERY_LIMIT_US + RATE_WINDOW_US
+                and span.end_us > start_us
+            ):
                 start_us = span.end_us
-        start_us += RETURN_US
-        if start_us + LOOK_US > end_us:
+        start_us += RECOVERY_LIMIT_US
+        if start_us + RATE_WINDOW_US > end_us:
             continue
         measured += 1
-        rate = _rate_per_s(times_us=good, begin_us=start_us, end_us=start_us + LOOK_US)
+        rate = _rate_per_s(times_us=good, begin_us=start_us, end_us=start_us + RATE_WINDOW_US)
         if rate < normal / 4:
             out.append(
                 Violation(rule=rule, why=f"{rate:.2f}/s, normal {normal:.2f}/s", at_us=start_us)
--- a/kelpstage/testbed/checkers/writes.py
+++ b/kelpstage/testbed/checkers/writes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from kelpstage.testbed.checkers.base import Violation, no_rows_violation, rows_of
-from kelpstage.testbed.checkers.linearizable import Answer, Read, Try, Write, find_anomalies
+from kelpstage.testbed.checkers.linearizable import Answer, Attempt, Read, Write, find_anomalies
 
 RULE = "linearizable orders"
 CONFLICTS = frozenset(("version_mismatch", "version_not_above"))
@@ -14,7 +14,7 @@
     """No sequential order of all writes and reads explains the answers that operators got,
     including those to repeated writes and those that were lost."""
     writes, reads = writes_of(history=history), reads_of(history=history)
-    if not any(write.of(Answer.ACKNOWLEDGED) for write in writes) or not reads:
+    if not any(write.attempts_with(Answer.ACKNOWLEDGED) for write in writes) or not reads:
         return no_rows_violation(rule=RULE, what="acknowledged writes or configurations read back")
     found = find_anomalies(writes=writes, reads=reads)
     return [Violation(rule=RULE, why=anomaly.why, at_us=anomaly.at_us) for anomaly in found]
@@ -38,7 +38,7 @@
         answer = _answer_of(row=row)
         if answer is Answer.ACKNOWLEDGED:
             write.version = row["body"]["version"]
-        write.tries.append(Try(sent_us=row["sent_us"], done_us=row["at_us"], answer=answer))
+        write.tries.append(Attempt(sent_us=row["sent_us"], done_us=row["at_us"], answer=answer))
     return list(writes.values())
 
 
--- a/kelpstage/testbed/fleet/events.py
+++ b/kelpstage/testbed/fleet/events.py
@@ -6,11 +6,12 @@
 from dataclasses import dataclass
 from typing import Awaitable, Callable
 
-from kelpstage.testbed.checkers.serving import LOOK_US, RETURN_US
+from kelpstage.testbed.checkers.serving import RATE_WINDOW_US, RECOVERY_LIMIT_US
 from kelpstage.testbed.fleet.fleet import Fleet
 
 SECOND_US = 1_000_000
-QUIET_S = LOOK_US / SECOND_US + 0.5  # before the first event: what is normal, for the checkers
+# before the first event: what is normal, for the checkers
+QUIET_S = RATE_WINDOW_US / SECOND_US + 0.5
 AWAY_S = 2.0
 FREEZE_S = 4.0  # longer than a lease, so that who wakes has no right to serve
 CORES_AWAY_S = 4.0
@@ -99,7 +100,7 @@
     ]
 
 
-RETURN_NEEDS_S = (RETURN_US + LOOK_US) / SECOND_US + 1.0
+RETURN_NEEDS_S = (RECOVERY_LIMIT_US + RATE_WINDOW_US) / SECOND_US + 1.0
 
 
 async def change(scene: Scene) -> None:
--- a/kelpstage/testbed/platform_model/history.py
+++ b/kelpstage/testbed/platform_model/history.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass, field
 
-from kelpstage.testbed.checkers.linearizable import Answer, Try
+from kelpstage.testbed.checkers.linearizable import Answer, Attempt
 
 NEVER_US = 1 << 62
 PROMISES = frozenset((408, 421, 429, 503))
@@ -78,21 +78,21 @@
     acked_us: int = 0
     refused_us: int = 0
     ended_us: int = 0
-    tries: list[Try] = field(default_factory=list)
+    tries: list[Attempt] = field(default_factory=list)
     lost_us: list[int] = field(default_factory=list)  # times at which a reply to it was lost
 
-    def all_tries(self) -> list[Try]:
+    def all_tries(self) -> list[Attempt]:
         """Every call with this order; derived from its times if no calls were recorded."""
         if self.tries:
             return self.tries
         refusal = Answer.CONFLICT if self.is_valid else Answer.INVALID
         ends = [(self.acked_us, Answer.ACKNOWLEDGED), (self.refused_us, refusal)]
         out = [
-            Try(sent_us=self.sent_us, done_us=done_us, answer=answer)
+            Attempt(sent_us=self.sent_us, done_us=done_us, answer=answer)
             for done_us, answer in ends
             if done_us
         ]
-        return out or [Try(sent_us=self.sent_us, done_us=NEVER_US, answer=Answer.UNCLEAR)]
+        return out or [Attempt(sent_us=self.sent_us, done_us=NEVER_US, answer=Answer.UNCLEAR)]
 
     def route_for(self, *, host: str, target: str) -> RouteSpec | None:
         """The route whose prefix is the longest one that matches the path.
--- a/kelpstage/testbed/platform_model/operator.py
+++ b/kelpstage/testbed/platform_model/operator.py
@@ -9,7 +9,7 @@
 
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
-from kelpstage.testbed.checkers.linearizable import Answer, Try
+from kelpstage.testbed.checkers.linearizable import Answer, Attempt
 from kelpstage.testbed.platform_model.history import History, Order, ReadBack, RouteSpec
 from kelpstage.testbed.platform_model.net import HttpProcess, PlatformWorld
 
@@ -103,7 +103,7 @@
             order.lost_us.append(self._world.now_us())
         now_us = self._world.now_us()
         answer = _classify_status(status=status)
-        order.tries.append(Try(sent_us=sent_us, done_us=now_us, answer=answer))
+        order.tries.append(Attempt(sent_us=sent_us, done_us=now_us, answer=answer))
         if status == 200:
             order.acked_us = order.acked_us or now_us
             order.ended_us = order.ended_us or now_us
--- a/tests/test_linearizable.py
+++ b/tests/test_linearizable.py
@@ -8,7 +8,7 @@
 import unittest
 from typing import Callable
 
-from kelpstage.testbed.checkers.linearizable import Answer, Read, Try, Write, find_anomalies
+from kelpstage.testbed.checkers.linearizable import Answer, Attempt, Read, Write, find_anomalies
 
 ACKNOWLEDGED, CONFLICT, INVALID, UNCLEAR = Answer
 
@@ -71,11 +71,11 @@
             answer = self._apply(write=write, at_us=at_us)
             if is_lost:
                 return
-            write.tries.append(Try(sent_us=sent_us, done_us=done_us, answer=answer))
+            write.tries.append(Attempt(sent_us=sent_us, done_us=done_us, answer=answer))
 
         self._schedule(effect_us, effect)
         if is_lost:
-            write.tries.append(Try(sent_us=sent_us, done_us=done_us, answer=UNCLEAR))
+            write.tries.append(Attempt(sent_us=sent_us, done_us=done_us, answer=UNCLEAR))
             if self.rand.random() < 0.7:
                 again_us = done_us + self.rand.randrange(1, 500_000)
                 self._schedule(
@@ -106,17 +106,17 @@
     # --- used by planted anomalies --------------------------------------------------------------
 
     def acknowledged_writes(self) -> list[Write]:
-        return [write for write in self.writes if write.of(ACKNOWLEDGED)]
+        return [write for write in self.writes if write.attempts_with(ACKNOWLEDGED)]
 
     def refused_writes(self) -> list[Write]:
-        return [write for write in self.writes if write.of(CONFLICT)]
+        return [write for write in self.writes if write.attempts_with(CONFLICT)]
 
     def middle_acknowledged(self) -> Write:
         found = self.acknowledged_writes()
         return found[len(found) // 2]
 
-    def late_acknowledgement(self, us: int = 0) -> Try:
-        return Try(sent_us=self.end_us + us, done_us=self.end_us + us + 9, answer=ACKNOWLEDGED)
+    def late_acknowledgement(self, us: int = 0) -> Attempt:
+        return Attempt(sent_us=self.end_us + us, done_us=self.end_us + us + 9, answer=ACKNOWLEDGED)
 
 
 PLANTS: list[Callable[[History], None]] = []
@@ -178,7 +178,7 @@
             base=winner.base,
             version=winner.version + 1,
             content="second",
-            tries=[Try(sent_us=winner.sent_us, done_us=winner.acked_us, answer=ACKNOWLEDGED)],
+            tries=[Attempt(sent_us=winner.sent_us, done_us=winner.acked_us, answer=ACKNOWLEDGED)],
         )
     )
 
@@ -192,7 +192,7 @@
             base=winner.base,
             version=winner.version,
             content="second",
-            tries=[Try(sent_us=winner.sent_us, done_us=winner.acked_us, answer=ACKNOWLEDGED)],
+            tries=[Attempt(sent_us=winner.sent_us, done_us=winner.acked_us, answer=ACKNOWLEDGED)],
         )
     )
 
@@ -238,14 +238,14 @@
 def an_acknowledged_write_refused_on_its_repeat(history: History) -> None:
     write = history.middle_acknowledged()
     again = history.late_acknowledgement()
-    write.tries.append(Try(sent_us=again.sent_us, done_us=again.done_us, answer=CONFLICT))
+    write.tries.append(Attempt(sent_us=again.sent_us, done_us=again.done_us, answer=CONFLICT))
 
 
 @planted
 def an_acknowledged_write_found_invalid_on_its_repeat(history: History) -> None:
     write = history.middle_acknowledged()
     again = history.late_acknowledgement()
-    write.tries.append(Try(sent_us=again.sent_us, done_us=again.done_us, answer=INVALID))
+    write.tries.append(Attempt(sent_us=again.sent_us, done_us=again.done_us, answer=INVALID))
 
 
 @planted
@@ -253,8 +253,8 @@
     last = history.states[-1][1]
     at_us = history.end_us
     tries = [
-        Try(sent_us=at_us, done_us=at_us + 1, answer=UNCLEAR),
-        Try(sent_us=at_us + 10, done_us=at_us + 11, answer=CONFLICT),
+        Attempt(sent_us=at_us, done_us=at_us + 1, answer=UNCLEAR),
+        Attempt(sent_us=at_us + 10, done_us=at_us + 11, answer=CONFLICT),
     ]
     history.writes.append(
         Write(key="open", base=last, version=last + 1, content="open", tries=tries)
@@ -270,8 +270,8 @@
     at_us = history.end_us + 10_000_000
     for write in history.writes:  # no other write on this base may be unresolved
         if write.base == last:
-            write.tries.append(Try(sent_us=at_us, done_us=at_us, answer=INVALID))
-    tries = [Try(sent_us=at_us, done_us=at_us + 1, answer=CONFLICT)]
+            write.tries.append(Attempt(sent_us=at_us, done_us=at_us, answer=INVALID))
+    tries = [Attempt(sent_us=at_us, done_us=at_us + 1, answer=CONFLICT)]
     history.writes.append(
         Write(key="proper", base=last, version=last + 1, content="proper", tries=tries)
     )
@@ -301,7 +301,7 @@
             history = History(seed=seed, changes=25)
             with self.subTest(seed=seed):
                 self.assertEqual([], history.find_anomalies())
-            unclear += sum(w.of(UNCLEAR) == w.tries for w in history.writes)
+            unclear += sum(w.attempts_with(UNCLEAR) == w.tries for w in history.writes)
             repeated += sum(len(w.tries) > 1 for w in history.writes)
             refused += len(history.refused_writes())
         self.assertGreater(
@@ -319,7 +319,7 @@
     def test_an_unanswered_write_may_be_applied_at_any_later_time_or_never(self) -> None:
         history = History(seed=1, changes=5)
         last, at_us = history.states[-1][1], history.end_us
-        tries = [Try(sent_us=at_us, done_us=at_us + 1, answer=UNCLEAR)]
+        tries = [Attempt(sent_us=at_us, done_us=at_us + 1, answer=UNCLEAR)]
         write = Write(key="open", base=last, version=last + 1, content="open", tries=tries)
         history.writes.append(write)
         self.assertEqual([], history.find_anomalies())
@@ -337,11 +337,11 @@
                 base=0,
                 version=3,
                 content=name,
-                tries=[Try(**sent, answer=answer)],
+                tries=[Attempt(**sent, answer=answer)],
             )
             for name, answer in (("a", UNCLEAR), ("b", UNCLEAR), ("c", CONFLICT))
         ]
-        late = Try(sent_us=10, done_us=19, answer=ACKNOWLEDGED)
+        late = Attempt(sent_us=10, done_us=19, answer=ACKNOWLEDGED)
         over = Write(key="over", base=3, version=4, content="over", tries=[late])
         self.assertEqual([], find_anomalies(writes=[*rivals, over], reads=[]))
         self.assertNotEqual([], find_anomalies(writes=[rivals[2], over], reads=[]))
@@ -352,7 +352,7 @@
             base=0,
             version=1,
             content="r",
-            tries=[Try(sent_us=10, done_us=19, answer=CONFLICT)],
+            tries=[Attempt(sent_us=10, done_us=19, answer=CONFLICT)],
         )
         self.assertNotEqual([], find_anomalies(writes=[refused], reads=[]))
         rival = Write(
@@ -360,7 +360,7 @@
             base=0,
             version=1,
             content="o",
-            tries=[Try(sent_us=0, done_us=5, answer=UNCLEAR)],
+            tries=[Attempt(sent_us=0, done_us=5, answer=UNCLEAR)],
         )
         self.assertEqual([], find_anomalies(writes=[refused, rival], reads=[]))
         empty = Read(sent_us=30, done_us=31, version=0)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -22,7 +22,7 @@
 from kelpstage.core.state.machine import RECORDS_KEPT, REFUSALS_KEPT, Machine
 from kelpstage.core.state.outcomes import PutApplied, PutNotAbove, PutOutcomeUnknown, PutSuperseded
 from kelpstage.core.state.replicated_state import CoreState
-from kelpstage.testbed.checkers.linearizable import Answer, Read, Try, Write, find_anomalies
+from kelpstage.testbed.checkers.linearizable import Answer, Attempt, Read, Write, find_anomalies
 from kelpstage.testbed.fleet.deployment import load as fleet_deployment
 from kelpstage.testbed.platform_model.machines import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
@@ -168,7 +168,7 @@
         return write
 
     def acknowledged(self) -> list[Write]:
-        return [write for write in self.writes if write.of(Answer.ACKNOWLEDGED)]
+        return [write for write in self.writes if write.attempts_with(Answer.ACKNOWLEDGED)]
 
     def anomalies(self) -> list[str]:
         return [anomaly.why for anomaly in find_anomalies(writes=self.writes, reads=self.reads)]
@@ -195,7 +195,7 @@
         if rand is not None and rand.random() < self.lost_reply_probability:
             answer = Answer.UNCLEAR
         done_us = self.world.now_us()
-        write.tries.append(Try(sent_us=sent_us, done_us=done_us, answer=answer))
+        write.tries.append(Attempt(sent_us=sent_us, done_us=done_us, answer=answer))
         return answer
 
     async def send_until_decided(self, write: Write, *, rand: random.Random) -> Answer:
@@ -440,7 +440,7 @@
         )
         status = reply.status if isinstance(reply, HttpReply) else 0
         answer = ANSWERS.get(status, Answer.UNCLEAR)
-        write.tries.append(Try(sent_us=sent_us, done_us=site.world.now_us(), answer=answer))
+        write.tries.append(Attempt(sent_us=sent_us, done_us=site.world.now_us(), answer=answer))
         return answer
 
     def test_the_reply_is_unclear_until_the_write_is_found_applied(self) -> None:
@@ -450,9 +450,9 @@
                 self.assertIs(Answer.UNCLEAR, answer)
                 self.assertEqual([], site.history.anomalies())
                 _, sent, rival = site.history.writes
-                self.assertGreaterEqual(len(sent.of(Answer.ACKNOWLEDGED)), 3)
-                self.assertGreaterEqual(len(rival.of(Answer.CONFLICT)), 3)
-                self.assertFalse(sent.is_refused or rival.of(Answer.ACKNOWLEDGED))
+                self.assertGreaterEqual(len(sent.attempts_with(Answer.ACKNOWLEDGED)), 3)
+                self.assertGreaterEqual(len(rival.attempts_with(Answer.CONFLICT)), 3)
+                self.assertFalse(sent.is_refused or rival.attempts_with(Answer.ACKNOWLEDGED))
 
     def test_rejecting_a_write_that_may_still_commit_is_detected(self) -> None:
         real = ReplicaTask._handle_event
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 import unittest
 from typing import Callable
 
-from kelpstage.testbed.checkers.linearizable import Answer, Try
+from kelpstage.testbed.checkers.linearizable import Answer, Attempt
 from kelpstage.testbed.platform_model.history import (
     Arrival,
     Cut,
@@ -551,8 +551,8 @@
     history.orders.append(order(5, 4, 41 * S, key="another 5"))
 
 
-def attempts_of(*rows: tuple[int, Answer]) -> list[Try]:
-    return [Try(sent_us=at_us, done_us=at_us + 9_000, answer=answer) for at_us, answer in rows]
+def attempts_of(*rows: tuple[int, Answer]) -> list[Attempt]:
+    return [Attempt(sent_us=at_us, done_us=at_us + 9_000, answer=answer) for at_us, answer in rows]
 
 
 @violates("CONFIG repeat")
