--- a/tests/async_case.py
+++ b/tests/async_case.py
@@ -25,7 +25,7 @@
 
 
 class LoopClock:
-    """A clock port that uses the running loop's time, so that `HeldTime` freezes both."""
+    """A clock port that uses the running loop's time, so that `FrozenLoopTime` freezes both."""
 
     def now_us(self) -> int:
         """Returns the loop's time in whole microseconds."""
@@ -36,7 +36,7 @@
         asyncio.get_running_loop().call_later(max(0, us) / 1_000_000, callback)
 
 
-class HeldTime:
+class FrozenLoopTime:
     """Freezes the running loop's time on creation; only `advance` moves it.
 
     Sockets work as usual, so a test can wait for data and then let a deadline expire,
@@ -53,7 +53,7 @@
         self._now_s += ms / 1_000
 
 
-def reset(writer: asyncio.StreamWriter) -> None:
+def send_reset(writer: asyncio.StreamWriter) -> None:
     """Closes a connection with a TCP reset."""
     linger = struct.pack("ii", 1, 0)
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
--- a/tests/rules_upheld.py
+++ b/tests/rules_upheld.py
@@ -218,7 +218,7 @@
         source="RULES",
         text="each attempt names its instance, so that no other instance runs it",
         code=f"{EDGE}/forward/sealed_answer.py:SealedCodec.call",
-        test="tests.test_rules_upheld.Handed.test_the_instance_is_named",
+        test="tests.test_rules_upheld.AttemptHeaders.test_the_instance_is_named",
         mutation=Mutation(
             target=f"{SEALED}:SealedCodec.call", replacement=WrappedOriginal(make=_without_instance)
         ),
@@ -241,7 +241,7 @@
         source="NEWS-22",
         text="a machine that is asked to stop reports at once that it is not ready",
         code=f"{EDGE}/app.py:Edge.refusal",
-        test="tests.test_rules_upheld.Stopping.test_it_is_not_ready_and_serves_what_it_has",
+        test="tests.test_rules_upheld.GracefulStop.test_it_is_not_ready_and_serves_what_it_has",
         mutation=Mutation(target="kelpstage.edge.app:Edge.refusal", replacement=returning("")),
         faults="`roll_term`",
     ),
@@ -281,7 +281,7 @@
         source="RULES",
         text="no machine installs a configuration older than its own",
         code=f"{EDGE}/lease/lease_holder.py:LeaseHolder.install",
-        test="tests.test_rules_upheld.Upward.test_an_older_state_is_not_installed",
+        test="tests.test_rules_upheld.EpochOrder.test_an_older_state_is_not_installed",
         mutation=Mutation(
             target="kelpstage.edge.lease.lease_holder:LeaseHolder.install",
             replacement=returning(True),
@@ -334,7 +334,7 @@
         source="NEWS-22",
         text="a request has its final reply by its route's deadline",
         code=f"{EDGE}/gather/stages/admit.py:_bind_forward",
-        test="tests.test_rules_upheld.Handed.test_the_routes_deadline_ends_it",
+        test="tests.test_rules_upheld.AttemptHeaders.test_the_routes_deadline_ends_it",
         mutation=Mutation(
             target="kelpstage.edge.gather.stages.admit:_bind_forward",
             replacement=WrappedOriginal(make=_with_late_deadline),
@@ -346,7 +346,7 @@
         source="NEWS-23",
         text="the traffic of a weighted route is split by its weights",
         code=f"{EDGE}/gather/stages/admit.py:draw",
-        test="tests.test_rules_upheld.Shares.test_each_part_gets_its_share",
+        test="tests.test_rules_upheld.WeightedRoute.test_each_part_gets_its_share",
         mutation=Mutation(
             target="kelpstage.edge.gather.stages.admit:draw", replacement=returning("a")
         ),
@@ -382,7 +382,7 @@
         source="NEWS-22",
         text="the deadline sent to a backend is no longer than the time left",
         code=f"{EDGE}/forward/sealed_answer.py:SealedCodec.call",
-        test="tests.test_rules_upheld.Handed.test_no_more_time_than_is_left",
+        test="tests.test_rules_upheld.AttemptHeaders.test_no_more_time_than_is_left",
         mutation=Mutation(
             target=f"{SEALED}:SealedCodec.call",
             replacement=WrappedOriginal(make=_with_long_deadline),
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -36,7 +36,7 @@
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.edge.retries.budget import Budget
 from kelpstage.edge.web.forward import serve_forwarded
-from tests.async_case import AsyncCase, HeldTime, LoopClock, RawServer, reset
+from tests.async_case import AsyncCase, FrozenLoopTime, LoopClock, RawServer, send_reset
 from tests.test_http import Raw, free_address, until
 
 SERVICE = "once"
@@ -123,7 +123,7 @@
                 return
             if then == "reset":
                 await writer.drain()
-                reset(writer)
+                send_reset(writer)
                 return
 
     return script
@@ -435,7 +435,7 @@
             await reader.read()
 
         first, second = await self.start(silent, GOOD)
-        time = HeldTime()
+        time = FrozenLoopTime()
         asking = asyncio.create_task(self.ask("r", deadline_ms=60))
         await until(lambda: first.arrivals == ["r"])
         time.advance(ms=60)
@@ -458,7 +458,7 @@
 
         [backend] = await self.start(script)
         raw = await self.connect()
-        time = HeldTime()
+        time = FrozenLoopTime()
         asking = asyncio.create_task(self.ask("a", deadline_ms=60, raw=raw))
         await until(lambda: backend.arrivals == ["a"])
         time.advance(ms=60)
@@ -487,7 +487,7 @@
             writer.write(answer(await backend.request(reader)))
             await reader.readexactly(1)  # the second request has started
             backend.arrivals.append("cut")
-            reset(writer)
+            send_reset(writer)
 
         first, second = await self.start(script, GOOD)
         self.assertEqual(200, (await self.ask("a"))[0])
@@ -529,7 +529,7 @@
     async def test_repeated_request_id_header_is_joined(self) -> None:
         [backend] = await self.start(GOOD)
         raw = await self.connect()
-        HeldTime()
+        FrozenLoopTime()
         raw.send(
             self.request("a", deadline_ms=500).replace(b": a\r\n", b": a\r\nKelp-Request-Id: b\r\n")
         )
@@ -593,7 +593,7 @@
 
         [backend] = await self.start(silent)
         raw = await self.connect()
-        time = HeldTime()
+        time = FrozenLoopTime()
         raw.send(self.request("a", deadline_ms=80) + self.request("b", deadline_ms=40))
         await until(lambda: backend.arrivals == ["a"])
         time.advance(ms=80)
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -24,7 +24,7 @@
 )
 from kelpstage.edge.gather.tree import Subtree
 from kelpstage.edge.handlers import handle
-from tests.async_case import AsyncCase, reset
+from tests.async_case import AsyncCase, send_reset
 from tests.test_at_most_once import GOOD, EdgeCase, Raw, RawBackend
 from tests.test_http import free_address, get, until
 
@@ -37,7 +37,7 @@
 
 
 def leave_by_reset(raw: Raw) -> None:
-    reset(raw.writer)
+    send_reset(raw.writer)
 
 
 def leave_by_closing(raw: Raw) -> None:
@@ -163,7 +163,7 @@
         for is_cancelling in (True, False):
             with self.subTest(is_cancelling=is_cancelling):
                 server, raw, events = await self.serve(is_cancelling=is_cancelling)
-                reset(raw.writer)
+                send_reset(raw.writer)
                 if is_cancelling:
                     await until(lambda server=server: not server.open_connections())
                     self.assertEqual(["began", "ended"], events)
--- a/tests/test_connection_walks.py
+++ b/tests/test_connection_walks.py
@@ -32,7 +32,7 @@
 )
 from kelpstage.common.http.server import HttpServer
 from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply, Owner
-from tests.async_case import AsyncCase, RawServer, reset
+from tests.async_case import AsyncCase, RawServer, send_reset
 from tests.test_http import Raw, free_address, until
 
 WALKS = 240
@@ -146,7 +146,7 @@
         if action == "silence":
             await reader.read()
         if action.endswith("reset"):
-            reset(writer)
+            send_reset(writer)
         elif action.endswith(("close", "silence")):
             writer.close()
 
@@ -333,7 +333,7 @@
                 await reader.readexactly(size)
                 writer.write(reply_to("me"))
             else:
-                reset(writer)
+                send_reset(writer)
 
         server = RawServer(handler=serve)
         await server.start()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -16,7 +16,7 @@
 from kelpstage.common.http.client import HttpClient
 from kelpstage.common.http.server import HttpServer
 from kelpstage.common.ports.interfaces import HttpCall, HttpLimits, HttpReply, Owner
-from tests.async_case import AsyncCase, RawServer, reset
+from tests.async_case import AsyncCase, RawServer, send_reset
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 TIMEOUT_S = 20
@@ -793,7 +793,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\n\r\nabc")
             await writer.drain()
             await may_reset.wait()
-            reset(writer)
+            send_reset(writer)
 
         await self.serve(script)
         for is_received in (True, False):
--- a/tests/test_rules_upheld.py
+++ b/tests/test_rules_upheld.py
@@ -19,7 +19,7 @@
 from kelpstage.edge.lease.lease_holder import LeaseHolder
 from kelpstage.testbed.fleet.deployment import load
 from kelpstage.testbed.simulation.fleet import SimFleet, run_sim
-from tests.async_case import AsyncCase, HeldTime
+from tests.async_case import AsyncCase, FrozenLoopTime
 from tests.test_at_most_once import EdgeCase, RawBackend, answer
 from tests.test_http import Raw, free_address, get, until
 
@@ -34,7 +34,7 @@
             self.assertEqual((503, True), (status, "retry-after" in headers))
 
 
-class Handed(EdgeCase):
+class AttemptHeaders(EdgeCase):
     """The instance and deadline that are sent to a backend, and the deadline of the reply."""
 
     is_repeatable = True
@@ -46,7 +46,7 @@
         With `wait_ms`, the first attempt's connection is closed after that time.
         """
         attempts: list[dict[str, str]] = []
-        time = HeldTime()
+        time = FrozenLoopTime()
 
         async def script(backend: RawBackend, number: int, reader: Any, writer: Any) -> None:
             head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
@@ -84,7 +84,7 @@
             await reader.read()
 
         first, _ = await self.start(silent, silent)
-        time = HeldTime()
+        time = FrozenLoopTime()
         asking = asyncio.create_task(self.ask("r", deadline_ms=3_000))
         self.addAsyncCleanup(self.drop, asking)
         await until(lambda: bool(first.arrivals))
@@ -100,7 +100,7 @@
         await asyncio.gather(asking, return_exceptions=True)
 
 
-class Upward(unittest.TestCase):
+class EpochOrder(unittest.TestCase):
     """A state is installed only if its epoch is higher than that of the installed one."""
 
     def test_an_older_state_is_not_installed(self) -> None:
@@ -118,7 +118,7 @@
         self.assertEqual((5, 3), (holder.epoch, holder.configuration.version))
 
 
-class Shares(unittest.TestCase):
+class WeightedRoute(unittest.TestCase):
     """Requests of a weighted route are split by the weights; a weight of 0 gets none."""
 
     def test_each_part_gets_its_share(self) -> None:
@@ -164,7 +164,7 @@
         await until(lambda: not server.open_connections())
 
 
-class Stopping(unittest.TestCase):
+class GracefulStop(unittest.TestCase):
     """An edge that shuts down is not ready, but answers the requests in flight."""
 
     def test_it_is_not_ready_and_serves_what_it_has(self) -> None:
