--- a/kelpstage/testbed/platform_model/backends.py
+++ b/kelpstage/testbed/platform_model/backends.py
@@ -64,10 +64,10 @@
     zone: str
     address: str
     process: HttpProcess
-    park: "Park"
+    backend_pool: "BackendPool"
     work_factor: float
     started_us: int
-    mood: InjectedFaults = field(default_factory=InjectedFaults)
+    injected_faults: InjectedFaults = field(default_factory=InjectedFaults)
     is_draining: bool = False
     is_ended: bool = False
     connections: set[int] = field(default_factory=set)
@@ -80,22 +80,22 @@
     def accept(self, *, connection: HttpLine) -> bool:
         """Accept a connection unless `MaxConns` from all clients are open; false resets it."""
         if len(self.connections) >= self.service.max_connections:
-            self.park.counts["lines_over"] += 1
+            self.backend_pool.counts["lines_over"] += 1
             return False
         self.connections.add(connection.serial)
-        self.park.counts["lines"] += 1
+        self.backend_pool.counts["lines"] += 1
         self._schedule_idle_check(connection=connection)
         return True
 
     def _schedule_idle_check(self, *, connection: HttpLine) -> None:
-        idle_us = 600_000 if self.mood.forgets_idle else IDLE_TIMEOUT_US
+        idle_us = 600_000 if self.injected_faults.forgets_idle else IDLE_TIMEOUT_US
         seen_requests = connection.requests
 
         def check() -> None:
             if not connection.is_open_at_server:
                 return
             if connection.requests == seen_requests and connection.call is None:
-                if self.mood.forgets_idle:
+                if self.injected_faults.forgets_idle:
                     connection.is_open_at_server = False  # closed without a FIN or RST
                     self.line_gone(connection=connection)
                 else:
@@ -103,15 +103,15 @@
                 return
             self._schedule_idle_check(connection=connection)
 
-        self.park.world.at(us=self.park.world.now_us() + idle_us, callback=check)
+        self.backend_pool.world.at(us=self.backend_pool.world.now_us() + idle_us, callback=check)
 
     def line_gone(self, *, connection: HttpLine) -> None:
         """Handle the end of a connection: each of its requests is dropped with probability 0.8."""
         self.connections.discard(connection.serial)
         for request in [*self.busy, *self.queue]:
             if request.connection is connection:
-                request.arrival.released_us = self.park.world.now_us()
-                request.is_dropped = self.park.rand.random() < 0.8
+                request.arrival.released_us = self.backend_pool.world.now_us()
+                request.is_dropped = self.backend_pool.rand.random() < 0.8
 
     # --- requests -------------------------------------------------------------------------
 
@@ -125,7 +125,7 @@
             service=self.service.name,
             instance_id=self.instance_id,
             node=connection.caller.name,
-            at_us=self.park.world.now_us(),
+            at_us=self.backend_pool.world.now_us(),
             host=call.headers.get("host", ""),
             method=call.method,
             target=call.url,
@@ -133,8 +133,8 @@
             ran=False,
             given_us=int(float(call.headers.get(DEADLINE_HEADER, "0")) * 1_000),
         )
-        self.park.history.arrivals.append(arrival)
-        self.park.check_headers(call=call, arrival=arrival)
+        self.backend_pool.history.arrivals.append(arrival)
+        self.backend_pool.check_headers(call=call, arrival=arrival)
         expected = call.headers.get(EXPECT_INSTANCE_HEADER)
         if expected and expected != self.instance_id:
             self._reject(connection=connection, arrival=arrival, status=421)
@@ -150,16 +150,16 @@
             connection=connection,
             call=call,
             arrival=arrival,
-            due_us=self.park.world.now_us() + wait_us,
+            due_us=self.backend_pool.world.now_us() + wait_us,
         )
         self.queue.append(request)
         self._start_queued()
 
     def _answer_health_check(self, *, connection: HttpLine) -> None:
-        self.park.counts["probes"] += 1
+        self.backend_pool.counts["probes"] += 1
         is_healthy = not self.is_draining
-        if self.mood.false_health:
-            is_healthy = self.mood.false_health == "good"
+        if self.injected_faults.false_health:
+            is_healthy = self.injected_faults.false_health == "good"
         if len(self.queue) >= QUEUE_LIMIT:
             is_healthy = False
         self._send(
@@ -171,7 +171,7 @@
 
     def _reject(self, *, connection: HttpLine, arrival: Arrival, status: int) -> None:
         arrival.status = status
-        self.park.counts[f"turned_away_{status}"] += 1
+        self.backend_pool.counts[f"turned_away_{status}"] += 1
         self._send(
             connection=connection,
             status=status,
@@ -184,30 +184,30 @@
             request = self.queue.popleft()
             if request.is_dropped:
                 continue
-            if self.park.world.now_us() >= request.due_us:
+            if self.backend_pool.world.now_us() >= request.due_us:
                 self._reject(connection=request.connection, arrival=request.arrival, status=503)
                 continue
             self._start_work(request=request)
 
     def _start_work(self, *, request: BackendRequest) -> None:
-        now_us = self.park.world.now_us()
+        now_us = self.backend_pool.world.now_us()
         request.arrival.ran, request.arrival.begun_us = True, now_us
         self.busy.append(request)
         end_us = min(now_us + self._service_time_us(request=request), max(now_us, request.due_us))
         end_us = self._add_pause(begin_us=now_us, end_us=end_us)
         request.arrival.until_us = end_us
-        self.park.world.at(
+        self.backend_pool.world.at(
             us=end_us, callback=lambda: self.process.deliver(lambda: self._finish(request=request))
         )
 
     def _service_time_us(self, *, request: BackendRequest) -> int:
         rand, kind = (
-            self.park.rand,
-            self.park.kind_of(host=request.arrival.host, target=request.call.url),
+            self.backend_pool.rand,
+            self.backend_pool.kind_of(host=request.arrival.host, target=request.call.url),
         )
-        work_us = (kind.work_us if kind else 20_000) * self.work_factor * self.mood.slow
+        work_us = (kind.work_us if kind else 20_000) * self.work_factor * self.injected_faults.slow
         work_us *= 0.7 + 0.6 * rand.random()
-        if self.park.world.now_us() < self.started_us + SLOW_START_US:
+        if self.backend_pool.world.now_us() < self.started_us + SLOW_START_US:
             work_us *= 2.5
         if len(self.busy) >= self.service.slots:
             work_us *= 1.25
@@ -223,8 +223,8 @@
         return end_us + pause_us if offset_us + end_us - begin_us > interval_us else end_us
 
     def _finish(self, *, request: BackendRequest) -> None:
-        now_us = self.park.world.now_us()
-        arrival, rand = request.arrival, self.park.rand
+        now_us = self.backend_pool.world.now_us()
+        arrival, rand = request.arrival, self.backend_pool.rand
         if request in self.busy:
             self.busy.remove(request)
         arrival.ended_us = now_us
@@ -232,10 +232,10 @@
             self._start_queued()
             return
         status = 504 if now_us >= request.due_us else 200
-        if rand.random() < self.mood.fail_share:
+        if rand.random() < self.injected_faults.fail_share:
             status = 500
         arrival.status = status
-        if rand.random() < self.mood.reset_share:
+        if rand.random() < self.injected_faults.reset_share:
             arrival.broke_off = True
             request.connection.close_from_server(how=RESET)
             self._start_queued()
@@ -244,12 +244,12 @@
         self._start_queued()
 
     def _reply(self, *, request: BackendRequest, status: int) -> None:
-        rand, arrival = self.park.rand, request.arrival
-        kind = self.park.kind_of(host=arrival.host, target=request.call.url)
-        body = self.park.make_body(kind=kind) if status == 200 else b"failed"
-        seal = self.park.issue_seal(arrival=arrival, status=status, body=body)
+        rand, arrival = self.backend_pool.rand, request.arrival
+        kind = self.backend_pool.kind_of(host=arrival.host, target=request.call.url)
+        body = self.backend_pool.make_body(kind=kind) if status == 200 else b"failed"
+        seal = self.backend_pool.issue_seal(arrival=arrival, status=status, body=body)
         headers = {ATTEMPT_HEADER: arrival.attempt, "x-answer-seal": seal}
-        if rand.random() < self.mood.bad_share:
+        if rand.random() < self.injected_faults.bad_share:
             self._send_faulty_reply(request=request, headers=headers, status=status, body=body)
             return
         self._send(connection=request.connection, status=status, headers=headers, body=body)
@@ -257,8 +257,10 @@
     def _send_faulty_reply(
         self, *, request: BackendRequest, headers: dict, status: int, body: bytes
     ) -> None:
-        fault = self.park.rand.choice(("cut", "garbage", "extra", "late", "encoded", "silent"))
-        self.park.counts[f"bad_{fault}"] += 1
+        fault = self.backend_pool.rand.choice(
+            ("cut", "garbage", "extra", "late", "encoded", "silent")
+        )
+        self.backend_pool.counts[f"bad_{fault}"] += 1
         stale_reply = HttpReply(
             status=200,
             body=b"z" * 32,
@@ -280,10 +282,10 @@
             request.connection.reply(pieces=[(COMPLETE, reply), (COMPLETE, stale_reply)])
         if fault == "late":
             self._send(connection=request.connection, status=status, headers=headers, body=body)
-            late_us = int(2_000 + self.park.rand.random() * 60_000)
+            late_us = int(2_000 + self.backend_pool.rand.random() * 60_000)
             connection = request.connection
-            self.park.world.at(
-                us=self.park.world.now_us() + late_us,
+            self.backend_pool.world.at(
+                us=self.backend_pool.world.now_us() + late_us,
                 callback=lambda: (
                     connection.is_open_at_server
                     and connection._send_reply(pieces=[(COMPLETE, stale_reply)])
@@ -304,7 +306,7 @@
             )
 
     def _send(self, *, connection: HttpLine, status: int, headers: dict, body: bytes) -> None:
-        is_last = self.is_draining or self.park.rand.random() < CLOSE_PROBABILITY
+        is_last = self.is_draining or self.backend_pool.rand.random() < CLOSE_PROBABILITY
         headers = {**headers, "keep-alive": f"timeout={IDLE_TIMEOUT_US // 1_000_000}"}
         if is_last:
             headers["connection"] = "close"
@@ -313,7 +315,7 @@
             connection.close_from_server(how="closed")
 
 
-class Park:
+class BackendPool:
     """All backends of a scenario, and the platform's instance list."""
 
     def __init__(
@@ -364,7 +366,7 @@
             zone=zone,
             address=address,
             process=process,
-            park=self,
+            backend_pool=self,
             work_factor=self.rand.choice((0.8, 1.0, 1.0, 1.3)),
             started_us=now_us if is_cold else now_us - SLOW_START_US,
             pause_offset_us=self.rand.randrange(service.pause_interval_us),
@@ -435,7 +437,7 @@
         self.live.pop(backend.instance_id, None)
         self._free_addresses.append((self.world.now_us() + self._reuse_us, backend.address))
 
-    def of(self, *, service: str) -> list[Backend]:
+    def active_instances(self, *, service: str) -> list[Backend]:
         """The backends of a service that have neither ended nor started to drain."""
         return [b for b in self.live.values() if b.service.name == service and not b.is_draining]
 
--- a/kelpstage/testbed/platform_model/clients.py
+++ b/kelpstage/testbed/platform_model/clients.py
@@ -10,7 +10,12 @@
 from kelpstage.common.errors.base import KelpstageError
 from kelpstage.common.errors.transport import ConnectError, ConnectionLostError, ReplyTimeoutError
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
-from kelpstage.testbed.platform_model.history import LEFT, PROMISES, History, Request
+from kelpstage.testbed.platform_model.history import (
+    CLIENT_DISCONNECTED,
+    NOT_RUN_STATUSES,
+    History,
+    Request,
+)
 from kelpstage.testbed.platform_model.net import GARBAGE, HttpLine, HttpProcess, PlatformWorld
 from kelpstage.testbed.platform_model.shape import KindShape, Shape
 from kelpstage.testbed.platform_model.traffic import RouteDraft
@@ -155,7 +160,7 @@
         self._serial = 0
         self.in_flight = 0
         self.is_open = True
-        self.press = 1.0
+        self.rate_factor = 1.0
         self.abuse = 0.0  # the share that retries at once and more often
         self.leaving = 0.0  # the share that disconnects before the reply
         self.scores: dict[str, KindScore] = {}
@@ -179,7 +184,7 @@
 
     async def _run(self, *, kind: KindShape) -> None:
         while self.is_open:
-            pause_s = self._rand.expovariate(kind.per_s * self._rate * self.press)
+            pause_s = self._rand.expovariate(kind.per_s * self._rate * self.rate_factor)
             await asyncio.sleep(pause_s)
             if not self.is_open:
                 return
@@ -241,7 +246,7 @@
         return min(request.retry_after_us, left_us // 3)
 
     def _score(self, *, kind: KindShape, request: Request, started_us: int) -> None:
-        if request.end == LEFT:
+        if request.end == CLIENT_DISCONNECTED:
             return  # a request that its client abandoned is not scored
         score = self.scores.setdefault(kind.name, KindScore())
         score.request_count += 1
@@ -258,14 +263,14 @@
 
     @staticmethod
     def _may_retry(*, request: Request, kind: KindShape) -> bool:
-        if request.is_success or request.end == LEFT:
+        if request.is_success or request.end == CLIENT_DISCONNECTED:
             return False
         if request.end == "answered" and request.status in NOT_RETRYABLE_STATUSES:
             return False
         if kind.is_repeatable:
             return True
         if request.end == "answered":
-            return request.status in PROMISES
+            return request.status in NOT_RUN_STATUSES
         return request.end in ("unconnected", "closed", "reset") and not request.read_us
 
     async def _attempt(
@@ -411,7 +416,9 @@
     def _disconnect(self, *, request: Request, connection: HttpLine) -> None:
         if request.done_us or connection._future is None or connection._future.done():
             return
-        connection._future.set_result(ConnectionLostError(address=connection.address, why=LEFT))
+        connection._future.set_result(
+            ConnectionLostError(address=connection.address, why=CLIENT_DISCONNECTED)
+        )
 
     def _note_unsolicited(self, *, request: Request, reply: HttpReply) -> None:
         if 200 <= reply.status < 300:
--- a/kelpstage/testbed/platform_model/cloud.py
+++ b/kelpstage/testbed/platform_model/cloud.py
@@ -7,7 +7,7 @@
 from urllib.parse import parse_qs
 
 from kelpstage.common.ports.interfaces import HttpCall, HttpReply
-from kelpstage.testbed.platform_model.backends import Park
+from kelpstage.testbed.platform_model.backends import BackendPool
 from kelpstage.testbed.platform_model.history import History, Shown
 from kelpstage.testbed.platform_model.net import COMPLETE, HttpLine, PlatformWorld
 
@@ -22,13 +22,13 @@
         self,
         *,
         world: PlatformWorld,
-        park: Park,
+        backend_pool: BackendPool,
         history: History,
         per_s: float,
         page_size: int = PAGE_SIZE,
     ) -> None:
         self._world = world
-        self._park = park
+        self._backend_pool = backend_pool
         self._history = history
         self._per_s = per_s
         self._page_size = page_size
@@ -71,7 +71,7 @@
         if not token:
             self._serial += 1
             listing, offset = f"p{self._serial}", "0"
-            self._listings[listing] = self._park.rows()
+            self._listings[listing] = self._backend_pool.rows()
             self._listings.pop(f"p{self._serial - 200}", None)
         rows = self._listings[listing]
         matching = [row for row in rows if not zone or row["ZoneName"] == zone]
--- a/kelpstage/testbed/platform_model/eligibility.py
+++ b/kelpstage/testbed/platform_model/eligibility.py
@@ -17,12 +17,12 @@
 HARMLESS_FAULTS = frozenset(("reread",))
 
 
-class Touch:
+class CoreContact:
     """Finds the moments of contact from a scenario's faults and network partitions alone.
 
     >>> history = History(machines=frozenset("ab"), core=frozenset("a"))
     >>> history.faults.append(MachineFault(machine="b", what="freeze", begin_us=9, end_us=10))
-    >>> touch = Touch(history=history)
+    >>> touch = CoreContact(history=history)
     >>> touch.is_in_touch(node="a", at_us=20), touch.is_in_touch(node="b", at_us=20)
     (True, False)
     """
@@ -154,7 +154,7 @@
             and self.has_core_paths(node=node, begin_us=begin_us, end_us=at_us)
         )
 
-    def is_outer(self, *, node: str, at_us: int, since_us: int) -> bool:
+    def has_extended_bound(self, *, node: str, at_us: int, since_us: int) -> bool:
         """True if the node meets conditions 1 and 3 and the core had a majority all the time.
 
         The time bound for a configuration is then extended, but still applies.
@@ -185,6 +185,6 @@
             cut.begin_us <= end_us and cut.end_us >= begin_us for cut in self._history.cuts
         )
 
-    def is_held_up(self, *, a: str, b: str, at_us: int) -> bool:
+    def was_recently_partitioned(self, *, a: str, b: str, at_us: int) -> bool:
         """True if the path between two machines was cut in the last `TouchMs`."""
         return self.is_partitioned(a=a, b=b, begin_us=at_us - self._touch_us, end_us=at_us)
--- a/kelpstage/testbed/platform_model/faults/backends.py
+++ b/kelpstage/testbed/platform_model/faults/backends.py
@@ -14,7 +14,7 @@
     """Return random backends that are not draining; `gathered` selects one kind of service."""
     found = [
         b
-        for b in play.park.live.values()
+        for b in play.backend_pool.live.values()
         if not b.is_draining and (gathered is None or bool(b.service.pause_us) == gathered)
     ]
     return rand.sample(found, min(count, len(found)))
@@ -23,13 +23,13 @@
 async def _start_replacement(play: Any, *, backend: Any, after_s: float) -> None:
     """Start a new instance of the backend's service after a delay."""
     await sleep(s=after_s)
-    play.park.start(service=backend.service, zone=backend.zone)
+    play.backend_pool.start(service=backend.service, zone=backend.zone)
 
 
 async def srv_crash(play: Any, rand: random.Random) -> None:
     """Backends crash one after another; most are replaced by new instances."""
     for backend in pick_backends(play, rand, count=4):
-        play.park.crash(backend=backend)
+        play.backend_pool.crash(backend=backend)
         if rand.random() < 0.75:
             play.later(_start_replacement(play, backend=backend, after_s=1 + rand.random() * 4))
         await sleep(s=0.5 + rand.random() * 2)
@@ -39,38 +39,38 @@
     """Backends take four or ten times as long for a while."""
     chosen = pick_backends(play, rand, count=3)
     for backend in chosen:
-        backend.mood.slow = rand.choice((4.0, 10.0))
+        backend.injected_faults.slow = rand.choice((4.0, 10.0))
     await sleep(s=8)
     for backend in chosen:
-        backend.mood.slow = 1.0
+        backend.injected_faults.slow = 1.0
 
 
 async def garble(play: Any, rand: random.Random) -> None:
     """Backends send truncated, malformed, duplicated, late or encoded answers."""
     chosen = pick_backends(play, rand, count=4)
     for backend in chosen:
-        backend.mood.bad_share = rand.choice((0.1, 0.5))
+        backend.injected_faults.bad_share = rand.choice((0.1, 0.5))
     await sleep(s=10)
     for backend in chosen:
-        backend.mood.bad_share = 0.0
+        backend.injected_faults.bad_share = 0.0
 
 
 async def srv_reset(play: Any, rand: random.Random) -> None:
     """Backends reset connections."""
     chosen = pick_backends(play, rand, count=4)
     for backend in chosen:
-        backend.mood.reset_share = rand.choice((0.1, 0.4))
+        backend.injected_faults.reset_share = rand.choice((0.1, 0.4))
     await sleep(s=8)
     for backend in chosen:
-        backend.mood.reset_share = 0.0
+        backend.injected_faults.reset_share = 0.0
 
 
 async def srv_drain(play: Any, rand: random.Random) -> None:
     """Backends drain one after another, each after its replacement; addresses are reused."""
     for backend in pick_backends(play, rand, count=6):
-        play.park.start(service=backend.service, zone=backend.zone)
+        play.backend_pool.start(service=backend.service, zone=backend.zone)
         await sleep(s=1.5)
-        play.park.drain(backend=backend)
+        play.backend_pool.drain(backend=backend)
         await sleep(s=rand.random())
 
 
@@ -78,39 +78,42 @@
     """Backends accept connections and requests but never answer."""
     chosen = pick_backends(play, rand, count=2)
     for backend in chosen:
-        play.park.go_silent(backend=backend)
+        play.backend_pool.go_silent(backend=backend)
     await sleep(s=6)
     for backend in chosen:
-        play.park.wake(backend=backend)
+        play.backend_pool.wake(backend=backend)
 
 
 async def srv_grey(play: Any, rand: random.Random) -> None:
     """Backends fail a share of their requests while their health check passes."""
     chosen = pick_backends(play, rand, count=4)
     for backend in chosen:
-        backend.mood.fail_share, backend.mood.false_health = rand.choice((0.2, 0.8)), "good"
+        backend.injected_faults.fail_share, backend.injected_faults.false_health = (
+            rand.choice((0.2, 0.8)),
+            "good",
+        )
     await sleep(s=9)
     for backend in chosen:
-        backend.mood.fail_share, backend.mood.false_health = 0.0, ""
+        backend.injected_faults.fail_share, backend.injected_faults.false_health = 0.0, ""
 
 
 async def srv_lying_health(play: Any, rand: random.Random) -> None:
     """Backends' health checks pass or fail regardless of their state."""
     chosen = pick_backends(play, rand, count=8)
     for backend in chosen:
-        backend.mood.false_health = rand.choice(("good", "bad"))
+        backend.injected_faults.false_health = rand.choice(("good", "bad"))
     await sleep(s=10)
     for backend in chosen:
-        backend.mood.false_health = ""
+        backend.injected_faults.false_health = ""
 
 
 async def srv_flap(play: Any, rand: random.Random) -> None:
     """Backends crash and restart repeatedly, each time as a new instance."""
     for backend in pick_backends(play, rand, count=2):
         for _ in range(3):
-            play.park.crash(backend=backend)
+            play.backend_pool.crash(backend=backend)
             await sleep(s=1.5)
-            backend = play.park.start(service=backend.service, zone=backend.zone)
+            backend = play.backend_pool.start(service=backend.service, zone=backend.zone)
             await sleep(s=1.5)
 
 
@@ -118,31 +121,31 @@
     """Backends drop idle connections without a FIN or RST."""
     chosen = pick_backends(play, rand, count=12)
     for backend in chosen:
-        backend.mood.forgets_idle = True
+        backend.injected_faults.forgets_idle = True
     await sleep(s=12)
     for backend in chosen:
-        backend.mood.forgets_idle = False
+        backend.injected_faults.forgets_idle = False
 
 
 async def shard_down(play: Any, rand: random.Random) -> None:
     """All backends of a shard crash and are replaced by new instances later."""
     service = rand.choice(play.shape.index)
-    gone = play.park.of(service=service)
+    gone = play.backend_pool.active_instances(service=service)
     for backend in gone:
-        play.park.crash(backend=backend)
+        play.backend_pool.crash(backend=backend)
     await sleep(s=6)
     for backend in gone:
-        play.park.start(service=backend.service, zone=backend.zone)
+        play.backend_pool.start(service=backend.service, zone=backend.zone)
 
 
 async def many_slow(play: Any, rand: random.Random) -> None:
     """Backends of many shards are slow."""
     chosen = pick_backends(play, rand, count=len(play.shape.index), gathered=True)
     for backend in chosen:
-        backend.mood.slow = 6.0
+        backend.injected_faults.slow = 6.0
     await sleep(s=8)
     for backend in chosen:
-        backend.mood.slow = 1.0
+        backend.injected_faults.slow = 1.0
 
 
 async def many_dark(play: Any, rand: random.Random) -> None:
@@ -151,28 +154,32 @@
     dark = []
     for backend in chosen:
         if rand.random() < 0.5:
-            play.park.crash(backend=backend)
+            play.backend_pool.crash(backend=backend)
             play.later(_start_replacement(play, backend=backend, after_s=6))
         else:
-            play.park.go_silent(backend=backend)
+            play.backend_pool.go_silent(backend=backend)
             dark.append(backend)
     await sleep(s=7)
     for backend in dark:
-        play.park.wake(backend=backend)
+        play.backend_pool.wake(backend=backend)
 
 
 async def srv_desk(play: Any, rand: random.Random) -> None:
     """All backends of the non-repeatable service are slow, reset connections and send invalid
     answers; one of them crashes."""
-    chosen = play.park.of(service=play.shape.other)
+    chosen = play.backend_pool.active_instances(service=play.shape.other)
     for backend in chosen:
-        backend.mood.slow = rand.choice((1.0, 3.0, 8.0))
-        backend.mood.bad_share, backend.mood.reset_share = 0.2, 0.15
-        backend.mood.forgets_idle = rand.random() < 0.5
+        backend.injected_faults.slow = rand.choice((1.0, 3.0, 8.0))
+        backend.injected_faults.bad_share, backend.injected_faults.reset_share = 0.2, 0.15
+        backend.injected_faults.forgets_idle = rand.random() < 0.5
     await sleep(s=7)
-    play.park.crash(backend=chosen[0])
+    play.backend_pool.crash(backend=chosen[0])
     play.later(_start_replacement(play, backend=chosen[0], after_s=2))
     await sleep(s=3)
     for backend in chosen:
-        backend.mood.slow, backend.mood.bad_share, backend.mood.reset_share = 1.0, 0.0, 0.0
-        backend.mood.forgets_idle = False
+        (
+            backend.injected_faults.slow,
+            backend.injected_faults.bad_share,
+            backend.injected_faults.reset_share,
+        ) = 1.0, 0.0, 0.0
+        backend.injected_faults.forgets_idle = False
--- a/kelpstage/testbed/platform_model/faults/clients.py
+++ b/kelpstage/testbed/platform_model/faults/clients.py
@@ -11,9 +11,9 @@
 
 async def burst(play: Any, rand: random.Random) -> None:
     """Clients send at three times their usual rate."""
-    play.clients.press = 3.0
+    play.clients.rate_factor = 3.0
     await sleep(s=8)
-    play.clients.press = 1.0
+    play.clients.rate_factor = 1.0
 
 
 async def clients_leave(play: Any, rand: random.Random) -> None:
@@ -21,12 +21,12 @@
     requests would keep running."""
     chosen = pick_backends(play, rand, count=99, gathered=True)
     for backend in chosen:
-        backend.mood.slow = 60.0
+        backend.injected_faults.slow = 60.0
     play.clients.leaving = 0.6
     await sleep(s=5)
     play.clients.leaving = 0.0
     for backend in chosen:
-        backend.mood.slow = 1.0
+        backend.injected_faults.slow = 1.0
 
 
 async def retry_abuse(play: Any, rand: random.Random) -> None:
--- a/kelpstage/testbed/platform_model/faults/closing.py
+++ b/kelpstage/testbed/platform_model/faults/closing.py
@@ -13,7 +13,7 @@
 async def closing_power(play: Any, rand: random.Random) -> None:
     """Every machine loses power."""
     await asyncio.gather(
-        *(play.fleet.cut_power(node=node, for_us=1_000_000) for node in play.fleet.there())
+        *(play.fleet.cut_power(node=node, for_us=1_000_000) for node in play.fleet.provisioned())
     )
 
 
@@ -23,8 +23,8 @@
     wiped = rand.sample(play.fleet.core(), play.shape.tolerance)
     await asyncio.gather(
         *(
-            play.fleet.cut_power(node=node, for_us=1_000_000, is_disk=node in wiped)
-            for node in play.fleet.there()
+            play.fleet.cut_power(node=node, for_us=1_000_000, loses_disk=node in wiped)
+            for node in play.fleet.provisioned()
         )
     )
 
@@ -38,7 +38,7 @@
 
 async def closing_kill(play: Any, rand: random.Random) -> None:
     """Every process is killed."""
-    await asyncio.gather(*(play.fleet.kill(node=node) for node in play.fleet.there()))
+    await asyncio.gather(*(play.fleet.kill(node=node) for node in play.fleet.provisioned()))
 
 
 async def closing_wipe(play: Any, rand: random.Random) -> None:
@@ -47,6 +47,6 @@
     core = play.fleet.core()
     wiped = rand.sample(core, play.shape.tolerance)
     await asyncio.gather(
-        *(play.fleet.kill(node=node, is_disk=True, for_us=1_000_000) for node in wiped),
+        *(play.fleet.kill(node=node, loses_disk=True, for_us=1_000_000) for node in wiped),
         *(play.fleet.cut_power(node=node, for_us=1_000_000) for node in core if node not in wiped),
     )
--- a/kelpstage/testbed/platform_model/faults/configuration.py
+++ b/kelpstage/testbed/platform_model/faults/configuration.py
@@ -75,5 +75,5 @@
         return
     await sleep(s=play.history.bounds.apply_us / 1_000_000 + 1)
     for service in old:
-        for backend in play.park.of(service=service):
-            play.park.drain(backend=backend)
+        for backend in play.backend_pool.active_instances(service=service):
+            play.backend_pool.drain(backend=backend)
--- a/kelpstage/testbed/platform_model/faults/machines.py
+++ b/kelpstage/testbed/platform_model/faults/machines.py
@@ -11,7 +11,7 @@
 
 
 def _machines_without_disk(play: Any) -> list:
-    return [node for node in play.fleet.there() if not node.has_disk]
+    return [node for node in play.fleet.provisioned() if not node.has_disk]
 
 
 async def node_kill(play: Any, rand: random.Random) -> None:
@@ -30,21 +30,21 @@
 
 async def power_loss(play: Any, rand: random.Random) -> None:
     """A machine loses power."""
-    node = rand.choice(play.fleet.there())
+    node = rand.choice(play.fleet.provisioned())
     async with play.loss(node=node):
         await play.fleet.cut_power(node=node, for_us=rand.choice((2_000_000, 6_000_000)))
 
 
 async def node_freeze(play: Any, rand: random.Random) -> None:
     """A machine freezes."""
-    node = rand.choice(play.fleet.there())
+    node = rand.choice(play.fleet.provisioned())
     async with play.loss(node=node):
         await play.fleet.freeze(node=node, for_us=rand.choice((800_000, 3_000_000, 7_000_000)))
 
 
 async def roll_term(play: Any, rand: random.Random) -> None:
     """Machines are stopped and restarted one after another."""
-    nodes = play.fleet.there()
+    nodes = play.fleet.provisioned()
     for node in nodes if len(nodes) < 8 else rand.sample(nodes, 4):
         async with play.loss(node=node):
             await play.fleet.stop(node=node)
@@ -54,7 +54,7 @@
 async def herd_kill(play: Any, rand: random.Random) -> None:
     """Half of the machines are killed at the same time, but at most one core machine."""
     async with play.loss(node=None):
-        nodes = play.fleet.there()
+        nodes = play.fleet.provisioned()
         chosen = rand.sample(nodes, len(nodes) // 2)
         core = [node for node in chosen if node.has_disk]
         await asyncio.gather(
@@ -74,7 +74,7 @@
     core = play.fleet.core()
     wiped = rand.sample(core, play.shape.tolerance)
     for node in rand.sample(core, len(core)):
-        play.later(play.fleet.cut_power(node=node, for_us=1_500_000, is_disk=node in wiped))
+        play.later(play.fleet.cut_power(node=node, for_us=1_500_000, loses_disk=node in wiped))
         await sleep(s=rand.random() * 0.6)
     await sleep(s=8)
 
@@ -83,9 +83,9 @@
     """A core machine is replaced by a new one, with or without notice."""
     async with play.loss(node=None):
         node = rand.choice(play.fleet.core())
-        fresh = await play.fleet.replace_core(node=node, is_told=rand.random() < 0.5)
-        play.front.remove(name=node.name)
-        play.add_front(node=fresh)
+        fresh = await play.fleet.replace_core(node=node, is_graceful=rand.random() < 0.5)
+        play.load_balancer.remove(name=node.name)
+        play.add_to_load_balancer(node=fresh)
 
 
 async def seed_turnover(play: Any, rand: random.Random) -> None:
@@ -112,7 +112,7 @@
     if node is None:
         return
     if is_disk:
-        await play.fleet.kill(node=node, is_disk=True, for_us=1_000_000)
+        await play.fleet.kill(node=node, loses_disk=True, for_us=1_000_000)
     else:
         await play.fleet.cut_power(node=node, for_us=2_500_000)
 
--- a/kelpstage/testbed/platform_model/faults/membership.py
+++ b/kelpstage/testbed/platform_model/faults/membership.py
@@ -16,7 +16,7 @@
 
 def _machines_without_disk(play: Any) -> list[Node]:
     """Return the machines of which any number may fail."""
-    return [node for node in play.fleet.there() if not node.has_disk]
+    return [node for node in play.fleet.provisioned() if not node.has_disk]
 
 
 def _pick_most(play: Any, rand: random.Random) -> list[Node]:
@@ -29,7 +29,7 @@
     """Most machines without a disk stop for good, shortly one after another, while a write is
     sent."""
     for node in _pick_most(play, rand):
-        play.front.remove(name=node.name)
+        play.load_balancer.remove(name=node.name)
         play.later(play.fleet.stop(node=node, is_for_good=True))
         await sleep(s=rand.random())
     await config_change(play, rand)
@@ -38,8 +38,8 @@
 async def most_go_dark(play: Any, rand: random.Random) -> None:
     """Most machines without a disk fail at once and never return; a write follows."""
     for node in _pick_most(play, rand):
-        play.front.remove(name=node.name)
-        play.fleet.lose(node=node)
+        play.load_balancer.remove(name=node.name)
+        play.fleet.remove_for_good(node=node)
     await config_change(play, rand)
 
 
@@ -57,7 +57,7 @@
 async def all_replaced(play: Any, rand: random.Random) -> None:
     """Each machine is replaced by a new one at another address, with or without notice; core
     machines are replaced one at a time."""
-    nodes = play.fleet.there()
+    nodes = play.fleet.provisioned()
     for node in rand.sample(nodes, len(nodes)):
         await _replace(play, rand, node=node)
     await config_change(play, rand)
@@ -67,11 +67,11 @@
     is_told = rand.random() < 0.5
     if node.has_disk:
         async with play.loss(node=node):
-            fresh = await play.fleet.replace_core(node=node, is_told=is_told)
+            fresh = await play.fleet.replace_core(node=node, is_graceful=is_told)
     else:
         if is_told:
             await play.fleet.stop(node=node, is_for_good=True)
-        play.fleet.lose(node=node)
+        play.fleet.remove_for_good(node=node)
         fresh = await play.fleet.start_new(zone=node.zone)
-    play.front.remove(name=node.name)
-    play.add_front(node=fresh)
+    play.load_balancer.remove(name=node.name)
+    play.add_to_load_balancer(node=fresh)
--- a/kelpstage/testbed/platform_model/faults/network.py
+++ b/kelpstage/testbed/platform_model/faults/network.py
@@ -29,7 +29,7 @@
     play.history.cuts += cuts
     play.later(config_change(play, rand))
     for _ in range(20):
-        await play.second.read()
+        await play.second_operator.read()
         await sleep(s=0.3)
     for cut in cuts:
         play.world.blocked_paths -= {(cut.a, cut.b), (cut.b, cut.a)}
@@ -41,7 +41,7 @@
     """Partition a core machine from the core or from all machines, and write meanwhile."""
     node = rand.choice(play.fleet.core())
     is_all = rand.random() < 0.5
-    others = [n for n in play.fleet.there() if n is not node and (is_all or n.has_disk)]
+    others = [n for n in play.fleet.provisioned() if n is not node and (is_all or n.has_disk)]
     cuts = []
     for other in others:
         play.world.block_path(a=node.name, b=other.name)
--- a/kelpstage/testbed/platform_model/faults/write_races.py
+++ b/kelpstage/testbed/platform_model/faults/write_races.py
@@ -22,7 +22,7 @@
     """Two operators send different writes on the same base version at the same time, and the
     drafts follow the write that is in force afterwards."""
     async with play.changing:
-        operators = (play.operator, play.second)
+        operators = (play.operator, play.second_operator)
         for who in operators:
             await who.catch_up()
         base = max(who.revision for who in operators)
@@ -55,7 +55,7 @@
 
 async def resend(play: Any, orders: list[Order]) -> None:
     """Send all writes once more, unchanged and concurrently, as the second operator."""
-    await asyncio.gather(*(play.second.send_once(order=order) for order in orders))
+    await asyncio.gather(*(play.second_operator.send_once(order=order) for order in orders))
 
 
 async def ack_lost(play: Any, rand: random.Random) -> None:
@@ -63,9 +63,9 @@
     immediately and after later writes."""
     known: list[Order] = []
     for _ in range(ROUNDS):
-        play.operator.lose_share = play.second.lose_share = LOST_ANSWER_SHARE
+        play.operator.lose_share = play.second_operator.lose_share = LOST_ANSWER_SHARE
         orders = await race_writes(play, rand, count=CONCURRENT_WRITES)
-        play.operator.lose_share = play.second.lose_share = 0.0
+        play.operator.lose_share = play.second_operator.lose_share = 0.0
         known += [order for order in orders if order.acked_us]
         await resend(play, known)
 
@@ -73,12 +73,12 @@
 async def one_number(play: Any, rand: random.Random) -> None:
     """Two operators use one version number for different writes, while answers are lost and
     core machines are killed."""
-    play.operator.lose_share = play.second.lose_share = LOST_ANSWER_SHARE
+    play.operator.lose_share = play.second_operator.lose_share = LOST_ANSWER_SHARE
     known: list[Order] = []
     for _ in range(ROUNDS):
         known += await race_writes(play, rand, is_one_number=True)
         play.later(_kill_core_machine(play, rand))
-    play.operator.lose_share = play.second.lose_share = 0.0
+    play.operator.lose_share = play.second_operator.lose_share = 0.0
     await resend(play, [order for order in known if order.acked_us])
 
 
--- a/kelpstage/testbed/platform_model/history.py
+++ b/kelpstage/testbed/platform_model/history.py
@@ -13,8 +13,8 @@
 from kelpstage.testbed.checkers.linearizable import Answer, Attempt
 
 NEVER_US = 1 << 62
-PROMISES = frozenset((408, 421, 429, 503))
-LEFT = "left"  # the end of a request whose client disconnects early
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+CLIENT_DISCONNECTED = "left"  # the end of a request whose client disconnects early
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/kelpstage/testbed/platform_model/machines.py
+++ b/kelpstage/testbed/platform_model/machines.py
@@ -125,7 +125,7 @@
         """The machines with a disk that have not been removed."""
         return [node for node in self.nodes.values() if node.has_disk and node.is_provisioned]
 
-    def there(self) -> list[Node]:
+    def provisioned(self) -> list[Node]:
         """The machines that have not been removed, running or not."""
         return [node for node in self.nodes.values() if node.is_provisioned]
 
@@ -292,15 +292,15 @@
         node: Node,
         roles: tuple[str, ...] = (),
         for_us: int = RESTART_DELAY_US,
-        is_disk: bool = False,
+        loses_disk: bool = False,
     ) -> None:
-        """Kill processes and restart them after `for_us`; `is_disk` also loses the disk."""
+        """Kill processes and restart them after `for_us`; `loses_disk` also loses the disk."""
         fault = self._begin_fault(node=node, what="kill")
         for role in roles or node.roles:
             process = node.processes.get(role)
             if process is not None:
                 process.kill()
-        if is_disk:
+        if loses_disk:
             node.machine.disk_image.replace_with_empty()
         await self._restart(node=node, roles=roles or node.roles, for_us=for_us, fault=fault)
 
@@ -311,13 +311,13 @@
         await asyncio.gather(*starts)
         fault.end_us = self.world.now_us()
 
-    async def cut_power(self, *, node: Node, for_us: int, is_disk: bool = False) -> None:
+    async def cut_power(self, *, node: Node, for_us: int, loses_disk: bool = False) -> None:
         """Cut a machine's power for `for_us`: no peer is notified, unsynced bytes are lost."""
         fault = self._begin_fault(node=node, what="power")
         node.machine.is_on = False
         for process in node.processes.values():
             process.kill(is_power=True)
-        if is_disk:
+        if loses_disk:
             node.machine.disk_image.replace_with_empty()
         else:
             node.machine.disk_image.lose_power()
@@ -358,11 +358,14 @@
             return
         await self._restart(node=node, roles=node.roles, for_us=RESTART_DELAY_US, fault=fault)
 
-    async def replace_core(self, *, node: Node, is_told: bool) -> Node:
-        """Replace a core machine by an empty one at another address; `is_told` stops it first."""
-        if is_told:
+    async def replace_core(self, *, node: Node, is_graceful: bool) -> Node:
+        """Replace a core machine by an empty one at another address.
+
+        With `is_graceful`, the machine is stopped first.
+        """
+        if is_graceful:
             await self.stop(node=node, is_for_good=True)
-        self.lose(node=node)
+        self.remove_for_good(node=node)
         await asyncio.sleep(1.0 + self.rand.random() * 2)
         new_node = self.add(zone=node.zone, has_disk=True)
         self.history.core_since[new_node.name] = self.world.now_us()
@@ -373,7 +376,7 @@
         self.reread_all()
         return new_node
 
-    def lose(self, *, node: Node) -> None:
+    def remove_for_good(self, *, node: Node) -> None:
         """Remove a machine for good, without a notification to its peers."""
         self._begin_fault(node=node, what="lost")
         node.is_provisioned = False
@@ -390,7 +393,7 @@
 
     def reread_all(self) -> None:
         """Make every process reload its settings."""
-        for node in self.there():
+        for node in self.provisioned():
             self.reread(node=node)
 
     def reread(self, *, node: Node) -> None:
--- a/kelpstage/testbed/platform_model/rules/abandoned.py
+++ b/kelpstage/testbed/platform_model/rules/abandoned.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from kelpstage.testbed.checkers.base import Violation
-from kelpstage.testbed.platform_model.eligibility import Touch
-from kelpstage.testbed.platform_model.history import LEFT, Arrival, History, Request
+from kelpstage.testbed.platform_model.eligibility import CoreContact
+from kelpstage.testbed.platform_model.history import CLIENT_DISCONNECTED, Arrival, History, Request
 
 CANCEL_GRACE_US = 500_000
 MAX_LATE_ARRIVALS = 3
@@ -16,11 +16,11 @@
     """More than three requests reach a backend over half a second after their client
     disconnected, or backends still work, half a second after the disconnect, on more than a
     quarter of the repeatable requests that run that long. Only machines in touch count."""
-    touch, arrivals = Touch(history=history), history.arrivals_of()
+    touch, arrivals = CoreContact(history=history), history.arrivals_of()
     late: list[Arrival] = []
     long_running, still_running = 0, 0
     for request in history.requests:
-        if request.end != LEFT:
+        if request.end != CLIENT_DISCONNECTED:
             continue
         for arrival in arrivals.get(request.attempt, []):
             if not _rule_applies(touch=touch, request=request, arrival=arrival):
@@ -41,7 +41,7 @@
     return out
 
 
-def _rule_applies(*, touch: Touch, request: Request, arrival: Arrival) -> bool:
+def _rule_applies(*, touch: CoreContact, request: Request, arrival: Arrival) -> bool:
     return all(
         touch.is_in_touch(node=node, at_us=request.done_us, since_us=request.sent_us)
         for node in {request.node, arrival.node}
--- a/kelpstage/testbed/platform_model/rules/configuration.py
+++ b/kelpstage/testbed/platform_model/rules/configuration.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 
 from kelpstage.testbed.checkers.base import Violation
-from kelpstage.testbed.platform_model.eligibility import Touch
+from kelpstage.testbed.platform_model.eligibility import CoreContact
 from kelpstage.testbed.platform_model.history import Arrival, History, Request
 from kelpstage.testbed.platform_model.rules.writes import Orders, is_own_answer
 
@@ -16,7 +16,11 @@
 def late(history: History) -> list[Violation]:
     """More than `ConfigApplyMs` after a version was acknowledged, a request is handled in a
     way that only an older version allows."""
-    orders, touch, arrivals = Orders(history=history), Touch(history=history), history.arrivals_of()
+    orders, touch, arrivals = (
+        Orders(history=history),
+        CoreContact(history=history),
+        history.arrivals_of(),
+    )
     out = []
     for request in history.requests:
         for floor, at_us, nodes, what in _outdated_handlings(
@@ -76,7 +80,7 @@
     *,
     history: History,
     orders: Orders,
-    touch: Touch,
+    touch: CoreContact,
     request: Request,
     nodes: set[str],
     floor: int,
@@ -88,7 +92,9 @@
     acked_us = max(o.acked_us for o in orders.possible if o.revision == floor)
     if since_us <= acked_us + history.bounds.apply_us + history.bounds.stretch_us:
         return False
-    return all(touch.is_outer(node=node, at_us=at_us, since_us=since_us) for node in nodes)
+    return all(
+        touch.has_extended_bound(node=node, at_us=at_us, since_us=since_us) for node in nodes
+    )
 
 
 def read_older(history: History) -> list[Violation]:
@@ -109,7 +115,7 @@
     """Without active faults, 20 or more requests arrive on routes that were added later, and
     the share of them that is served is less than a quarter of the share on the initial
     routes."""
-    touch = Touch(history=history)
+    touch = CoreContact(history=history)
     counts = {True: [0, 0], False: [0, 0]}
     for request in history.requests:
         begin_us = request.sent_us - history.bounds.touch_us
--- a/kelpstage/testbed/platform_model/rules/deadlines.py
+++ b/kelpstage/testbed/platform_model/rules/deadlines.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from kelpstage.testbed.checkers.base import Violation
-from kelpstage.testbed.platform_model.eligibility import Touch
+from kelpstage.testbed.platform_model.eligibility import CoreContact
 from kelpstage.testbed.platform_model.history import History, Request
 from kelpstage.testbed.platform_model.rules.writes import Orders
 
@@ -17,7 +17,7 @@
 def held(history: History) -> list[Violation]:
     """Of the requests at machines in touch that last longer than their route's deadline,
     at least eight, and over a quarter, have no final answer half a second after it."""
-    touch, orders = Touch(history=history), Orders(history=history)
+    touch, orders = CoreContact(history=history), Orders(history=history)
     long_running: list[Request] = []
     overdue: list[Request] = []
     for request in history.requests:
@@ -43,7 +43,7 @@
 def time_handed_on(history: History) -> list[Violation]:
     """More than 20, and more than a fifth, of the requests that machines in touch forward carry
     no deadline, or one over half a second later than the client's."""
-    touch, requests = Touch(history=history), history.requests_by_attempt()
+    touch, requests = CoreContact(history=history), history.requests_by_attempt()
     forwarded, wrong = 0, []
     for arrival in history.arrivals:
         request = requests.get(arrival.attempt)
--- a/kelpstage/testbed/platform_model/rules/draining.py
+++ b/kelpstage/testbed/platform_model/rules/draining.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from kelpstage.testbed.checkers.base import Violation
-from kelpstage.testbed.platform_model.eligibility import Touch
+from kelpstage.testbed.platform_model.eligibility import CoreContact
 from kelpstage.testbed.platform_model.history import Arrival, History, Readiness, Request
 from kelpstage.testbed.platform_model.rules.writes import Orders
 
@@ -21,7 +21,7 @@
     """A request reaches a backend over `DrainMs` after the list showed that it drains or
     is gone. The time also runs while the core is not settled; the limit applies to each
     machine as soon as it is in touch."""
-    touch = Touch(history=history)
+    touch = CoreContact(history=history)
     listed_at_us = {leaver.instance_id: leaver.listed_us for leaver in history.leavers}
     for shown in history.shown:
         listed_at_us[shown.instance_id] = min(
@@ -43,7 +43,9 @@
         nodes = {arrival.node, receiving_node.get(arrival.attempt, arrival.node)}
         if not all(touch.is_in_touch(node=n, at_us=arrival.at_us) for n in nodes):
             continue
-        if touch.is_held_up(a=arrival.node, b=arrival.instance_id, at_us=arrival.at_us):
+        if touch.was_recently_partitioned(
+            a=arrival.node, b=arrival.instance_id, at_us=arrival.at_us
+        ):
             continue
         out.append(
             Violation(
@@ -65,7 +67,7 @@
     """More than three times, machines in touch forward a request from a kept-alive connection
     to backends that neither crash nor break off, and close the connection without an answer.
     This applies outside planned work, too."""
-    touch, arrivals = Touch(history=history), history.arrivals_of()
+    touch, arrivals = CoreContact(history=history), history.arrivals_of()
     found = []
     for request in history.requests:
         if not request.is_kept or request.end not in DROPPED_ENDS:
@@ -111,7 +113,11 @@
     """A completely read request ends without an answer during a planned stop or reload of the
     settings, or a machine drops requests over three times as often near configuration writes
     as at other times."""
-    touch, arrivals, orders = Touch(history=history), history.arrivals_of(), Orders(history=history)
+    touch, arrivals, orders = (
+        CoreContact(history=history),
+        history.arrivals_of(),
+        Orders(history=history),
+    )
     out = []
     drops_near_writes: Counter[str] = Counter()
     other_drops: Counter[str] = Counter()
@@ -164,7 +170,7 @@
 
 
 def _is_dropped(
-    *, history: History, touch: Touch, request: Request, arrivals: list[Arrival]
+    *, history: History, touch: CoreContact, request: Request, arrivals: list[Arrival]
 ) -> bool:
     if request.end not in DROPPED_ENDS or not request.read_us:
         return False
--- a/kelpstage/testbed/platform_model/rules/recovery.py
+++ b/kelpstage/testbed/platform_model/rules/recovery.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from kelpstage.testbed.checkers.base import Violation
-from kelpstage.testbed.platform_model.eligibility import Touch
+from kelpstage.testbed.platform_model.eligibility import CoreContact
 from kelpstage.testbed.platform_model.history import History
 
 QUARTER = 4
@@ -35,7 +35,7 @@
     no fault was active and none of its answers was lost in that span; or the list shows no
     machine within `AckWithinMs` that backends drain, for at least three and over a fifth of
     the draining backends."""
-    touch, out = Touch(history=history), []
+    touch, out = CoreContact(history=history), []
     starts = sorted(
         {
             t.end_us + history.bounds.touch_us + 1
@@ -89,7 +89,7 @@
     return out
 
 
-def _is_undisturbed(*, history: History, touch: Touch, begin_us: int, end_us: int) -> bool:
+def _is_undisturbed(*, history: History, touch: CoreContact, begin_us: int, end_us: int) -> bool:
     if any(cut.begin_us <= end_us and cut.end_us >= begin_us for cut in history.cuts):
         return False
     return touch.is_settled(begin_us=begin_us - history.bounds.touch_us, end_us=end_us)
--- a/kelpstage/testbed/platform_model/rules/runs.py
+++ b/kelpstage/testbed/platform_model/rules/runs.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from kelpstage.testbed.checkers.base import Violation
-from kelpstage.testbed.platform_model.eligibility import Touch
-from kelpstage.testbed.platform_model.history import PROMISES, History, Request
+from kelpstage.testbed.platform_model.eligibility import CoreContact
+from kelpstage.testbed.platform_model.history import NOT_RUN_STATUSES, History, Request
 from kelpstage.testbed.platform_model.rules.writes import Orders, is_own_answer
 
 DENIED_SLACK, DENIED_SHARE = 5, 500
@@ -55,7 +55,11 @@
     arrivals = history.arrivals_of()
     out = []
     for request in history.requests:
-        if request.is_repeatable or request.end != "answered" or request.status not in PROMISES:
+        if (
+            request.is_repeatable
+            or request.end != "answered"
+            or request.status not in NOT_RUN_STATUSES
+        ):
             continue
         ran = [a for a in arrivals.get(request.attempt, ()) if a.ran]
         if ran:
@@ -71,7 +75,11 @@
 
 def denied(history: History) -> list[Violation]:
     """More than 5 plus one in 500 of all requests end with a 3xx or 4xx that no backend sent."""
-    orders, touch, arrivals = Orders(history=history), Touch(history=history), history.arrivals_of()
+    orders, touch, arrivals = (
+        Orders(history=history),
+        CoreContact(history=history),
+        history.arrivals_of(),
+    )
     found = [
         request
         for request in history.requests
@@ -99,7 +107,7 @@
 def denied_out_of_touch(history: History) -> list[Violation]:
     """More than ten requests that every configuration of the scenario allows get 401, 403 or
     404 from machines out of touch. A machine without a configuration has to answer 503."""
-    arrivals, touch = history.arrivals_of(), Touch(history=history)
+    arrivals, touch = history.arrivals_of(), CoreContact(history=history)
     possible = [o for o in history.orders if o.is_valid and not o.refused_us]
     found = [
         request
@@ -120,10 +128,10 @@
 
 
 def _is_denied(
-    *, request: Request, orders: Orders, touch: Touch, history: History, is_own: bool
+    *, request: Request, orders: Orders, touch: CoreContact, history: History, is_own: bool
 ) -> bool:
     is_refusal = request.end == "answered" and 300 <= request.status < 500
-    if not is_refusal or request.status in PROMISES or not request.is_proper or not is_own:
+    if not is_refusal or request.status in NOT_RUN_STATUSES or not request.is_proper or not is_own:
         return False
     floor = orders.newest_acknowledged(at_us=request.sent_us - history.bounds.apply_us)
     candidates = orders.may_be_in_force(floor=floor, until_us=request.done_us)
--- a/kelpstage/testbed/platform_model/scenario.py
+++ b/kelpstage/testbed/platform_model/scenario.py
@@ -9,7 +9,7 @@
 from typing import Any, AsyncIterator, Awaitable
 
 from kelpstage.testbed.checkers.base import Violation
-from kelpstage.testbed.platform_model.backends import Park
+from kelpstage.testbed.platform_model.backends import BackendPool
 from kelpstage.testbed.platform_model.clients import (
     Clients,
     KindScore,
@@ -77,7 +77,7 @@
         self.routes_in_use: dict[str, RouteDraft] = {}
         self.kinds = {kind.name: kind for kind in shape.kinds}
         self._kind_names: dict[tuple[str, str], str] = {}
-        self.park = Park(
+        self.backend_pool = BackendPool(
             world=world,
             history=self.history,
             rand=rand("park"),
@@ -89,7 +89,10 @@
             zones=list(shape.zones),
         )
         self.cloud = CloudList(
-            world=world, park=self.park, history=self.history, per_s=shape.list_per_s
+            world=world,
+            backend_pool=self.backend_pool,
+            history=self.history,
+            per_s=shape.list_per_s,
         )
         self.fleet = Fleet(
             world=world,
@@ -103,7 +106,7 @@
         cloud = self._make_process(name="cloud", machine="cloud", zone="")
         world.machine_by_address[CLOUD_ADDRESS] = cloud.machine
         cloud.ports.net._listen(key=f"http/{CLOUD_ADDRESS}", kind="http", on_event=self.cloud)
-        self.front = LoadBalancer(process=cloud, shape=shape)
+        self.load_balancer = LoadBalancer(process=cloud, shape=shape)
         processes = {
             zone: self._make_process(name=f"clients/{zone}", machine=f"clients-{zone}", zone=zone)
             for zone in shape.zones
@@ -112,15 +115,15 @@
             world=world,
             shape=shape,
             history=self.history,
-            load_balancer=self.front,
+            load_balancer=self.load_balancer,
             processes=processes,
             rand=rand("clients"),
             rate=plan.rate,
             incarnation_of=self.fleet.incarnation_of,
         )
         self.clients.drafts = self.drafts_in_use
-        self.front.on_poll = self._note_readiness
-        self.operator, self.second = (
+        self.load_balancer.on_poll = self._note_readiness
+        self.operator, self.second_operator = (
             Operator(
                 world=world,
                 history=self.history,
@@ -191,15 +194,15 @@
             service = self.shape.services[name]
             for number in range(service.backends):
                 zone = zones[(index + number) % len(zones)]
-                self.park.start(service=service, zone=zone, is_cold=is_cold)
+                self.backend_pool.start(service=service, zone=zone, is_cold=is_cold)
 
     def _note_readiness(self, name: str, is_ready: bool) -> None:
         answer = Readiness(machine=name, at_us=self.world.now_us(), is_ready=is_ready)
         self.history.readiness.append(answer)
 
-    def add_front(self, *, node: Node) -> None:
+    def add_to_load_balancer(self, *, node: Node) -> None:
         """Add a machine to the load balancer, with a random share of the connections."""
-        self.front.add(
+        self.load_balancer.add(
             node=LoadBalancerNode(
                 name=node.name,
                 zone=node.zone,
@@ -257,11 +260,11 @@
 
     async def race(self, rand: random.Random) -> None:
         """Two operators write different changes on the same base; the drafts follow the winner."""
-        await self.second.catch_up()
-        base = self.second.revision = self.operator.revision
+        await self.second_operator.catch_up()
+        base = self.second_operator.revision = self.operator.revision
         before = dict(self.drafts.routes)
         orders, tables = [], []
-        for who in (self.operator, self.second):
+        for who in (self.operator, self.second_operator):
             self.drafts.routes = dict(before)
             (self.drafts.move if who is self.operator else self.drafts.split)()
             revision = base + rand.randrange(1, 5)
@@ -275,7 +278,9 @@
             )
             tables.append(dict(self.drafts.routes))
         self.drafts.routes = before
-        await asyncio.gather(self.operator.send(order=orders[0]), self.second.send(order=orders[1]))
+        await asyncio.gather(
+            self.operator.send(order=orders[0]), self.second_operator.send(order=orders[1])
+        )
         await self.operator.catch_up()
         for order, table in zip(orders, tables, strict=True):
             if order.acked_us or order.revision == self.operator.revision:
@@ -331,7 +336,7 @@
         )
         for _ in range(DIRECT_ROUNDS):
             await asyncio.sleep(DIRECT_INTERVAL_S)
-            for node in list(self.front.nodes.values()):
+            for node in list(self.load_balancer.nodes.values()):
                 if not node.is_in_rotation:
                     continue
                 draft = self.rand.choice([*changed, unknown_route])
@@ -347,8 +352,8 @@
         self.start_services(names=(*shape.index, shape.single, shape.other), is_cold=False)
         self.later(self.fleet.start_all())
         await asyncio.sleep(FIRST_CONFIGURATION_US / 1_000_000)
-        for node in self.fleet.there():
-            self.add_front(node=node)
+        for node in self.fleet.provisioned():
+            self.add_to_load_balancer(node=node)
         await self._send_first_configuration()
         now_us = self.world.now_us()
         start_us = self.plan.start_us or shape.start_us
@@ -424,11 +429,14 @@
         asyncio.set_event_loop(None)
         loop.close()
     violations = find_violations(history=run.history)
-    if run.park.headerless_attempts:
-        why = f"{len(run.park.headerless_attempts)} requests arrived without the client's headers"
+    if run.backend_pool.headerless_attempts:
+        why = (
+            f"{len(run.backend_pool.headerless_attempts)} requests arrived"
+            " without the client's headers"
+        )
         violations.append(Violation(rule="UNASKED", why=why, at_us=0))
     counts = {
-        **dict(run.park.counts),
+        **dict(run.backend_pool.counts),
         "list_calls": run.cloud.calls,
         "list_refused": run.cloud.rejected,
         "requests": len(run.history.requests),
