--- a/kelpstage/testbed/fleet/events.py
+++ b/kelpstage/testbed/fleet/events.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Awaitable, Callable
 
-from kelpstage.testbed.checkers.serving import LOOK_US, RETURN_US
+from kelpstage.testbed.checkers.serving import RATE_WINDOW_US, RECOVERY_LIMIT_US
 from kelpstage.testbed.fleet.fleet import Fleet
 
 SECOND_US = 1_000_000
 # Undisturbed time before the first event; checkers compare later service with it.
-BASELINE_S = LOOK_US / SECOND_US + 0.5
+BASELINE_S = RATE_WINDOW_US / SECOND_US + 0.5
 EDGE_DOWNTIME_S = 2.0
 FREEZE_S = 4.0  # longer than a lease, so that a resumed edge may not serve
 CORE_DOWNTIME_S = 4.0
@@ -110,7 +110,7 @@
     ]
 
 
-RECOVERY_OBSERVATION_S = (RETURN_US + LOOK_US) / SECOND_US + 1.0
+RECOVERY_OBSERVATION_S = (RECOVERY_LIMIT_US + RATE_WINDOW_US) / SECOND_US + 1.0
 
 
 async def change(context: EventContext) -> None:
--- a/kelpstage/testbed/measure/choices.py
+++ b/kelpstage/testbed/measure/choices.py
@@ -124,11 +124,11 @@
         return all(edge.swim.status(name=victim) >= least for edge in others)
 
     samples["suspected_us"] = [
-        await fleet.wait_for(what="suspicion", is_there=lambda: is_seen_as_by_all(1))
+        await fleet.wait_for(what="suspicion", condition=lambda: is_seen_as_by_all(1))
     ]
     samples["held_dead_us"] = [
         samples["suspected_us"][0]
-        + await fleet.wait_for(what="death", is_there=lambda: is_seen_as_by_all(2))
+        + await fleet.wait_for(what="death", condition=lambda: is_seen_as_by_all(2))
     ]
     process.thaw()
 
@@ -141,7 +141,7 @@
     fleet.kill_core(name=leader)
     samples["election_us"] = [
         await fleet.wait_for(
-            what="a new leader", is_there=lambda: fleet.leader() not in (None, leader)
+            what="a new leader", condition=lambda: fleet.leader() not in (None, leader)
         )
     ]
     row = await fleet.put_next()
@@ -184,7 +184,7 @@
     samples["known_us"] = [
         await fleet.wait_for(
             what="darkness",
-            is_there=lambda: all(
+            condition=lambda: all(
                 e.registry.is_unreachable(name=victim, now_us=fleet.world.now_us())
                 or e.registry.is_suspected(name=victim, now_us=fleet.world.now_us())
                 for e in edges
@@ -214,7 +214,7 @@
     await fleet.set_backend(name=self_drained, is_draining=True)
     samples["sign_us"] = [
         await fleet.wait_for(
-            what="all edges to exclude it", is_there=lambda: is_excluded(self_drained)
+            what="all edges to exclude it", condition=lambda: is_excluded(self_drained)
         )
     ]
     row = await fleet.put_next(drained=(labelled,))
@@ -234,10 +234,12 @@
     def is_new_core_voter() -> bool:
         leader = fleet.leader()
         rows = fleet.daemons[f"core/{leader}"].task.raft.replication_progress() if leader else []
-        return fleet.is_core_whole() and address in [r["address"] for r in rows if r["is_voter"]]
+        return fleet.are_cores_healthy() and address in [
+            r["address"] for r in rows if r["is_voter"]
+        ]
 
     samples["whole_again_us"] = [
-        await fleet.wait_for(what="the new core to be a voter", is_there=is_new_core_voter)
+        await fleet.wait_for(what="the new core to be a voter", condition=is_new_core_voter)
     ]
 
 
--- a/kelpstage/testbed/platform_model/machines.py
+++ b/kelpstage/testbed/platform_model/machines.py
@@ -114,7 +114,7 @@
             has_disk=has_disk,
         )
         for port in (FRONT_PORT, READINESS_PORT, CONTROL_PORT, FIRST_PORT, LAST_PORT):
-            self.world.homes[f"{node.ip}:{port}"] = machine
+            self.world.machine_by_address[f"{node.ip}:{port}"] = machine
         self.nodes[name] = node
         self.history.machines |= {name}
         if has_disk:
@@ -125,7 +125,7 @@
         """The machines with a disk that have not been removed."""
         return [node for node in self.nodes.values() if node.has_disk and node.is_provisioned]
 
-    def there(self) -> list[Node]:
+    def provisioned(self) -> list[Node]:
         """The machines that have not been removed, running or not."""
         return [node for node in self.nodes.values() if node.is_provisioned]
 
@@ -295,16 +295,16 @@
         node: Node,
         roles: tuple[str, ...] = (),
         for_us: int = RESTART_DELAY_US,
-        is_disk: bool = False,
+        loses_disk: bool = False,
     ) -> None:
-        """Kill processes and restart them after `for_us`; `is_disk` also loses the disk."""
+        """Kill processes and restart them after `for_us`; `loses_disk` also loses the disk."""
         fault = self._begin_fault(node=node, what="kill")
         for role in roles or node.roles:
             process = node.processes.get(role)
             if process is not None:
                 process.kill()
-        if is_disk:
-            node.machine.platter.lose()
+        if loses_disk:
+            node.machine.disk_image.replace_with_empty()
         await self._restart(node=node, roles=roles or node.roles, for_us=for_us, fault=fault)
 
     async def _restart(
@@ -314,19 +314,19 @@
         await asyncio.gather(*starts)
         fault.end_us = self.world.now_us()
 
-    async def cut_power(self, *, node: Node, for_us: int, is_disk: bool = False) -> None:
+    async def cut_power(self, *, node: Node, for_us: int, loses_disk: bool = False) -> None:
         """Cut a machine's power for `for_us`: no peer is notified, unsynced bytes are lost."""
         fault = self._begin_fault(node=node, what="power")
         node.machine.is_on = False
         for process in node.processes.values():
             process.kill(is_power=True)
-        if is_disk:
-            node.machine.platter.lose()
+        if loses_disk:
+            node.machine.disk_image.replace_with_empty()
         else:
-            node.machine.platter.cut_power()
+            node.machine.disk_image.lose_power()
         await asyncio.sleep(for_us / 1_000_000)
         node.machine.is_on = True
-        self.world.flush()
+        self.world.send_waiting()
         await self._restart(node=node, roles=node.roles, for_us=0, fault=fault)
 
     async def freeze(self, *, node: Node, for_us: int) -> None:
@@ -361,11 +361,14 @@
             return
         await self._restart(node=node, roles=node.roles, for_us=RESTART_DELAY_US, fault=fault)
 
-    async def replace_core(self, *, node: Node, is_told: bool) -> Node:
-        """Replace a core machine by an empty one at another address; `is_told` stops it first."""
-        if is_told:
+    async def replace_core(self, *, node: Node, is_graceful: bool) -> Node:
+        """Replace a core machine by an empty one at another address.
+
+        With `is_graceful`, the machine is stopped first.
+        """
+        if is_graceful:
             await self.stop(node=node, is_for_good=True)
-        self.lose(node=node)
+        self.remove_for_good(node=node)
         await asyncio.sleep(1.0 + self.rand.random() * 2)
         new_node = self.add(zone=node.zone, has_disk=True)
         self.history.core_since[new_node.name] = self.world.now_us()
@@ -376,7 +379,7 @@
         self.reread_all()
         return new_node
 
-    def lose(self, *, node: Node) -> None:
+    def remove_for_good(self, *, node: Node) -> None:
         """Remove a machine for good, without a notification to its peers."""
         self._begin_fault(node=node, what="lost")
         node.is_provisioned = False
@@ -393,7 +396,7 @@
 
     def reread_all(self) -> None:
         """Make every process reload its settings."""
-        for node in self.there():
+        for node in self.provisioned():
             self.reread(node=node)
 
     def reread(self, *, node: Node) -> None:
@@ -413,7 +416,7 @@
     async def disturb_disk(self, *, node: Node, how: str, for_us: int) -> None:
         """Make a disk slow, stalled or full for a while; `how` is "slow", "stall" or "full"."""
         fault = self._begin_fault(node=node, what="disk")
-        platter = node.machine.platter
+        platter = node.machine.disk_image
         platter.slow = 30 if how == "slow" else 1
         platter.is_stalled, platter.is_full = how == "stall", how == "full"
         await asyncio.sleep(for_us / 1_000_000)
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -24,7 +24,7 @@
 )
 from kelpstage.edge.gather.tree import Subtree
 from kelpstage.edge.handlers import handle
-from tests.async_case import AsyncCase, reset
+from tests.async_case import AsyncCase, send_reset
 from tests.test_at_most_once import GOOD, EdgeCase, RawBackend, RawClient
 from tests.test_http import free_address, get, wait_until
 
@@ -37,7 +37,7 @@
 
 
 def leave_by_reset(raw: RawClient) -> None:
-    reset(raw.writer)
+    send_reset(raw.writer)
 
 
 def leave_by_closing(raw: RawClient) -> None:
@@ -167,7 +167,7 @@
         for cancels_on_disconnect in (True, False):
             with self.subTest(cancels_on_disconnect=cancels_on_disconnect):
                 server, raw, events = await self.serve(cancels_on_disconnect=cancels_on_disconnect)
-                reset(raw.writer)
+                send_reset(raw.writer)
                 if cancels_on_disconnect:
                     await wait_until(lambda server=server: not server.open_connections())
                     self.assertEqual(["began", "ended"], events)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -122,7 +122,7 @@
             edge.recording_writer = RecordingWriter(
                 ports=edge.ports, path="d.day", counts=edge.counts
             )
-            platter = fleet.world.machines["node-04"].platter
+            platter = fleet.world.machines["node-04"].disk_image
             platter.is_full = True
             fleet.start_callers()
             await fleet.sleep(us=2_000_000)
