--- a/kelpstage/testbed/platform_model/net.py
+++ b/kelpstage/testbed/platform_model/net.py
@@ -232,7 +232,7 @@
             if how != COMPLETE:
                 self._future.set_result(ConnectionLostError(address=self.address, why=how))
                 return
-            owner_of = self._pending_call.owner_of
+            owner_of = self._pending_call.reply_owner
             owner = Owner.OURS if owner_of is None else owner_of(reply)
             if owner != Owner.OURS:
                 self.allows_reuse = False
